--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -25,7 +25,7 @@
 import trio
 
 from benchmarks.measure import figures, machine, spread, table
-from rookbend.lab.fleet import Clients, Director, fleet, free_port, running
+from rookbend.testing.measurement_fleet import Clients, Director, fleet, free_port, running
 
 HERE = Path(__file__).parent.parent
 SEED = 11
--- a/benchmarks/health.py
+++ b/benchmarks/health.py
@@ -25,8 +25,8 @@
 import trio
 
 from benchmarks.measure import figures, machine, percentile, spread, table
-from rookbend.lab.agents import Manner
-from rookbend.lab.fleet import Clients, Director, Fleet, fleet, free_port, running
+from rookbend.testing.health_agents import Manner
+from rookbend.testing.measurement_fleet import Clients, Director, Fleet, fleet, free_port, running
 
 HERE = Path(__file__).parent.parent
 SEED = 7
@@ -203,11 +203,11 @@
 
 def bytes_a_member(count: int) -> float:
     """Of the board's rows and the plan's jobs, one check each."""
-    from rookbend.background.plan import Plan, Room
     from rookbend.core.model import Entry
-    from rookbend.health.board import Board
     from rookbend.health.model import CheckPolicy, HealthPolicy, MembershipHeard
+    from rookbend.health.registry import Board
     from rookbend.interface import Member
+    from rookbend.scheduling.scheduler import Plan, Room
 
     entries = [Entry(Member(i, zone=1), f"m{i}", ("127.0.0.1", i % 65536)) for i in range(1, count + 1)]
     board = Board(HealthPolicy((CheckPolicy("agent", True),)), lambda e: "cache")
--- a/benchmarks/ownership.py
+++ b/benchmarks/leases.py
@@ -1,6 +1,6 @@
 """One owner at a time: what it saves, how fast it notices, how long nobody owns.
 
-    python -m benchmarks.ownership [--quick | --smallest] [--sizes 3,10]
+    python -m benchmarks.leases [--quick | --smallest] [--sizes 3,10]
 
 1. checks (real directors): checks a second at a member and CPU seconds a second of the fleet, each director
    checking for itself against owners; seconds from a member's failure until the last director knows
@@ -21,10 +21,10 @@
 
 from benchmarks.measure import figures, machine, spread, table
 from benchmarks.recovery_cost import cpu_s
-from rookbend.lab.ownersim import SECOND, OwnerSim
-from rookbend.lab.stage import allow_probes, stage
-from rookbend.ownership import director as machine_of
-from rookbend.ownership.lease import Terms
+from rookbend.leases import coordinator as machine_of
+from rookbend.leases.lease import Terms
+from rookbend.testing.cluster import allow_probes, stage
+from rookbend.testing.lease_simulation import SECOND, OwnerSim
 
 BASE = """
 [state]
@@ -131,7 +131,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    parser = argparse.ArgumentParser(prog="benchmarks.ownership", description=__doc__.splitlines()[0])
+    parser = argparse.ArgumentParser(prog="benchmarks.leases", description=__doc__.splitlines()[0])
     parser.add_argument("--quick", action="store_true", help="3 real directors, one turn, under 45 s")
     parser.add_argument("--smallest", action="store_true", help="the least that runs; shows nothing")
     parser.add_argument("--sizes", default="3,10", help="real directors (default %(default)s)")
--- a/benchmarks/ownership_search.py
+++ b/benchmarks/leases_model_checking.py
@@ -1,10 +1,10 @@
 """All interleavings of the lease's machines under a model network and clocks, and planted faults.
 
-    python -m benchmarks.ownership_search [--quick | --smallest] [--states N] [--jobs N]
+    python -m benchmarks.leases_model_checking [--quick | --smallest] [--states N] [--jobs N]
 
 1. the program as it is, in several bounds, each to a number of states: nothing may be found wrong
-2. every planted fault (rookbend/explore/faults.py): what it breaks must be found; beside it, whether the
-   ordinary tests of the lease (tests/test_ownership.py) catch it too
+2. every planted fault (rookbend/model_checking/faults.py): what it breaks must be found; beside it, whether the
+   ordinary tests of the lease (tests/test_leases.py) catch it too
 """
 
 from __future__ import annotations
@@ -17,9 +17,9 @@
 from pathlib import Path
 
 from benchmarks.measure import figures, machine, table
-from rookbend.explore.faults import FAULTS, Fault, planted
-from rookbend.explore.lease import Bounds, LeaseModel
-from rookbend.explore.search import Found, search
+from rookbend.model_checking.faults import FAULTS, Fault, planted
+from rookbend.model_checking.lease import Bounds, LeaseModel
+from rookbend.model_checking.search import Found, search
 
 HERE = Path(__file__).parent.parent
 WHOLE = {
@@ -34,9 +34,9 @@
 
 
 def caught_by_tests(fault: Fault) -> bool:
-    """Whether tests/test_ownership.py fails with the fault planted (conftest.py plants what is named)."""
+    """Whether tests/test_leases.py fails with the fault planted (conftest.py plants what is named)."""
     ended = subprocess.run(
-        [sys.executable, "-m", "pytest", "-q", "-x", "-p", "no:cacheprovider", "tests/test_ownership.py"],
+        [sys.executable, "-m", "pytest", "-q", "-x", "-p", "no:cacheprovider", "tests/test_leases.py"],
         cwd=HERE,
         env={**os.environ, "ROOKBEND_FAULT": fault.name},
         capture_output=True,
@@ -46,7 +46,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    parser = argparse.ArgumentParser(prog="benchmarks.ownership_search", description=__doc__.splitlines()[0])
+    parser = argparse.ArgumentParser(prog="benchmarks.leases_model_checking", description=__doc__.splitlines()[0])
     parser.add_argument("--quick", action="store_true", help="few states, under 45 s")
     parser.add_argument("--smallest", action="store_true", help="the least that runs; shows nothing")
     parser.add_argument("--states", type=int, default=400_000, help="of each bound (default %(default)s)")
--- a/benchmarks/daily.py
+++ b/benchmarks/operations.py
@@ -1,6 +1,6 @@
 """Running day by day: the door under load, upgrades, figures, a reload, and what the door costs.
 
-    python -m benchmarks.daily [--quick | --smallest]
+    python -m benchmarks.operations [--quick | --smallest]
 
 One director of the stage, three caches, `RATE` requests a second.
 
@@ -25,8 +25,8 @@
 
 from benchmarks.measure import figures, machine, percentile, spread, table
 from benchmarks.recovery_cost import cpu_s
-from rookbend.lab.stage import stage
-from rookbend.protocol.events import split_address
+from rookbend.protocol.coordinator_stream import split_address
+from rookbend.testing.cluster import stage
 
 RATE = 100.0
 SILENT = 200
@@ -147,7 +147,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    parser = argparse.ArgumentParser(prog="benchmarks.daily", description=__doc__.splitlines()[0])
+    parser = argparse.ArgumentParser(prog="benchmarks.operations", description=__doc__.splitlines()[0])
     parser.add_argument("--quick", action="store_true", help="under 45 s")
     parser.add_argument("--smallest", action="store_true", help="the least that runs; shows nothing")
     parser.add_argument("--upgrades", type=int, default=200)
--- a/benchmarks/origin.py
+++ b/benchmarks/origin.py
@@ -2,7 +2,7 @@
 
     python -m benchmarks.origin [--quick] [--directors N ...] [--turns T]
 
-Real engines and modules in simulated time (`rookbend.lab.edge`): locations of caches, parents, an origin that
+Real engines and modules in simulated time (`rookbend.testing.simulation`): locations of caches, parents, an origin that
 turns calls away above a rate and stops for 4 s where it is asked for 2.5 times what it can do. The load is
 half as much again from second 8 to 12. Sides: the module as it is, and as it was before it spared the origin;
 the same worlds and seeds, interleaved. Held fixed: the load for each cache, so a larger fleet has more.
@@ -17,9 +17,9 @@
 import statistics
 
 from benchmarks.measure import figures, machine, spread, table
-from rookbend.lab.edge import EdgeFleet, World
-from rookbend.lab.edge.careless import Careless
-from rookbend.logic import Router
+from rookbend.routing import Router
+from rookbend.testing.simulation import EdgeFleet, World
+from rookbend.testing.simulation.planted_fault import Careless
 
 SECONDS, BURST, MORE = 25, (8, 12), 1.5
 SIDES = {"before": Careless, "now": Router}
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -5,8 +5,8 @@
 1. real: directors as processes on the stage; all of them, caches and parents lose their power in one instant
    and return at once, cold. Sides in turn: `before` (REV, by default the last without recovery), `alone`
    (recovery, `peers no`), `peers` (and its datagrams), `disk` (and [state]).
-2. simulated: the same machine at up to 200 directors in simulated time (lab/fleetsim.py): without, alone,
-   peers.
+2. simulated: the same machine at up to 200 directors in simulated time (testing/recovery_simulation.py): without,
+   alone, peers.
 3. calls: a coordinator that ends all streams; the most calls in any 0.1 s as a share of the fleet.
 
 Figures: seconds from the power to 50% and 95% of worth for three seconds, worth of the first seconds, the
@@ -29,11 +29,11 @@
 
 from benchmarks.fleet import checkout
 from benchmarks.measure import figures, machine, table
-from rookbend.lab.fleetsim import SECOND, FleetSim, World
-from rookbend.lab.stage import stage
-from rookbend.lab.stage.record import now_us
-from rookbend.lab.stage.world import ORIGIN, Make
 from rookbend.net.watch import ReconnectBackoff
+from rookbend.testing.cluster import stage
+from rookbend.testing.cluster.record import now_us
+from rookbend.testing.cluster.shared_state import ORIGIN, Make
+from rookbend.testing.recovery_simulation import SECOND, FleetSim, World
 
 BEFORE = "4cb82cc"
 SEED = 7
--- a/benchmarks/recovery_cost.py
+++ b/benchmarks/recovery_cost.py
@@ -20,7 +20,7 @@
 import trio
 
 from benchmarks.measure import figures, machine, spread, table
-from rookbend.lab.stage import stage
+from rookbend.testing.cluster import stage
 
 RECOVERY = "[state]\n folder {state}\n fleet f1\n[recovery]\n fleet f1\n first-rate 390\n"
 SIDES = {"off": "", "recovery": RECOVERY, "ownership": RECOVERY + "[ownership]\n report-ledger {ledger}\n"}
--- a/benchmarks/recovery_sweep.py
+++ b/benchmarks/recovery_sweep.py
@@ -35,9 +35,9 @@
 import trio
 
 from benchmarks.measure import figures, machine, table
-from rookbend.lab.stage import Scene, allow_probes, disk, stage
-from rookbend.lab.stage.process import AFTER_SEND, BEFORE_SEND
-from rookbend.lab.stage.world import ORIGIN
+from rookbend.testing.cluster import Scene, allow_probes, disk, stage
+from rookbend.testing.cluster.process import AFTER_SEND, BEFORE_SEND
+from rookbend.testing.cluster.shared_state import ORIGIN
 
 OPERATORS = """
 [state]
--- a/rookbend/__init__.py
+++ b/rookbend/__init__.py
@@ -1,6 +1,6 @@
 """rookbend: the decisions of a router in front of caches of large objects."""
 
 from rookbend.interface import Settings
-from rookbend.logic import Router
+from rookbend.routing import Router
 
 __all__ = ["Router", "Settings"]
--- a/rookbend/cli/demo.py
+++ b/rookbend/cli/demo.py
@@ -52,7 +52,7 @@
 def run(args: argparse.Namespace) -> int:
     import trio
 
-    from rookbend.lab.demo import Demo, Plan
+    from rookbend.testing.demo import Demo, Plan
 
     if not 1 <= args.directors <= 40:
         raise UsageError("--directors: 1 to 40")
@@ -71,7 +71,7 @@
     """Runs it with a live table."""
     import trio
 
-    from rookbend.lab.demo import Demo
+    from rookbend.testing.demo import Demo
 
     try:
         from rich.live import Live
--- a/rookbend/parts.py
+++ b/rookbend/components.py
@@ -8,7 +8,7 @@
 
 import trio
 
-from rookbend.net.part import Part, Site
+from rookbend.net.component import Part, Site
 from rookbend.settings import Check, Settings
 
 
@@ -28,7 +28,7 @@
     state = site.built.get("state")
     if state is None:
         return None
-    from rookbend.recovery.names import KIND, Names
+    from rookbend.recovery.issued_names import KIND, Names
 
     names = Names(
         site.clock.now(),
@@ -41,8 +41,8 @@
 
 
 def _balancer(site: Site) -> list[Part]:
-    from rookbend.health.headroom import Headroom
-    from rookbend.health.standing import Standing, standing
+    from rookbend.health.own_status import Standing, standing
+    from rookbend.health.spare_capacity import Headroom
     from rookbend.net.health import GrpcServer, Measuring, agent_server, http_server
 
     s = site.operators
@@ -106,11 +106,11 @@
     """Members' health: the board, its desk, and the checks that the settings name."""
 
     def __init__(self, site: Site):
-        from rookbend.background.plan import Plan, Room
-        from rookbend.health.board import Board
-        from rookbend.health.desk import Desk, role_namer
-        from rookbend.net.background import Runner
+        from rookbend.health.registry import Board
+        from rookbend.health.service import Desk, role_namer
         from rookbend.net.checks import WATCH, CheckDriver
+        from rookbend.net.scheduling import Runner
+        from rookbend.scheduling.scheduler import Plan, Room
 
         self.clock, self.rules = site.clock, site.engine.settings
         engine, b = site.engine, site.operators.background
@@ -168,7 +168,7 @@
 
 
 def _ownership(site: Site) -> list[Part]:
-    from rookbend.net.ownership import OwnershipPart
+    from rookbend.net.leases import OwnershipPart
 
     site.built["ownership"] = ownership = OwnershipPart(site)
     return [ownership]
@@ -176,7 +176,7 @@
 
 def _admin(site: Site) -> list[Part]:
     from rookbend.health.model import Order, Ordered
-    from rookbend.net.small import SmallServer, serve_http
+    from rookbend.net.http_server import SmallServer, serve_http
     from rookbend.protocol.admin import AdminDesk
 
     admin, health, recovery = site.operators.admin, site.built.get("health"), site.built.get("recovery")
@@ -233,7 +233,7 @@
 
 
 def _daily(site: Site) -> list[Part]:
-    from rookbend.net.daily import DailyPart
+    from rookbend.net.operations import DailyPart
 
     site.built["daily"] = daily = DailyPart(site)
     if daily.upgrade is not None:
--- a/rookbend/config.py
+++ b/rookbend/config.py
@@ -10,11 +10,11 @@
 
 from rookbend import interface as api
 from rookbend import settings
-from rookbend.daily import change
+from rookbend.operations import reload_validation
 from rookbend.platform_settings import DirectorSettings, Lane, Limits, to_router_settings
-from rookbend.protocol.events import Known, split_address
+from rookbend.protocol.coordinator_stream import Known, split_address
 from rookbend.settings import Settings
-from rookbend.wire import EFFECTS
+from rookbend.simulator_codec import EFFECTS
 
 
 class ConfigError(Exception):
@@ -35,7 +35,7 @@
     flow_bytes_per_s: float = 0.0
     link_bytes_per_s: float = 0.0
     known: Known = msgspec.field(default_factory=Known)
-    keys: object = None  # those that the file has, set by `load`: see daily/change.py
+    keys: object = None  # those that the file has, set by `load`: see operations/reload_validation.py
 
     def router_settings(self) -> api.Settings:
         return to_router_settings(self.settings)
@@ -72,9 +72,9 @@
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
         raise ConfigError(f"NODE_CONFIG is not usable: {path}: {error}") from None
     raw = msgspec.json.decode(text)
-    if before is not None and (lacks := change.missing(before.keys, raw)):
+    if before is not None and (lacks := reload_validation.missing(before.keys, raw)):
         raise ConfigError(f"NODE_CONFIG lacks {lacks}: {path}")
-    config.keys = change.shape(raw)
+    config.keys = reload_validation.shape(raw)
     config.name = environ.get("NODE_NAME", config.name)
     config.listen = environ.get("NODE_LISTEN", config.listen)
     config.operator = environ.get("NODE_OPERATOR", config.operator)
--- a/rookbend/core/engine.py
+++ b/rookbend/core/engine.py
@@ -13,11 +13,11 @@
 from rookbend import interface as api
 from rookbend.core.clock import Clock
 from rookbend.core.counters import Counters
-from rookbend.core.guards import Guards
 from rookbend.core.intake import Intake
 from rookbend.core.model import Answer, Attempt, Entry, Result, Verdict
 from rookbend.core.open_request import Backend, OpenRequest, Peers
-from rookbend.core.repeats import Repeats
+from rookbend.core.retry_safety import Repeats
+from rookbend.core.send_guards import Guards
 from rookbend.core.timers import ATTEMPT, ROUTER, Timers
 from rookbend.interface import Status
 
--- a/rookbend/drain.py
+++ b/rookbend/drain.py
@@ -11,7 +11,7 @@
 
 import trio
 
-from rookbend.vitals import TIMER_STEP_US
+from rookbend.process_metrics import TIMER_STEP_US
 
 if TYPE_CHECKING:
     from rookbend.service import Service
--- a/rookbend/fronts/dns.py
+++ b/rookbend/fronts/dns.py
@@ -18,11 +18,11 @@
 from rookbend.core.engine import Engine
 from rookbend.core.model import Answer, Request, Verdict
 from rookbend.interface import Effect
+from rookbend.protocol.coordinator_stream import object_number
 from rookbend.protocol.dns import ADDRESSES, Lookup, NoAnswerError, Outcome, read_query, reply_to
-from rookbend.protocol.events import object_number
 
 if TYPE_CHECKING:
-    from rookbend.recovery.names import Given, Names
+    from rookbend.recovery.issued_names import Given, Names
 
 ASKERS = 32  # who may wait for one try
 REMEMBERED = 4096  # tries known at once, those under way among them
@@ -205,7 +205,7 @@
     def _settle(self, t: Try, outcome: Outcome) -> None:
         if not t.write or self.names is None:
             return self._reply(t, outcome)
-        from rookbend.recovery.names import Given
+        from rookbend.recovery.issued_names import Given
 
         # Kept before it is given out: what nobody has heard may be forgotten, what somebody has may not.
         self.names.keep(
--- a/rookbend/fronts/platform.py
+++ b/rookbend/fronts/platform.py
@@ -7,8 +7,8 @@
 from rookbend.core.engine import Engine
 from rookbend.core.model import Answer, Request, Verdict
 from rookbend.core.open_request import OpenRequest
-from rookbend.protocol import frames
-from rookbend.protocol.events import object_number
+from rookbend.protocol import client_frames as frames
+from rookbend.protocol.coordinator_stream import object_number
 
 STREAMS = 32  # open requests on one connection
 LONGEST_WRITE = 48_000
--- a/rookbend/health/member.py
+++ b/rookbend/health/member.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from rookbend.core.evidence import Outcome
+from rookbend.core.check_result import Outcome
 from rookbend.core.model import Entry
 from rookbend.health.model import (
     FULL,
--- a/rookbend/health/model.py
+++ b/rookbend/health/model.py
@@ -18,7 +18,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from rookbend.core.evidence import Outcome, Words
+from rookbend.core.check_result import Outcome, Words
 from rookbend.core.model import Entry
 from rookbend.interface import Status
 
--- a/rookbend/health/standing.py
+++ b/rookbend/health/own_status.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from rookbend.health.headroom import FULL, Headroom
+from rookbend.health.spare_capacity import FULL, Headroom
 
 
 @dataclass(frozen=True, slots=True)
--- a/rookbend/health/board.py
+++ b/rookbend/health/registry.py
@@ -15,7 +15,6 @@
 import heapq
 from collections.abc import Callable
 
-from rookbend.background.plan import IDLE, NORMAL, URGENT
 from rookbend.core.model import Entry
 from rookbend.health.member import Row, opinions_for
 from rookbend.health.model import (
@@ -39,6 +38,7 @@
     Verdict,
 )
 from rookbend.interface import MemberState
+from rookbend.scheduling.scheduler import IDLE, NORMAL, URGENT
 
 NO_RAMP = Ramp()
 
--- a/rookbend/health/desk.py
+++ b/rookbend/health/service.py
@@ -14,9 +14,9 @@
 
 from rookbend.core.engine import Engine
 from rookbend.core.model import Entry, MembershipChange
-from rookbend.health.board import Board
 from rookbend.health.member import PASSIVE_GOOD
 from rookbend.health.model import FULL, AttemptSeen, Event, Judged, MembershipHeard, Tick, Verdict
+from rookbend.health.registry import Board
 from rookbend.interface import MemberState, Settings, Status
 
 GATHER_US = 100_000
--- a/rookbend/ownership/director.py
+++ b/rookbend/leases/coordinator.py
@@ -14,14 +14,15 @@
 
 import msgspec
 
-from rookbend.core.rate import Bucket
-from rookbend.ownership import checks, conductor, duties, orders
-from rookbend.ownership.lease import Grant, Phase, Sets, Tenure, Terms, Voter
-from rookbend.ownership.receiver import Receiver
-from rookbend.ownership.report import Report
-from rookbend.protocol import ownership as wire
-from rookbend.protocol.fleet import fleet_number
-from rookbend.recovery.director import Datagram, Forget, Keep, Say, Send, Tick
+from rookbend.core.token_bucket import Bucket
+from rookbend.leases import leader_tasks, order_replication, ramp_allocation
+from rookbend.leases import sharded_checks as checks
+from rookbend.leases.fencing import Receiver
+from rookbend.leases.fleet_report import Report
+from rookbend.leases.lease import Grant, Phase, Sets, Tenure, Terms, Voter
+from rookbend.protocol import leases as wire
+from rookbend.protocol.gossip import fleet_number
+from rookbend.recovery.coordinator import Datagram, Forget, Keep, Say, Send, Tick
 
 BEAT_US = 100_000  # the machine's own, while anything is owned, asked for or voted on
 ASK_AGAIN_US = 200_000  # a round whose votes were lost
@@ -33,8 +34,7 @@
 LOOK_US = 2_000_000  # between two looks at who owns what
 STAGGER_US = 300_000  # by so much the second candidate waits longer
 CANDIDATES = 2  # who may ask for a scope at once
-FETCH_US = 1_000_000
-APPEND_US = 300_000
+FETCH_US, APPEND_US = 1_000_000, 300_000
 GIVE_AGAIN_US, GIVE_FOR_US = 400_000, 4_000_000
 BALANCE_US = 2_000_000
 BUDGET, BURST = 400.0, 800  # datagrams a second of this director, all kinds
@@ -268,15 +268,15 @@
         self.voter = Voter(config.terms, now, grants)
         # A grant does not bind it as a receiver: one who is granted by a few voters only owns nothing.
         self.receiver = Receiver(tokens)
-        self.log = orders.Log(log, stands)
+        self.log = order_replication.Log(log, stands)
         # Whether this voter's log may lack what it has stored: it is copied first, and read by no writer.
         has_log = any((kind, key) == ("log", "stands") for kind, key, _ in kept)
-        self.copying = None if has_log else orders.Copying(config.me)
+        self.copying = None if has_log else order_replication.Copying(config.me)
         self.follower = checks.Follower()
-        self.conducted = conductor.Conducted()
+        self.conducted = ramp_allocation.Conducted()
         self.report = Report(config.report_us)
-        self.writer: orders.Writer | None = None
-        self.scopes = duties.scopes(config.duties, config.shards)
+        self.writer: order_replication.Writer | None = None
+        self.scopes = leader_tasks.scopes(config.duties, config.shards)
         self.tenures = {s: Tenure(s, self.me, config.terms, self.sets.needed) for s in self.scopes}
         self.tries = {
             s: Try(at_us=now + config.terms.quiet_us + self._jitter(STAGGER_US), ownerless_us=now) for s in self.scopes
@@ -375,7 +375,7 @@
     def _rank(self, scope: int) -> list[int]:
         found = self.ranks.get(scope)
         if found is None:
-            found = duties.rank(scope, self.living)
+            found = leader_tasks.rank(scope, self.living)
             if (pin := self.pins.get(scope)) in self.living:
                 found = [pin, *(p for p in found if p != pin)]
             self.ranks[scope] = found
@@ -485,7 +485,7 @@
         self.tries[scope].at_us = now + self._wait(scope) + self._jitter(STAGGER_US)
         self.tries[scope].ownerless_us = now
         self.out.append(Lost(scope, why))
-        self._say("ownership_lost", "warning", scope=duties.name_of(scope), why=why)
+        self._say("ownership_lost", "warning", scope=leader_tasks.name_of(scope), why=why)
         if scope == ORDERS:
             self.writer = None  # who waits asks the next one
         elif scope == REPORT:
@@ -498,9 +498,9 @@
         self.changes += 1
         self._raise(scope, tenure.token)
         self.out.append(Owned(scope, tenure.token, tenure.until))
-        self._say("ownership_won", scope=duties.name_of(scope), token=tenure.token)
+        self._say("ownership_won", scope=leader_tasks.name_of(scope), token=tenure.token)
         if scope == ORDERS:
-            self.writer = orders.Writer(self.log, tenure.token, self.sets.needed)
+            self.writer = order_replication.Writer(self.log, tenure.token, self.sets.needed)
         self.sequences[scope] = 0
 
     def _raise(self, scope: int, token: int) -> None:
@@ -554,7 +554,7 @@
             pin = self.pins.get(scope)
             if pin is not None and pin != self.config.me and pin in self.living:
                 return self._hand_over(now, scope, pin)
-        shards = [s for s in mine if s >= duties.FIRST_SHARD and s not in self.pins]
+        shards = [s for s in mine if s >= leader_tasks.FIRST_SHARD and s not in self.pins]
         even = -(-self.config.shards // len(self.living))
         if len(shards) > even:
             for scope in shards:
@@ -585,7 +585,7 @@
     def _old_disk(self, now: int, event: OldDisk) -> None:
         self.voter.be_quiet(now)
         self.recalled = set()
-        self.copying = orders.Copying(self.config.me)
+        self.copying = order_replication.Copying(self.config.me)
         self._say("ownership_quiet", "warning", why="an older disk is under this voter")
 
     # Datagrams
@@ -734,7 +734,7 @@
         self._say(
             "ownership_act_refused",
             "warning",
-            scope=duties.name_of(scope),
+            scope=leader_tasks.name_of(scope),
             by=sender,
             token=token,
             highest=self.receiver.highest[scope],
@@ -758,14 +758,14 @@
         for scope, found in self.findings.items():
             if self.owns(now, scope) and now - self.told_us.get(scope, 0) >= checks.BEAT_US:
                 self._tell(now, scope, found)
-        if self.calls and now - self.conducted_us >= conductor.BEAT_US and (token := self.owns(now, CONDUCTOR)):
+        if self.calls and now - self.conducted_us >= ramp_allocation.BEAT_US and (token := self.owns(now, CONDUCTOR)):
             self.conducted_us = now
             self.sequences[CONDUCTOR] += 1
-            for place, part in conductor.parts(self.config.count, self.calls).items():
+            for place, part in ramp_allocation.parts(self.config.count, self.calls).items():
                 self._send(
                     now,
                     place,
-                    wire.Share(*self._head(), token, self.sequences[CONDUCTOR], part, conductor.VALID_US // 1000),
+                    wire.Share(*self._head(), token, self.sequences[CONDUCTOR], part, ramp_allocation.VALID_US // 1000),
                 )
         if token := self.owns(now, REPORT):
             self._report(now, token)
@@ -824,7 +824,7 @@
 
     def _verdicts(self, now: int, sender: int, m: wire.Verdicts) -> None:
         if (
-            m.scope < duties.FIRST_SHARD
+            m.scope < leader_tasks.FIRST_SHARD
             or m.scope not in self.tenures
             or not self._accept(now, sender, m.scope, m.token)
         ):
@@ -868,14 +868,14 @@
             self._take_order(now, (sender, m.life, m.id), m.member, m.order, m.by)
 
     def _take_order(self, now: int, whose: tuple[int, int, int], member: str, order: str, by: str) -> None:
-        waiting = orders.Waiting(member, order, by, whose)
+        waiting = order_replication.Waiting(member, order, by, whose)
         if self.log.stands(whose):
             return self._answer_order(now, waiting, "")  # the answer was lost
         if fault := self.writer.give(waiting):
             return self._answer_order(now, waiting, fault)
         self._write_on(now)
 
-    def _answer_order(self, now: int, waiting: orders.Waiting, fault: str) -> None:
+    def _answer_order(self, now: int, waiting: order_replication.Waiting, fault: str) -> None:
         place, life, id_ = waiting.whose
         if place == self.config.me and life == self.life:
             if self.given.pop(id_, None) is not None:
@@ -938,8 +938,8 @@
 
     def _fetch(self, now: int, sender: int, m: wire.Fetch) -> None:
         committed = self.log.committed
-        if m.token == orders.COPY:
-            last, committed = self.log.last, orders.BLANK if self.copying is not None else committed
+        if m.token == order_replication.COPY:
+            last, committed = self.log.last, order_replication.BLANK if self.copying is not None else committed
         elif m.token:
             if sender != self.config.me and not self._accept(now, sender, ORDERS, m.token):
                 return
@@ -963,7 +963,7 @@
         if m.to_life != self.life:
             return
         w = self.writer
-        if m.token == orders.COPY:
+        if m.token == order_replication.COPY:
             return self._copied(now, sender, m)
         if m.token:
             if (
@@ -991,7 +991,7 @@
         copying.heard(sender, m.after, m.last, m.committed, m.entries)
         if not copying.done(self.sets.needed):
             if m.entries:
-                self._send(now, sender, wire.Fetch(*self._head(), orders.COPY, copying.read_from(sender)))
+                self._send(now, sender, wire.Fetch(*self._head(), order_replication.COPY, copying.read_from(sender)))
             return
         self.copying = None
         for entry in copying.newest():
@@ -1014,8 +1014,8 @@
                 self.out.append(OrderStands(member, order, by))
                 continue
             try:
-                scope = duties.scope_of(member[1:])
-            except duties.UnknownDutyError:
+                scope = leader_tasks.scope_of(member[1:])
+            except leader_tasks.UnknownDutyError:
                 continue
             place = order.removeprefix(PIN)
             if order.startswith(PIN) and place.isdigit():
@@ -1034,7 +1034,7 @@
         if self.copying is not None and self.config.me in self.sets.all and now - self.copied_us >= APPEND_US:
             self.copied_us = now
             for voter in sorted(self.sets.all - {self.config.me} - self.copying.ended):
-                self._send(now, voter, wire.Fetch(*self._head(), orders.COPY, self.copying.read_from(voter)))
+                self._send(now, voter, wire.Fetch(*self._head(), order_replication.COPY, self.copying.read_from(voter)))
             if self.copying.done(self.sets.needed):  # the only voter there is
                 self.copying = None
                 self._keep_stands()
@@ -1080,13 +1080,13 @@
             ours = t.owns(now)
             rows.append(
                 {
-                    "scope": duties.name_of(scope),
+                    "scope": leader_tasks.name_of(scope),
                     "owner": self.config.me if ours else row.place,
                     "token": t.token if ours else self.receiver.highest.get(scope, 0),
                     "left_ms": (t.until - now) // 1000 if ours else None,
                     "ours": ours,
                     "pinned": self.pins.get(scope),
-                    "next": duties.rank(scope, living)[:1],
+                    "next": leader_tasks.rank(scope, living)[:1],
                     "ownerless_ms": (now - row.ownerless_us) // 1000 if row.ownerless_us and not ours else None,
                 }
             )
--- a/rookbend/ownership/orders.py
+++ b/rookbend/leases/order_replication.py
@@ -12,8 +12,8 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from rookbend.ownership.lease import agreed
-from rookbend.protocol.ownership import Entry
+from rookbend.leases.lease import agreed
+from rookbend.protocol.leases import Entry
 
 KEPT = 2_000  # entries that stand, beyond the last of each member
 COPY, BLANK = -1, -1  # in place of a token: all there is; of what stands: nothing is known here
--- a/rookbend/ownership/checks.py
+++ b/rookbend/leases/sharded_checks.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from rookbend.core.evidence import Outcome, Words
+from rookbend.core.check_result import Outcome, Words
 from rookbend.health.member import Opinion, Row
 from rookbend.health.model import FULL, AgentHeard, CheckEnded
 
--- a/rookbend/logs.py
+++ b/rookbend/logs.py
@@ -14,7 +14,7 @@
 import msgspec
 import structlog
 
-from rookbend.core.rate import SECOND, Bucket
+from rookbend.core.token_bucket import SECOND, Bucket
 
 LEVELS = {"debug": 10, "info": 20, "warning": 30, "error": 40}
 NEVER_DROPPED = frozenset({"starting", "ready", "draining", "stopped", "counters"})
--- a/rookbend/explore/faults.py
+++ b/rookbend/model_checking/faults.py
@@ -1,5 +1,5 @@
 """Faults planted into the lease, each a change of a few words that looks harmless; the search must find what
-each breaks within its bounds. `python -m benchmarks.ownership_search` prints the table."""
+each breaks within its bounds. `python -m benchmarks.leases_model_checking` prints the table."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 from contextlib import contextmanager
 from dataclasses import dataclass, field
 
-from rookbend.explore.lease import Bounds, LeaseModel, Ticks
-from rookbend.ownership import lease
-from rookbend.ownership.lease import NONE, Grant, Phase, Tenure, Terms, Vote, Voter
-from rookbend.ownership.receiver import Receiver
+from rookbend.leases import lease
+from rookbend.leases.fencing import Receiver
+from rookbend.leases.lease import NONE, Grant, Phase, Tenure, Terms, Vote, Voter
+from rookbend.model_checking.lease import Bounds, LeaseModel, Ticks
 
 Patch = tuple[object, str, object]  # where, what, with what
 
--- a/rookbend/explore/lease.py
+++ b/rookbend/model_checking/lease.py
@@ -25,8 +25,8 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from rookbend.ownership.lease import Grant, Phase, Tenure, Terms, Voter
-from rookbend.ownership.receiver import Receiver
+from rookbend.leases.fencing import Receiver
+from rookbend.leases.lease import Grant, Phase, Tenure, Terms, Voter
 
 BEGAN = 10  # ticks: no time is nought
 BAD = "", "old token", "token twice", "token back"
--- a/rookbend/net/checks.py
+++ b/rookbend/net/checks.py
@@ -10,13 +10,13 @@
 
 import trio
 
-from rookbend.background.plan import Plan
+from rookbend.core.check_result import Outcome, Words
 from rookbend.core.clock import Clock
-from rookbend.core.evidence import Outcome, Words
-from rookbend.health.desk import Desk
 from rookbend.health.model import AgentHeard, CheckEnded
-from rookbend.net.background import Runner
+from rookbend.health.service import Desk
 from rookbend.net.member_connection import open_socket
+from rookbend.net.scheduling import Runner
+from rookbend.scheduling.scheduler import Plan
 from rookbend.settings import Check
 
 CHECK, WATCH = "check", "watch"  # kinds of background work
--- a/rookbend/net/client.py
+++ b/rookbend/net/client_connection.py
@@ -15,10 +15,10 @@
 import trio
 
 from rookbend.fronts.platform import PlatformSession
-from rookbend.net.channel import Channel, prepare
+from rookbend.net.buffered_socket import Channel, prepare
 
 if TYPE_CHECKING:
-    from rookbend.net.front import FrontServer
+    from rookbend.net.client_listener import FrontServer
 
 PAUSE_ABOVE_BYTES = 1 << 20  # unsent bytes above which the client's new requests wait until they are gone
 FINISH_US = 250_000  # a client that has not closed so long after our end is closed on
--- a/rookbend/net/front.py
+++ b/rookbend/net/client_listener.py
@@ -8,9 +8,9 @@
 
 from rookbend.core.counters import Counters
 from rookbend.fronts.platform import PlatformFront
-from rookbend.net.accept import accept
-from rookbend.net.channel import Outbox
-from rookbend.net.client import FINISH_US, ClientConnection, ClientPhase
+from rookbend.net.acceptor import accept
+from rookbend.net.buffered_socket import Outbox
+from rookbend.net.client_connection import FINISH_US, ClientConnection, ClientPhase
 
 NEWCOMER_US = 250_000  # a client that says nothing may be let go this long after it connected
 WATCH_S = 0.25
--- a/rookbend/net/part.py
+++ b/rookbend/net/component.py
@@ -14,9 +14,9 @@
     from rookbend.core.clock import Clock
     from rookbend.core.counters import Counters
     from rookbend.core.engine import Engine
-    from rookbend.health.headroom import Sample
+    from rookbend.health.spare_capacity import Sample
     from rookbend.logs import Log
-    from rookbend.net.channel import Outbox
+    from rookbend.net.buffered_socket import Outbox
     from rookbend.net.listeners import Listeners
     from rookbend.net.watch import Watch
     from rookbend.settings import Settings
--- a/rookbend/net/dns.py
+++ b/rookbend/net/dns.py
@@ -13,11 +13,11 @@
 
 from rookbend.core.clock import Clock
 from rookbend.fronts.dns import DnsFront
-from rookbend.net.accept import accept
-from rookbend.net.channel import Channel, Outbox, prepare
+from rookbend.net.acceptor import accept
+from rookbend.net.buffered_socket import Channel, Outbox, prepare
+from rookbend.net.component import Part
 from rookbend.net.listeners import Listeners
 from rookbend.net.member_connection import open_socket
-from rookbend.net.part import Part
 from rookbend.protocol.dns import (
     LONGEST_MESSAGE,
     TcpMessages,
--- a/rookbend/net/health.py
+++ b/rookbend/net/health.py
@@ -8,11 +8,11 @@
 import trio
 
 from rookbend.core.clock import Clock
-from rookbend.health.headroom import Headroom, Sample
-from rookbend.health.standing import Standing
-from rookbend.net.channel import Channel, Outbox
-from rookbend.net.part import Part
-from rookbend.net.small import IDLE_US, SmallServer, serve_http
+from rookbend.health.own_status import Standing
+from rookbend.health.spare_capacity import Headroom, Sample
+from rookbend.net.buffered_socket import Channel, Outbox
+from rookbend.net.component import Part
+from rookbend.net.http_server import IDLE_US, SmallServer, serve_http
 from rookbend.protocol import health as http_health
 from rookbend.protocol.agent import write_line
 
--- a/rookbend/net/small.py
+++ b/rookbend/net/http_server.py
@@ -9,10 +9,10 @@
 import trio
 
 from rookbend.core.clock import Clock
-from rookbend.net.accept import accept
-from rookbend.net.channel import Channel, Outbox, prepare
+from rookbend.net.acceptor import accept
+from rookbend.net.buffered_socket import Channel, Outbox, prepare
+from rookbend.net.component import Part
 from rookbend.net.listeners import Listeners
-from rookbend.net.part import Part
 from rookbend.protocol.http_serve import HttpRequest, HttpServe
 
 CLIENTS = 32
--- a/rookbend/net/ownership.py
+++ b/rookbend/net/leases.py
@@ -12,15 +12,15 @@
 
 import trio
 
+from rookbend.leases import coordinator as machine
+from rookbend.leases import leader_tasks, sharded_checks
+from rookbend.leases.lease import Terms
+from rookbend.net.component import Part, Site
 from rookbend.net.member_connection import open_socket
-from rookbend.net.part import Part, Site
 from rookbend.net.recovery import LIFE_BITS
-from rookbend.ownership import checks, duties
-from rookbend.ownership import director as machine
-from rookbend.ownership.lease import Terms
-from rookbend.protocol.ownership import is_ours
-from rookbend.recovery.director import OrderLearnt
-from rookbend.recovery.share import HEARD_US
+from rookbend.protocol.leases import is_ours
+from rookbend.recovery.coordinator import OrderLearnt
+from rookbend.recovery.origin_ramp import HEARD_US
 from rookbend.settings.schema import default_voters
 
 LOOK_US = 250_000  # between two looks at who is living, what is found, and what the ramp needs
@@ -41,7 +41,7 @@
         names = machine.DUTIES - (frozenset() if self.health is not None and s.checks else {"checks"})
         if wanted.report_ledger is None and not wanted.report_file:
             names -= {"report"}
-        duties.duty("report" if wanted.report_ledger is not None else "report-file")
+        leader_tasks.duty("report" if wanted.report_ledger is not None else "report-file")
         fleet = s.state.fleet if s.state is not None else s.recovery.fleet
         config = machine.Config(
             rules.router_index,
@@ -151,7 +151,7 @@
     # Checks
 
     def _scope_of(self, server: int) -> int:
-        return duties.shard_of(server, self.machine.config.shards)
+        return leader_tasks.shard_of(server, self.machine.config.shards)
 
     def _rows(self, scope: int) -> list:
         """The board's, of the members of a shard."""
@@ -164,7 +164,7 @@
             return True, 0
         if self.machine.follower.fresh(now, scope):
             return False, interval_us
-        return True, interval_us * checks.SLOWER
+        return True, interval_us * sharded_checks.SLOWER
 
     def _result(self, server: int) -> None:
         """A check of ours has ended: what is news to the others goes out at once."""
@@ -173,7 +173,7 @@
             self._find(scope)
 
     def _find(self, scope: int) -> None:
-        found = machine.Found(scope, *checks.told(self._rows(scope), self.check_names))
+        found = machine.Found(scope, *sharded_checks.told(self._rows(scope), self.check_names))
         if found != self._last.get(scope):
             self._last[scope] = found
             self.feed(found)
@@ -251,8 +251,8 @@
     async def command(self, word: str, scope: str, place: int) -> tuple[int, str]:
         """An operator's: move a scope, pin it, or take the pin out; (status, fault)."""
         try:
-            number = duties.scope_of(scope)
-        except duties.UnknownDutyError:
+            number = leader_tasks.scope_of(scope)
+        except leader_tasks.UnknownDutyError:
             return 404, f"no scope {scope}"
         if number not in self.machine.tenures:
             return 404, f"{scope} is off"
@@ -305,7 +305,7 @@
             calls = {n: o.calls for n, o in fresh.items()} | {self.machine.config.me: len(share.seen)}
             self.feed(machine.Asked(calls if ramp else {}))
             for scope in self.machine.owned(now):
-                if scope >= duties.FIRST_SHARD:
+                if scope >= leader_tasks.FIRST_SHARD:
                     self._find(scope)
             await trio.sleep(LOOK_US / 1e6)
 
--- a/rookbend/net/listeners.py
+++ b/rookbend/net/listeners.py
@@ -9,7 +9,7 @@
 
 import socket
 
-from rookbend.net.accept import listen
+from rookbend.net.acceptor import listen
 
 Address = tuple[str, int]
 
--- a/rookbend/net/member_connection.py
+++ b/rookbend/net/member_connection.py
@@ -12,8 +12,8 @@
 
 from rookbend.core.model import Attempt, Result
 from rookbend.interface import Status
-from rookbend.net.channel import Channel, prepare
-from rookbend.protocol import lines
+from rookbend.net.buffered_socket import Channel, prepare
+from rookbend.protocol import cache_lines
 
 if TYPE_CHECKING:
     from rookbend.net.member_pool import MemberPool
@@ -35,7 +35,7 @@
     """One connection to a member, and the attempts that are out on it."""
 
     def __init__(self, member_pool: MemberPool, channel: Channel, report_fields: tuple[str, ...]):
-        self.member_pool, self.channel, self.parser = member_pool, channel, lines.AnswerParser(report_fields)
+        self.member_pool, self.channel, self.parser = member_pool, channel, cache_lines.AnswerParser(report_fields)
         self.open: dict[str, Attempt] = {}
         self.spans: dict[str, Span] = {}  # of the requests in `open`
         self.undone: dict[str, None] = {}  # ids given up here; the member may not know it yet
@@ -116,7 +116,7 @@
                 await self._read_answers(connection)
             if connection.reading.cancelled_caught and not connection.ended:
                 await self._spoilt(connection, "an answer stopped short")
-        except lines.LineError as error:
+        except cache_lines.LineError as error:
             self._take(connection, error.answers)
             if not connection.ended:
                 await self._spoilt(connection, str(error))
@@ -151,7 +151,7 @@
             while unread < UNREAD and (data := await connection.channel.receive()):
                 unread += len(data)
 
-    def _take(self, connection: MemberConnection, answers: list[lines.CacheAnswer]) -> None:
+    def _take(self, connection: MemberConnection, answers: list[cache_lines.CacheAnswer]) -> None:
         for answer in answers:
             attempt = connection.open.pop(answer.rid, None)
             if attempt is not None:
--- a/rookbend/net/member_pool.py
+++ b/rookbend/net/member_pool.py
@@ -6,10 +6,10 @@
 from typing import TYPE_CHECKING
 
 from rookbend.core.model import Attempt, Entry, Result
-from rookbend.core.restart import RestartEvidence
+from rookbend.core.restart_detection import RestartEvidence
 from rookbend.interface import Status
 from rookbend.net.member_connection import GONE_US, MemberConnection, Reading, Span, keep_bounded
-from rookbend.protocol import lines
+from rookbend.protocol import cache_lines
 
 if TYPE_CHECKING:
     from rookbend.net.pool import Pool
@@ -125,7 +125,7 @@
             return engine.finished(attempt, Result(Status.MOOT))
         now = engine.clock.now()
         source = engine.entries[attempt.source].name if attempt.source else ""
-        data = lines.write_do(attempt, now, source)
+        data = cache_lines.write_do(attempt, now, source)
         rid, channel = attempt.request.rid, connection.channel
         connection.open[rid] = attempt
         connection.spans[rid] = Span(channel.accepted, channel.accepted + len(data))
@@ -141,7 +141,7 @@
         if self._taken_back(connection, span):
             return Status.CONNECT_FAILED
         keep_bounded(connection.undone, rid)
-        connection.channel.write(lines.write_undo(rid))
+        connection.channel.write(cache_lines.write_undo(rid))
         self.pool.counters.undone += 1
         self.pool.counters.written += 1  # before the `undo`, in any case
         late = attempt.due_us <= now
--- a/rookbend/net/daily.py
+++ b/rookbend/net/operations.py
@@ -10,14 +10,14 @@
 import trio
 
 from rookbend.core.model import MembershipChange
-from rookbend.daily import figures, kept
-from rookbend.daily.bans import Bans, Ordered
 from rookbend.interface import MemberState
+from rookbend.net.component import Part, Site
 from rookbend.net.listeners import Listeners
 from rookbend.net.operator import CALLERS, Door
-from rookbend.net.part import Part, Site
 from rookbend.net.upgrade import Upgrade
-from rookbend.protocol.events import split_address
+from rookbend.operations import metrics_text, persisted_state
+from rookbend.operations.exclusions import Bans, Ordered
+from rookbend.protocol.coordinator_stream import split_address
 from rookbend.protocol.operator import OperatorDesk
 
 
@@ -27,21 +27,23 @@
     def __init__(self, folder: str, name: str, log: Callable[..., None]):
         self.path, self.name, self.log = Path(folder) / f"rookbend.{name}.kept", name, log
 
-    def read(self) -> kept.Kept:
+    def read(self) -> persisted_state.Kept:
         try:
             with open(self.path, "rb") as file:
-                return kept.read(file.read(kept.LONGEST), self.name)
+                return persisted_state.read(file.read(persisted_state.LONGEST), self.name)
         except FileNotFoundError:
             pass
-        except (OSError, kept.KeptError) as error:
+        except (OSError, persisted_state.KeptError) as error:
             self.log("kept_unusable", "error", path=str(self.path), reason=str(error))
-        return kept.Kept(self.name)
+        return persisted_state.Kept(self.name)
 
     def write(self, bans: Bans) -> None:
         fresh = f"{self.path}.{os.getpid()}"
         try:
             with open(fresh, "wb") as file:
-                file.write(kept.write(kept.Kept(self.name, out=list(bans.out), back_us=bans.back_us)))
+                file.write(
+                    persisted_state.write(persisted_state.Kept(self.name, out=list(bans.out), back_us=bans.back_us))
+                )
             os.replace(fresh, self.path)
         except OSError as error:
             # The order stands all the same, here and at a process that serves beside this one.
@@ -55,7 +57,7 @@
         self.site = site
         self.upgrade: Upgrade | None = None
         self.file: KeptFile | None = None
-        before = kept.Kept(site.config.name)
+        before = persisted_state.Kept(site.config.name)
         folder = os.environ.get("TMPDIR", "")
         if folder:
             self.upgrade = Upgrade(folder, site.config.name, site.clock, site.log, site.listeners)
@@ -116,14 +118,14 @@
         engine, counters = self.site.engine, self.site.counters
         lines = []
         for name in dict.fromkeys(c.name for c in engine.settings.classes):
-            lines += figures.by_class(name, counters.by_class)
+            lines += metrics_text.by_class(name, counters.by_class)
         lines += [
             ("attempts", engine.backend.written),
             ("reloads_ok", counters.reloads_ok),
             ("reloads_failed", counters.reloads_failed),
         ]
         known, excluded = self._caches()
-        return figures.text(
+        return metrics_text.text(
             lines, [("in_flight", engine.open_requests), ("caches_known", known), ("caches_excluded", excluded)]
         )
 
--- a/rookbend/net/operator.py
+++ b/rookbend/net/operator.py
@@ -14,9 +14,9 @@
 import trio
 
 from rookbend.core.clock import Clock
-from rookbend.net.accept import accept
-from rookbend.net.channel import Channel, Outbox, prepare
-from rookbend.net.part import Part
+from rookbend.net.acceptor import accept
+from rookbend.net.buffered_socket import Channel, Outbox, prepare
+from rookbend.net.component import Part
 from rookbend.protocol.http_serve import HttpServe
 from rookbend.protocol.operator import OperatorDesk
 
--- a/rookbend/net/pool.py
+++ b/rookbend/net/pool.py
@@ -8,7 +8,7 @@
 from rookbend.core.engine import Engine
 from rookbend.core.model import Attempt, Entry
 from rookbend.interface import Status
-from rookbend.net.channel import Outbox
+from rookbend.net.buffered_socket import Outbox
 from rookbend.net.member_pool import MemberPool
 
 IDLE_SHARE = 0.8  # closed after this share of the idle time, before the other side does
--- a/rookbend/net/recovery.py
+++ b/rookbend/net/recovery.py
@@ -12,10 +12,10 @@
 
 from rookbend.core.model import Attempt, MembershipChange, Purge, Result
 from rookbend.interface import Note, Status
-from rookbend.net.part import Part, Site
-from rookbend.protocol.fleet import is_ours
-from rookbend.recovery import director as machine
-from rookbend.recovery.sequence import Plan
+from rookbend.net.component import Part, Site
+from rookbend.protocol.gossip import is_ours
+from rookbend.recovery import coordinator as machine
+from rookbend.recovery.startup_stages import Plan
 
 LIFE_BITS = 40
 UNWELL_NOTES = (Note.SOURCE_REFUSED, Note.SOURCE_UNREACHABLE, Note.ORIGIN_FAILED)
--- a/rookbend/net/background.py
+++ b/rookbend/net/scheduling.py
@@ -6,8 +6,8 @@
 
 import trio
 
-from rookbend.background.plan import Key, Plan
 from rookbend.core.clock import Clock
+from rookbend.scheduling.scheduler import Key, Plan
 
 
 class Runner:
--- a/rookbend/net/state.py
+++ b/rookbend/net/state.py
@@ -8,7 +8,7 @@
 import trio
 
 from rookbend.config import ConfigError
-from rookbend.net.part import Part, Site
+from rookbend.net.component import Part, Site
 from rookbend.state.disk import Disk, Writer
 from rookbend.state.ledger import Done, Ledger
 from rookbend.state.model import Identity, StateError
--- a/rookbend/net/upgrade.py
+++ b/rookbend/net/upgrade.py
@@ -17,8 +17,8 @@
 import trio
 
 from rookbend.core.clock import Clock
-from rookbend.daily.handover import Handover
 from rookbend.net.listeners import Listeners
+from rookbend.operations.handover import Handover
 from rookbend.protocol import upgrade as words
 
 GIVEN_US = 3_000_000  # an elder that has not given by then stands still: the younger starts by itself
--- a/rookbend/net/watch.py
+++ b/rookbend/net/watch.py
@@ -18,7 +18,7 @@
 
 from rookbend.core.engine import Engine
 from rookbend.core.model import Purge
-from rookbend.protocol.events import (
+from rookbend.protocol.coordinator_stream import (
     EventStream,
     Known,
     StreamEnd,
--- a/rookbend/platform_settings.py
+++ b/rookbend/platform_settings.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from rookbend import interface as api
-from rookbend.wire import EFFECTS, REPORT_NAMES
+from rookbend.simulator_codec import EFFECTS, REPORT_NAMES
 
 
 class Lane(msgspec.Struct, rename="camel"):
--- a/rookbend/vitals.py
+++ b/rookbend/process_metrics.py
@@ -9,11 +9,11 @@
 
 from rookbend.config import Limits
 from rookbend.core.engine import Engine
-from rookbend.net.front import FrontServer
+from rookbend.net.client_listener import FrontServer
 from rookbend.net.pool import Pool
 
 if TYPE_CHECKING:
-    from rookbend.health.headroom import Sample
+    from rookbend.health.spare_capacity import Sample
 
 OWN_DESCRIPTORS = 40  # listeners, the coordinator, the loop's own
 TIMER_STEP_US = 2_000  # timers within one step run together
@@ -53,7 +53,7 @@
             self.engine.lag_us = max(0, clock.now() - wake)
 
     def sample(self) -> Sample:
-        from rookbend.health.headroom import Sample
+        from rookbend.health.spare_capacity import Sample
 
         limits, engine = self.limits, self.engine
         members = [e for e in engine.entries.values() if self._is_ours(e)]
--- a/rookbend/protocol/agent.py
+++ b/rookbend/protocol/agent.py
@@ -14,7 +14,7 @@
 
 import re
 
-from rookbend.core.evidence import Outcome, Words
+from rookbend.core.check_result import Outcome, Words
 
 DOWN = frozenset({"down", "fail", "failed", "stopped"})
 ADMIN = frozenset({"ready", "drain", "maint"})
--- a/rookbend/protocol/grpc_health.py
+++ b/rookbend/protocol/grpc_health.py
@@ -17,7 +17,7 @@
 from google.protobuf import descriptor_pb2, descriptor_pool, message_factory
 from google.protobuf.message import DecodeError
 
-from rookbend.core.evidence import Outcome
+from rookbend.core.check_result import Outcome
 
 SERVING, NOT_SERVING, SERVICE_UNKNOWN = 1, 2, 3
 STATUS_NAMES = {0: "UNKNOWN", 1: "SERVING", 2: "NOT_SERVING", 3: "SERVICE_UNKNOWN"}
--- a/rookbend/protocol/http_check.py
+++ b/rookbend/protocol/http_check.py
@@ -8,7 +8,7 @@
 
 import h11
 
-from rookbend.core.evidence import Outcome
+from rookbend.core.check_result import Outcome
 
 FAIL_AT_ONCE = b"x-envoy-immediate-health-check-fail"
 DEGRADED = b"x-envoy-degraded"
--- a/rookbend/recovery/director.py
+++ b/rookbend/recovery/coordinator.py
@@ -13,16 +13,16 @@
 from dataclasses import dataclass, field, replace
 
 from rookbend.core.model import Entry, MembershipChange, Purge
-from rookbend.core.rate import Bucket
+from rookbend.core.token_bucket import Bucket
 from rookbend.interface import MemberState
-from rookbend.protocol import fleet as wire
-from rookbend.recovery import rows as kept
-from rookbend.recovery import trust
-from rookbend.recovery.gap import Gap
-from rookbend.recovery.happened import Happened, Verdict
+from rookbend.protocol import gossip as wire
+from rookbend.recovery import replicated_rows as kept
+from rookbend.recovery import state_validity as validity
+from rookbend.recovery.failure_classification import Happened, Verdict
+from rookbend.recovery.missed_purges import Gap
+from rookbend.recovery.origin_ramp import Outcomes, Share
 from rookbend.recovery.peers import Peers, Phase
-from rookbend.recovery.sequence import Facts, Plan, Sequence, Stage
-from rookbend.recovery.share import Outcomes, Share
+from rookbend.recovery.startup_stages import Facts, Plan, Sequence, Stage
 
 BEAT_US, CALM_BEAT_US = 250_000, 1_000_000
 TALK_TO = 3  # peers a beat
@@ -226,7 +226,7 @@
         first = config.first_rate
         self._before = from_before
         for kind, key, value, at in from_before:
-            if kind == "hint" and key == "origin" and trust.stands(kind, at, now):
+            if kind == "hint" and key == "origin" and validity.stands(kind, at, now):
                 # Half of what it bore: a hint is a start, and the origin may be colder than it was.
                 first = min(max(first, int.from_bytes(value, "big") / 2), config.full_rate / 2)
         self.share = Share(first, config.full_rate, now)
@@ -239,14 +239,14 @@
         takes = int(PURGE_MARGIN * self.config.purge_takes_us)
         for kind, key, value, at in self._before:
             bound = takes if kind == "purge" else 0
-            if kind not in self.rows or not trust.stands(kind, at, now, bound):
+            if kind not in self.rows or not validity.stands(kind, at, now, bound):
                 continue
             if not self.rows[kind].put(key, value):
                 continue
             if kind == "purge":
                 self.out.append(PurgeLearnt(self._purge(key, self.rows[kind].get(key))))
             elif kind == "drain":
-                self.drained_at[key] = trust.counted_from(at, now)
+                self.drained_at[key] = validity.counted_from(at, now)
             elif kind == "order":
                 self._order_stands(key)
         self._before = ()
@@ -414,7 +414,7 @@
         """Drains from before whose bound is over; what the present list says stands by itself."""
         for name, at in list(self.drained_at.items()):
             entry = self.told.get(name)
-            if entry is not None and entry.member.state is MemberState.READY and not trust.stands("drain", at, now):
+            if entry is not None and entry.member.state is MemberState.READY and not validity.stands("drain", at, now):
                 self._lift(name)
                 self._pass_on([entry])
 
--- a/rookbend/recovery/names.py
+++ b/rookbend/recovery/issued_names.py
@@ -15,7 +15,7 @@
 import dns.rcode
 import msgspec
 
-from rookbend.recovery import trust
+from rookbend.recovery import state_validity
 
 KIND = "write"
 DOUBT = "under way at a power loss: whether it ran can't be told"
@@ -51,7 +51,7 @@
         self.before: dict[str, Given] = {}
         self.unsafe = self.unreadable = 0
         for rid, (value, at_us) in rows.items():
-            if not trust.stands(KIND, at_us, now):
+            if not state_validity.stands(KIND, at_us, now):
                 drop(rid)
                 continue
             try:
--- a/rookbend/recovery/peers.py
+++ b/rookbend/recovery/peers.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-from rookbend.protocol.fleet import Hello, Seen
+from rookbend.protocol.gossip import Hello, Seen
 
 UP_US = 4_000_000  # a sign of life counts for so long
 DRIFT_US = 5_000_000  # by so much a life's beginning may move between two of its words
--- a/rookbend/recovery/sequence.py
+++ b/rookbend/recovery/startup_stages.py
@@ -18,7 +18,7 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-from rookbend.recovery.happened import Happened
+from rookbend.recovery.failure_classification import Happened
 
 
 class Stage(IntEnum):
--- a/rookbend/reload.py
+++ b/rookbend/reload.py
@@ -11,8 +11,8 @@
 import msgspec
 
 from rookbend.config import Config, ConfigError
-from rookbend.daily import change
-from rookbend.protocol.events import split_address
+from rookbend.operations import reload_validation
+from rookbend.protocol.coordinator_stream import split_address
 from rookbend.settings import Settings, SettingsError
 
 if TYPE_CHECKING:
@@ -64,9 +64,9 @@
         for name in NAMES:
             setattr(new.settings, name, getattr(old.settings, name))
         told = new.router_settings()
-        waits += change.waiting(engine.settings, told)
-        settings = change.merged(engine.settings, told)
-        changed = change.effective(engine.settings, settings)
+        waits += reload_validation.waiting(engine.settings, told)
+        settings = reload_validation.merged(engine.settings, told)
+        changed = reload_validation.effective(engine.settings, settings)
         if changed:
             engine.adopt(settings)
         if s.pool is not None:
--- a/rookbend/logic/__init__.py
+++ b/rookbend/routing/__init__.py
@@ -1,3 +1,3 @@
 """Every decision of the router: events in, actions out (interface.py). `router` is the way in."""
 
-from rookbend.logic.router import Router as Router
+from rookbend.routing.router import Router as Router
--- a/rookbend/logic/placing.py
+++ b/rookbend/routing/endpoint_selection.py
@@ -4,8 +4,8 @@
 
 from rookbend import interface as api
 from rookbend.interface import Effect, MemberState, Note
-from rookbend.logic.requests import Flight
-from rookbend.logic.tables import mix
+from rookbend.routing.membership import mix
+from rookbend.routing.request_state import Flight
 
 SOFT_WAIT, SOFT_STRETCH = 0.7, 1.7  # overdue after these shares of aim and sending time
 HARD_WAIT, HARD_STRETCH = 6.0, 6.0  # given up after these: a fill runs on, so an early end only adds one
--- a/rookbend/logic/budgets.py
+++ b/rookbend/routing/fill_concurrency.py
@@ -4,7 +4,7 @@
 from collections import deque
 
 from rookbend.interface import Note
-from rookbend.logic.tables import mix
+from rookbend.routing.membership import mix
 
 COLD_MARGIN, COLD_CAP = 0.7, 1.7  # share of the cold budget used; at most, in the present capacity
 RESTART_SHARE = 0.5  # of those budgets while this router does not know what its past life sent
--- a/rookbend/logic/outcomes.py
+++ b/rookbend/routing/retry_policy.py
@@ -2,8 +2,8 @@
 
 from rookbend import interface as api
 from rookbend.interface import Effect, Note, Status
-from rookbend.logic.health import ERROR_SPAN
-from rookbend.logic.tables import mix
+from rookbend.routing.membership import mix
+from rookbend.routing.outlier_detection import ERROR_SPAN
 
 HIT_DELAY, SLOW_FROM = 0.1, 1.5  # slow: hits take over this multiple of sending time and share of aim
 ERRORS_ITS_OWN = 3  # servers that err on a request before it, not they, is at fault
--- a/rookbend/logic/router.py
+++ b/rookbend/routing/router.py
@@ -3,12 +3,12 @@
 A cachable request without a mark leads, to the hashed cache and parent; one that finds a mark waits."""
 
 from rookbend import interface as api
-from rookbend.logic.budgets import ColdBudget, FillLimit
-from rookbend.logic.health import Health
-from rookbend.logic.outcomes import Outcomes
-from rookbend.logic.placing import Placing
-from rookbend.logic.requests import Flight, Mark, Request
-from rookbend.logic.tables import Bounded, ClassStats, Membership, PurgeLedger, mix
+from rookbend.routing.endpoint_selection import Placing
+from rookbend.routing.fill_concurrency import ColdBudget, FillLimit
+from rookbend.routing.membership import Bounded, ClassStats, Membership, PurgeLedger, mix
+from rookbend.routing.outlier_detection import Health
+from rookbend.routing.request_state import Flight, Mark, Request
+from rookbend.routing.retry_policy import Outcomes
 
 TABLE_SHARE = 0.5  # marks at most, as a share of the requests a router may hold
 MEMORY_SHARE = 1.0  # remembered objects at most, same unit
--- a/rookbend/background/plan.py
+++ b/rookbend/scheduling/scheduler.py
@@ -20,7 +20,7 @@
 from dataclasses import dataclass
 from hashlib import blake2b
 
-from rookbend.core.rate import Bucket
+from rookbend.core.token_bucket import Bucket
 
 URGENT, NORMAL, IDLE = range(3)
 PATIENCE_US = 2_000_000  # a job overdue by this much goes ahead of one of the next higher priority
--- a/rookbend/service.py
+++ b/rookbend/service.py
@@ -16,26 +16,26 @@
 import msgspec
 import trio
 
-from rookbend import parts
+from rookbend import components
 from rookbend.config import Config
 from rookbend.core.clock import Clock
 from rookbend.core.counters import Counters
 from rookbend.core.engine import Engine
 from rookbend.drain import Drain
 from rookbend.fronts.platform import PlatformFront
-from rookbend.logic import Router
 from rookbend.logs import Log
-from rookbend.net.channel import Outbox
-from rookbend.net.front import FrontServer
+from rookbend.net.buffered_socket import Outbox
+from rookbend.net.client_listener import FrontServer
+from rookbend.net.component import Part, Site
 from rookbend.net.listeners import Listeners
-from rookbend.net.part import Part, Site
 from rookbend.net.peers import PeerSocket
 from rookbend.net.pool import Pool
 from rookbend.net.watch import Watch
-from rookbend.protocol.events import Translator, split_address
+from rookbend.process_metrics import OWN_DESCRIPTORS, Vitals
+from rookbend.protocol.coordinator_stream import Translator, split_address
 from rookbend.reload import Reload, coordinator_address
+from rookbend.routing import Router
 from rookbend.settings import Settings
-from rookbend.vitals import OWN_DESCRIPTORS, Vitals
 
 CLIENT_SHARE = 3  # clients may hold one descriptor in so many
 LEAST_CONNECTIONS = 16
@@ -109,7 +109,7 @@
             self.listeners,
             gauges=[self.vitals.gauges],
         )
-        self.parts: list[Part] = parts.optional(self.site)
+        self.parts: list[Part] = components.optional(self.site)
         built = self.site.built
         self.dns, self.health, self.admin = built.get("dns"), built.get("health"), built.get("admin")
         self.balancer: list[Part] = built.get("balancer", [])
--- a/rookbend/state/model.py
+++ b/rookbend/state/model.py
@@ -20,7 +20,7 @@
     spare: bool = False
 
 
-# What each means is the table of trust (rookbend/recovery/trust.py); here is only how much of it is kept.
+# What each means is the table of trust (rookbend/recovery/state_validity.py); here is only how much of it is kept.
 KINDS = {
     kind.name: kind
     for kind in (
--- a/rookbend/lab/stage/__init__.py
+++ b/rookbend/testing/cluster/__init__.py
@@ -18,8 +18,8 @@
     scene        all of it together
 """
 
-from rookbend.lab.stage.process import HungProcessError
-from rookbend.lab.stage.scene import Scene, stage
-from rookbend.lab.stage.told import allow_probes
+from rookbend.testing.cluster.director_config import allow_probes
+from rookbend.testing.cluster.process import HungProcessError
+from rookbend.testing.cluster.scenario import Scene, stage
 
 __all__ = ["HungProcessError", "Scene", "allow_probes", "stage"]
--- a/rookbend/lab/stage/asking.py
+++ b/rookbend/testing/cluster/admin_client.py
@@ -9,8 +9,8 @@
 import msgspec
 import trio
 
-from rookbend.lab.stage.process import HANG_S, HungProcessError
-from rookbend.protocol.events import split_address
+from rookbend.protocol.coordinator_stream import split_address
+from rookbend.testing.cluster.process import HANG_S, HungProcessError
 
 
 async def http(address: str, path: str, method: str = "GET", body: dict | None = None) -> tuple[int, bytes]:
--- a/rookbend/lab/stage/clients.py
+++ b/rookbend/testing/cluster/clients.py
@@ -11,14 +11,14 @@
 
 import trio
 
-from rookbend.lab.fleet import frame
-from rookbend.lab.rules import Answered, Asked, Left
-from rookbend.lab.stage.kinds import KINDS, Kind
-from rookbend.lab.stage.record import Record, now_us
-from rookbend.lab.stage.relay import reset
-from rookbend.lab.stage.wishes import Line, Target, Wish
-from rookbend.lab.stage.world import digest, group_of
-from rookbend.lab.worth import Ended, earned
+from rookbend.testing.cluster.record import Record, now_us
+from rookbend.testing.cluster.relay import reset
+from rookbend.testing.cluster.shared_state import digest, group_of
+from rookbend.testing.cluster.traffic_classes import KINDS, Kind
+from rookbend.testing.cluster.workload import Line, Target, Wish
+from rookbend.testing.invariant_checker import Answered, Asked, Left
+from rookbend.testing.measurement_fleet import frame
+from rookbend.testing.weighted_score import Ended, earned
 
 GONE = OSError, trio.BrokenResourceError, trio.ClosedResourceError
 VERDICTS = {0: "served", 14: "refused", 2: "failed"}
--- a/rookbend/lab/stage/coordinator.py
+++ b/rookbend/testing/cluster/coordinator.py
@@ -11,11 +11,11 @@
 
 import trio
 
-from rookbend.lab.rules import MembershipTold, PurgeTold, Told
-from rookbend.lab.stage.boxes import Box
-from rookbend.lab.stage.record import now_us
-from rookbend.lab.stage.relay import reset
-from rookbend.lab.stage.world import ROLES, World
+from rookbend.testing.cluster.members import Box
+from rookbend.testing.cluster.record import now_us
+from rookbend.testing.cluster.relay import reset
+from rookbend.testing.cluster.shared_state import ROLES, World
+from rookbend.testing.invariant_checker import MembershipTold, PurgeTold, Told
 
 PHASES = {"SERVING": Told.SERVING, "DRAINING": Told.DRAINING, "DELETED": Told.GONE}
 
--- a/rookbend/lab/stage/told.py
+++ b/rookbend/testing/cluster/director_config.py
@@ -4,9 +4,9 @@
 
 import copy
 
-from rookbend.lab.fleet import SETTINGS
-from rookbend.lab.stage.kinds import KINDS, lanes
-from rookbend.lab.stage.world import CACHE, PARENT
+from rookbend.testing.cluster.shared_state import CACHE, PARENT
+from rookbend.testing.cluster.traffic_classes import KINDS, lanes
+from rookbend.testing.measurement_fleet import SETTINGS
 
 OPERATORS = """
 [log]
--- a/rookbend/lab/stage/names.py
+++ b/rookbend/testing/cluster/dns_names.py
@@ -12,11 +12,11 @@
 import dns.rrset
 import trio
 
-from rookbend.lab.rules import Answered, Asked, Left
-from rookbend.lab.stage.kinds import WRITES
-from rookbend.lab.stage.process import HANG_S, HungProcessError
-from rookbend.lab.stage.record import Record, now_us
-from rookbend.lab.stage.world import group_of
+from rookbend.testing.cluster.process import HANG_S, HungProcessError
+from rookbend.testing.cluster.record import Record, now_us
+from rookbend.testing.cluster.shared_state import group_of
+from rookbend.testing.cluster.traffic_classes import WRITES
+from rookbend.testing.invariant_checker import Answered, Asked, Left
 
 ASK_AGAIN_S = 1.0
 
--- a/rookbend/lab/stage/faults.py
+++ b/rookbend/testing/cluster/faults.py
@@ -7,8 +7,8 @@
 
 import trio
 
-from rookbend.lab import timeline
-from rookbend.lab.stage import disk
+from rookbend.testing import fault_timeline
+from rookbend.testing.cluster import disk
 
 
 class Faults:
@@ -76,18 +76,18 @@
 
     async def play(self, text: str, file: str = "day") -> None:
         """The failures of a text, from now on; `seed` and lines go into the report of a failed run."""
-        self.day = timeline.parse(text, file)
+        self.day = fault_timeline.parse(text, file)
         others = *self.names, *self.boxes, "coordinator", "clients"
         pairs = [f"{a}>{b}" for a in self.names for b in others if a != b]
         world = {
-            timeline.MEMBER: list(self.boxes),
-            timeline.DIRECTOR: self.names,
-            timeline.PAIR: pairs,
-            timeline.MACHINE: [*self.names, *self.boxes],
-            timeline.COORDINATOR: ["coordinator"],
+            fault_timeline.MEMBER: list(self.boxes),
+            fault_timeline.DIRECTOR: self.names,
+            fault_timeline.PAIR: pairs,
+            fault_timeline.MACHINE: [*self.names, *self.boxes],
+            fault_timeline.COORDINATOR: ["coordinator"],
         }
         begun = trio.current_time()
-        steps = timeline.steps(self.day, world)
+        steps = fault_timeline.steps(self.day, world)
         at = 0
         while at < len(steps):
             due = steps[at].at_us
@@ -100,7 +100,7 @@
             for step in sorted(together, key=lambda s: s.failure.kind != "power"):
                 await self._step(step)
 
-    async def _step(self, step: timeline.Step) -> None:
+    async def _step(self, step: fault_timeline.Step) -> None:
         kind, part, begins = step.failure.kind, step.part, step.begins
         if kind in ("power", "kill"):
             if begins:
--- a/rookbend/lab/stage/box_wire.py
+++ b/rookbend/testing/cluster/member_wire.py
@@ -6,12 +6,12 @@
 
 import trio
 
-from rookbend.lab.rules import Arrived, Done
-from rookbend.lab.stage.kinds import WRITES
-from rookbend.lab.stage.record import now_us
-from rookbend.lab.stage.relay import reset
-from rookbend.lab.stage.world import Got, Sent, digest, group_of
-from rookbend.lab.store import Copy
+from rookbend.testing.cache_store import Copy
+from rookbend.testing.cluster.record import now_us
+from rookbend.testing.cluster.relay import reset
+from rookbend.testing.cluster.shared_state import Got, Sent, digest, group_of
+from rookbend.testing.cluster.traffic_classes import WRITES
+from rookbend.testing.invariant_checker import Arrived, Done
 
 
 @dataclass(slots=True)
--- a/rookbend/lab/stage/boxes.py
+++ b/rookbend/testing/cluster/members.py
@@ -16,12 +16,12 @@
 
 import trio
 
-from rookbend.lab.rules import Fill, Started, Warmth
-from rookbend.lab.stage.box_wire import Wire
-from rookbend.lab.stage.record import now_us
-from rookbend.lab.stage.relay import reset
-from rookbend.lab.stage.world import Got, Make, World
-from rookbend.lab.store import Copy, Store
+from rookbend.testing.cache_store import Copy, Store
+from rookbend.testing.cluster.member_wire import Wire
+from rookbend.testing.cluster.record import now_us
+from rookbend.testing.cluster.relay import reset
+from rookbend.testing.cluster.shared_state import Got, Make, World
+from rookbend.testing.invariant_checker import Fill, Started, Warmth
 
 
 class Box(Wire):
--- a/rookbend/lab/stage/process.py
+++ b/rookbend/testing/cluster/process.py
@@ -23,7 +23,7 @@
 
 import trio
 
-from rookbend.lab.stage.record import Record
+from rookbend.testing.cluster.record import Record
 
 SHIM = Path(__file__).parent / "shim"
 CHECKOUT = Path(__file__).parent.parent.parent.parent
--- a/rookbend/lab/stage/record.py
+++ b/rookbend/testing/cluster/record.py
@@ -9,7 +9,7 @@
 import time
 from collections import Counter, deque
 
-from rookbend.lab.rules import Breach, Checker, Limits, Seen
+from rookbend.testing.invariant_checker import Breach, Checker, Limits, Seen
 
 KEPT = 200_000
 
--- a/rookbend/lab/stage/relay.py
+++ b/rookbend/testing/cluster/relay.py
@@ -25,7 +25,7 @@
 
 import trio
 
-from rookbend.lab.stage.record import Record
+from rookbend.testing.cluster.record import Record
 
 LINGER = struct.pack("ii", 1, 0)
 CHUNK = 65536
--- a/rookbend/lab/stage/ledger.py
+++ b/rookbend/testing/cluster/report_ledger.py
@@ -7,8 +7,8 @@
 
 import trio
 
-from rookbend.lab.stage.record import Record, now_us
-from rookbend.ownership.receiver import Receiver
+from rookbend.leases.fencing import Receiver
+from rookbend.testing.cluster.record import Record, now_us
 
 SCOPE = 0
 
--- a/rookbend/lab/stage/scene.py
+++ b/rookbend/testing/cluster/scenario.py
@@ -23,24 +23,24 @@
 
 import trio
 
-from rookbend.lab import timeline
-from rookbend.lab.fleet import free_port
-from rookbend.lab.rules import Limits
-from rookbend.lab.stage.asking import Asking
-from rookbend.lab.stage.boxes import Box
-from rookbend.lab.stage.clients import Front
-from rookbend.lab.stage.coordinator import Coordinator
-from rookbend.lab.stage.faults import Faults
-from rookbend.lab.stage.ledger import Ledger
-from rookbend.lab.stage.names import Resolver
-from rookbend.lab.stage.process import HANG_S, HungProcessError, Node
-from rookbend.lab.stage.record import Record
-from rookbend.lab.stage.relay import TcpRelay, UdpRelay, Ways
-from rookbend.lab.stage.told import HEALTH_PORT, OPERATORS, PURGE_LIFE_US, settings_for
-from rookbend.lab.stage.upgrades import Upgrades
-from rookbend.lab.stage.world import CACHE, ORIGIN, PARENT, Make, World
-from rookbend.lab.worth import earned
-from rookbend.protocol.events import split_address
+from rookbend.protocol.coordinator_stream import split_address
+from rookbend.testing import fault_timeline
+from rookbend.testing.cluster.admin_client import Asking
+from rookbend.testing.cluster.clients import Front
+from rookbend.testing.cluster.coordinator import Coordinator
+from rookbend.testing.cluster.director_config import HEALTH_PORT, OPERATORS, PURGE_LIFE_US, settings_for
+from rookbend.testing.cluster.dns_names import Resolver
+from rookbend.testing.cluster.faults import Faults
+from rookbend.testing.cluster.members import Box
+from rookbend.testing.cluster.process import HANG_S, HungProcessError, Node
+from rookbend.testing.cluster.record import Record
+from rookbend.testing.cluster.relay import TcpRelay, UdpRelay, Ways
+from rookbend.testing.cluster.report_ledger import Ledger
+from rookbend.testing.cluster.shared_state import CACHE, ORIGIN, PARENT, Make, World
+from rookbend.testing.cluster.upgrades import Upgrades
+from rookbend.testing.invariant_checker import Limits
+from rookbend.testing.measurement_fleet import free_port
+from rookbend.testing.weighted_score import earned
 
 
 class Scene(Faults, Asking, Upgrades):
@@ -81,7 +81,7 @@
         self.relays: dict[tuple[str, str], TcpRelay] = {}
         self.places: dict[str, dict[str, str]] = {}
         self.peers: dict[str, str] = {}
-        self.day: tuple[timeline.Failure, ...] = ()
+        self.day: tuple[fault_timeline.Failure, ...] = ()
         self.change: Callable[[dict], dict] = lambda settings: settings  # of what directors are told
         self.doors = False  # whether directors are told where their operators' door is
         self.off: dict[str, None] = {}  # what has lost its power, in that order
@@ -192,7 +192,7 @@
 
     def report(self) -> str:
         """What repeats the run, and what happened in it."""
-        lines = [f"seed {self.seed}", timeline.write(self.day), self.record.story()]
+        lines = [f"seed {self.seed}", fault_timeline.write(self.day), self.record.story()]
         for name, node in self.nodes.items():
             if node.lines:
                 lines.append(f"-- {name}, life {node.lives}, last lines:")
--- a/rookbend/lab/stage/world.py
+++ b/rookbend/testing/cluster/shared_state.py
@@ -7,8 +7,8 @@
 from collections import deque
 from dataclasses import dataclass
 
-from rookbend.lab.stage.record import Record
-from rookbend.lab.store import Copy
+from rookbend.testing.cache_store import Copy
+from rookbend.testing.cluster.record import Record
 
 ROLES = {"cache": "standard", "parent": "parent", "origin": "origin"}
 
--- a/rookbend/lab/stage/kinds.py
+++ b/rookbend/testing/cluster/traffic_classes.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from rookbend.lab.worth import ClassWorth
+from rookbend.testing.weighted_score import ClassWorth
 
 
 @dataclass(frozen=True, slots=True)
--- a/rookbend/lab/stage/upgrades.py
+++ b/rookbend/testing/cluster/upgrades.py
@@ -7,8 +7,8 @@
 
 import trio
 
-from rookbend.lab.fleet import free_port
-from rookbend.lab.stage.process import HANG_S, HungProcessError, Node
+from rookbend.testing.cluster.process import HANG_S, HungProcessError, Node
+from rookbend.testing.measurement_fleet import free_port
 
 
 class Upgrades:
--- a/rookbend/lab/tally.py
+++ b/rookbend/testing/counter_totals.py
@@ -5,7 +5,7 @@
 Every other event is counted by name, with `dropped=N` added back, so that a line kept for many dropped ones
 counts for all of them.
 
-    python -m rookbend.lab.tally LOGDIR [--json]
+    python -m rookbend.testing.counter_totals LOGDIR [--json]
 
 Prints the fleet's totals, the busiest director for each counter, and the events by name.
 """
@@ -83,7 +83,9 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    parser = argparse.ArgumentParser(prog="python -m rookbend.lab.tally", description=__doc__.splitlines()[0])
+    parser = argparse.ArgumentParser(
+        prog="python -m rookbend.testing.counter_totals", description=__doc__.splitlines()[0]
+    )
     parser.add_argument("logs", type=Path, help="a folder of director logs, one file a director")
     parser.add_argument("--json", action="store_true", help="one JSON object instead of the table")
     args = parser.parse_args(argv)
--- a/rookbend/lab/demo.py
+++ b/rookbend/testing/demo.py
@@ -14,8 +14,8 @@
 
 import trio
 
-from rookbend.lab.stage import Scene, stage
-from rookbend.lab.stage.record import now_us
+from rookbend.testing.cluster import Scene, stage
+from rookbend.testing.cluster.record import now_us
 
 BEAT_S = 0.5
 RECOVERY = "[recovery]\n fleet demo\n"
--- a/rookbend/lab/ownersim.py
+++ b/rookbend/testing/lease_simulation.py
@@ -12,10 +12,10 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from rookbend.ownership import director as machine
-from rookbend.ownership.duties import scopes
-from rookbend.ownership.lease import Terms
-from rookbend.ownership.receiver import Receiver
+from rookbend.leases import coordinator as machine
+from rookbend.leases.fencing import Receiver
+from rookbend.leases.leader_tasks import scopes
+from rookbend.leases.lease import Terms
 
 SECOND = 1_000_000
 EPOCH = 1_764_576_000 * SECOND
--- a/rookbend/lab/fleet.py
+++ b/rookbend/testing/measurement_fleet.py
@@ -23,7 +23,7 @@
 
 import trio
 
-from rookbend.lab.agents import HealthPeer, listen_together
+from rookbend.testing.health_agents import HealthPeer, listen_together
 
 SETTINGS = {
     "lanes": [
--- a/rookbend/lab/fleetsim.py
+++ b/rookbend/testing/recovery_simulation.py
@@ -16,8 +16,8 @@
 
 from rookbend.core.model import Entry, MembershipChange
 from rookbend.interface import Member, MemberState
-from rookbend.recovery import director as machine
-from rookbend.recovery.sequence import Stage
+from rookbend.recovery import coordinator as machine
+from rookbend.recovery.startup_stages import Stage
 from rookbend.state.ledger import Ledger
 
 SECOND = 1_000_000
--- a/rookbend/lab/edge/cache.py
+++ b/rookbend/testing/simulation/cache.py
@@ -11,9 +11,9 @@
 
 from rookbend.core.model import Attempt, Result
 from rookbend.interface import Note, Status
-from rookbend.lab.edge.clock import Simulation
-from rookbend.lab.edge.links import Kept, Pipe
-from rookbend.lab.edge.sources import Call, Parent
+from rookbend.testing.simulation.clock import Simulation
+from rookbend.testing.simulation.links import Kept, Pipe
+from rookbend.testing.simulation.sources import Call, Parent
 
 Ended = Callable[[Result], None]
 
--- a/rookbend/lab/edge/catalogue.py
+++ b/rookbend/testing/simulation/catalogue.py
@@ -5,7 +5,7 @@
 import bisect
 import math
 
-from rookbend.lab.edge.world import KEEP_S, Kind
+from rookbend.testing.simulation.deployment import KEEP_S, Kind
 
 
 class Catalogue:
--- a/rookbend/lab/edge/fleet.py
+++ b/rookbend/testing/simulation/fleet.py
@@ -8,14 +8,14 @@
 
 from rookbend.core.model import Answer, Entry, MembershipChange, Request, Verdict
 from rookbend.interface import Member
-from rookbend.lab.edge.cache import Cache
-from rookbend.lab.edge.catalogue import Catalogue
-from rookbend.lab.edge.clock import Simulation
-from rookbend.lab.edge.links import Pipe
-from rookbend.lab.edge.node import Node
-from rookbend.lab.edge.sources import Origin, Parent
-from rookbend.lab.edge.world import KEEP_S, ORIGIN, PARENT, PARENT_KEEP_S, Kind, World
-from rookbend.logic import Router
+from rookbend.routing import Router
+from rookbend.testing.simulation.cache import Cache
+from rookbend.testing.simulation.catalogue import Catalogue
+from rookbend.testing.simulation.clock import Simulation
+from rookbend.testing.simulation.deployment import KEEP_S, ORIGIN, PARENT, PARENT_KEEP_S, Kind, World
+from rookbend.testing.simulation.links import Pipe
+from rookbend.testing.simulation.node import Node
+from rookbend.testing.simulation.sources import Origin, Parent
 
 PARTS, GAP_S = 12, 0.55  # parts of an object that is asked for in order, and the time between two
 LINK_ROOM = 1.3  # links into locations, over what is asked of them
--- a/rookbend/lab/edge/links.py
+++ b/rookbend/testing/simulation/links.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Callable
 
-from rookbend.lab.edge.clock import EPOCH, Simulation
-from rookbend.lab.link import Link
+from rookbend.testing.shared_link import Link
+from rookbend.testing.simulation.clock import EPOCH, Simulation
 
 
 class Pipe:
--- a/rookbend/lab/edge/node.py
+++ b/rookbend/testing/simulation/node.py
@@ -6,8 +6,8 @@
 from rookbend.core.engine import Engine
 from rookbend.core.model import Attempt, Entry, Result
 from rookbend.interface import Status
-from rookbend.lab.edge.cache import Job
-from rookbend.lab.edge.clock import SimClock
+from rookbend.testing.simulation.cache import Job
+from rookbend.testing.simulation.clock import SimClock
 
 
 class Node:
--- a/rookbend/lab/edge/careless.py
+++ b/rookbend/testing/simulation/planted_fault.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from rookbend.interface import Status
-from rookbend.logic import Router
+from rookbend.routing import Router
 
 
 class Careless(Router):
--- a/rookbend/lab/edge/sources.py
+++ b/rookbend/testing/simulation/sources.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable
 
 from rookbend.interface import Note, Status
-from rookbend.lab.edge.clock import Simulation
-from rookbend.lab.edge.links import Kept, Pipe
+from rookbend.testing.simulation.clock import Simulation
+from rookbend.testing.simulation.links import Kept, Pipe
 
 
 class Call:
--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,1 +1,1 @@
-"""The tests; `tests/stage.py` has the scenario language, `tests/rig.py` a decision module by itself."""
+"""The tests; `tests/director_scenario.py` has the scenario language, `tests/router_harness.py` a decision module by itself."""
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""With ROOKBEND_FAULT a fault of rookbend/explore/faults.py is planted for all tests: benchmarks.ownership_search
+"""With ROOKBEND_FAULT a fault of rookbend/model_checking/faults.py is planted for all tests: benchmarks.leases_model_checking
 asks so which of them the ordinary tests catch."""
 
 import os
@@ -8,7 +8,7 @@
 from tests import known_red
 
 if name := os.environ.get("ROOKBEND_FAULT"):
-    from rookbend.explore.faults import FAULTS
+    from rookbend.model_checking.faults import FAULTS
 
     for where, what, new in next(f for f in FAULTS if f.name == name).patches:
         setattr(where, what, new)
--- a/tests/stage.py
+++ b/tests/director_scenario.py
@@ -18,12 +18,12 @@
 
 from rookbend.config import Config
 from rookbend.health.model import Order, Ordered
-from rookbend.lab.agents import listen_together
-from rookbend.lab.fleet import SETTINGS, frame
 from rookbend.service import Service
 from rookbend.settings import parse
-from tests.actors import OBJ, PATIENCE, Box, Client, Coordinator
-from tests.side_actors import Agent, DnsClient, Health, Resolver
+from rookbend.testing.health_agents import listen_together
+from rookbend.testing.measurement_fleet import SETTINGS, frame
+from tests.dns_stand_ins import Agent, DnsClient, Health, Resolver
+from tests.platform_stand_ins import OBJ, PATIENCE, Box, Client, Coordinator
 
 __all__ = ["OBJ", "SETTINGS", "UNIX", "frame", "on_stage", "play", "staged"]
 UNIX = 1_764_576_000.0
--- a/tests/side_actors.py
+++ b/tests/dns_stand_ins.py
@@ -5,11 +5,11 @@
 import dns.rrset
 import trio
 
-from rookbend.lab.agents import HealthPeer, Manner, http_answer
 from rookbend.net.dns import open_both
 from rookbend.net.listeners import Listeners
 from rookbend.protocol import dns as dns_protocol
-from tests.actors import Actor, pairs
+from rookbend.testing.health_agents import HealthPeer, Manner, http_answer
+from tests.platform_stand_ins import Actor, pairs
 
 
 class DnsClient(Actor):
--- a/tests/engine_bench.py
+++ b/tests/engine_harness.py
@@ -6,9 +6,9 @@
 from rookbend.core.engine import Engine
 from rookbend.core.model import Entry, MembershipChange, Request
 from rookbend.interface import Status
-from tests import rig
+from tests import router_harness
 
-CACHE, PARENT = rig.CACHES[0], rig.PARENTS[0]
+CACHE, PARENT = router_harness.CACHES[0], router_harness.PARENTS[0]
 SECOND = 1_000_000
 
 
@@ -26,10 +26,10 @@
 
 
 class Bench:
-    def __init__(self, router, members=(CACHE, PARENT, rig.ORIGIN)):
+    def __init__(self, router, members=(CACHE, PARENT, router_harness.ORIGIN)):
         self.seconds, self.sent, self.undone, self.answers, self.lines = 100.0, [], [], [], []
         clock = Clock(lambda: self.seconds, lambda: self.seconds)
-        self.engine = Engine(rig.settings(direct=True), router, clock, Counters(), self.lines.append)
+        self.engine = Engine(router_harness.settings(direct=True), router, clock, Counters(), self.lines.append)
         self.engine.backend = self
         self.membership(*members)
 
--- a/tests/actors.py
+++ b/tests/platform_stand_ins.py
@@ -6,7 +6,7 @@
 import trio
 import trio.testing
 
-from rookbend.lab.fleet import frame
+from rookbend.testing.measurement_fleet import frame
 
 PATIENCE = 60
 OBJ = "7f3a9c21e0b4d655"
--- a/tests/raw_client.py
+++ b/tests/raw_client.py
@@ -5,7 +5,7 @@
 import trio
 import trio.testing
 
-from tests.stage import OBJ, frame
+from tests.director_scenario import OBJ, frame
 
 SERVED, REFUSED = 0, 14
 ANSWERED, CLOSING = 8, 3
--- a/tests/rig.py
+++ b/tests/router_harness.py
@@ -1,7 +1,7 @@
 """A router under test: settings, a clock, and helpers to feed events and read actions."""
 
 from rookbend import interface as api
-from rookbend.logic import Router
+from rookbend.routing import Router
 
 SECOND = 1_000_000
 MEDIA = api.TrafficClass("media", aim_us=500_000, deadline_us=6 * SECOND, aim_stretch=2.0, worth=2.0)
--- a/tests/test_attempt_crossings.py
+++ b/tests/test_attempt_crossings.py
@@ -7,8 +7,8 @@
 import trio
 import trio.testing
 
-from tests.holds import fill, hold_connects
-from tests.stage import on_stage, play
+from tests.director_scenario import on_stage, play
+from tests.interleaving import fill, hold_connects
 
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 WARM = """
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -9,7 +9,7 @@
 import pytest
 
 from rookbend import config as configuration
-from tests.stage import SETTINGS
+from tests.director_scenario import SETTINGS
 
 GOOD = {"name": "n3", "listen": "127.0.0.1:0", "seed": "8c1f", "settings": SETTINGS}
 
@@ -114,7 +114,7 @@
     """The two ways to the module's settings: nested JSON here, paths and values there."""
     import msgspec
 
-    from rookbend import wire
+    from rookbend import simulator_codec
 
     def paths(value, at=""):
         if isinstance(value, dict):
@@ -128,7 +128,7 @@
         ]
 
     nested = configuration.to_router_settings(msgspec.convert(SETTINGS, configuration.DirectorSettings))
-    assert nested == wire.parse_settings("\n".join(paths(SETTINGS)))
+    assert nested == simulator_codec.parse_settings("\n".join(paths(SETTINGS)))
 
 
 def test_what_is_off_is_not_imported():
@@ -138,21 +138,21 @@
         "h2",
         "google.protobuf",
         "prometheus_client",
-        "rookbend.health.board",
-        "rookbend.background",
+        "rookbend.health.registry",
+        "rookbend.scheduling",
         "rookbend.net.checks",
         "rookbend.net.dns",
-        "rookbend.net.small",
-        "rookbend.lab",
+        "rookbend.net.http_server",
+        "rookbend.testing",
         "rookbend.state",
         "rookbend.recovery",
         "rookbend.net.state",
         "rookbend.net.recovery",
-        "rookbend.protocol.fleet",
-        "rookbend.ownership",
-        "rookbend.net.ownership",
-        "rookbend.protocol.ownership",
-        "rookbend.explore",
+        "rookbend.protocol.gossip",
+        "rookbend.leases",
+        "rookbend.net.leases",
+        "rookbend.protocol.leases",
+        "rookbend.model_checking",
         "apsw",
         "xxhash",
     )
@@ -166,5 +166,5 @@
 
 
 def test_the_parts_do_not_know_the_service(tmp_path):
-    asked = "import sys, rookbend.parts; assert 'rookbend.service' not in sys.modules"
+    asked = "import sys, rookbend.components; assert 'rookbend.service' not in sys.modules"
     subprocess.run([sys.executable, "-c", asked], check=True)
--- a/tests/test_client_leaves.py
+++ b/tests/test_client_leaves.py
@@ -11,9 +11,9 @@
 import trio
 import trio.testing
 
-from rookbend.net.client import PAUSE_ABOVE_BYTES
-from tests.holds import fill, hold_connects
-from tests.stage import OBJ, frame, on_stage
+from rookbend.net.client_connection import PAUSE_ABOVE_BYTES
+from tests.director_scenario import OBJ, frame, on_stage
+from tests.interleaving import fill, hold_connects
 
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 WAYS = "cancel", "half-close", "close", "reset"
--- a/tests/test_client_port.py
+++ b/tests/test_client_port.py
@@ -6,8 +6,8 @@
 import trio
 import trio.testing
 
-from rookbend.net.channel import Channel
-from tests.stage import on_stage, play
+from rookbend.net.buffered_socket import Channel
+from tests.director_scenario import on_stage, play
 
 
 @pytest.mark.parametrize(
--- a/tests/test_lab_tally.py
+++ b/tests/test_counter_totals.py
@@ -1,6 +1,6 @@
 """Counts across a fleet: each life's last counters count once, dropped lines count back."""
 
-from rookbend.lab.tally import Tally, fields_of
+from rookbend.testing.counter_totals import Tally, fields_of
 
 LIFE = [
     "timestamp=t level=info event=ready director=n0",
--- a/tests/test_dns_front.py
+++ b/tests/test_dns_front.py
@@ -4,8 +4,8 @@
 
 from rookbend.core.model import Entry, MembershipChange
 from rookbend.interface import Member, MemberState
-from rookbend.protocol.events import server_number
-from tests.stage import OBJ, on_stage, play
+from rookbend.protocol.coordinator_stream import server_number
+from tests.director_scenario import OBJ, on_stage, play
 
 READ = f"p0.{OBJ}.g1.video.route.example.org"
 WRITE = f"r9b1f03aa5c7e2d41.p0.{OBJ}.g1.form.route.example.org"
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -9,10 +9,10 @@
 from rookbend.core.model import Purge, Result, Verdict
 from rookbend.fronts.platform import PlatformFront, PlatformSession
 from rookbend.interface import MemberState, Status
-from rookbend.logic import Router
-from tests import rig
-from tests.engine_bench import CACHE, PARENT, SECOND, Bench, Script, fetch
-from tests.stage import frame
+from rookbend.routing import Router
+from tests import router_harness
+from tests.director_scenario import frame
+from tests.engine_harness import CACHE, PARENT, SECOND, Bench, Script, fetch
 
 
 def test_a_module_that_holds_a_request_is_answered_for_at_the_deadline():
@@ -129,7 +129,7 @@
 
 
 def test_a_withheld_attempt_is_placed_anew():
-    bench = Bench(Router(rig.settings(direct=True), 7))
+    bench = Bench(Router(router_harness.settings(direct=True), 7))
     bench.ask()
     first = bench.sent[0]
     bench.membership(api.Member(first.server, 8.0, 0, 1, 0, MemberState.DRAINING))
--- a/tests/test_lab_timeline.py
+++ b/tests/test_fault_timeline.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from rookbend.lab.timeline import KINDS, parse, steps, write
 from rookbend.settings import SettingsError
+from rookbend.testing.fault_timeline import KINDS, parse, steps, write
 
 WORLD = {
     "member": [f"c{i}" for i in range(10)],
--- a/tests/test_full_descriptors.py
+++ b/tests/test_full_descriptors.py
@@ -4,7 +4,7 @@
 
 import trio
 
-from rookbend.lab.fleet import Director, fleet, frame, free_port, running
+from rookbend.testing.measurement_fleet import Director, fleet, frame, free_port, running
 
 SOCKETS = 128
 IDLE = 200
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -9,7 +9,7 @@
 
 from rookbend.protocol.health import answer
 from rookbend.protocol.http_serve import HttpServe
-from tests.stage import OBJ, SETTINGS, on_stage, play
+from tests.director_scenario import OBJ, SETTINGS, on_stage, play
 
 PROBING = copy.deepcopy(SETTINGS)
 PROBING["limits"]["probes"] = True
@@ -484,7 +484,7 @@
 
 
 def test_grpc_watchers_in_front_hear_of_the_drain_at_once():
-    from rookbend.core.evidence import Outcome
+    from rookbend.core.check_result import Outcome
     from rookbend.protocol.grpc_health import GrpcAsk
 
     async def steps(stage):
--- a/tests/test_health_protocols.py
+++ b/tests/test_health_protocols.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from rookbend.core.evidence import Outcome, Words
+from rookbend.core.check_result import Outcome, Words
 from rookbend.protocol.agent import AgentAsk, read_line, write_line
 from rookbend.protocol.grpc_health import NOT_SERVING, SERVING, GrpcAsk, GrpcServe
 from rookbend.protocol.http_check import HttpAsk
--- a/tests/test_board.py
+++ b/tests/test_health_registry.py
@@ -4,10 +4,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from rookbend.core.evidence import Outcome, Words
+from rookbend.core.check_result import Outcome, Words
 from rookbend.core.model import Entry
-from rookbend.health.board import Board
-from rookbend.health.headroom import Headroom, Sample
 from rookbend.health.model import (
     AgentHeard,
     AttemptSeen,
@@ -24,7 +22,9 @@
     State,
     Tick,
 )
-from rookbend.health.standing import standing
+from rookbend.health.own_status import standing
+from rookbend.health.registry import Board
+from rookbend.health.spare_capacity import Headroom, Sample
 from rookbend.interface import Member, MemberState, Status
 
 SECOND = 1_000_000
--- a/tests/test_install.py
+++ b/tests/test_install.py
@@ -50,7 +50,7 @@
         found = subprocess.run([*run, command, "--help"], cwd=away, env=env, text=True, capture_output=True)
         assert found.returncode == 0 and "example:" in found.stdout, (command, found.stderr)
     asked = (
-        "import rookbend, rookbend.lab.rules, rookbend.config as c\n"
+        "import rookbend, rookbend.testing.invariant_checker, rookbend.config as c\n"
         "assert c.SETTINGS_FILE.exists(), c.SETTINGS_FILE\n"
         "print(rookbend.__file__, c.SETTINGS_FILE)"
     )
--- a/tests/test_lab_rules.py
+++ b/tests/test_invariant_checker.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from rookbend.lab.rules import (
+from rookbend.testing.invariant_checker import (
     RULES,
     Answered,
     Arrived,
@@ -17,7 +17,7 @@
     Told,
     Warmth,
 )
-from rookbend.lab.worth import ClassWorth, Ended, earned, measure
+from rookbend.testing.weighted_score import ClassWorth, Ended, earned, measure
 
 MS, SECOND = 1_000, 1_000_000
 WARMTH = Warmth(capacity=10.0, cold_share=0.2, warm_up_us=10 * SECOND, multiple=4.0)
--- a/tests/test_names.py
+++ b/tests/test_issued_names.py
@@ -2,7 +2,7 @@
 
 import dns.rcode
 
-from rookbend.recovery.names import Given, Names
+from rookbend.recovery.issued_names import Given, Names
 
 HOUR = 3_600_000_000
 NOW = 1_764_576_000_000_000
--- a/tests/test_ownership.py
+++ b/tests/test_leases.py
@@ -1,8 +1,8 @@
 """The lease of a scope, voters, receivers: what ordinary tests show of them. The search of all interleavings is
-tests/test_ownership_search.py."""
+tests/test_leases_model_checking.py."""
 
-from rookbend.ownership.lease import Phase, Sets, Tenure, Terms, Voter, agreed
-from rookbend.ownership.receiver import Receiver
+from rookbend.leases.fencing import Receiver
+from rookbend.leases.lease import Phase, Sets, Tenure, Terms, Voter, agreed
 
 SECOND = 1_000_000
 TERMS = Terms()
--- a/tests/test_ownership_fleet.py
+++ b/tests/test_leases_fleet.py
@@ -6,9 +6,9 @@
 from hypothesis import HealthCheck, settings
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from rookbend.lab.ownersim import SECOND, OwnerSim
-from rookbend.ownership import director as machine
-from rookbend.protocol import ownership as wire
+from rookbend.leases import coordinator as machine
+from rookbend.protocol import leases as wire
+from rookbend.testing.lease_simulation import SECOND, OwnerSim
 
 ORDERS, CHECKS = 0, 16
 
--- a/tests/test_ownership_search.py
+++ b/tests/test_leases_model_checking.py
@@ -1,11 +1,11 @@
 """All interleavings of the lease's machines to a small bound: nothing wrong is found in the program, and what is
-planted is. The large bounds are `python -m benchmarks.ownership_search`."""
+planted is. The large bounds are `python -m benchmarks.leases_model_checking`."""
 
 import pytest
 
-from rookbend.explore.faults import FAULTS, planted
-from rookbend.explore.lease import Bounds, LeaseModel
-from rookbend.explore.search import search
+from rookbend.model_checking.faults import FAULTS, planted
+from rookbend.model_checking.lease import Bounds, LeaseModel
+from rookbend.model_checking.search import search
 
 SMALL = {
     "all of two rounds": Bounds(rounds=2, ticks=1),
--- a/tests/test_ownership_processes.py
+++ b/tests/test_leases_processes.py
@@ -8,8 +8,8 @@
 import pytest
 import trio
 
-from rookbend.lab.stage import allow_probes, stage
-from rookbend.lab.stage.process import AFTER_SEND, BEFORE_SEND, IN_SYNC
+from rookbend.testing.cluster import allow_probes, stage
+from rookbend.testing.cluster.process import AFTER_SEND, BEFORE_SEND, IN_SYNC
 
 OWNERSHIP = """
 [state]
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -1,6 +1,6 @@
 """Drains, purges, the exit and reloads of a director on loopback."""
 
-from tests.stage import OBJ, on_stage, play
+from tests.director_scenario import OBJ, on_stage, play
 
 SERVE = """
     client send request 1 video
--- a/tests/test_member_connections.py
+++ b/tests/test_member_connections.py
@@ -2,7 +2,7 @@
 
 from rookbend.core.model import Result
 from rookbend.interface import Status
-from tests.stage import on_stage, play
+from tests.director_scenario import on_stage, play
 
 
 def test_garbage_from_a_cache_closes_that_connection_only():
--- a/tests/test_lab_model.py
+++ b/tests/test_member_models.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from rookbend.lab.link import Link
-from rookbend.lab.store import Copy, Store
+from rookbend.testing.cache_store import Copy, Store
+from rookbend.testing.shared_link import Link
 
 
 def held(store):
--- a/tests/test_member_restart.py
+++ b/tests/test_member_restart.py
@@ -2,9 +2,9 @@
 
 import pytest
 
-from rookbend.core.restart import RestartEvidence
-from rookbend.protocol.events import server_number
-from tests.stage import on_stage
+from rookbend.core.restart_detection import RestartEvidence
+from rookbend.protocol.coordinator_stream import server_number
+from tests.director_scenario import on_stage
 
 CACHE = server_number("cache1")
 SERVED = """
--- a/tests/test_membership_stream.py
+++ b/tests/test_membership_stream.py
@@ -5,9 +5,9 @@
 import trio
 
 from rookbend.net.watch import PAUSE_S, SILENCE_US, ReconnectBackoff
-from tests.holds import hold_connects
+from tests.director_scenario import OBJ, UNIX, on_stage
+from tests.interleaving import hold_connects
 from tests.scripted_coordinator import HEAD, ScriptedCoordinator, change, chunk, event, whole
-from tests.stage import OBJ, UNIX, on_stage
 
 SERVE_BY = """
     client send request {0} video chunk={0}
--- a/tests/test_nothing_twice.py
+++ b/tests/test_no_duplicate_execution.py
@@ -3,7 +3,7 @@
 import pytest
 
 from rookbend import interface as api
-from tests.rig import CACHES, ORIGIN, PARENTS, SECOND, Rig, finals, sends
+from tests.router_harness import CACHES, ORIGIN, PARENTS, SECOND, Rig, finals, sends
 
 
 def through(rig, lead, status, note=api.Note.NONE):
--- a/tests/test_daily.py
+++ b/tests/test_operations.py
@@ -10,13 +10,13 @@
 from rookbend import config as configuration
 from rookbend import interface as api
 from rookbend.core.model import Entry, MembershipChange, Verdict
-from rookbend.daily import figures, kept
-from rookbend.daily.bans import MOST, Bans
-from rookbend.daily.handover import Handover, HandoverPhase
 from rookbend.interface import MemberState
-from rookbend.lab.fleet import SETTINGS
+from rookbend.operations import metrics_text, persisted_state
+from rookbend.operations.exclusions import MOST, Bans
+from rookbend.operations.handover import Handover, HandoverPhase
 from rookbend.protocol import upgrade as words
-from tests.stage import OBJ, staged
+from rookbend.testing.measurement_fleet import SETTINGS
+from tests.director_scenario import OBJ, staged
 
 READY, DRAINING, GONE = MemberState.READY, MemberState.DRAINING, MemberState.GONE
 
@@ -96,17 +96,17 @@
 
 
 def test_a_kept_file_is_whole_or_none():
-    data = kept.write(kept.Kept("n0", out=["c1"], back_us={"c2": 7}))
-    assert kept.read(data, "n0").out == ["c1"] and kept.read(data, "n0").back_us == {"c2": 7}
+    data = persisted_state.write(persisted_state.Kept("n0", out=["c1"], back_us={"c2": 7}))
+    assert persisted_state.read(data, "n0").out == ["c1"] and persisted_state.read(data, "n0").back_us == {"c2": 7}
     spoilt = [data[:n] for n in range(len(data))]
     spoilt += [data[:i] + bytes([data[i] ^ 1]) + data[i + 1 :] for i in range(len(data))]
     for bad in spoilt:
-        with pytest.raises(kept.KeptError):
-            kept.read(bad, "n0")
-    with pytest.raises(kept.KeptError):
-        kept.read(data, "n1")
-    with pytest.raises(kept.KeptError):
-        kept.read(kept.write(kept.Kept("n0", version=2)), "n0")
+        with pytest.raises(persisted_state.KeptError):
+            persisted_state.read(bad, "n0")
+    with pytest.raises(persisted_state.KeptError):
+        persisted_state.read(data, "n1")
+    with pytest.raises(persisted_state.KeptError):
+        persisted_state.read(persisted_state.write(persisted_state.Kept("n0", version=2)), "n0")
 
 
 def test_the_words_between_two_processes_come_in_pieces_and_nonsense_is_named():
@@ -158,7 +158,7 @@
 
 def test_figures_are_lines_of_name_value_and_kind():
     answers = {("a", Verdict.SERVED): 812}
-    text = figures.text(figures.by_class("a", answers), [("in_flight", 14)]).decode()
+    text = metrics_text.text(metrics_text.by_class("a", answers), [("in_flight", 14)]).decode()
     assert text.splitlines() == [
         "svc.requests.a.served:812|c",
         "svc.requests.a.refused:0|c",
--- a/tests/test_daily_door.py
+++ b/tests/test_operations_endpoint.py
@@ -9,7 +9,7 @@
 from rookbend.net.operator import CALLERS
 from rookbend.protocol.http_serve import HttpServe
 from rookbend.protocol.operator import OperatorDesk
-from tests.stage import staged
+from tests.director_scenario import staged
 
 
 def ask(desk, method, target):
--- a/tests/test_daily_faults.py
+++ b/tests/test_operations_faults.py
@@ -6,10 +6,10 @@
 
 import trio
 
-from rookbend.lab.rules import MembershipTold, Told
-from rookbend.lab.stage import stage
-from rookbend.lab.stage.record import now_us
-from rookbend.protocol.events import split_address
+from rookbend.protocol.coordinator_stream import split_address
+from rookbend.testing.cluster import stage
+from rookbend.testing.cluster.record import now_us
+from rookbend.testing.invariant_checker import MembershipTold, Told
 
 
 def tell_out(scene, name, out):
--- a/tests/test_daily_processes.py
+++ b/tests/test_operations_processes.py
@@ -4,7 +4,7 @@
 
 import trio
 
-from rookbend.lab.stage import stage
+from rookbend.testing.cluster import stage
 
 
 def lost(scene):
--- a/tests/test_daily_settings.py
+++ b/tests/test_operations_settings.py
@@ -8,9 +8,9 @@
 
 from rookbend import config as configuration
 from rookbend import interface as api
-from rookbend.daily import change
-from rookbend.lab.fleet import SETTINGS
-from tests.rig import ORIGIN, Rig, sends, settings
+from rookbend.operations import reload_validation
+from rookbend.testing.measurement_fleet import SETTINGS
+from tests.router_harness import ORIGIN, Rig, sends, settings
 
 FILE = {
     "name": "n0",
@@ -118,13 +118,13 @@
             "classes": (d, replace(b, effect=api.Effect.UNSAFE), replace(a, name="new")),
         }
     )
-    both = change.merged(old, new)
+    both = reload_validation.merged(old, new)
     assert [x.name for x in both.classes] == ["media", "pages", "orders", "pay", "new"]
     assert [x.gone for x in both.classes] == [True, False, True, False, False]
     assert both.classes[1].effect is api.Effect.UNSAFE and both.max_attempts == 2
-    assert both.zone == old.zone and change.waiting(old, new) == ["zone"]
-    assert change.effective(old, both) == ["max_attempts", "+new", "-media", "-orders", "~pages"]
-    again = change.merged(both, old)
+    assert both.zone == old.zone and reload_validation.waiting(old, new) == ["zone"]
+    assert reload_validation.effective(old, both) == ["max_attempts", "+new", "-media", "-orders", "~pages"]
+    again = reload_validation.merged(both, old)
     assert [x.gone for x in again.classes] == [False, False, False, False, True], "a class may come back"
 
 
--- a/tests/test_origin_spared.py
+++ b/tests/test_origin_protection.py
@@ -1,7 +1,7 @@
 """An origin that turned an attempt away: reads are had from parents alone for a while, ever fewer of them."""
 
 from rookbend import interface as api
-from tests.rig import ORIGIN, SECOND, Rig, finals, sends
+from tests.router_harness import ORIGIN, SECOND, Rig, finals, sends
 
 MANY = 200
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -2,7 +2,7 @@
 
 from rookbend.core.model import Request
 from rookbend.interface import Status
-from tests.stage import OBJ, on_stage, play
+from tests.director_scenario import OBJ, on_stage, play
 
 SERVE = """
     client send request 1 video
--- a/tests/test_stage.py
+++ b/tests/test_process_cluster.py
@@ -8,11 +8,11 @@
 
 import trio
 
-from rookbend.lab.stage import stage
-from rookbend.lab.stage.process import SHIM, Node
-from rookbend.lab.stage.record import Record
-from rookbend.lab.stage.relay import UdpRelay, Ways
-from rookbend.lab.timeline import parse, write
+from rookbend.testing.cluster import stage
+from rookbend.testing.cluster.process import SHIM, Node
+from rookbend.testing.cluster.record import Record
+from rookbend.testing.cluster.relay import UdpRelay, Ways
+from rookbend.testing.fault_timeline import parse, write
 
 
 def test_a_power_loss_of_all_in_the_middle_of_writes_breaks_no_rule():
@@ -116,7 +116,7 @@
     script.write_text(
         textwrap.dedent("""
         import trio
-        from rookbend.lab.stage import stage
+        from rookbend.testing.cluster import stage
         async def main():
             async with stage(directors=2, caches=1) as scene:
                 await scene.start()
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -7,9 +7,8 @@
 
 from rookbend.core.model import Attempt, MembershipChange, Purge, Request
 from rookbend.interface import MemberState, Note, Status
-from rookbend.protocol import frames, lines
-from rookbend.protocol.dns import TcpMessages, frame_tcp
-from rookbend.protocol.events import (
+from rookbend.protocol import cache_lines, client_frames
+from rookbend.protocol.coordinator_stream import (
     EventStream,
     StreamEnd,
     StreamError,
@@ -18,7 +17,8 @@
     Update,
     server_number,
 )
-from tests.stage import frame
+from rookbend.protocol.dns import TcpMessages, frame_tcp
+from tests.director_scenario import frame
 
 CLIENT = frame(7, 1, {"method": "m", "rid": "0" * 16}, b"body") + frame(9, 1) + frame(1, 0, {})
 CACHE = (
@@ -41,8 +41,8 @@
 
 
 MACHINES = [
-    (frames.FrameParser, CLIENT, 3),
-    (lambda: lines.AnswerParser(("utilization", "inflight", "x1")), CACHE, 4),
+    (client_frames.FrameParser, CLIENT, 3),
+    (lambda: cache_lines.AnswerParser(("utilization", "inflight", "x1")), CACHE, 4),
     (lambda: EventStream("h", "/", 0), EVENTS, 2),
     (TcpMessages, TCP, 3),
 ]
@@ -64,7 +64,9 @@
 
 
 def test_cache_answers_carry_note_wait_load_and_bytes():
-    first, second, third, fourth = (a.result for a in lines.AnswerParser(("utilization", "outstanding")).feed(CACHE))
+    first, second, third, fourth = (
+        a.result for a in cache_lines.AnswerParser(("utilization", "outstanding")).feed(CACHE)
+    )
     assert (first.status, first.note, first.fill_wait_us, first.load, first.body) == (
         Status.OK,
         Note.FILLED,
@@ -80,7 +82,7 @@
 @pytest.mark.parametrize("told", [b"util:0.5;inflight:7;x1:0", b"x1:0;utilization:0.500;outstanding:7.000"])
 def test_a_load_report_is_read_under_either_name_of_its_figures(asked, told):
     """Guards the module's belief about load: under the other names, no report ever reached it."""
-    (answer,) = lines.AnswerParser(asked).feed(b"a1 ok load=%b 0\r\n\r\n" % told)
+    (answer,) = cache_lines.AnswerParser(asked).feed(b"a1 ok load=%b 0\r\n\r\n" % told)
     assert answer.result.load == (0.5, 7.0, 0.0)
 
 
@@ -99,19 +101,19 @@
     ],
 )
 def test_what_is_no_answer_is_an_error(data):
-    with pytest.raises(lines.LineError):
-        lines.AnswerParser(("util",)).feed(data)
+    with pytest.raises(cache_lines.LineError):
+        cache_lines.AnswerParser(("util",)).feed(data)
 
 
 def test_answers_before_the_spoilt_bytes_count():
-    parser = lines.AnswerParser()
-    with pytest.raises(lines.LineError) as error:
+    parser = cache_lines.AnswerParser()
+    with pytest.raises(cache_lines.LineError) as error:
         parser.feed(CACHE + b"%%\r\n")
     assert [a.rid for a in error.value.answers] == ["a1", "a2", "a3", "a4"]
 
 
 def test_a_part_of_an_answer_shows_as_begun():
-    parser = lines.AnswerParser()
+    parser = cache_lines.AnswerParser()
     for data, begun in ((b"a1 ok - 5", True), (b"\r\n", True), (b"hello", True), (b"\r\n", False)):
         parser.feed(data)
         assert parser.begun is begun
@@ -120,7 +122,7 @@
 def test_a_command_says_what_the_attempt_says():
     request = Request("9" * 16, 0, "video", "7f", 127, 0, part=3, known="ab", body=b"xy")
     attempt = Attempt(request, 1, 0, 10, 20, 0, 1_500_000, keep=1, max_age_us=400, join=True, renew=True)
-    assert lines.write_do(attempt, 1_000, "p1") == (
+    assert cache_lines.write_do(attempt, 1_000, "p1") == (
         b"do 9999999999999999 c=video,k=7f,p=3,w=1499,next=p1,admit=1,agelim=1,"
         b"ways=wait-for+background,cached=ab 2\r\nxy\r\n"
     )
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -9,15 +9,15 @@
 
 from rookbend.core.model import Entry, MembershipChange, Purge
 from rookbend.interface import Limited, Member, MemberState, RequestArrived
-from rookbend.lab.fleetsim import EPOCH, ORIGIN, PARENT, SECOND, FleetSim, World
-from rookbend.protocol import fleet as wire
-from rookbend.recovery import director as machine
-from rookbend.recovery import rows, trust
-from rookbend.recovery.gap import Gap
-from rookbend.recovery.happened import HOLD_US, SILENT_US, Happened, Verdict
+from rookbend.protocol import gossip as wire
+from rookbend.recovery import coordinator as machine
+from rookbend.recovery import replicated_rows, state_validity
+from rookbend.recovery.failure_classification import HOLD_US, SILENT_US, Happened, Verdict
+from rookbend.recovery.missed_purges import Gap
+from rookbend.recovery.origin_ramp import BACK_US, STEP_US, Outcomes, Share
 from rookbend.recovery.peers import Peers
-from rookbend.recovery.sequence import Facts, Plan, Sequence, Stage
-from rookbend.recovery.share import BACK_US, STEP_US, Outcomes, Share
+from rookbend.recovery.startup_stages import Facts, Plan, Sequence, Stage
+from rookbend.testing.recovery_simulation import EPOCH, ORIGIN, PARENT, SECOND, FleetSim, World
 
 NOW = EPOCH
 
@@ -78,19 +78,19 @@
 
 
 def test_the_table_says_what_stands():
-    hour = 3600 * SECOND
-    assert trust.stands("order", 1, NOW) and trust.stands("order", NOW + hour, NOW), "kept, whatever the clock says"
-    assert trust.stands("drain", NOW + hour, NOW), "a limit from the future binds"
-    assert not trust.stands("drain", NOW - hour, NOW) and trust.counted_from(NOW + hour, NOW) == NOW
-    assert trust.stands("hint", NOW - SECOND, NOW) and not trust.stands("hint", NOW + SECOND, NOW)
-    assert trust.stands("purge", NOW - 5 * SECOND, NOW, 6 * SECOND)
-    assert not trust.stands("purge", NOW - 7 * SECOND, NOW, 6 * SECOND) and not trust.stands("verdict", NOW, NOW)
+    stands, hour = state_validity.stands, 3600 * SECOND
+    assert stands("order", 1, NOW) and stands("order", NOW + hour, NOW), "kept, whatever the clock says"
+    assert stands("drain", NOW + hour, NOW), "a limit from the future binds"
+    assert not stands("drain", NOW - hour, NOW) and state_validity.counted_from(NOW + hour, NOW) == NOW
+    assert stands("hint", NOW - SECOND, NOW) and not stands("hint", NOW + SECOND, NOW)
+    assert stands("purge", NOW - 5 * SECOND, NOW, 6 * SECOND)
+    assert not stands("purge", NOW - 7 * SECOND, NOW, 6 * SECOND) and not stands("verdict", NOW, NOW)
 
 
 def test_every_kind_on_disk_has_its_row_in_the_table():
     from rookbend.state.model import KINDS
 
-    assert set(KINDS) == set(trust.BY_KIND)
+    assert set(KINDS) == set(state_validity.BY_KIND)
 
 
 # Whom to believe
@@ -347,7 +347,7 @@
 
 
 def test_an_old_drain_binds_until_a_list_that_is_no_older_says_otherwise():
-    drain = rows.write((int(MemberState.DRAINING), 9))
+    drain = replicated_rows.write((int(MemberState.DRAINING), 9))
     d = director(kept=(("drain", "c0", drain, NOW - SECOND),))
     assert passed(d.feed(NOW, listed(7, entry("c0"))))["c0"].state is MemberState.DRAINING
     found = d.feed(NOW, listed(9, entry("c0")))
@@ -356,7 +356,7 @@
 
 
 def test_a_drain_past_its_bound_is_lifted_and_one_from_the_future_is_counted_from_now():
-    drain = rows.write((int(MemberState.DRAINING), 9))
+    drain = replicated_rows.write((int(MemberState.DRAINING), 9))
     d = director(kept=(("drain", "c0", drain, NOW + 3600 * SECOND), ("drain", "c1", drain, NOW - 700 * SECOND)))
     found = passed(d.feed(NOW, listed(7, entry("c0"), entry("c1"))))
     assert found["c0"].state is MemberState.DRAINING and found["c1"].state is MemberState.READY
@@ -377,8 +377,8 @@
 def test_purges_from_before_bind_at_once_and_those_past_their_time_do_not():
     d = director(
         kept=(
-            ("purge", "o ff", rows.write((NOW - SECOND) // 1000), NOW - SECOND),
-            ("purge", "g 17", rows.write(1), NOW - 60 * SECOND),
+            ("purge", "o ff", replicated_rows.write((NOW - SECOND) // 1000), NOW - SECOND),
+            ("purge", "g 17", replicated_rows.write(1), NOW - 60 * SECOND),
         )
     )
     learnt = [a.purge for a in d.started_with if type(a) is machine.PurgeLearnt]
@@ -388,7 +388,7 @@
 def test_a_drain_told_by_one_peer_is_not_taken_and_by_two_it_is():
     d = director()
     d.feed(NOW, listed(1, entry("c0")))
-    row = ("c0", rows.write((int(MemberState.DRAINING), 5)))
+    row = ("c0", replicated_rows.write((int(MemberState.DRAINING), 5)))
     for i in (1, 2):
         d.feed(NOW, machine.Datagram(i, wire.encode(hello(i, life=i))))
         piece = wire.Piece(wire.fleet_number("f"), i, i, wire.KINDS.index("drain"), (row,), False)
--- a/tests/test_recovery_processes.py
+++ b/tests/test_recovery_processes.py
@@ -8,10 +8,10 @@
 import pytest
 import trio
 
-from rookbend.lab.stage import disk, stage
-from rookbend.lab.stage.names import look_up, submit
-from rookbend.lab.stage.record import now_us
-from rookbend.protocol.events import split_address
+from rookbend.protocol.coordinator_stream import split_address
+from rookbend.testing.cluster import disk, stage
+from rookbend.testing.cluster.dns_names import look_up, submit
+from rookbend.testing.cluster.record import now_us
 
 RECOVERY = """
 [state]
--- a/tests/test_collapse.py
+++ b/tests/test_request_collapsing.py
@@ -1,7 +1,7 @@
 """The ordinary path: leaders, waiters, hand-over, the near-aim exit, the hash."""
 
 from rookbend import interface as api
-from tests.rig import CACHES, ELSEWHERE, EVERYONE, ORIGIN, PARENTS, SECOND, Rig, finals, sends
+from tests.router_harness import CACHES, ELSEWHERE, EVERYONE, ORIGIN, PARENTS, SECOND, Rig, finals, sends
 
 
 def test_first_request_leads_and_the_second_waits():
--- a/tests/test_robust.py
+++ b/tests/test_robust.py
@@ -7,7 +7,7 @@
 
 from rookbend import interface as api
 from rookbend.net.pool import Pool
-from tests.rig import CACHES, MEDIA, ORIGIN, PARENTS, SECOND, Rig, finals, sends
+from tests.router_harness import CACHES, MEDIA, ORIGIN, PARENTS, SECOND, Rig, finals, sends
 
 
 def test_events_about_nothing_are_harmless():
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,7 +1,7 @@
 """The five rules, each kept by one router alone."""
 
 from rookbend import interface as api
-from tests.rig import CACHES, EVERYONE, ORIGIN, PARENTS, SECOND, Rig, finals, sends
+from tests.router_harness import CACHES, EVERYONE, ORIGIN, PARENTS, SECOND, Rig, finals, sends
 
 
 def test_deadline_time_out_is_answered_at_once():
--- a/tests/test_background.py
+++ b/tests/test_scheduling.py
@@ -2,7 +2,7 @@
 
 import random
 
-from rookbend.background.plan import IDLE, NORMAL, URGENT, Plan, Room
+from rookbend.scheduling.scheduler import IDLE, NORMAL, URGENT, Plan, Room
 
 SECOND = 1_000_000
 
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -6,8 +6,8 @@
 import trio.testing
 
 from rookbend.drain import LATECOMERS_US
+from tests.director_scenario import frame, on_stage
 from tests.raw_client import ANSWERED, CLOSING, REFUSED, SERVED, RawClient, request
-from tests.stage import frame, on_stage
 
 LATECOMERS_S = LATECOMERS_US / 1e6
 
--- a/tests/test_edge_fleet.py
+++ b/tests/test_simulated_fleet.py
@@ -6,11 +6,11 @@
 
 from benchmarks.origin import turn, world
 from rookbend.core.model import Verdict
-from rookbend.lab.edge import EdgeFleet, World
-from rookbend.lab.edge.careless import Careless
-from rookbend.lab.edge.clock import Simulation
-from rookbend.lab.edge.links import Kept, Pipe
-from rookbend.lab.edge.sources import Call, Origin
+from rookbend.testing.simulation import EdgeFleet, World
+from rookbend.testing.simulation.clock import Simulation
+from rookbend.testing.simulation.links import Kept, Pipe
+from rookbend.testing.simulation.planted_fault import Careless
+from rookbend.testing.simulation.sources import Call, Origin
 
 FLEET = 100
 
--- a/tests/test_wire.py
+++ b/tests/test_simulator_codec.py
@@ -8,7 +8,7 @@
 import pytest
 
 from rookbend import interface as api
-from rookbend import wire
+from rookbend import simulator_codec
 
 ROOT = Path(__file__).parent.parent
 SETTINGS = """\
@@ -90,22 +90,22 @@
 
 
 def test_missing_setting_is_named():
-    with pytest.raises(wire.WireError, match="limits.maxAttempts"):
-        wire.parse_settings(SETTINGS.replace("limits.maxAttempts=4\n", ""))
+    with pytest.raises(simulator_codec.WireError, match="limits.maxAttempts"):
+        simulator_codec.parse_settings(SETTINGS.replace("limits.maxAttempts=4\n", ""))
 
 
 def test_settings_are_read_and_unknown_keys_skipped():
-    s = wire.parse_settings(SETTINGS)
+    s = simulator_codec.parse_settings(SETTINGS)
     assert (s.zone, s.router_count, s.parent_kind, s.classes[0].effect) == (1, 2, 1, api.Effect.SAFE)
 
 
 def test_events_are_read():
     record = struct.pack(">BIIBIHBIBBIBf", 0, 3, 77, 1, 7, 80, 1, 500, 1, 2, 40, 1, 2.5)
-    ((instance, event),) = wire.read_batch(record, 1)
+    ((instance, event),) = simulator_codec.read_batch(record, 1)
     assert instance == 3
     assert event == api.AttemptFinished(77, 1, 7 << 16 | 80, api.Status.OK, 500, True, api.Note.FILLED, 40, (2.5,))
     purge = struct.pack(">BIQIH", 1, 3, 9, 100, 4)
-    assert wire.read_batch(purge, 1) == [(3, api.Purged(9, 4, 100))]
+    assert simulator_codec.read_batch(purge, 1) == [(3, api.Purged(9, 4, 100))]
 
 
 def test_every_action_has_a_record():
@@ -125,7 +125,7 @@
         (api.LogLine("x"), 1),
         (api.Fault("x"), 4),
     ):
-        data = wire.write_action(3, action)
+        data = simulator_codec.write_action(3, action)
         assert data[0] == code and data[1:5] == struct.pack(">I", 3)
 
 
--- a/tests/test_cold_fleet.py
+++ b/tests/test_slow_start_fleet.py
@@ -12,8 +12,8 @@
 import pytest
 
 from rookbend import interface as api
-from rookbend.logic import Router
-from tests.rig import MEDIA, SECOND, settings
+from rookbend.routing import Router
+from tests.router_harness import MEDIA, SECOND, settings
 
 START = 100 * SECOND
 LENGTH_US = 5 * SECOND
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -10,13 +10,13 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from rookbend.lab.stage import disk as faults
-from rookbend.lab.stage import stage
-from rookbend.lab.stage.process import SHIM
 from rookbend.state import disk as disk_module
 from rookbend.state.disk import Disk
 from rookbend.state.ledger import RETRY_US, Ledger
 from rookbend.state.model import KINDS, Identity, Row, StateError
+from rookbend.testing.cluster import disk as faults
+from rookbend.testing.cluster import stage
+from rookbend.testing.cluster.process import SHIM
 
 ME = Identity("n0", "fleet")
 STATE = "[state]\n folder {state}\n fleet f1\n"
