--- a/benchmarks/health.py
+++ b/benchmarks/health.py
@@ -203,13 +203,13 @@
 
 def bytes_a_member(count: int) -> float:
     """Of the board's rows and the plan's jobs, one check each."""
-    from rookbend.core.model import Entry
+    from rookbend.core.model import Endpoint
     from rookbend.health.model import CheckPolicy, HealthPolicy, MembershipHeard
     from rookbend.health.registry import Board
     from rookbend.interface import Member
     from rookbend.scheduling.scheduler import Plan, Room
 
-    entries = [Entry(Member(i, zone=1), f"m{i}", ("127.0.0.1", i % 65536)) for i in range(1, count + 1)]
+    entries = [Endpoint(Member(i, zone=1), f"m{i}", ("127.0.0.1", i % 65536)) for i in range(1, count + 1)]
     board = Board(HealthPolicy((CheckPolicy("agent", True),)), lambda e: "cache")
     plan = Plan(1, Room(1, 1))
     tracemalloc.start()
--- a/rookbend/components.py
+++ b/rookbend/components.py
@@ -96,8 +96,8 @@
         h.passive_hold_us,
         h.weigh,
         (
-            ("cache", ramp(rules.cold_share, rules.warm_up_us)),
-            ("parent", ramp(rules.parent_cold_share, rules.parent_warm_up_us)),
+            ("cache", ramp(rules.cold_capacity_ratio, rules.warm_up_us)),
+            ("parent", ramp(rules.parent_cold_capacity_ratio, rules.parent_warm_up_us)),
         ),
     )
 
--- a/rookbend/config.py
+++ b/rookbend/config.py
@@ -14,7 +14,7 @@
 from rookbend.platform_settings import DirectorSettings, Lane, Limits, to_router_settings
 from rookbend.protocol.coordinator_stream import Known, split_address
 from rookbend.settings import Settings
-from rookbend.simulator_codec import EFFECTS
+from rookbend.simulator_settings import EFFECTS
 
 
 class ConfigError(Exception):
--- a/rookbend/core/counters.py
+++ b/rookbend/core/counters.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from rookbend.core.model import Verdict
+from rookbend.core.model import FinalOutcome
 
 
 @dataclass(slots=True)
@@ -46,9 +46,9 @@
     reloads_ok: int = 0  # files taken at SIGHUP
     reloads_failed: int = 0  # and turned down
     # Answers by class and verdict; one row for each name that the settings have had.
-    by_class: Counter[tuple[str, Verdict]] = field(default_factory=Counter)
+    by_class: Counter[tuple[str, FinalOutcome]] = field(default_factory=Counter)
 
-    def ended(self, class_name: str, verdict: Verdict) -> None:
+    def ended(self, class_name: str, verdict: FinalOutcome) -> None:
         """A request has its final answer, whoever gave it."""
         setattr(self, verdict.value, getattr(self, verdict.value) + 1)
         self.by_class[class_name, verdict] += 1
--- a/rookbend/core/intake.py
+++ b/rookbend/core/intake.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable
 
 from rookbend import interface as api
-from rookbend.core.model import Answer, Request, Result, Verdict
+from rookbend.core.model import Answer, AttemptResult, FinalOutcome, Request
 from rookbend.core.open_request import OpenRequest
 from rookbend.core.timers import REQUEST
-from rookbend.interface import Effect, Status
+from rookbend.interface import AttemptStatus, Idempotency
 
 VANISHED_US = 1_500_000  # a request that was on its way as its class vanished is taken for so long
 
@@ -17,9 +17,9 @@
     """The part of `Engine` that fronts call."""
 
     @property
-    def backoff_us(self) -> int:
+    def retry_after_us(self) -> int:
         """For how long a refused client is to stay away; 0 where the settings allow no such word."""
-        return self.settings.max_retry_after_us if self.settings.retry_after else 0
+        return self.settings.max_retry_after_us if self.settings.allows_retry_after else 0
 
     def class_index(self, name: str) -> int | None:
         """The class of a new request; None where the settings know none of that name."""
@@ -36,9 +36,9 @@
         """
         now = self.clock.now()
         for name, index in self.classes.items():
-            if settings.classes[index].gone:
+            if settings.classes[index].is_retired:
                 self._vanished[name] = index, now + VANISHED_US
-        self.classes = {c.name: i for i, c in enumerate(settings.classes) if not c.gone}
+        self.classes = {c.name: i for i, c in enumerate(settings.classes) if not c.is_retired}
         self.settings = settings
         self._post(api.SettingsChanged(settings))
 
@@ -54,16 +54,20 @@
         self.counters.retries += request.is_retry
         if self._settle_at:
             request.deadline_us = min(request.deadline_us, self._settle_at)
-        if request.deadline_us <= now or request.rid in self._rids:
+        if request.deadline_us <= now or request.request_id in self._request_ids:
             # An id in use names another request: members could not tell the two apart.
-            self.counters.ended(request.class_name, Verdict.FAILED)
-            reply(Answer(Verdict.FAILED))
+            self.counters.ended(request.class_name, FinalOutcome.FAILED)
+            reply(Answer(FinalOutcome.FAILED))
             return None
-        self._rids.add(request.rid)
+        self._request_ids.add(request.request_id)
         ident = self._last_id = self._last_id % 0xFFFFFFFF + 1
         cls = self.settings.classes[request.traffic_class]
         open_request = self._open[ident] = OpenRequest(
-            ident, request, reply, cls.write or cls.effect is not Effect.SAFE, self.settings.max_attempts
+            ident,
+            request,
+            reply,
+            cls.is_write or cls.idempotency is not Idempotency.IDEMPOTENT,
+            self.settings.max_attempts,
         )
         self._set_timer(request.deadline_us, REQUEST, open_request)
         self._post(
@@ -77,7 +81,7 @@
                 request.part,
                 0,
                 request.is_retry,
-                cls.write,
+                cls.is_write,
             )
         )
         return open_request
@@ -86,7 +90,7 @@
         """The client has gone: nobody waits for an answer, and none is given."""
         if open_request is None or self._open.pop(open_request.id, None) is None:
             return
-        self._rids.discard(open_request.request.rid)
+        self._request_ids.discard(open_request.request.request_id)
         self.counters.cancelled += 1
         self._post(api.RequestCancelled(open_request.id))
         self._call_off(open_request)
@@ -103,19 +107,19 @@
         if attempt is not None and self.backend.is_out(attempt):
             return
         open_request.flight = None
-        if attempt is not None and self.backend.undo(attempt) not in api.NEVER_RAN:
+        if attempt is not None and self.backend.undo(attempt) not in api.NEVER_EXECUTED:
             self._may_have_run(open_request, attempt)
         self.counters.clients_left += 1
         self._answer(open_request, self._no_further_attempt(open_request))
         self._post(api.RequestCancelled(open_request.id))
         if attempt is not None:
-            self.finished(attempt, Result(Status.CANCELLED))
+            self.finished(attempt, AttemptResult(AttemptStatus.CANCELLED))
 
     def _no_further_attempt(self, open_request: OpenRequest) -> Answer:
         """The answer where no other attempt may follow. A refusal tells that another try does no harm."""
         if not open_request.may_be_refused:
-            return Answer(Verdict.FAILED)
-        return Answer(Verdict.REFUSED, backoff_us=self.backoff_us)
+            return Answer(FinalOutcome.FAILED)
+        return Answer(FinalOutcome.REJECTED, retry_after_us=self.retry_after_us)
 
     def settle_by(self, at_us: int) -> None:
         """No request, open or to come, is answered later than this."""
--- a/rookbend/core/model.py
+++ b/rookbend/core/model.py
@@ -5,14 +5,14 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from rookbend.interface import Member, Note, Status
+from rookbend.interface import AttemptDetail, AttemptStatus, Member
 
 
-class Verdict(Enum):
+class FinalOutcome(Enum):
     """The final answer to a request, in the words of every front."""
 
     SERVED = "served"
-    REFUSED = "refused"
+    REJECTED = "refused"
     FAILED = "failed"
 
 
@@ -23,7 +23,7 @@
     `key` is the object's name as the client wrote it, `rid` the request's; both go on unchanged.
     """
 
-    rid: str
+    request_id: str
     traffic_class: int
     class_name: str
     key: str
@@ -32,7 +32,7 @@
     part: int = 0
     group: int = 0
     is_retry: bool = False
-    known: str = ""
+    known_version: str = ""
     body: bytes = b""
     idempotency_key: str = ""  # the client's, for a class that may be repeated under it; goes on unchanged
 
@@ -41,10 +41,10 @@
 class Answer:
     """The one final answer. `server` names the member that served it."""
 
-    verdict: Verdict
+    outcome: FinalOutcome
     body: bytes = b""
     unchanged: bool = False
-    backoff_us: int = 0
+    retry_after_us: int = 0
     server: int = 0
 
 
@@ -59,32 +59,32 @@
     source: int  # equal to `server` or 0: nothing is filled
     sent_us: int
     due_us: int
-    keep: int = 0
+    retention_rank: int = 0
     max_age_us: int = 0
-    join: bool = False
-    only_if_held: bool = False
-    parent_keeps_none: bool = False
-    renew: bool = False
-    fresh: bool = False  # to go out on a connection that was not used before
-    begin_by_us: int = 0  # a repeat's first byte goes out before this; 0: it is none
-    over: bool = False
+    join_fill: bool = False
+    only_if_cached: bool = False
+    parent_no_store: bool = False
+    refresh_in_background: bool = False
+    new_connection: bool = False  # to go out on a connection that was not used before
+    retry_deadline_us: int = 0  # a repeat's first byte goes out before this; 0: it is none
+    is_finished: bool = False
     connection: object = None  # the backend's own: where the attempt is
 
 
 @dataclass(slots=True)
-class Result:
+class AttemptResult:
     """How an attempt ended, as the backend saw it."""
 
-    status: Status
-    note: Note = Note.NONE
-    fill_wait_us: int = 0
-    load: tuple[float, ...] = ()
+    status: AttemptStatus
+    detail: AttemptDetail = AttemptDetail.NONE
+    fill_queue_us: int = 0
+    load_report: tuple[float, ...] = ()
     body: bytes = b""
     unchanged: bool = False
 
 
 @dataclass(slots=True)
-class Entry:
+class Endpoint:
     """A line of the membership: the member as the module sees it, its name and its address."""
 
     member: Member
@@ -98,7 +98,7 @@
 
     complete: bool
     version: int
-    entries: list[Entry] = field(default_factory=list)
+    endpoints: list[Endpoint] = field(default_factory=list)
 
 
 @dataclass(slots=True)
--- a/rookbend/core/open_request.py
+++ b/rookbend/core/open_request.py
@@ -6,17 +6,17 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from rookbend.core.model import Answer, Attempt, Entry, Request
-from rookbend.interface import Member, Status
+from rookbend.core.model import Answer, Attempt, Endpoint, Request
+from rookbend.interface import AttemptStatus, Member
 
 
 class Backend(Protocol):
     """Carries attempts to members."""
 
-    def send(self, attempt: Attempt, entry: Entry) -> None:
+    def send(self, attempt: Attempt, entry: Endpoint) -> None:
         """Sends the attempt as soon as a connection takes it; the engine hears of its end by `finished`."""
 
-    def undo(self, attempt: Attempt) -> Status:
+    def undo(self, attempt: Attempt) -> AttemptStatus:
         """Gives the attempt up; tells whether it may have run (TIMEOUT) or never did (CONNECT_FAILED)."""
 
     def is_out(self, attempt: Attempt) -> bool:
--- a/rookbend/core/retry_safety.py
+++ b/rookbend/core/retry_safety.py
@@ -8,7 +8,7 @@
 
 from rookbend.core.model import Attempt
 from rookbend.core.open_request import OpenRequest
-from rookbend.interface import Effect, Member
+from rookbend.interface import Idempotency, Member
 
 WINDOW_MARGIN_US = 20_000  # kept back of the window, for the way to the member
 
@@ -20,14 +20,14 @@
         if open_request.may_have_run:
             return
         open_request.may_have_run, open_request.ran_at_us = True, attempt.sent_us
-        entry = self.entries.get(attempt.server)
+        entry = self.endpoints.get(attempt.server)
         open_request.ran_on = entry.member if entry is not None else None
 
     def _repeat_by(self, open_request: OpenRequest) -> int:
         """Until when a repeat may begin; 0 where the request has not run, or may simply be repeated."""
         if not (open_request.write and open_request.may_have_run):
             return 0
-        window_us = self.settings.classes[open_request.request.traffic_class].repeat_window_us
+        window_us = self.settings.classes[open_request.request.traffic_class].idempotency_key_window_us
         return open_request.ran_at_us + window_us - WINDOW_MARGIN_US
 
     def _may_repeat(self, open_request: OpenRequest, member: Member, now: int) -> bool:
@@ -35,11 +35,11 @@
         if not (open_request.write and open_request.may_have_run):
             return True
         traffic_class = self.settings.classes[open_request.request.traffic_class]
-        if traffic_class.effect is not Effect.KEYED or now >= self._repeat_by(open_request):
+        if traffic_class.idempotency is not Idempotency.IDEMPOTENCY_KEY or now >= self._repeat_by(open_request):
             return False
-        if traffic_class.group == "all":
+        if traffic_class.retry_scope == "all":
             return True
         first = open_request.ran_on
         if first is None or first.zone != member.zone:
             return False
-        return traffic_class.group == "zone" or first.cell == member.cell
+        return traffic_class.retry_scope == "zone" or first.cell == member.cell
--- a/rookbend/core/send_guards.py
+++ b/rookbend/core/send_guards.py
@@ -5,8 +5,8 @@
 from dataclasses import replace
 
 from rookbend import interface as api
-from rookbend.core.model import Attempt, Entry, MembershipChange, Purge
-from rookbend.interface import ListKind, MemberState
+from rookbend.core.model import Attempt, Endpoint, MembershipChange, Purge
+from rookbend.interface import MembershipUpdateKind, MemberState
 
 START_TOLERANCE_US = 2_000_000  # a start told is the one seen where it lies no more than this before it
 
@@ -21,7 +21,7 @@
         self.counters.roster_changes += 1
         self._apply(change)
 
-    def judged(self, entries: list[Entry]) -> None:
+    def judged(self, entries: list[Endpoint]) -> None:
         """Members whose state or weight differs from what the membership says, by other evidence."""
         self.counters.judgements += len(entries)
         self._apply(MembershipChange(False, 0, entries))
@@ -29,7 +29,7 @@
     def member_restarted(self, server: int) -> None:
         """A member's process is another than before, as its connections show: it is cold from now on, until the
         membership tells when it started."""
-        entry = self.entries.get(server)
+        entry = self.endpoints.get(server)
         if entry is None:
             return
         self.counters.restarts_seen += 1
@@ -37,7 +37,7 @@
         self._restarted[server] = self.clock.now()
         self._apply(MembershipChange(False, 0, [entry]))
 
-    def _with_start(self, entry: Entry) -> Entry:
+    def _with_start(self, entry: Endpoint) -> Endpoint:
         """The entry with the start that was seen, where the one told is that of the process before."""
         member = entry.member
         seen_us = self._restarted.get(member.server)
@@ -46,7 +46,7 @@
         if member.started_us >= seen_us - START_TOLERANCE_US or seen_us + self._warm_up_us(member) <= self.clock.now():
             del self._restarted[member.server]
             return entry
-        return Entry(replace(member, started_us=seen_us), entry.name, entry.address)
+        return Endpoint(replace(member, started_us=seen_us), entry.name, entry.address)
 
     def _warm_up_us(self, member: api.Member) -> int:
         settings = self.settings
@@ -54,21 +54,21 @@
 
     def _apply(self, change: MembershipChange) -> None:
         if change.complete:
-            named = {e.member.server for e in change.entries}
-            for server in [s for s in self.entries if s not in named]:
+            named = {e.member.server for e in change.endpoints}
+            for server in [s for s in self.endpoints if s not in named]:
                 self._drop(server)
-        entries = list(map(self._with_start, change.entries))
+        entries = list(map(self._with_start, change.endpoints))
         for entry in entries:
             if entry.member.state is MemberState.GONE:
                 self._drop(entry.member.server)
             else:
-                old = self.entries.get(entry.member.server)
+                old = self.endpoints.get(entry.member.server)
                 if old is not None and old.address != entry.address:
                     self.backend.forget(entry.member.server)
-                self.entries[entry.member.server] = entry
+                self.endpoints[entry.member.server] = entry
         self._post(
-            api.MembersChanged(
-                ListKind.FULL if change.complete else ListKind.DELTA,
+            api.MembershipUpdated(
+                MembershipUpdateKind.FULL if change.complete else MembershipUpdateKind.DELTA,
                 change.version,
                 tuple(e.member for e in entries),
             )
@@ -76,7 +76,7 @@
 
     def _drop(self, server: int) -> None:
         self._restarted.pop(server, None)
-        if self.entries.pop(server, None) is not None:
+        if self.endpoints.pop(server, None) is not None:
             self.backend.forget(server)
 
     def purged(self, purge: Purge) -> None:
@@ -87,23 +87,23 @@
         name = purge.group if purge.object_id is None else purge.object_id
         told.pop(name, None)
         told[name] = now
-        while (oldest := next(iter(told))) != name and told[oldest] < now - 2 * self.settings.purge_takes_us:
+        while (oldest := next(iter(told))) != name and told[oldest] < now - 2 * self.settings.purge_propagation_us:
             del told[oldest]
         age = max(0, now - purge.unix_us)
-        if self.settings.purge_takes_us and age > self.settings.purge_takes_us:
+        if self.settings.purge_propagation_us and age > self.settings.purge_propagation_us:
             # Guards against a system clock that is ahead: by it every purge is too old to matter, and older
             # copies were served. One so late counts as made now: that is stricter, never less.
             age = 0
-        self._post(api.Purged(purge.object_id or 0, purge.group, age))
+        self._post(api.PurgeReceived(purge.object_id or 0, purge.group, age))
 
     def serving(self, server: int) -> bool:
         """Whether a member is known and in service."""
-        entry = self.entries.get(server)
+        entry = self.endpoints.get(server)
         return entry is not None and entry.member.state is MemberState.READY
 
     def has_member_in_service(self) -> bool:
         """Whether any request could be served."""
-        return any(entry.member.state is MemberState.READY for entry in self.entries.values())
+        return any(entry.member.state is MemberState.READY for entry in self.endpoints.values())
 
     def may_write(self, attempt: Attempt) -> bool:
         """Asked as the attempt's first byte is written, after any wait for a connection or a full buffer.
@@ -111,13 +111,13 @@
         Guards against what was told in between: a drain of the cache or of the source, or a purge that
         the age limit, fixed when the attempt was decided, does not know of.
         """
-        if attempt.over:
+        if attempt.is_finished:
             return False
         source = attempt.source
         if not self.serving(attempt.server) or (source and not self.serving(source)):
             return False
         now = self.clock.now()
-        if attempt.due_us <= now or (attempt.begin_by_us and attempt.begin_by_us <= now):
+        if attempt.due_us <= now or (attempt.retry_deadline_us and attempt.retry_deadline_us <= now):
             return False
         told = self._purged_objects.get(attempt.request.object_id, 0)
         return max(told, self._purged_groups.get(attempt.request.group, 0)) <= attempt.sent_us
--- a/rookbend/core/timers.py
+++ b/rookbend/core/timers.py
@@ -5,7 +5,7 @@
 import heapq
 
 from rookbend import interface as api
-from rookbend.core.model import Answer, Result, Verdict
+from rookbend.core.model import Answer, AttemptResult, FinalOutcome
 from rookbend.core.open_request import OpenRequest
 
 ATTEMPT, REQUEST, ROUTER = range(3)  # what a timer is for
@@ -29,8 +29,8 @@
             if kind == ROUTER:
                 self._post(api.TimerFired(what))
             elif kind == ATTEMPT:
-                if not what.over:
-                    self.finished(what, Result(self.backend.undo(what)))
+                if not what.is_finished:
+                    self.finished(what, AttemptResult(self.backend.undo(what)))
             elif what.id in self._open and what.deadline <= now:
                 self._deadline(what)
         self._armed = timers[0][0] if timers else 0
@@ -39,8 +39,8 @@
     def _deadline(self, open_request: OpenRequest) -> None:
         """The deadline guard: guards against a module that still holds the request when its time is over."""
         if open_request.flight is not None:
-            self.finished(open_request.flight, Result(self.backend.undo(open_request.flight)))
+            self.finished(open_request.flight, AttemptResult(self.backend.undo(open_request.flight)))
         if self._open.get(open_request.id) is open_request:
             self.counters.late_guard += 1
-            self._answer(open_request, Answer(Verdict.FAILED))
+            self._answer(open_request, Answer(FinalOutcome.FAILED))
             self._post(api.RequestCancelled(open_request.id))
--- a/rookbend/fronts/dns.py
+++ b/rookbend/fronts/dns.py
@@ -16,8 +16,8 @@
 import dns.rcode
 
 from rookbend.core.engine import Engine
-from rookbend.core.model import Answer, Request, Verdict
-from rookbend.interface import Effect
+from rookbend.core.model import Answer, FinalOutcome, Request
+from rookbend.interface import Idempotency
 from rookbend.protocol.coordinator_stream import object_number
 from rookbend.protocol.dns import ADDRESSES, Lookup, NoAnswerError, Outcome, read_query, reply_to
 
@@ -92,7 +92,7 @@
         if index is None:
             return respond(reply_to(lookup.query, Outcome(dns.rcode.NXDOMAIN, note="unknown class")))
         cls = self.engine.settings.classes[index]
-        write = cls.write or cls.effect is not Effect.SAFE
+        write = cls.is_write or cls.idempotency is not Idempotency.IDEMPOTENT
         if write != bool(lookup.rid):
             note = "a write needs its request id" if write else "only a write carries a request id"
             return respond(reply_to(lookup.query, Outcome(dns.rcode.FORMERR, note=note)))
@@ -156,8 +156,8 @@
         return None
 
     @staticmethod
-    def _refused(backoff_us: int) -> Outcome:
-        return Outcome(dns.rcode.REFUSED, note=f"retry-after-ms={backoff_us // 1000}")
+    def _refused(retry_after_us: int) -> Outcome:
+        return Outcome(dns.rcode.REFUSED, note=f"retry-after-ms={retry_after_us // 1000}")
 
     def _forget(self, now: int) -> None:
         """Drops what is past its retry span; looked for once a second at the most."""
@@ -177,11 +177,11 @@
         return t
 
     def _answered(self, t: Try, answer: Answer) -> None:
-        if answer.verdict is Verdict.REFUSED:
-            return self._settle(t, self._refused(answer.backoff_us))
-        if answer.verdict is Verdict.FAILED:
+        if answer.outcome is FinalOutcome.REJECTED:
+            return self._settle(t, self._refused(answer.retry_after_us))
+        if answer.outcome is FinalOutcome.FAILED:
             return self._settle(t, Outcome(dns.rcode.SERVFAIL, note="failed"))
-        entry = self.engine.entries.get(answer.server)
+        entry = self.engine.endpoints.get(answer.server)
         if entry is None:
             return self._settle(t, self._unnamed(t, "its box has left"))
         box = self.box_name.format(id=entry.name)
@@ -189,7 +189,7 @@
         self.resolver.resolve(box, kind, t.deadline, lambda found: self._resolved(t, answer.server, box, found))
 
     def _resolved(self, t: Try, server: int, box: str, found: list[str] | None) -> None:
-        entry = self.engine.entries.get(server)
+        entry = self.engine.endpoints.get(server)
         if found is None:
             return self._settle(t, self._unnamed(t, f"{box} can't be resolved"))
         if entry is None or entry.address[0] not in found:
--- a/rookbend/fronts/platform.py
+++ b/rookbend/fronts/platform.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from rookbend.core.engine import Engine
-from rookbend.core.model import Answer, Request, Verdict
+from rookbend.core.model import Answer, FinalOutcome, Request
 from rookbend.core.open_request import OpenRequest
 from rookbend.protocol import client_frames as frames
 from rookbend.protocol.coordinator_stream import object_number
@@ -19,7 +19,7 @@
 IDLE_US = 6_000_000  # or that has had nothing open for so long: usual clients close after 4 s
 REFUSED_PAUSED_MOST = 1000  # refusals to a client that takes no answers before it is dropped
 OVERRUN_US = 250_000  # a loop this late takes nothing new until it has caught up
-CODES = {Verdict.SERVED: frames.SERVED, Verdict.REFUSED: frames.REFUSED, Verdict.FAILED: frames.FAILED}
+CODES = {FinalOutcome.SERVED: frames.SERVED, FinalOutcome.REJECTED: frames.REFUSED, FinalOutcome.FAILED: frames.FAILED}
 UNCHANGED = frames.write_fields({"valid": "1"})
 HEX = frozenset("0123456789abcdefABCDEF")
 
@@ -66,7 +66,7 @@
         known = f.get("known", "")
         if known and not (known.isascii() and known.isalnum()):
             known = ""  # not a bare tag: the copy is sent whole
-        if len(frame.body) > (LONGEST_WRITE if self.engine.settings.classes[index].write else 0):
+        if len(frame.body) > (LONGEST_WRITE if self.engine.settings.classes[index].is_write else 0):
             raise MalformedRequestError("the body is too long")
         # The request may have waited unread for a turn of the loop, and its client counts that too.
         margin = min(DEADLINE_MARGIN_US + self.engine.lag_us, budget // 4)
@@ -160,13 +160,13 @@
         if len(self.open_streams) >= STREAMS or late or self.left or self.front.is_closing():
             engine.counters.requests += 1
             self._refused_paused += self.paused
-            self._count(frame, Verdict.REFUSED)
-            return self._write(stream, Answer(Verdict.REFUSED, backoff_us=engine.backoff_us))
+            self._count(frame, FinalOutcome.REJECTED)
+            return self._write(stream, Answer(FinalOutcome.REJECTED, retry_after_us=engine.retry_after_us))
         try:
             request = self.front.read_request(frame)
         except (KeyError, ValueError):
             engine.counters.malformed += 1
-            self._count(frame, Verdict.FAILED)
+            self._count(frame, FinalOutcome.FAILED)
             return self.write(frames.write_answer(stream, frames.FAILED))
         self.open_streams[stream] = None
         if self.paused:
@@ -194,12 +194,12 @@
         held, self._held = self._held, {}
         for stream, request in held.items():
             engine.counters.requests += 1
-            engine.counters.ended(request.class_name, Verdict.REFUSED)
-            self._answer(stream, Answer(Verdict.REFUSED, backoff_us=engine.backoff_us))
+            engine.counters.ended(request.class_name, FinalOutcome.REJECTED)
+            self._answer(stream, Answer(FinalOutcome.REJECTED, retry_after_us=engine.retry_after_us))
         for open_request in list(self.open_streams.values()):
             engine.client_left(open_request)
 
-    def _count(self, frame: frames.RequestFrame, verdict: Verdict) -> None:
+    def _count(self, frame: frames.RequestFrame, verdict: FinalOutcome) -> None:
         """An answer that the engine never hears of. One of no known class is nobody's figure: clients could
         make up names without end."""
         name = (frame.fields or {}).get("method", "")
@@ -215,9 +215,9 @@
         fields = frames.NO_FIELDS
         if answer.unchanged:
             fields = UNCHANGED
-        elif answer.backoff_us:
-            fields = frames.write_fields({"backoff": str(answer.backoff_us // 1000)})
-        self.write(frames.write_answer(stream, CODES[answer.verdict], fields, len(answer.body)))
+        elif answer.retry_after_us:
+            fields = frames.write_fields({"backoff": str(answer.retry_after_us // 1000)})
+        self.write(frames.write_answer(stream, CODES[answer.outcome], fields, len(answer.body)))
         if answer.body:
             self.write(answer.body)
 
--- a/rookbend/health/member.py
+++ b/rookbend/health/member.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from rookbend.core.check_result import Outcome
-from rookbend.core.model import Entry
+from rookbend.core.model import Endpoint
 from rookbend.health.model import (
     FULL,
     AgentHeard,
@@ -20,13 +20,13 @@
     State,
     Verdict,
 )
-from rookbend.interface import MemberState, Status
+from rookbend.interface import AttemptStatus, MemberState
 
 STEP = 5  # percent: a rising weight is published in such steps
 LONGEST_REASON = 120
 STREAK_MOST = 1_000
-PASSIVE_BAD = (Status.CONNECT_FAILED, Status.RESET)
-PASSIVE_GOOD = (Status.OK, Status.MISS, Status.FULL, Status.ERROR)
+PASSIVE_BAD = (AttemptStatus.CONNECT_FAILED, AttemptStatus.RESET)
+PASSIVE_GOOD = (AttemptStatus.OK, AttemptStatus.MISS, AttemptStatus.FULL, AttemptStatus.ERROR)
 
 
 class Opinion:
@@ -142,7 +142,7 @@
         "verdict",
     )
 
-    def __init__(self, entry: Entry, role: str, policy: HealthPolicy, number: int, now: int):
+    def __init__(self, entry: Endpoint, role: str, policy: HealthPolicy, number: int, now: int):
         """`number` is the newest check's: nothing that began before this row counts for it."""
         self.entry, self.role, self.roster_us = entry, role, now
         self.opinions = opinions_for(role, policy, number)
@@ -179,7 +179,7 @@
         opinion.take_result(now, event)
         self.refused |= event.outcome is Outcome.REFUSED
 
-    def see_attempt(self, now: int, status: Status, policy: HealthPolicy) -> None:
+    def see_attempt(self, now: int, status: AttemptStatus, policy: HealthPolicy) -> None:
         if status in PASSIVE_GOOD:
             self.passive = self.passive_until = 0
         elif status in PASSIVE_BAD and policy.passive_fall:
@@ -188,7 +188,7 @@
                 # Held for a while, then it may show itself again: nothing is sent there meanwhile.
                 self.passive = 0
                 self.passive_since, self.passive_until = now, now + policy.passive_hold_us
-                self.refused |= status is Status.CONNECT_FAILED
+                self.refused |= status is AttemptStatus.CONNECT_FAILED
 
     # Rows 1 to 4 of the table: what people and the member's own agents ask for
 
--- a/rookbend/health/model.py
+++ b/rookbend/health/model.py
@@ -19,8 +19,8 @@
 from enum import Enum
 
 from rookbend.core.check_result import Outcome, Words
-from rookbend.core.model import Entry
-from rookbend.interface import Status
+from rookbend.core.model import Endpoint
+from rookbend.interface import AttemptStatus
 
 FULL = 100  # percent
 
@@ -104,7 +104,7 @@
 @dataclass(slots=True)
 class MembershipHeard:
     complete: bool
-    entries: list[Entry]
+    entries: list[Endpoint]
 
 
 @dataclass(slots=True)
@@ -131,7 +131,7 @@
 @dataclass(slots=True)
 class AttemptSeen:
     server: int
-    status: Status
+    status: AttemptStatus
 
 
 @dataclass(slots=True)
--- a/rookbend/health/registry.py
+++ b/rookbend/health/registry.py
@@ -15,7 +15,7 @@
 import heapq
 from collections.abc import Callable
 
-from rookbend.core.model import Entry
+from rookbend.core.model import Endpoint
 from rookbend.health.member import Row, opinions_for
 from rookbend.health.model import (
     FULL,
@@ -63,7 +63,7 @@
 class Board:
     """`role_of` names a member's role from its entry: cache, parent or origin."""
 
-    def __init__(self, policy: HealthPolicy, role_of: Callable[[Entry], str]):
+    def __init__(self, policy: HealthPolicy, role_of: Callable[[Endpoint], str]):
         self.policy, self.role_of = policy, role_of
         self.ramps = dict(policy.ramps)
         self.rows: dict[int, Row] = {}
@@ -104,7 +104,7 @@
             else:
                 self._renew(now, row, entry)
 
-    def _add(self, now: int, entry: Entry, before: Row | None = None) -> None:
+    def _add(self, now: int, entry: Endpoint, before: Row | None = None) -> None:
         """A new row. What people have ordered of the member `before` holds, whatever runs there now."""
         server = entry.member.server
         row = self.rows[server] = Row(entry, self.role_of(entry), self.policy, self.number, now)
@@ -115,7 +115,7 @@
         tier.rows.add(server)
         self._judge(now, row, forced=True)
 
-    def _renew(self, now: int, row: Row, entry: Entry) -> None:
+    def _renew(self, now: int, row: Row, entry: Endpoint) -> None:
         old, new = row.entry.member, entry.member
         if (
             (new.kind, new.zone) != (old.kind, old.zone)
--- a/rookbend/health/service.py
+++ b/rookbend/health/service.py
@@ -13,17 +13,17 @@
 from dataclasses import replace
 
 from rookbend.core.engine import Engine
-from rookbend.core.model import Entry, MembershipChange
+from rookbend.core.model import Endpoint, MembershipChange
 from rookbend.health.member import PASSIVE_GOOD
 from rookbend.health.model import FULL, AttemptSeen, Event, Judged, MembershipHeard, Tick, Verdict
 from rookbend.health.registry import Board
-from rookbend.interface import MemberState, Settings, Status
+from rookbend.interface import AttemptStatus, MemberState, Settings
 
 GATHER_US = 100_000
 ROLES = "cache", "parent", "origin"
 
 
-def role_namer(settings: Settings) -> Callable[[Entry], str]:
+def role_namer(settings: Settings) -> Callable[[Endpoint], str]:
     """A function from a membership entry to the member's role."""
     names = {settings.parent_kind: "parent", settings.origin_kind: "origin"}
     return lambda entry: names.get(entry.member.kind, "cache")
@@ -46,10 +46,10 @@
         """The coordinator's list, or a part of it; what the engine gets is weighed."""
         before = set(self.board.rows)
         now = self.engine.clock.now()
-        judged = self._split(self.board.handle(now, MembershipHeard(change.complete, change.entries)))
+        judged = self._split(self.board.handle(now, MembershipHeard(change.complete, change.endpoints)))
         after = self.board.rows
-        entries = [self.effective(e.member.server) or e for e in change.entries]
-        named = {e.member.server for e in change.entries}
+        entries = [self.effective(e.member.server) or e for e in change.endpoints]
+        named = {e.member.server for e in change.endpoints}
         # What a member's leaving did to others of its tier goes along.
         entries += [self.effective(s) for s in judged if s in after and s not in named]
         self.engine.membership_changed(MembershipChange(change.complete, change.version, entries))
@@ -66,7 +66,7 @@
         for server, verdict in judged.items():
             if verdict is None:
                 continue
-            old, new = self.engine.entries.get(server), self.effective(server)
+            old, new = self.engine.endpoints.get(server), self.effective(server)
             if old is None or self._lowers(old, new):
                 self._pending.pop(server, None)
                 urgent.append(new)
@@ -77,7 +77,7 @@
             self.engine.judged(urgent)
         self._tell_due()
 
-    def attempt_ended(self, server: int, status: Status) -> None:
+    def attempt_ended(self, server: int, status: AttemptStatus) -> None:
         row = self.board.rows.get(server)
         if row is None or (status in PASSIVE_GOOD and not row.passive and not row.passive_until):
             return  # nearly all of them: an answer of a member that nothing is held against
@@ -111,7 +111,7 @@
         return judged
 
     @staticmethod
-    def _lowers(before: Entry, after: Entry) -> bool:
+    def _lowers(before: Endpoint, after: Endpoint) -> bool:
         """Whether the engine must not wait to hear of this: the member loses service or weight."""
         old, new = before.member, after.member
         return (
@@ -121,7 +121,7 @@
             and new.started_us > old.started_us
         )
 
-    def effective(self, server: int) -> Entry | None:
+    def effective(self, server: int) -> Endpoint | None:
         """The membership's entry with the verdict in it; None for one that the membership does not hold."""
         row = self.board.rows.get(server)
         if row is None:
@@ -143,7 +143,9 @@
         started = max(member.started_us, row.cold_us)
         if (weight, state, started) == (member.weight, member.state, member.started_us):
             return row.entry
-        return Entry(replace(member, weight=weight, state=state, started_us=started), row.entry.name, row.entry.address)
+        return Endpoint(
+            replace(member, weight=weight, state=state, started_us=started), row.entry.name, row.entry.address
+        )
 
     def _tell_due(self) -> None:
         due = self.due_us
--- a/rookbend/interface/actions.py
+++ b/rookbend/interface/actions.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(slots=True)
-class Lookup:
+class FetchCached:
     """Attempt: answer from the server's own fresh copy, or miss; the origin holds everything."""
 
     request: int
@@ -22,12 +22,12 @@
     server: int
     timeout_us: int
     source: int
-    keep: int = 1
+    retention_rank: int = 1
     max_age_us: int = 0
-    join: bool = False
-    only_if_held: bool = False
-    parent_keeps_none: bool = False
-    renew: bool = False
+    join_fill: bool = False
+    only_if_cached: bool = False
+    parent_no_store: bool = False
+    refresh_in_background: bool = False
 
 
 @dataclass(slots=True)
@@ -36,7 +36,7 @@
 
 
 @dataclass(slots=True)
-class Refuse:
+class Reject:
     request: int
     retry_after_us: int = 0
 
@@ -54,27 +54,27 @@
 
 
 @dataclass(slots=True)
-class Probe:
+class StartHealthCheck:
     server: int
 
 
 @dataclass(slots=True)
-class CloseIdle:
+class CloseIdleConnections:
     server: int
 
 
 @dataclass(slots=True)
-class ReloadMembers:
+class ReloadMembership:
     pass
 
 
 @dataclass(slots=True)
-class WatchMembers:
+class SubscribeMembership:
     on: bool = True
 
 
 @dataclass(slots=True)
-class SendPeer:
+class SendPeerMessage:
     """A message to one router, or to all where `peer` is None."""
 
     peer: int | None
@@ -82,27 +82,27 @@
 
 
 @dataclass(slots=True)
-class LogLine:
+class WriteLog:
     text: str
 
 
 @dataclass(slots=True)
-class Fault:
+class InternalError:
     text: str
 
 
 Action = (
-    Lookup
+    FetchCached
     | Fetch
     | Fail
-    | Refuse
+    | Reject
     | CancelAttempt
     | SetTimer
-    | Probe
-    | CloseIdle
-    | ReloadMembers
-    | WatchMembers
-    | SendPeer
-    | LogLine
-    | Fault
+    | StartHealthCheck
+    | CloseIdleConnections
+    | ReloadMembership
+    | SubscribeMembership
+    | SendPeerMessage
+    | WriteLog
+    | InternalError
 )
--- a/rookbend/interface/events.py
+++ b/rookbend/interface/events.py
@@ -4,14 +4,14 @@
 
 from dataclasses import dataclass
 
-from rookbend.interface.settings import ListKind, Member, Note, Settings, Status
+from rookbend.interface.settings import AttemptDetail, AttemptStatus, Member, MembershipUpdateKind, Settings
 
 # Not frozen: a frozen one takes three times as long to make, and several are made for each request.
 
 
 @dataclass(slots=True)
-class MembersChanged:
-    kind: ListKind
+class MembershipUpdated:
+    kind: MembershipUpdateKind
     version: int = 0
     members: tuple[Member, ...] = ()
 
@@ -35,16 +35,16 @@
     request: int
     attempt: int
     server: int
-    status: Status
+    status: AttemptStatus
     elapsed_us: int = 0
     final: bool = False
-    note: Note = Note.NONE
-    fill_wait_us: int = 0
-    load: tuple[float, ...] = ()
+    detail: AttemptDetail = AttemptDetail.NONE
+    fill_queue_us: int = 0
+    load_report: tuple[float, ...] = ()
 
 
 @dataclass(slots=True)
-class AnswerStarted:
+class ResponseStarted:
     request: int
     attempt: int
     server: int
@@ -57,15 +57,15 @@
 
 
 @dataclass(slots=True)
-class ProbeFinished:
+class HealthCheckFinished:
     server: int
-    status: Status
+    status: AttemptStatus
     elapsed_us: int = 0
-    load: tuple[float, ...] = ()
+    load_report: tuple[float, ...] = ()
 
 
 @dataclass(slots=True)
-class PeerMessage:
+class PeerMessageReceived:
     sender: int
     data: bytes
 
@@ -76,7 +76,7 @@
 
 
 @dataclass(slots=True)
-class Purged:
+class PurgeReceived:
     """A purge of one object, or of a whole group where `object_id` is 0."""
 
     object_id: int
@@ -85,12 +85,12 @@
 
 
 @dataclass(slots=True)
-class Limited:
+class AdmissionLimitsChanged:
     """Limits from outside, until the next: classes that are refused at once; fills and direct requests a
     second, None: any."""
 
-    closed: frozenset[int] = frozenset()
-    per_s: float | None = None
+    rejected_classes: frozenset[int] = frozenset()
+    fills_per_second: float | None = None
 
 
 @dataclass(slots=True)
@@ -102,23 +102,23 @@
 
 
 @dataclass(slots=True)
-class Shared:
+class ActiveProcessesChanged:
     """So many processes of this router send, this one with them: budgets that bind all are parted."""
 
-    senders: int = 1
+    processes: int = 1
 
 
 Event = (
-    MembersChanged
+    MembershipUpdated
     | RequestArrived
     | AttemptFinished
-    | AnswerStarted
+    | ResponseStarted
     | RequestCancelled
-    | ProbeFinished
-    | PeerMessage
+    | HealthCheckFinished
+    | PeerMessageReceived
     | TimerFired
-    | Purged
-    | Limited
+    | PurgeReceived
+    | AdmissionLimitsChanged
     | SettingsChanged
-    | Shared
+    | ActiveProcessesChanged
 )
--- a/rookbend/interface/settings.py
+++ b/rookbend/interface/settings.py
@@ -6,15 +6,15 @@
 from enum import Enum, IntEnum
 
 
-class Effect(Enum):
+class Idempotency(Enum):
     """What repeating a request may do."""
 
-    SAFE = "safe"
-    KEYED = "keyed"
-    UNSAFE = "unsafe"
+    IDEMPOTENT = "safe"
+    IDEMPOTENCY_KEY = "keyed"
+    NOT_IDEMPOTENT = "unsafe"
 
 
-class Status(IntEnum):
+class AttemptStatus(IntEnum):
     """How an attempt ended."""
 
     OK = 1
@@ -28,10 +28,10 @@
     MISS = 9
 
 
-NEVER_RAN = frozenset({Status.FULL, Status.CONNECT_FAILED, Status.MOOT, Status.MISS})
+NEVER_EXECUTED = frozenset({AttemptStatus.FULL, AttemptStatus.CONNECT_FAILED, AttemptStatus.MOOT, AttemptStatus.MISS})
 
 
-class Note(IntEnum):
+class AttemptDetail(IntEnum):
     """How an answer was made, or why a fill failed."""
 
     NONE = 0
@@ -53,7 +53,7 @@
     DRAINING = 2
 
 
-class ListKind(IntEnum):
+class MembershipUpdateKind(IntEnum):
     FULL = 0
     CACHED = 1
     FAILED = 2
@@ -65,21 +65,21 @@
     """A request class. Times in microseconds; `group` is all, zone or cell."""
 
     name: str
-    aim_us: int
+    latency_objective_us: int
     deadline_us: int
-    aim_stretch: float = 0.0
-    worth: float = 1.0
-    late_worth: float = 0.0
-    effect: Effect = Effect.SAFE
-    group: str = "all"
-    repeat_window_us: int = 0
+    latency_objective_stretch: float = 0.0
+    priority_weight: float = 1.0
+    late_priority_weight: float = 0.0
+    idempotency: Idempotency = Idempotency.IDEMPOTENT
+    retry_scope: str = "all"
+    idempotency_key_window_us: int = 0
     streaming: bool = False
-    write: bool = False
-    parts: bool = False
-    fresh_us: int = 0
-    grace_us: int = 0
-    stale_worth: float = 0.0
-    gone: bool = False  # named no more by the settings: only requests that came before are of it
+    is_write: bool = False
+    has_parts: bool = False
+    freshness_lifetime_us: int = 0
+    stale_grace_us: int = 0
+    stale_priority_weight: float = 0.0
+    is_retired: bool = False  # named no more by the settings: only requests that came before are of it
 
 
 @dataclass(frozen=True, slots=True)
@@ -91,39 +91,39 @@
     router_index: int = 0
     router_count: int = 1
     routers_by_zone: tuple[int, ...] = ()
-    home_hub: tuple[int, ...] = ()
+    home_parents: tuple[int, ...] = ()
     link_kb_per_s: tuple[float, ...] = ()
     parent_kind: int = -1
     origin_kind: int = -1
     weights: str = "nominal"
     pace_kb_per_s: float = 0.0
-    joins: bool = False
-    detail: str = "none"
-    direct: bool = False
+    supports_joined_fills: bool = False
+    answer_detail: str = "none"
+    allows_direct_to_source: bool = False
     sibling_sources: str = "none"
     purge_grace_us: int = 0
-    purge_takes_us: int = 0
-    cold_share: float = 1.0
+    purge_propagation_us: int = 0
+    cold_capacity_ratio: float = 1.0
     warm_up_us: int = 0
-    fall_multiple: float = 1.0
-    fall_us: int = 0
-    parent_cold_share: float = 1.0
+    overload_multiple: float = 1.0
+    overload_window_us: int = 0
+    parent_cold_capacity_ratio: float = 1.0
     parent_warm_up_us: int = 0
-    parent_fall_multiple: float = 1.0
+    parent_overload_multiple: float = 1.0
     drain_grace_us: int = 0
-    ask_within_us: int = 0
+    membership_poll_interval_us: int = 0
     max_attempts: int = 4
-    second_copies: bool = False
-    cancelling: bool = False
-    probes: bool = False
-    peers: bool = False
-    retry_after: bool = False
+    allows_hedged_requests: bool = False
+    allows_cancellation: bool = False
+    allows_probes: bool = False
+    allows_peer_messages: bool = False
+    allows_retry_after: bool = False
     max_retry_after_us: int = 0
-    max_open: int = 20_000
+    max_requests_in_flight: int = 20_000
     connect_timeout_us: int = 400_000
-    list_is_pushed: bool = True
-    report_fields: tuple[str, ...] = ()
-    tick_us: int = 0
+    membership_is_pushed: bool = True
+    load_report_fields: tuple[str, ...] = ()
+    clock_tick_us: int = 0
 
 
 @dataclass(frozen=True, slots=True)
--- a/rookbend/net/member_connection.py
+++ b/rookbend/net/member_connection.py
@@ -10,8 +10,8 @@
 
 import trio
 
-from rookbend.core.model import Attempt, Result
-from rookbend.interface import Status
+from rookbend.core.model import Attempt, AttemptResult
+from rookbend.interface import AttemptStatus
 from rookbend.net.buffered_socket import Channel, prepare
 from rookbend.protocol import cache_lines
 
@@ -34,8 +34,8 @@
 class MemberConnection:
     """One connection to a member, and the attempts that are out on it."""
 
-    def __init__(self, member_pool: MemberPool, channel: Channel, report_fields: tuple[str, ...]):
-        self.member_pool, self.channel, self.parser = member_pool, channel, cache_lines.AnswerParser(report_fields)
+    def __init__(self, member_pool: MemberPool, channel: Channel, load_report_fields: tuple[str, ...]):
+        self.member_pool, self.channel, self.parser = member_pool, channel, cache_lines.AnswerParser(load_report_fields)
         self.open: dict[str, Attempt] = {}
         self.spans: dict[str, Span] = {}  # of the requests in `open`
         self.undone: dict[str, None] = {}  # ids given up here; the member may not know it yet
@@ -91,7 +91,9 @@
             self.restart.connect_failed(refused, bool(self.connections))
             return self._connect_failed(began)
         self.pool.counters.connects += 1
-        connection = MemberConnection(self, Channel(sock, self.pool.nursery, self.pool.outbox), self.pool.report_fields)
+        connection = MemberConnection(
+            self, Channel(sock, self.pool.nursery, self.pool.outbox), self.pool.load_report_fields
+        )
         connection.channel.on_drained = self.pump
         connection.used_us = connection.heard_us = engine.clock.now()
         self.connections.append(connection)
@@ -108,7 +110,7 @@
             return self.pump()
         waiting, self.waiting = self.waiting, deque()
         for attempt in waiting:
-            engine.finished(attempt, Result(Status.CONNECT_FAILED))
+            engine.finished(attempt, AttemptResult(AttemptStatus.CONNECT_FAILED))
 
     async def _read(self, connection: MemberConnection) -> None:
         try:
@@ -161,7 +163,7 @@
                 if not connection.open and self.connections[-1] is not connection and self.pool.share == 1:
                     self.connections.remove(connection)
                     self.connections.append(connection)
-                self.pool.engine.finished(attempt, answer.result_for(attempt.request.known))
+                self.pool.engine.finished(attempt, answer.result_for(attempt.request.known_version))
             # Else a second copy, an id that is none of ours, or one that its client withdrew: passed over.
 
     def _lost(self, connection: MemberConnection) -> None:
@@ -175,16 +177,16 @@
         connection.channel.close()
         for attempt, whole in lost:
             # Only a request that had not gone out whole is proven not to have run.
-            status = Status.RESET if whole else Status.CONNECT_FAILED
-            self.pool.engine.finished(attempt, Result(status))
+            status = AttemptStatus.RESET if whole else AttemptStatus.CONNECT_FAILED
+            self.pool.engine.finished(attempt, AttemptResult(status))
         self._release()
         self.pump()
 
     def _release(self) -> None:
         held, self.held = self.held, []
         for attempt in held:
-            if not attempt.over:
-                (self.held if self._still_out(attempt.request.rid) else self.waiting).append(attempt)
+            if not attempt.is_finished:
+                (self.held if self._still_out(attempt.request.request_id) else self.waiting).append(attempt)
 
 
 def keep_bounded(ids: dict[str, None], rid: str) -> None:
--- a/rookbend/net/member_pool.py
+++ b/rookbend/net/member_pool.py
@@ -5,9 +5,9 @@
 from collections import deque
 from typing import TYPE_CHECKING
 
-from rookbend.core.model import Attempt, Entry, Result
+from rookbend.core.model import Attempt, AttemptResult, Endpoint
 from rookbend.core.restart_detection import RestartEvidence
-from rookbend.interface import Status
+from rookbend.interface import AttemptStatus
 from rookbend.net.member_connection import GONE_US, MemberConnection, Reading, Span, keep_bounded
 from rookbend.protocol import cache_lines
 
@@ -23,7 +23,7 @@
 class MemberPool(Reading):
     """One member: its connections, and the attempts that wait for one."""
 
-    def __init__(self, pool: Pool, entry: Entry):
+    def __init__(self, pool: Pool, entry: Endpoint):
         self.pool, self.entry = pool, entry
         self.connections: list[MemberConnection] = []
         self.waiting: deque[Attempt] = deque()
@@ -40,7 +40,7 @@
 
     def send(self, attempt: Attempt) -> None:
         """Writes the attempt on a connection that takes it, or has it wait for one."""
-        if attempt.number and self._still_out(attempt.request.rid):
+        if attempt.number and self._still_out(attempt.request.request_id):
             return self.held.append(attempt)
         connection = self._connection_for(attempt)
         if connection is not None:
@@ -68,9 +68,9 @@
         Guards against a spoilt answer, or one that never comes: the connection is of no further use then,
         and all that is out on it is lost with it. Shared, each took a dozen other attempts along.
         """
-        pool, rid, least, answered = self.pool, attempt.request.rid, None, None
+        pool, rid, least, answered = self.pool, attempt.request.request_id, None, None
         share, fresh_since = pool.share, 0
-        if attempt.fresh and pool.rate <= FRESH_MOST and self._may_connect():
+        if attempt.new_connection and pool.rate <= FRESH_MOST and self._may_connect():
             fresh_since = pool.engine.clock.now() - FRESH_US
         for connection in reversed(self.connections):  # the one used last comes first; what is spare ages and closes
             if fresh_since and not (connection.unused and connection.used_us >= fresh_since):
@@ -107,7 +107,7 @@
         waiting = self.waiting
         for _ in range(len(waiting)):
             attempt = waiting.popleft()
-            if attempt.over:
+            if attempt.is_finished:
                 continue
             connection = self._connection_for(attempt)
             if connection is None:
@@ -122,24 +122,24 @@
         engine = self.pool.engine
         if not engine.may_write(attempt):
             engine.counters.withheld += 1
-            return engine.finished(attempt, Result(Status.MOOT))
+            return engine.finished(attempt, AttemptResult(AttemptStatus.MOOT))
         now = engine.clock.now()
-        source = engine.entries[attempt.source].name if attempt.source else ""
+        source = engine.endpoints[attempt.source].name if attempt.source else ""
         data = cache_lines.write_do(attempt, now, source)
-        rid, channel = attempt.request.rid, connection.channel
+        rid, channel = attempt.request.request_id, connection.channel
         connection.open[rid] = attempt
         connection.spans[rid] = Span(channel.accepted, channel.accepted + len(data))
         connection.used_us, connection.unused = now, False
         attempt.connection = connection
         channel.write(data)
 
-    def undo(self, connection: MemberConnection, attempt: Attempt) -> Status:
+    def undo(self, connection: MemberConnection, attempt: Attempt) -> AttemptStatus:
         """Gives an attempt up that was written to this connection; see `Backend.undo`."""
-        rid, now = attempt.request.rid, self.pool.engine.clock.now()
+        rid, now = attempt.request.request_id, self.pool.engine.clock.now()
         span = connection.spans.pop(rid)
         del connection.open[rid]
         if self._taken_back(connection, span):
-            return Status.CONNECT_FAILED
+            return AttemptStatus.CONNECT_FAILED
         keep_bounded(connection.undone, rid)
         connection.channel.write(cache_lines.write_undo(rid))
         self.pool.counters.undone += 1
@@ -152,7 +152,7 @@
             connection.suspect = True
         self.tidy(connection)
         # Guards a write: it is out, or shares a connection that goes on, and may have run.
-        return Status.TIMEOUT
+        return AttemptStatus.TIMEOUT
 
     def _taken_back(self, connection: MemberConnection, span: Span) -> bool:
         """Whether the member will never see this request whole: its bytes wait here behind a full socket.
--- a/rookbend/net/operations.py
+++ b/rookbend/net/operations.py
@@ -106,7 +106,7 @@
     def _take(self, member: str, out: bool, ordered: Ordered) -> None:
         if not ordered.news:
             return
-        if ordered.change is not None and ordered.change.entries:
+        if ordered.change is not None and ordered.change.endpoints:
             self._told(ordered.change)
         if self.file is not None:
             self.file.write(self.bans)
@@ -133,7 +133,7 @@
         """Listed caches, and those of them that the director avoids: by the list, by hand or by choice."""
         engine = self.site.engine
         s, now = engine.settings, engine.clock.now()
-        caches = [e.member for e in engine.entries.values() if e.member.kind not in (s.parent_kind, s.origin_kind)]
+        caches = [e.member for e in engine.endpoints.values() if e.member.kind not in (s.parent_kind, s.origin_kind)]
         seen = engine.router.health.servers
         return len(caches), sum(
             m.state is not MemberState.READY or (m.server in seen and seen[m.server].until > now) for m in caches
--- a/rookbend/net/pool.py
+++ b/rookbend/net/pool.py
@@ -6,8 +6,8 @@
 
 from rookbend.core.counters import Counters
 from rookbend.core.engine import Engine
-from rookbend.core.model import Attempt, Entry
-from rookbend.interface import Status
+from rookbend.core.model import Attempt, Endpoint
+from rookbend.interface import AttemptStatus
 from rookbend.net.buffered_socket import Outbox
 from rookbend.net.member_pool import MemberPool
 
@@ -41,7 +41,7 @@
         self.max_streams = max(1, max_streams)
         self.idle_us = int(IDLE_SHARE * idle_close_us)
         self.connect_timeout_us = settings.connect_timeout_us
-        self.report_fields = settings.report_fields
+        self.load_report_fields = settings.load_report_fields
 
     @property
     def written(self) -> int:
@@ -61,7 +61,7 @@
         its requests."""
         return min(1 + max(0, self.rate - SPREAD_MOST) // SHARE_STEP, self.max_streams)
 
-    def send(self, attempt: Attempt, entry: Entry) -> None:
+    def send(self, attempt: Attempt, entry: Endpoint) -> None:
         """See `Backend.send`."""
         self.sent += 1
         member_pool = self.members.get(attempt.server)
@@ -69,16 +69,16 @@
             member_pool = self.members[attempt.server] = MemberPool(self, entry)
         member_pool.send(attempt)
 
-    def undo(self, attempt: Attempt) -> Status:
+    def undo(self, attempt: Attempt) -> AttemptStatus:
         """See `Backend.undo`."""
         connection = attempt.connection
-        if connection is None or connection.open.get(attempt.request.rid) is not attempt:
-            return Status.CONNECT_FAILED  # never written: it waits for a connection, or has none
+        if connection is None or connection.open.get(attempt.request.request_id) is not attempt:
+            return AttemptStatus.CONNECT_FAILED  # never written: it waits for a connection, or has none
         return connection.member_pool.undo(connection, attempt)
 
     def is_out(self, attempt: Attempt) -> bool:
         """See `Backend.is_out`."""
-        connection, rid = attempt.connection, attempt.request.rid
+        connection, rid = attempt.connection, attempt.request.request_id
         return connection is not None and connection.open.get(rid) is attempt and connection.whole(rid)
 
     def forget(self, server: int) -> None:
--- a/rookbend/net/recovery.py
+++ b/rookbend/net/recovery.py
@@ -1,7 +1,6 @@
-"""The driver of recovery: feeds the machine (`recovery.director`) what comes in, carries its actions out.
+"""The driver of recovery: feeds the machine (`recovery.coordinator`) what comes in, carries its actions out.
 
-The machine's clock is a monotonic one that began at the Unix time of the start: a system clock that is
-stepped while the director runs must not make its peers doubt its age, nor itself theirs.
+The machine's clock is monotonic from the Unix time of the start, so that a stepped system clock changes no age.
 """
 
 from __future__ import annotations
@@ -10,22 +9,23 @@
 
 import trio
 
-from rookbend.core.model import Attempt, MembershipChange, Purge, Result
-from rookbend.interface import Note, Status
+from rookbend.core.model import Attempt, AttemptResult, MembershipChange, Purge
+from rookbend.interface import AttemptDetail, AttemptStatus
 from rookbend.net.component import Part, Site
 from rookbend.protocol.gossip import is_ours
 from rookbend.recovery import coordinator as machine
 from rookbend.recovery.startup_stages import Plan
 
 LIFE_BITS = 40
-UNWELL_NOTES = (Note.SOURCE_REFUSED, Note.SOURCE_UNREACHABLE, Note.ORIGIN_FAILED)
-UNWELL = (Status.FULL, Status.TIMEOUT, Status.CONNECT_FAILED, Status.RESET, Status.ERROR)
+UNWELL_NOTES = (AttemptDetail.SOURCE_REFUSED, AttemptDetail.SOURCE_UNREACHABLE, AttemptDetail.ORIGIN_FAILED)
+HARMLESS = {AttemptStatus.OK, AttemptStatus.CANCELLED, AttemptStatus.MOOT, AttemptStatus.MISS}
+UNWELL = frozenset(AttemptStatus) - HARMLESS
 COST_OF_PARTS = 4.0  # objects that come in parts are large: what one costs beside one that does not
 
 
 def config_of(site: Site) -> machine.Config:
     s, wanted, rules = site.operators, site.operators.recovery, site.engine.settings
-    classes = tuple((c.write, c.worth, COST_OF_PARTS if c.parts else 1.0) for c in rules.classes)
+    classes = tuple((c.is_write, c.priority_weight, COST_OF_PARTS if c.has_parts else 1.0) for c in rules.classes)
     return machine.Config(
         rules.router_index,
         rules.router_count,
@@ -35,7 +35,7 @@
         rules.zone,
         rules.parent_kind,
         rules.origin_kind,
-        rules.purge_takes_us or 6_000_000,
+        rules.purge_propagation_us or 6_000_000,
         Plan(wanted.ready_share, wanted.ready_by_us, wanted.full_by_us),
         wanted.first_rate,
         wanted.full_rate,
@@ -121,20 +121,20 @@
         self.feed(machine.Datagram(sender, data))
         return True
 
-    def _attempt(self, attempt: Attempt, result: Result | None) -> None:
+    def _attempt(self, attempt: Attempt, result: AttemptResult | None) -> None:
         """What reaches the origin: direct, or with a fill from it or a parent."""
         if not self.machine.counts_calls:
             return
-        entry = self.engine.entries.get(attempt.server)
+        entry = self.engine.endpoints.get(attempt.server)
         kinds = (self.rules.parent_kind, self.rules.origin_kind)
         direct = entry is not None and entry.member.kind in kinds
         if not direct and not attempt.source:
             return
         if result is None:
             return self.feed(machine.CallMade())
-        status, note = result.status, result.note
+        status, note = result.status, result.detail
         took_us = self.site.clock.now() - attempt.sent_us
-        if status is Status.OK and note not in (Note.HIT, Note.STALE):
+        if status is AttemptStatus.OK and note not in (AttemptDetail.HIT, AttemptDetail.STALE):
             self.feed(machine.CallEnded(True, took_us))
         elif note in UNWELL_NOTES or (direct and status in UNWELL):
             self.feed(machine.CallEnded(False, took_us))
--- a/rookbend/operations/exclusions.py
+++ b/rookbend/operations/exclusions.py
@@ -13,7 +13,7 @@
 
 from dataclasses import dataclass, replace
 
-from rookbend.core.model import Entry, MembershipChange
+from rookbend.core.model import Endpoint, MembershipChange
 from rookbend.interface import MemberState
 
 MOST = 1024  # names: a ban on a member that has left the list is kept, but not without end
@@ -35,7 +35,7 @@
     def __init__(self, out: tuple[str, ...] = (), back_us: dict[str, int] | None = None):
         self.out: dict[str, None] = dict.fromkeys(out)
         self.back_us = dict(back_us or {})
-        self.listed: dict[str, Entry] = {}  # the list's own word, by name
+        self.listed: dict[str, Endpoint] = {}  # the list's own word, by name
         self.version = 0
 
     def heard(self, change: MembershipChange) -> MembershipChange:
@@ -43,15 +43,15 @@
         self.version = change.version
         if change.complete:
             self.listed.clear()
-        for entry in change.entries:
+        for entry in change.endpoints:
             if entry.member.state is MemberState.GONE:
                 self.listed.pop(entry.name, None)
                 self.back_us.pop(entry.name, None)
             else:
                 self.listed[entry.name] = entry
-        return MembershipChange(change.complete, change.version, [self.effective(e) for e in change.entries])
+        return MembershipChange(change.complete, change.version, [self.effective(e) for e in change.endpoints])
 
-    def effective(self, entry: Entry) -> Entry:
+    def effective(self, entry: Endpoint) -> Endpoint:
         """The entry as the engine is to see it: out of use where a ban says so."""
         member = entry.member
         if member.state is not MemberState.READY:
--- a/rookbend/operations/metrics_text.py
+++ b/rookbend/operations/metrics_text.py
@@ -8,14 +8,14 @@
 
 from collections.abc import Iterable, Mapping
 
-from rookbend.core.model import Verdict
+from rookbend.core.model import FinalOutcome
 
 Counted = tuple[str, int]
 
 
-def by_class(name: str, answers: Mapping[tuple[str, Verdict], int]) -> list[Counted]:
+def by_class(name: str, answers: Mapping[tuple[str, FinalOutcome], int]) -> list[Counted]:
     """Answers by class and outcome, as figures of one name."""
-    return [(f"requests.{name}.{verdict.value}", answers.get((name, verdict), 0)) for verdict in Verdict]
+    return [(f"requests.{name}.{verdict.value}", answers.get((name, verdict), 0)) for verdict in FinalOutcome]
 
 
 def text(counters: Iterable[Counted], gauges: Iterable[Counted]) -> bytes:
--- a/rookbend/operations/reload_validation.py
+++ b/rookbend/operations/reload_validation.py
@@ -18,8 +18,31 @@
 Shape = dict[str, "Shape"] | None
 
 # What members, rows and peers are known by: other values would need the list to be read anew.
-AT_START = "zone", "router_index", "parent_kind", "origin_kind", "list_is_pushed"
+AT_START = "zone", "router_index", "parent_kind", "origin_kind", "membership_is_pushed"
 OPEN = frozenset({"known"})  # events, worded as they come
+# The names under which the log has always listed a change, where the field's own name is another.
+LOGGED_NAMES = {
+    "home_parents": "home_hub",
+    "supports_joined_fills": "joins",
+    "answer_detail": "detail",
+    "allows_direct_to_source": "direct",
+    "purge_propagation_us": "purge_takes_us",
+    "cold_capacity_ratio": "cold_share",
+    "overload_multiple": "fall_multiple",
+    "overload_window_us": "fall_us",
+    "parent_cold_capacity_ratio": "parent_cold_share",
+    "parent_overload_multiple": "parent_fall_multiple",
+    "membership_poll_interval_us": "ask_within_us",
+    "membership_is_pushed": "list_is_pushed",
+    "allows_hedged_requests": "second_copies",
+    "allows_cancellation": "cancelling",
+    "allows_probes": "probes",
+    "allows_peer_messages": "peers",
+    "allows_retry_after": "retry_after",
+    "max_requests_in_flight": "max_open",
+    "load_report_fields": "report_fields",
+    "clock_tick_us": "tick_us",
+}
 
 
 def shape(value) -> Shape:
@@ -51,21 +74,23 @@
 def merged(old: Settings, new: Settings) -> Settings:
     """The new settings as they take effect: classes in their places, and what holds from the start."""
     coming = {c.name: c for c in new.classes}
-    classes = [coming.pop(c.name, None) or replace(c, gone=True) for c in old.classes]
+    classes = [coming.pop(c.name, None) or replace(c, is_retired=True) for c in old.classes]
     kept = {name: getattr(old, name) for name in AT_START}
     return replace(new, classes=(*classes, *coming.values()), **kept)
 
 
 def waiting(old: Settings, new: Settings) -> list[str]:
     """What differs and takes effect at the next start only."""
-    return [name for name in AT_START if getattr(old, name) != getattr(new, name)]
+    names = [name for name in AT_START if getattr(old, name) != getattr(new, name)]
+    return [LOGGED_NAMES.get(name, name) for name in names]
 
 
 def effective(old: Settings, new: Settings) -> list[str]:
     """What differs and takes effect, for the log: names of settings, and of classes with a sign."""
     names = [f.name for f in fields(new) if f.name != "classes" and getattr(old, f.name) != getattr(new, f.name)]
-    before = {c.name: c for c in old.classes if not c.gone}
-    after = {c.name: c for c in new.classes if not c.gone}
+    names = [LOGGED_NAMES.get(name, name) for name in names]
+    before = {c.name: c for c in old.classes if not c.is_retired}
+    after = {c.name: c for c in new.classes if not c.is_retired}
     names += [f"+{name}" for name in after if name not in before]
     names += [f"-{name}" for name in before if name not in after]
     return names + [f"~{name}" for name in after if name in before and after[name] != before[name]]
--- a/rookbend/process_metrics.py
+++ b/rookbend/process_metrics.py
@@ -56,12 +56,12 @@
         from rookbend.health.spare_capacity import Sample
 
         limits, engine = self.limits, self.engine
-        members = [e for e in engine.entries.values() if self._is_ours(e)]
+        members = [e for e in engine.endpoints.values() if self._is_ours(e)]
         with open("/proc/self/statm", "rb") as f:
             resident = int(f.read().split()[1]) * PAGE
         return Sample(
             engine.lag_us / self.lag_us,
-            engine.open_requests / engine.settings.max_open,
+            engine.open_requests / engine.settings.max_requests_in_flight,
             (self.pool.open_connections + len(self.front.open) + OWN_DESCRIPTORS) / limits.sockets,
             resident / (limits.memory_mb << 20),
             len(members),
--- a/rookbend/protocol/cache_lines.py
+++ b/rookbend/protocol/cache_lines.py
@@ -5,22 +5,22 @@
 from dataclasses import dataclass
 from functools import lru_cache
 
-from rookbend.core.model import Attempt, Result
-from rookbend.interface import Note, Status
+from rookbend.core.model import Attempt, AttemptResult
+from rookbend.interface import AttemptDetail, AttemptStatus
 
 LONGEST_LINE = 4096
 LONGEST_BODY = 240_000
 
 STATUSES = {
-    b"ok": Status.OK,
-    b"current": Status.OK,
-    b"nothing": Status.MISS,
-    b"refused": Status.FULL,
-    b"error": Status.ERROR,
-    b"stale": Status.MOOT,
+    b"ok": AttemptStatus.OK,
+    b"current": AttemptStatus.OK,
+    b"nothing": AttemptStatus.MISS,
+    b"refused": AttemptStatus.FULL,
+    b"error": AttemptStatus.ERROR,
+    b"stale": AttemptStatus.MOOT,
 }
 NOTES = {
-    word: Note(i + 1)
+    word: AttemptDetail(i + 1)
     for i, word in enumerate(
         (
             b"mem",
@@ -50,15 +50,15 @@
     """An answer, the id it is for, and the tag of the copy that it brings or names."""
 
     rid: str
-    result: Result
+    result: AttemptResult
     tag: str = ""
 
-    def result_for(self, known: str) -> Result:
+    def result_for(self, known: str) -> AttemptResult:
         """The result for a request whose client holds the copy `known`. An answer that calls another copy
         current, or one that the client does not hold, is an error: passed on, it would confirm bytes that no
         cache has named."""
         if self.result.unchanged and (not known or _bare(self.tag) != _bare(known)):
-            return Result(Status.ERROR)
+            return AttemptResult(AttemptStatus.ERROR)
         return self.result
 
 
@@ -73,28 +73,28 @@
     words = [f"c={r.class_name},k={r.key},p={r.part},w={max(1, (attempt.due_us - now_us) // 1000)}"]
     if source:
         words.append(f"next={source}")
-    if attempt.keep:
-        words.append(f"admit={attempt.keep}")
+    if attempt.retention_rank:
+        words.append(f"admit={attempt.retention_rank}")
     if attempt.max_age_us:
         # An age under a millisecond must not become 0, which would mean the class's fresh time.
         words.append(f"agelim={max(1, attempt.max_age_us // 1000)}")
     ways = [
         name
         for name, on in (
-            ("wait-for", attempt.join),
-            ("no-fetch", attempt.only_if_held),
-            ("no-keep", attempt.parent_keeps_none),
-            ("background", attempt.renew),
+            ("wait-for", attempt.join_fill),
+            ("no-fetch", attempt.only_if_cached),
+            ("no-keep", attempt.parent_no_store),
+            ("background", attempt.refresh_in_background),
         )
         if on
     ]
     if ways:
         words.append("ways=" + "+".join(ways))
-    if r.known:
-        words.append(f"cached={r.known}")
+    if r.known_version:
+        words.append(f"cached={r.known_version}")
     if r.idempotency_key:
         words.append(f"i={r.idempotency_key}")
-    return b"do %b %b %d\r\n%b\r\n" % (r.rid.encode(), ",".join(words).encode(), len(r.body), r.body)
+    return b"do %b %b %d\r\n%b\r\n" % (r.request_id.encode(), ",".join(words).encode(), len(r.body), r.body)
 
 
 def write_undo(rid: str) -> bytes:
@@ -104,8 +104,8 @@
 class AnswerParser:
     """Fed a cache's bytes, gives its answers. `report_fields` is the order of the load report's values."""
 
-    def __init__(self, report_fields: tuple[str, ...] = ()):
-        names = (name.encode() for name in report_fields)
+    def __init__(self, load_report_fields: tuple[str, ...] = ()):
+        names = (name.encode() for name in load_report_fields)
         self._fields = tuple(ALIASES.get(name, name) for name in names)
         self._held = bytearray()
         self._head = None  # the answer whose body is awaited, and the body's length
@@ -165,7 +165,7 @@
         try:
             rid, word, fields, size = line.split(b" ")
             length = int(size)
-            result, tag = Result(STATUSES[word]), ""
+            result, tag = AttemptResult(STATUSES[word]), ""
             if not 0 <= length <= LONGEST_BODY or (length and word != b"ok"):
                 raise LineError("an answer's body cannot be that long")
             result.unchanged = word == b"current"
@@ -173,13 +173,13 @@
                 for pair in fields.split(b","):
                     name, _, value = pair.partition(b"=")
                     if name == b"note":
-                        result.note = NOTES.get(value, Note.NONE)
+                        result.detail = NOTES.get(value, AttemptDetail.NONE)
                     elif name == b"slow":
-                        result.fill_wait_us = int(float(value) * 1000)
+                        result.fill_queue_us = int(float(value) * 1000)
                     elif name == b"sum":
                         tag = value.decode("ascii")
                     elif name == b"load":
-                        result.load = read_load(value, self._fields)
+                        result.load_report = read_load(value, self._fields)
             return CacheAnswer(rid.decode("ascii"), result, tag), length
         except (ValueError, KeyError, OverflowError):
             raise LineError(f"no answer: {line[:80]!r}") from None
--- a/rookbend/protocol/coordinator_stream.py
+++ b/rookbend/protocol/coordinator_stream.py
@@ -8,7 +8,7 @@
 import h11
 import msgspec
 
-from rookbend.core.model import Entry, MembershipChange, Purge
+from rookbend.core.model import Endpoint, MembershipChange, Purge
 from rookbend.interface import Member, MemberState
 
 LONGEST_EVENT = 4 << 20
@@ -94,7 +94,7 @@
             raise StreamError(f"an event can't be used: {error}") from None
         return None
 
-    def _entry(self, line: _Line) -> Entry:
+    def _entry(self, line: _Line) -> Endpoint:
         state = STATES[line.phase]
         # What is gone needs no address, and a zone or kind that the settings don't name takes no part.
         address = split_address(line.host_port) if state is not MemberState.GONE else ("", 0)
@@ -107,7 +107,7 @@
             state,
             self._kinds.get(line.flavor, UNKNOWN_KIND),
         )
-        return Entry(member, line.id, address)
+        return Endpoint(member, line.id, address)
 
 
 @dataclass(slots=True)
--- a/rookbend/recovery/coordinator.py
+++ b/rookbend/recovery/coordinator.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field, replace
 
-from rookbend.core.model import Entry, MembershipChange, Purge
+from rookbend.core.model import Endpoint, MembershipChange, Purge
 from rookbend.core.token_bucket import Bucket
 from rookbend.interface import MemberState
 from rookbend.protocol import gossip as wire
@@ -47,7 +47,7 @@
     zone: int = 0
     parent_kind: int = -1
     origin_kind: int = -1
-    purge_takes_us: int = 6_000_000
+    purge_propagation_us: int = 6_000_000
     plan: Plan = field(default_factory=Plan)
     first_rate: float = 40.0
     full_rate: float = 400.0
@@ -205,7 +205,7 @@
         self.sequence = Sequence(config.plan, now)
         self.rows = {kind: kept.Rows(kind) for kind in wire.KINDS}
         self.votes = kept.Votes()
-        self.told: dict[str, Entry] = {}  # the membership, as the coordinator tells it
+        self.told: dict[str, Endpoint] = {}  # the membership, as the coordinator tells it
         self.revision = 0
         self.drained_at: dict[str, int] = {}  # kept drains: since when, for their bound
         self.opened, self.opened_us = 0, now
@@ -236,7 +236,7 @@
     def begin(self, now: int) -> list[Action]:
         """What binds from the first moment. To be called once, before anything else."""
         self.out = []
-        takes = int(PURGE_MARGIN * self.config.purge_takes_us)
+        takes = int(PURGE_MARGIN * self.config.purge_propagation_us)
         for kind, key, value, at in self._before:
             bound = takes if kind == "purge" else 0
             if kind not in self.rows or not validity.stands(kind, at, now, bound):
@@ -381,14 +381,14 @@
             self.told = {}
             self.gap.whole_list()
         self.revision = max(self.revision, change.version)
-        for entry in change.entries:
+        for entry in change.endpoints:
             self._told(now, entry, change.version)
-        entries = [self._effective(e) for e in change.entries]
+        entries = [self._effective(e) for e in change.endpoints]
         self.out.append(Members(MembershipChange(change.complete, change.version, entries)))
         for key in [k for k in self.rows["order"].rows if k.startswith(f"{self.config.me}/")]:
             self._order_stands(key)  # the member may be there only now
 
-    def _told(self, now: int, entry: Entry, revision: int) -> None:
+    def _told(self, now: int, entry: Endpoint, revision: int) -> None:
         state, name, drains = entry.member.state, entry.name, self.rows["drain"]
         if state is MemberState.GONE:
             self.told.pop(name, None)
@@ -418,7 +418,7 @@
                 self._lift(name)
                 self._pass_on([entry])
 
-    def _effective(self, entry: Entry) -> Entry:
+    def _effective(self, entry: Endpoint) -> Endpoint:
         """The entry with what binds from before: a drain, and cold until shown otherwise."""
         member, c = entry.member, self.config
         if member.state is not MemberState.READY:
@@ -428,7 +428,7 @@
             member = replace(member, state=MemberState.DRAINING)
         if self.cold and member.kind != c.origin_kind:
             member = replace(member, started_us=max(member.started_us, self.began_us))
-        return entry if member is entry.member else Entry(member, entry.name, entry.address)
+        return entry if member is entry.member else Endpoint(member, entry.name, entry.address)
 
     def _mark_cold(self, now: int) -> None:
         """Where this director alone was dark, members are what the membership says; else all are cold."""
@@ -437,7 +437,7 @@
             self.cold = cold
             self._pass_on(list(self.told.values()))
 
-    def _pass_on(self, entries: list[Entry]) -> None:
+    def _pass_on(self, entries: list[Endpoint]) -> None:
         if entries:
             self.out.append(Members(MembershipChange(False, self.revision, list(map(self._effective, entries)))))
 
@@ -637,7 +637,7 @@
         what, _, number = key.partition(" ")
         if what not in ("o", "g") or not _is_number(number, what):
             self.unreadable += 1
-        elif now - made_us <= PURGE_MARGIN * self.config.purge_takes_us and self.rows["purge"].put(key, value):
+        elif now - made_us <= PURGE_MARGIN * self.config.purge_propagation_us and self.rows["purge"].put(key, value):
             self.out += [Keep("purge", key, value), PurgeLearnt(self._purge(key, made_us // 1000))]
 
     def _drain_from_peers(self, now: int, key: str, value: bytes) -> None:
--- a/rookbend/routing/endpoint_selection.py
+++ b/rookbend/routing/endpoint_selection.py
@@ -3,7 +3,7 @@
 import math
 
 from rookbend import interface as api
-from rookbend.interface import Effect, MemberState, Note
+from rookbend.interface import AttemptDetail, Idempotency, MemberState
 from rookbend.routing.membership import mix
 from rookbend.routing.request_state import Flight
 
@@ -91,17 +91,20 @@
         """The effect rules: what may have run is repeated only inside its group and its window."""
         if r.number >= self.s.max_attempts or self.now + LEAST_LEFT * r.least >= r.deadline:
             return False
-        if r.ran_at is None or r.cls.effect is Effect.SAFE:
+        if r.ran_at is None or r.cls.idempotency is Idempotency.IDEMPOTENT:
             return True
-        if r.cls.effect is Effect.UNSAFE or self.now - r.ran_at >= r.cls.repeat_window_us - self.s.tick_us:
+        if (
+            r.cls.idempotency is Idempotency.NOT_IDEMPOTENT
+            or self.now - r.ran_at >= r.cls.idempotency_key_window_us - self.s.clock_tick_us
+        ):
             return False
-        group = r.cls.group
+        group = r.cls.retry_scope
         return group == "all" or (m.zone == r.ran_on.zone and (group == "zone" or m.cell == r.ran_on.cell))
 
     def send(self, r, first=None, first_source=None):
         m = self.place(r, first)
         source = self.pick_source(r, first_source)
-        if self.s.direct and (m is None or m.server in r.tried):
+        if self.s.allows_direct_to_source and (m is None or m.server in r.tried):
             m = source  # exception: no cache of the location is left to ask: straight to the source
         if m is None or r.hopeless or not self.may_send(r, m):
             return self.give_up(r)
@@ -111,31 +114,43 @@
         if look and (r.missed or m is source):
             return self.queue_fill(r)
         # A look may take what the parent holds while those are timely and others not: the origin is slow.
-        late = self.limit.late if look and self.s.detail == "all" else {}
-        peek = late.get(Note.FILLED, 1.0) < PEEK_HELD and late[Note.ORIGIN_ASKED] > PEEK_ASKED
+        late = self.limit.late if look and self.s.answer_detail == "all" else {}
+        peek = late.get(AttemptDetail.FILLED, 1.0) < PEEK_HELD and late[AttemptDetail.ORIGIN_ASKED] > PEEK_ASKED
         source = source if peek or not look else None
         peek = peek or (self.spares_origin(r) and source is not None and source.kind == self.s.parent_kind)
         # Younger than the purge: an age of 0 would only mean the class's fresh time.
-        age = 0 if purged is None else max(1, min(self.now - purged - self.s.tick_us, r.cls.fresh_us or self.now))
-        timeout = self.launch(r, m, source, HARD_WAIT * r.cls.aim_us + HARD_STRETCH * r.work, known or look)
+        age = (
+            0
+            if purged is None
+            else max(1, min(self.now - purged - self.s.clock_tick_us, r.cls.freshness_lifetime_us or self.now))
+        )
+        timeout = self.launch(
+            r, m, source, HARD_WAIT * r.cls.latency_objective_us + HARD_STRETCH * r.work, known or look
+        )
         r.flight.look = look
         slow = self.health.get(m.server).slowness()
-        self.set_timer(SOFT_WAIT * r.cls.aim_us + SOFT_STRETCH * r.work * slow, r.flight)
+        self.set_timer(SOFT_WAIT * r.cls.latency_objective_us + SOFT_STRETCH * r.work * slow, r.flight)
         target = source.server if source else m.server
-        self.out.append(api.Fetch(r.id, m.server, timeout, target, 1, age, self.s.joins and purged is None, peek))
+        self.out.append(
+            api.Fetch(r.id, m.server, timeout, target, 1, age, self.s.supports_joined_fills and purged is None, peek)
+        )
 
     def send_write(self, r):
         """Writes run at the origin: straight where that is allowed, else through a cache."""
         origin = self.origin()
         source = origin if origin and origin.server not in r.bad_sources else self.pick_source(r)
-        m = source if self.s.direct else self.place(r)
+        m = source if self.s.allows_direct_to_source else self.place(r)
         if source is None or m is None or not self.may_send(r, m):
             return self.give_up(r)
         # What may never run twice gets no other attempt after a time-out: an early one only drops answers.
-        wait = WRITE_WAIT * r.cls.aim_us * 2**r.timeouts if r.cls.effect is not Effect.UNSAFE else math.inf
+        wait = (
+            WRITE_WAIT * r.cls.latency_objective_us * 2**r.timeouts
+            if r.cls.idempotency is not Idempotency.NOT_IDEMPOTENT
+            else math.inf
+        )
         timeout = self.launch(r, m, source, wait, False)
         if m is source and m.kind == self.s.origin_kind:
-            self.out.append(api.Lookup(r.id, m.server, timeout))
+            self.out.append(api.FetchCached(r.id, m.server, timeout))
         else:
             self.out.append(api.Fetch(r.id, m.server, timeout, source.server, 0))
 
--- a/rookbend/routing/fill_concurrency.py
+++ b/rookbend/routing/fill_concurrency.py
@@ -3,7 +3,7 @@
 import math
 from collections import deque
 
-from rookbend.interface import Note
+from rookbend.interface import AttemptDetail
 from rookbend.routing.membership import mix
 
 COLD_MARGIN, COLD_CAP = 0.7, 1.7  # share of the cold budget used; at most, in the present capacity
@@ -25,17 +25,17 @@
     def charge(self, server, now, work):
         log = self.sent.setdefault(server, deque())
         log.append((now, work))
-        while log[0][0] < now - self.s.fall_us:
+        while log[0][0] < now - self.s.overload_window_us:
             log.popleft()
 
     def spent(self, server, now):
-        return sum(work for at, work in self.sent.get(server, ()) if at >= now - self.s.fall_us)
+        return sum(work for at, work in self.sent.get(server, ()) if at >= now - self.s.overload_window_us)
 
     def warmth(self, m, now):
         """Share of its capacity that a server is sure to have, the slowest stated ramp assumed."""
-        least, whole = self.s.cold_share, self.s.warm_up_us
+        least, whole = self.s.cold_capacity_ratio, self.s.warm_up_us
         if m.kind == self.s.parent_kind:
-            least, whole = self.s.parent_cold_share, self.s.parent_warm_up_us
+            least, whole = self.s.parent_cold_capacity_ratio, self.s.parent_warm_up_us
         age = now - m.started_us
         if not m.started_us or m.kind == self.s.origin_kind or age >= whole:
             return 1.0
@@ -44,14 +44,14 @@
     def allows(self, m, now, work):
         if not m.started_us or self.warmth(m, now) >= 1.0:
             return True
-        multiple, sharing = self.s.fall_multiple, self.location_routers()
+        multiple, sharing = self.s.overload_multiple, self.location_routers()
         if m.kind == self.s.parent_kind:
-            multiple, sharing = self.s.parent_fall_multiple, self.s.router_count
+            multiple, sharing = self.s.parent_overload_multiple, self.s.router_count
         # The oldest moment of the window counts: what it could do then, not what it can do now.
-        share = self.warmth(m, max(now - self.s.fall_us, m.started_us))
+        share = self.warmth(m, max(now - self.s.overload_window_us, m.started_us))
         share *= self.members.weight(m) / (sharing * self.senders)
-        budget = min(multiple * COLD_MARGIN, COLD_CAP) * share * self.s.fall_us
-        budget *= RESTART_SHARE if now - self.born < self.s.fall_us else 1.0
+        budget = min(multiple * COLD_MARGIN, COLD_CAP) * share * self.s.overload_window_us
+        budget *= RESTART_SHARE if now - self.born < self.s.overload_window_us else 1.0
         if m.kind == self.s.parent_kind and budget < work:
             # Less than one fill for each router: those whose turn it is hold whole ones, more as it warms.
             turn = (self.s.router_index + mix(m.server)) % sharing + 1
@@ -67,7 +67,10 @@
     """How many fills this router lets out at once: fewer when they come late. The others look, then wait."""
 
     def __init__(self):
-        self.late = {Note.FILLED: 0.0, Note.ORIGIN_ASKED: 0.0}  # share late: held there, and asked for
+        self.late = {
+            AttemptDetail.FILLED: 0.0,
+            AttemptDetail.ORIGIN_ASKED: 0.0,
+        }  # share late: held there, and asked for
         self.out, self.limit, self.whole, self.step = 0, None, 1.0, LIMIT_STEP
         self.per_s, self.tokens, self.at = None, 0.0, 0  # from outside: how many a second
         self.failed = -math.inf  # when the origin last failed an attempt of this router
--- a/rookbend/routing/membership.py
+++ b/rookbend/routing/membership.py
@@ -3,7 +3,7 @@
 import math
 from collections import OrderedDict
 
-from rookbend.interface import ListKind, MemberState
+from rookbend.interface import MembershipUpdateKind, MemberState
 
 PRIOR_SAMPLES, PRIOR_AIM = 10, 1.5  # weight of the guess in a class's mean; its share of the aim
 PURGE_MARGIN = 1.15  # purges are kept in mind this multiple of their stated time
@@ -34,14 +34,14 @@
     """The last list: who is ready, in what role, and the rendezvous order of an object over them."""
 
     def __init__(self, settings):
-        self.s, self.all, self.orders = settings, {}, Bounded(settings.max_open)
+        self.s, self.all, self.orders = settings, {}, Bounded(settings.max_requests_in_flight)
         self.caches, self.parents, self.origins = [], [], []
         self.rows = [], []  # caches, parents: each with what its place in an order rests on
 
     def apply(self, event):
         """Takes a list or a change; returns the servers that are new or restarted."""
         old = self.all
-        new = dict(old) if event.kind in (ListKind.DELTA, ListKind.FAILED) else {}
+        new = dict(old) if event.kind in (MembershipUpdateKind.DELTA, MembershipUpdateKind.FAILED) else {}
         for m in event.members:
             new[m.server] = m
         self.all = new = {k: m for k, m in new.items() if m.state is not MemberState.GONE}
@@ -81,7 +81,7 @@
     """Purges by object and by group, until every older copy is gone."""
 
     def __init__(self, settings):
-        self.s, self.made = settings, Bounded(settings.max_open)
+        self.s, self.made = settings, Bounded(settings.max_requests_in_flight)
 
     def note(self, now, event):
         name = ("object", event.object_id) if event.object_id else ("group", event.group)
@@ -90,14 +90,14 @@
     def latest(self, object_id, group, now):
         """Time of the newest purge that still matters to this object, or None."""
         made = max(self.made.get(("object", object_id), -1), self.made.get(("group", group), -1))
-        return made if made >= 0 and now - made <= PURGE_MARGIN * self.s.purge_takes_us else None
+        return made if made >= 0 and now - made <= PURGE_MARGIN * self.s.purge_propagation_us else None
 
 
 class ClassStats:
     """Mean sending time of a class, guessed high until enough was seen."""
 
     def __init__(self, cls):
-        self.count, self.sum = PRIOR_SAMPLES, PRIOR_SAMPLES * PRIOR_AIM * cls.aim_us
+        self.count, self.sum = PRIOR_SAMPLES, PRIOR_SAMPLES * PRIOR_AIM * cls.latency_objective_us
 
     def add(self, work):
         self.count, self.sum = self.count + 1, self.sum + work
--- a/rookbend/routing/request_state.py
+++ b/rookbend/routing/request_state.py
@@ -20,7 +20,7 @@
         self.id, self.cls = event.request, cls
         self.object, self.group, self.key = event.object_id, event.group, (event.object_id, event.part)
         self.arrived, self.deadline, self.stats = now, event.deadline_us, stats
-        self.write = cls.write or event.is_write
+        self.write = cls.is_write or event.is_write
         self.charged = WORK_MARGIN * stats.mean
         self.tried, self.bad_sources, self.erred = set(), set(), []
         self.number = self.timeouts = self.resets = 0
--- a/rookbend/routing/router.py
+++ b/rookbend/routing/router.py
@@ -31,8 +31,8 @@
         self.purges = PurgeLedger(settings)
         self.limit, self.waiting = FillLimit(), []
         self.stats = [ClassStats(c) for c in settings.classes]
-        self.memory = Bounded(MEMORY_SHARE * settings.max_open)  # key: (served where, when, sending time)
-        self.mark_limit = max(1, int(TABLE_SHARE * settings.max_open))
+        self.memory = Bounded(MEMORY_SHARE * settings.max_requests_in_flight)  # key: (served where, when, sending time)
+        self.mark_limit = max(1, int(TABLE_SHARE * settings.max_requests_in_flight))
         self.marks, self.open, self.flights, self.timers = {}, {}, {}, {}
         self.token, self.now, self.out, self.asked = 0, 0, [], False
         self.closed, self.seed = frozenset(), seed
@@ -53,15 +53,15 @@
             del known[server]  # replacements come under new ids: the departed are forgotten
             self.cold.sent.pop(server, None)
         self.limit.resize(sum(map(self.members.weight, self.members.caches)), self.cold.location_routers())
-        if not self.s.list_is_pushed and not self.asked:
+        if not self.s.membership_is_pushed and not self.asked:
             self.asked = True
-            self.out.append(api.WatchMembers(True))
-        elif not self.s.list_is_pushed and event.kind is api.ListKind.FAILED:
-            self.set_timer(ASK_SHARE * self.s.ask_within_us, WATCH)
+            self.out.append(api.SubscribeMembership(True))
+        elif not self.s.membership_is_pushed and event.kind is api.MembershipUpdateKind.FAILED:
+            self.set_timer(ASK_SHARE * self.s.membership_poll_interval_us, WATCH)
 
     def on_limited(self, event):
-        self.closed = event.closed
-        self.limit.pace(self.now, event.per_s, mix(self.seed ^ self.s.router_index) % 1024 / 1024)
+        self.closed = event.rejected_classes
+        self.limit.pace(self.now, event.fills_per_second, mix(self.seed ^ self.s.router_index) % 1024 / 1024)
         while (
             self.limit.limit
             and self.limit.has_place(self.now)
@@ -75,7 +75,7 @@
         self.stats += [ClassStats(c) for c in event.settings.classes[len(self.stats) :]]
 
     def release(self, fitting):
-        best = max(fitting, key=lambda w: w.cls.worth / max(w.work, 1.0))  # by worth for its bytes
+        best = max(fitting, key=lambda w: w.cls.priority_weight / max(w.work, 1.0))  # by worth for its bytes
         self.waiting.remove(best)
         self.send(best)
 
@@ -89,7 +89,7 @@
     def on_timer(self, event):
         request = self.timers.pop(event.token, None)
         if request is WATCH:
-            self.out.append(api.WatchMembers(True))
+            self.out.append(api.SubscribeMembership(True))
         elif type(request) is Flight:
             self.overdue(request)
         elif request is None or request.id not in self.open or request.flight or request.timer != event.token:
@@ -120,7 +120,7 @@
         h.silent += 1
         if h.silent >= SILENT_TO_EJECT:
             self.health.eject(server, self.now)
-        if self.now < h.until and self.s.cancelling:
+        if self.now < h.until and self.s.allows_cancellation:
             for g in [g for g in self.flights.values() if there(g) and g.sent > h.last_ok]:
                 if g.request.flight is g and not g.request.write:
                     g.blamed = server
@@ -135,7 +135,7 @@
         r = Request(event, cls, self.stats[event.traffic_class], self.now)
         r.work = self.sending_time(r, event.size_kb)
         r.least = r.work if r.sized or r.key in self.memory else GUESS * r.work
-        r.aim = min(self.now + cls.aim_us + cls.aim_stretch * r.work, r.deadline)
+        r.aim = min(self.now + cls.latency_objective_us + cls.latency_objective_stretch * r.work, r.deadline)
         self.open[r.id] = r
         if event.traffic_class in self.closed:
             return self.give_up(r)
@@ -170,9 +170,9 @@
         row = self.memory.get(r.key)
         if row is None or (purged is not None and row[1] <= purged):
             return None
-        life = HELD_SHARE * self.s.purge_takes_us
-        if r.cls.fresh_us:
-            life = min(life, r.cls.fresh_us)
+        life = HELD_SHARE * self.s.purge_propagation_us
+        if r.cls.freshness_lifetime_us:
+            life = min(life, r.cls.freshness_lifetime_us)
         return row[0] if self.now - row[1] <= life and self.members.ready(row[0]) else None
 
     def lead(self, r, waiters=()):
@@ -210,14 +210,14 @@
 
 
 HANDLERS = {
-    api.MembersChanged: Router.on_members,
+    api.MembershipUpdated: Router.on_members,
     api.RequestArrived: Router.on_request,
     api.AttemptFinished: Router.on_finished,
     api.RequestCancelled: Router.on_cancelled,
     api.TimerFired: Router.on_timer,
-    api.AnswerStarted: lambda router, event: router.health.alive(event.server, router.now),
-    api.Purged: lambda router, event: router.purges.note(router.now, event),
-    api.Limited: Router.on_limited,
+    api.ResponseStarted: lambda router, event: router.health.alive(event.server, router.now),
+    api.PurgeReceived: lambda router, event: router.purges.note(router.now, event),
+    api.AdmissionLimitsChanged: Router.on_limited,
     api.SettingsChanged: Router.on_settings,
-    api.Shared: lambda router, event: setattr(router.cold, "senders", event.senders),
+    api.ActiveProcessesChanged: lambda router, event: setattr(router.cold, "senders", event.processes),
 }
--- a/rookbend/simhost.py
+++ b/rookbend/simhost.py
@@ -4,7 +4,7 @@
 
 import sys
 
-from rookbend import simulator_codec
+from rookbend import simulator_codec, simulator_settings
 from rookbend.routing import Router
 
 
@@ -32,7 +32,7 @@
         for instance, event in events:
             kind = type(event)
             if kind is simulator_codec.Attach:
-                routers[instance] = Router(simulator_codec.parse_settings(event.info), event.seed)
+                routers[instance] = Router(simulator_settings.parse_settings(event.info), event.seed)
             elif kind is simulator_codec.Retire:
                 routers.pop(instance, None)
             else:
--- a/rookbend/testing/cluster/director_config.py
+++ b/rookbend/testing/cluster/director_config.py
@@ -30,12 +30,15 @@
         inPieces=[k.parts > 1 for k in KINDS],
         seatsByZone=[0, directors],
         purgeTakesUs=PURGE_LIFE_US,
-        upperColdFrom=PARENT.cold_share,
+        upperColdFrom=PARENT.cold_capacity_ratio,
         parentWarmsInUs=PARENT.warm_up_us,
         parentFallMultiple=PARENT.multiple,
     )
     s["invariants"].update(
-        startCapacity=CACHE.cold_share, warmUpUs=CACHE.warm_up_us, tipMultiple=CACHE.multiple, fallUs=CACHE.window_us
+        startCapacity=CACHE.cold_capacity_ratio,
+        warmUpUs=CACHE.warm_up_us,
+        tipMultiple=CACHE.multiple,
+        fallUs=CACHE.window_us,
     )
     s["me"], s["siblings"] = me, directors
     return s
--- a/rookbend/testing/cluster/members.py
+++ b/rookbend/testing/cluster/members.py
@@ -29,7 +29,7 @@
         self.name, self.role, self.host, self.zone = name, role, host, zone
         self.world, self.record, self.make = world, world.record, make
         self.store = Store(make.memory)
-        self.warmth = Warmth(make.capacity, make.cold_share, make.warm_up_us, make.multiple)
+        self.warmth = Warmth(make.capacity, make.cold_capacity_ratio, make.warm_up_us, make.multiple)
         self.up_since_us = 0  # 0: it has run for long, and is warm
         self.port, self.down, self.falls = 0, False, 0
         self.draining = False
--- a/rookbend/testing/cluster/shared_state.py
+++ b/rookbend/testing/cluster/shared_state.py
@@ -19,7 +19,7 @@
 
     capacity: float = 12.0
     memory: int = 4 << 20
-    cold_share: float = 0.2
+    cold_capacity_ratio: float = 0.2
     warm_up_us: int = 15_000_000
     multiple: float = 4.0
     window_us: int = 1_500_000
@@ -30,9 +30,11 @@
 
 
 CACHE = Make()
-PARENT = Make(capacity=20.0, memory=16 << 20, cold_share=0.1, warm_up_us=20_000_000, multiple=2.0)
+PARENT = Make(capacity=20.0, memory=16 << 20, cold_capacity_ratio=0.1, warm_up_us=20_000_000, multiple=2.0)
 # Few workers, each call of them takes long: capacity is workers, `first_s` the call.
-ORIGIN = Make(capacity=6.0, memory=0, cold_share=1.0, warm_up_us=1, multiple=2.5, queue_s=1.0, down_s=4.0, first_s=0.04)
+ORIGIN = Make(
+    capacity=6.0, memory=0, cold_capacity_ratio=1.0, warm_up_us=1, multiple=2.5, queue_s=1.0, down_s=4.0, first_s=0.04
+)
 
 
 @dataclass(frozen=True, slots=True)
--- a/rookbend/testing/cluster/traffic_classes.py
+++ b/rookbend/testing/cluster/traffic_classes.py
@@ -32,12 +32,12 @@
     return [
         {
             "name": k.worth.name,
-            "aimUs": k.worth.aim_us,
-            "aimStretch": k.worth.aim_stretch,
+            "aimUs": k.worth.latency_objective_us,
+            "aimStretch": k.worth.latency_objective_stretch,
             "hardLimitUs": k.deadline_us,
             "effect": "single_shot" if k.write else "free",
             "gain": k.worth.worth,
-            "lateWorth": k.worth.late_worth,
+            "lateWorth": k.worth.late_priority_weight,
         }
         for k in KINDS
     ]
--- a/rookbend/testing/invariant_checker.py
+++ b/rookbend/testing/invariant_checker.py
@@ -48,14 +48,14 @@
     it that pushes the member over. Capacity is work a second: seconds of sending a second."""
 
     capacity: float
-    cold_share: float
+    cold_ratio: float
     warm_up_us: int
     multiple: float
 
     def at(self, age_us: int) -> float:
         if age_us >= self.warm_up_us:
             return self.capacity
-        return self.capacity * (self.cold_share + (1 - self.cold_share) * max(age_us, 0) / self.warm_up_us)
+        return self.capacity * (self.cold_ratio + (1 - self.cold_ratio) * max(age_us, 0) / self.warm_up_us)
 
 
 @dataclass(slots=True)
--- a/rookbend/testing/recovery_simulation.py
+++ b/rookbend/testing/recovery_simulation.py
@@ -14,7 +14,7 @@
 from collections import Counter, deque
 from dataclasses import dataclass, field
 
-from rookbend.core.model import Entry, MembershipChange
+from rookbend.core.model import Endpoint, MembershipChange
 from rookbend.interface import Member, MemberState
 from rookbend.recovery import coordinator as machine
 from rookbend.recovery.startup_stages import Stage
@@ -88,7 +88,7 @@
     tokens: float = 0.0
     tokens_us: int = 0
     lives: list[tuple[int, int]] = field(default_factory=list)  # (boot, life) that it has told of
-    members: dict[str, Entry] = field(default_factory=dict)  # what went on to the engine
+    members: dict[str, Endpoint] = field(default_factory=dict)  # what went on to the engine
     orders: dict[str, str] = field(default_factory=dict)  # what went on to health
     said: list[machine.Say] = field(default_factory=list)
     frozen: list = field(default_factory=list)
@@ -119,9 +119,9 @@
         self.cut: set[tuple[int, int]] = set()
         self.coordinator = True
         self.revision = 1
-        self.membership = [Entry(Member(i + 1, zone=0, kind=0), f"c{i}", ("127.0.0.1", 1)) for i in range(4)] + [
-            Entry(Member(90, kind=PARENT), "p0", ("127.0.0.1", 1)),
-            Entry(Member(91, kind=ORIGIN), "records", ("127.0.0.1", 1)),
+        self.membership = [Endpoint(Member(i + 1, zone=0, kind=0), f"c{i}", ("127.0.0.1", 1)) for i in range(4)] + [
+            Endpoint(Member(90, kind=PARENT), "p0", ("127.0.0.1", 1)),
+            Endpoint(Member(91, kind=ORIGIN), "records", ("127.0.0.1", 1)),
         ]
         self.filled = 0.0
         self.datagrams = Counter()  # by second since the epoch
@@ -219,7 +219,7 @@
         self.revision += 1
         for i, entry in enumerate(self.membership):
             if entry.name == name:
-                changed = self.membership[i] = Entry(replace(entry.member, state=state), name, entry.address)
+                changed = self.membership[i] = Endpoint(replace(entry.member, state=state), name, entry.address)
                 told = machine.MembershipTold(MembershipChange(False, self.revision, [changed]))
                 for node in self.nodes:
                     if node.machine is not None and self.coordinator:
@@ -265,7 +265,7 @@
             elif kind is machine.Members:
                 if a.change.complete:
                     node.members = {}
-                node.members.update({e.name: e for e in a.change.entries})
+                node.members.update({e.name: e for e in a.change.endpoints})
             elif kind is machine.OrderLearnt:
                 node.orders[a.member] = a.order
             elif kind is machine.Say:
--- a/rookbend/testing/simulation/cache.py
+++ b/rookbend/testing/simulation/cache.py
@@ -9,13 +9,13 @@
 from collections import deque
 from collections.abc import Callable
 
-from rookbend.core.model import Attempt, Result
-from rookbend.interface import Note, Status
+from rookbend.core.model import Attempt, AttemptResult
+from rookbend.interface import AttemptDetail, AttemptStatus
 from rookbend.testing.simulation.clock import Simulation
 from rookbend.testing.simulation.links import Kept, Pipe
 from rookbend.testing.simulation.sources import Call, Parent
 
-Ended = Callable[[Result], None]
+Ended = Callable[[AttemptResult], None]
 
 
 class Job:
@@ -46,55 +46,55 @@
         elif len(self.queue) < self.room:
             self.queue.append(job)
         else:
-            self._end(job, Status.FULL, Note.NONE)
+            self._end(job, AttemptStatus.FULL, AttemptDetail.NONE)
 
     def _begin(self, job: Job) -> None:
         self.working.add(job)
         job.began = True
         key = job.attempt.request.object_id, job.attempt.request.part
-        if job.kind.cls.write:
+        if job.kind.cls.is_write:
             return self._ask(job)
         if self.kept.use(key):
-            self.pipe.send(job, job.work_s, 1.0, lambda: self._end(job, Status.OK, Note.HIT))
+            self.pipe.send(job, job.work_s, 1.0, lambda: self._end(job, AttemptStatus.OK, AttemptDetail.HIT))
         elif not job.attempt.source:
-            self._end(job, Status.MISS, Note.NONE)
+            self._end(job, AttemptStatus.MISS, AttemptDetail.NONE)
         else:
             self._ask(job)
 
     def _ask(self, job: Job) -> None:
         a = job.attempt
 
-        def answer(status: Status, note: Note) -> None:
+        def answer(status: AttemptStatus, note: AttemptDetail) -> None:
             self._got(job, call, status, note)
 
         key = a.request.object_id, a.request.part
-        job.call = call = Call(key, job.work_s, answer, job.kind.cls.write, a.only_if_held)
+        job.call = call = Call(key, job.work_s, answer, job.kind.cls.is_write, a.only_if_cached)
         self.sim.after(self.world.far_s, self.sources[a.source].ask, call, self.place)
-        if not job.kind.cls.write:  # a write is not asked for twice
+        if not job.kind.cls.is_write:  # a write is not asked for twice
             self.sim.after(self.world.fill_timeout_s, self._late, job, call)
 
     def _late(self, job: Job, call: Call) -> None:
         if not job.over and job.call is call and not call.over:
             self._leave(job)
-            self._again(job, Status.ERROR, Note.SOURCE_UNREACHABLE)
+            self._again(job, AttemptStatus.ERROR, AttemptDetail.SOURCE_UNREACHABLE)
 
-    def _again(self, job: Job, status: Status, note: Note) -> None:
+    def _again(self, job: Job, status: AttemptStatus, note: AttemptDetail) -> None:
         job.retried += 1
-        if job.retried <= self.world.fill_retries and status is not Status.MISS and not job.kind.cls.write:
+        if job.retried <= self.world.fill_retries and status is not AttemptStatus.MISS and not job.kind.cls.is_write:
             self._ask(job)
         else:
             self._end(job, status, note)
 
-    def _got(self, job: Job, call: Call, status: Status, note: Note) -> None:
+    def _got(self, job: Job, call: Call, status: AttemptStatus, note: AttemptDetail) -> None:
         if call.over:
             return
         call.over = True
-        if status is Status.OK and not job.kind.cls.write:
+        if status is AttemptStatus.OK and not job.kind.cls.is_write:
             self.kept.put(call.key)
         if job.over:
             return
-        if status is Status.OK:
-            self._end(job, Status.OK, note if not job.kind.cls.write else Note.NONE)
+        if status is AttemptStatus.OK:
+            self._end(job, AttemptStatus.OK, note if not job.kind.cls.is_write else AttemptDetail.NONE)
         else:
             self._again(job, status, note)
 
@@ -115,12 +115,12 @@
         self._leave(job)
         self._free(job)
 
-    def _end(self, job: Job, status: Status, note: Note) -> None:
+    def _end(self, job: Job, status: AttemptStatus, note: AttemptDetail) -> None:
         if job.over:
             return
         job.over = True
         self._free(job)
-        self.sim.after(self.world.way_s, job.ended, Result(status, note))
+        self.sim.after(self.world.way_s, job.ended, AttemptResult(status, note))
 
     def _free(self, job: Job) -> None:
         self.working.discard(job)
--- a/rookbend/testing/simulation/deployment.py
+++ b/rookbend/testing/simulation/deployment.py
@@ -9,7 +9,7 @@
 import math
 from dataclasses import dataclass, replace
 
-from rookbend.interface import Effect, Settings, TrafficClass
+from rookbend.interface import Idempotency, Settings, TrafficClass
 
 PARENT, ORIGIN = 1, 2
 KEEP_S, PARENT_KEEP_S = 10.0, 25.0  # a copy is kept for so long after its last use
@@ -27,9 +27,11 @@
     zipf: float = 1.05
 
 
-READS = TrafficClass("film", 500_000, 5050_000, 1.6, worth=2.0, late_worth=0.15, parts=True)
-SMALL = TrafficClass("picture", 250_000, 3050_000, 2.0, worth=1.0, late_worth=0.2)
-WRITES = TrafficClass("form", 800_000, 3050_000, worth=3.0, effect=Effect.UNSAFE, write=True)
+READS = TrafficClass("film", 500_000, 5050_000, 1.6, priority_weight=2.0, late_priority_weight=0.15, has_parts=True)
+SMALL = TrafficClass("picture", 250_000, 3050_000, 2.0, priority_weight=1.0, late_priority_weight=0.2)
+WRITES = TrafficClass(
+    "form", 800_000, 3050_000, priority_weight=3.0, idempotency=Idempotency.NOT_IDEMPOTENT, is_write=True
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -77,7 +79,7 @@
     @property
     def work_s(self) -> float:
         """Mean seconds of sending of a read."""
-        reads = [k for k in self.kinds if not k.cls.write]
+        reads = [k for k in self.kinds if not k.cls.is_write]
         return sum(k.share * k.work_s for k in reads) / sum(k.share for k in reads)
 
     @property
@@ -86,18 +88,18 @@
 
     @property
     def requests_per_s(self) -> float:
-        reads = sum(k.share for k in self.kinds if not k.cls.write)
+        reads = sum(k.share for k in self.kinds if not k.cls.is_write)
         return self.load * self.links / self.work_s / reads
 
     @property
     def fills_per_s(self) -> float:
-        reads = sum(k.share for k in self.kinds if not k.cls.write)
+        reads = sum(k.share for k in self.kinds if not k.cls.is_write)
         return self.requests_per_s * reads * self.misses
 
     @property
     def origin_per_s(self) -> float:
         """Calls a second that the origin can do."""
-        writes = sum(k.share for k in self.kinds if k.cls.write)
+        writes = sum(k.share for k in self.kinds if k.cls.is_write)
         reads = self.fresh + (self.misses - self.fresh) * (1 - self.parent_hits)
         return self.origin_room * self.requests_per_s * ((1 - writes) * reads + writes)
 
@@ -121,20 +123,20 @@
             here,
             parent_kind=PARENT,
             origin_kind=ORIGIN,
-            joins=self.joins,
-            detail="all",
-            direct=self.direct,
-            purge_takes_us=6_000_000,
-            cold_share=0.3,
+            supports_joined_fills=self.joins,
+            answer_detail="all",
+            allows_direct_to_source=self.direct,
+            purge_propagation_us=6_000_000,
+            cold_capacity_ratio=0.3,
             warm_up_us=12_000_000,
-            fall_multiple=2.0,
-            fall_us=1_000_000,
-            parent_cold_share=0.1,
+            overload_multiple=2.0,
+            overload_window_us=1_000_000,
+            parent_cold_capacity_ratio=0.1,
             parent_warm_up_us=17_000_000,
-            parent_fall_multiple=2.0,
+            parent_overload_multiple=2.0,
             max_attempts=self.max_attempts,
-            cancelling=True,
-            retry_after=True,
+            allows_cancellation=True,
+            allows_retry_after=True,
             max_retry_after_us=500_000,
-            tick_us=2_000,
+            clock_tick_us=2_000,
         )
--- a/rookbend/testing/simulation/fleet.py
+++ b/rookbend/testing/simulation/fleet.py
@@ -6,7 +6,7 @@
 import random
 from collections import Counter
 
-from rookbend.core.model import Answer, Entry, MembershipChange, Request, Verdict
+from rookbend.core.model import Answer, Endpoint, FinalOutcome, MembershipChange, Request
 from rookbend.interface import Member
 from rookbend.routing import Router
 from rookbend.testing.simulation.cache import Cache
@@ -36,13 +36,13 @@
         per_s = world.requests_per_s / world.locations
         misses = world.misses - world.fresh
         self.catalogues = {
-            k.cls.name: Catalogue(k, per_s * k.share, misses, self.parts(k)) for k in world.kinds if not k.cls.write
+            k.cls.name: Catalogue(k, per_s * k.share, misses, self.parts(k)) for k in world.kinds if not k.cls.is_write
         }
         self._build()
 
     @staticmethod
     def parts(kind: Kind) -> int:
-        return PARTS if kind.cls.parts else 1
+        return PARTS if kind.cls.has_parts else 1
 
     def _build(self) -> None:
         w, draw = self.world, self.random
@@ -60,7 +60,7 @@
             for ident in rest[zone * w.caches : (zone + 1) * w.caches]:
                 self.boxes[ident] = Cache(self.sim, w, place, sources, int(KEEP_S * 1e6))
                 members.append(Member(ident, w.cache_links, zone=zone))
-        self.membership = [Entry(m, f"s{m.server:x}", ("127.0.0.1", 1)) for m in members]
+        self.membership = [Endpoint(m, f"s{m.server:x}", ("127.0.0.1", 1)) for m in members]
         self.nodes = [Node(self, i, i % w.locations) for i in range(w.directors)]
         for node in self.nodes:
             node.engine.membership_changed(MembershipChange(True, 1, list(self.membership)))
@@ -113,7 +113,7 @@
     def _first(self, kind: Kind, per_s: float, end: int, shape) -> None:
         name = kind.cls.name
         zone = self.random.randrange(self.world.locations)
-        if kind.cls.write or self.random.random() < self.world.fresh:
+        if kind.cls.is_write or self.random.random() < self.world.fresh:
             item = self.random.getrandbits(50)
         else:
             item = self._object(name, self.catalogues[name].draw(self.random.random()))
@@ -145,24 +145,24 @@
 
     def _answered(self, kind, item, part, zone, tries, since, request: Request, answer: Answer) -> None:
         cls, w = kind.cls, self.world
-        self.note(answer.verdict.value)
-        if answer.verdict is Verdict.REFUSED and tries < TRIES and self.random.random() < w.retries:
+        self.note(answer.outcome.value)
+        if answer.outcome is FinalOutcome.REJECTED and tries < TRIES and self.random.random() < w.retries:
             wait = w.retry_s * 2**tries * 1e6 * (0.5 + self.random.random())
             if self.random.random() < w.honour:
-                wait = max(wait, answer.backoff_us)
+                wait = max(wait, answer.retry_after_us)
             return self.sim.at(self.sim.now + int(wait), self._ask, kind, item, part, zone, tries + 1, since)
         took, (_, work_s) = self.sim.now - since, self.work_of(request)
-        aim = cls.aim_us + cls.aim_stretch * work_s * 1e6
+        aim = cls.latency_objective_us + cls.latency_objective_stretch * work_s * 1e6
         worth = 0.0
-        if answer.verdict is Verdict.SERVED:
-            late = cls.late_worth * cls.worth if took <= cls.deadline_us else 0.0
-            worth = cls.worth if took <= aim else late
+        if answer.outcome is FinalOutcome.SERVED:
+            late = cls.late_priority_weight * cls.priority_weight if took <= cls.deadline_us else 0.0
+            worth = cls.priority_weight if took <= aim else late
         got = self.by_class[cls.name]
         got[0] += worth
-        got[1] += cls.worth
+        got[1] += cls.priority_weight
         row = self.seconds.setdefault((since - self.sim.now + self.sim.time) // 1_000_000, Counter())
         row["worth_milli"] += int(worth * 1000)
-        row["owed_milli"] += int(cls.worth * 1000)
+        row["owed_milli"] += int(cls.priority_weight * 1000)
 
     # What came of it
 
--- a/rookbend/testing/simulation/node.py
+++ b/rookbend/testing/simulation/node.py
@@ -4,8 +4,8 @@
 
 from rookbend.core.counters import Counters
 from rookbend.core.engine import Engine
-from rookbend.core.model import Attempt, Entry, Result
-from rookbend.interface import Status
+from rookbend.core.model import Attempt, AttemptResult, Endpoint
+from rookbend.interface import AttemptStatus
 from rookbend.testing.simulation.cache import Job
 from rookbend.testing.simulation.clock import SimClock
 
@@ -34,7 +34,7 @@
             if following:
                 self._arm(following)
 
-    def send(self, attempt: Attempt, entry: Entry) -> None:
+    def send(self, attempt: Attempt, entry: Endpoint) -> None:
         kind, work_s = self.fleet.work_of(attempt.request)
         job = Job(attempt, kind, work_s, lambda result: self._ended(job, result))
         attempt.connection = job
@@ -42,17 +42,17 @@
             self.fleet.note("attempts")
             self.sim.after(self.fleet.world.way_s, self.fleet.boxes[attempt.server].take, job)
         else:
-            self.sim.after(0.0, self._ended, job, Result(Status.CONNECT_FAILED))
+            self.sim.after(0.0, self._ended, job, AttemptResult(AttemptStatus.CONNECT_FAILED))
 
-    def _ended(self, job: Job, result: Result) -> None:
-        if not job.attempt.over:
-            self.fleet.note(result.status.name.lower(), result.note.name.lower())
+    def _ended(self, job: Job, result: AttemptResult) -> None:
+        if not job.attempt.is_finished:
+            self.fleet.note(result.status.name.lower(), result.detail.name.lower())
             self.engine.finished(job.attempt, result)
 
-    def undo(self, attempt: Attempt) -> Status:
+    def undo(self, attempt: Attempt) -> AttemptStatus:
         self.fleet.note("undone")
         self.sim.after(self.fleet.world.way_s, self.fleet.boxes[attempt.server].give_up, attempt.connection)
-        return Status.TIMEOUT
+        return AttemptStatus.TIMEOUT
 
     def is_out(self, attempt: Attempt) -> bool:
         return True  # what is sent is on its way at once
--- a/rookbend/testing/simulation/planted_fault.py
+++ b/rookbend/testing/simulation/planted_fault.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from rookbend.interface import Status
+from rookbend.interface import AttemptStatus
 from rookbend.routing import Router
 
 
@@ -14,5 +14,5 @@
 
     def watch_fills(self, f, event) -> None:
         super().watch_fills(f, event)
-        if f.fills and event.status is Status.FULL and self.origin_failed(f, event):
+        if f.fills and event.status is AttemptStatus.FULL and self.origin_failed(f, event):
             self.limit.observe(True)
--- a/rookbend/testing/simulation/sources.py
+++ b/rookbend/testing/simulation/sources.py
@@ -9,7 +9,7 @@
 from collections import Counter, deque
 from collections.abc import Callable
 
-from rookbend.interface import Note, Status
+from rookbend.interface import AttemptDetail, AttemptStatus
 from rookbend.testing.simulation.clock import Simulation
 from rookbend.testing.simulation.links import Kept, Pipe
 
@@ -19,7 +19,9 @@
 
     __slots__ = ("answer", "key", "only_held", "over", "tries", "work_s", "write")
 
-    def __init__(self, key, work_s: float, answer: Callable[[Status, Note], None], write=False, only_held=False):
+    def __init__(
+        self, key, work_s: float, answer: Callable[[AttemptStatus, AttemptDetail], None], write=False, only_held=False
+    ):
         self.key, self.work_s, self.answer, self.write, self.only_held = key, work_s, answer, write, only_held
         self.over, self.tries = False, 0
 
@@ -40,8 +42,8 @@
         if now < self.down_until:
             if w.silent:
                 return  # who asked finds out by its own time-out
-            note = Note.SOURCE_UNREACHABLE if call.write else Note.ORIGIN_FAILED
-            return self.sim.after(w.far_s, call.answer, Status.FULL, note)
+            note = AttemptDetail.SOURCE_UNREACHABLE if call.write else AttemptDetail.ORIGIN_FAILED
+            return self.sim.after(w.far_s, call.answer, AttemptStatus.FULL, note)
         self.asked.append(now)
         while self.asked[0] <= now - w.origin_window_s * 1e6:
             self.asked.popleft()
@@ -55,7 +57,7 @@
             self.taken.popleft()
         if w.origin_rate and len(self.taken) >= w.origin_rate * w.origin_per_s:
             self.counts["refused"] += 1
-            return self.sim.after(w.far_s, call.answer, Status.FULL, Note.ORIGIN_FAILED)
+            return self.sim.after(w.far_s, call.answer, AttemptStatus.FULL, AttemptDetail.ORIGIN_FAILED)
         self.taken.append(now)
         self.queue.append(call)
         self._work()
@@ -73,7 +75,7 @@
         if falls == self.falls:  # else it stopped in the middle of it
             self.counts["done"] += 1
             self.counts["wasted"] += call.over
-            self.sim.after(self.world.far_s, call.answer, Status.OK, Note.ORIGIN_ASKED)
+            self.sim.after(self.world.far_s, call.answer, AttemptStatus.OK, AttemptDetail.ORIGIN_ASKED)
         self._work()
 
 
@@ -88,9 +90,9 @@
 
     def ask(self, call: Call, place: Pipe) -> None:
         if self.kept.use(call.key):
-            self._send(call, place, Note.FILLED)
+            self._send(call, place, AttemptDetail.FILLED)
         elif call.only_held:
-            self.sim.after(self.world.far_s, call.answer, Status.MISS, Note.SOURCE_LACKS)
+            self.sim.after(self.world.far_s, call.answer, AttemptStatus.MISS, AttemptDetail.SOURCE_LACKS)
         elif self.world.joins and call.key in self.coming:
             self.coming[call.key].append((call, place))
         else:
@@ -103,19 +105,19 @@
         call.tries += 1
         self.origin.ask(own)
 
-    def _fetched(self, call: Call, place: Pipe, status: Status, note: Note) -> None:
-        if status is not Status.OK and call.tries <= self.world.parent_retries and not call.over:
+    def _fetched(self, call: Call, place: Pipe, status: AttemptStatus, note: AttemptDetail) -> None:
+        if status is not AttemptStatus.OK and call.tries <= self.world.parent_retries and not call.over:
             return self._fetch(call, place)
         others = self.coming.pop(call.key, ())
-        if status is Status.OK:
+        if status is AttemptStatus.OK:
             self.kept.put(call.key)
         for waiting, where in ((call, place), *others):
-            if status is Status.OK:
-                self._send(waiting, where, Note.ORIGIN_ASKED)
+            if status is AttemptStatus.OK:
+                self._send(waiting, where, AttemptDetail.ORIGIN_ASKED)
             else:
                 waiting.answer(status, note)
 
-    def _send(self, call: Call, place: Pipe, note: Note) -> None:
+    def _send(self, call: Call, place: Pipe, note: AttemptDetail) -> None:
         if call.over:
             return
         # One after the other, the second as fast as its link goes: both links carry each byte once, and a
@@ -124,7 +126,7 @@
             call,
             call.work_s,
             self.world.fill_pace,
-            lambda: place.send(call, call.work_s, place.link.capacity, lambda: call.answer(Status.OK, note)),
+            lambda: place.send(call, call.work_s, place.link.capacity, lambda: call.answer(AttemptStatus.OK, note)),
         )
 
     def leave(self, call: Call, place: Pipe) -> None:
--- a/rookbend/testing/weighted_score.py
+++ b/rookbend/testing/weighted_score.py
@@ -20,10 +20,10 @@
 class ClassWorth:
     name: str
     worth: float
-    aim_us: int
-    aim_stretch: float = 0.0
-    late_worth: float = 0.0
-    stale_worth: float = 1.0
+    latency_objective_us: int
+    latency_objective_stretch: float = 0.0
+    late_priority_weight: float = 0.0
+    stale_priority_weight: float = 1.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -51,9 +51,9 @@
 def earned(cls: ClassWorth, request: Ended) -> float:
     if request.answered_us is None:
         return 0.0
-    worth = cls.worth * (cls.stale_worth if request.stale else 1.0)
-    aim = cls.aim_us + cls.aim_stretch * request.sending_us
-    return worth if request.answered_us - request.sent_us <= aim else worth * cls.late_worth
+    worth = cls.worth * (cls.stale_priority_weight if request.stale else 1.0)
+    aim = cls.latency_objective_us + cls.latency_objective_stretch * request.sending_us
+    return worth if request.answered_us - request.sent_us <= aim else worth * cls.late_priority_weight
 
 
 def _share(pairs: Iterable[tuple[float, float]]) -> float:
--- a/tests/engine_harness.py
+++ b/tests/engine_harness.py
@@ -4,8 +4,8 @@
 from rookbend.core.clock import Clock
 from rookbend.core.counters import Counters
 from rookbend.core.engine import Engine
-from rookbend.core.model import Entry, MembershipChange, Request
-from rookbend.interface import Status
+from rookbend.core.model import Endpoint, MembershipChange, Request
+from rookbend.interface import AttemptStatus
 from tests import router_harness
 
 CACHE, PARENT = router_harness.CACHES[0], router_harness.PARENTS[0]
@@ -19,7 +19,7 @@
         self.answers, self.events = list(answers), []
 
     def handle(self, now, event):
-        if isinstance(event, api.MembersChanged):
+        if isinstance(event, api.MembershipUpdated):
             return []
         self.events.append(event)
         return self.answers.pop(0) if self.answers else []
@@ -29,13 +29,15 @@
     def __init__(self, router, members=(CACHE, PARENT, router_harness.ORIGIN)):
         self.seconds, self.sent, self.undone, self.answers, self.lines = 100.0, [], [], [], []
         clock = Clock(lambda: self.seconds, lambda: self.seconds)
-        self.engine = Engine(router_harness.settings(direct=True), router, clock, Counters(), self.lines.append)
+        self.engine = Engine(
+            router_harness.settings(allows_direct_to_source=True), router, clock, Counters(), self.lines.append
+        )
         self.engine.backend = self
         self.membership(*members)
 
     def membership(self, *members):
         self.engine.membership_changed(
-            MembershipChange(False, 1, [Entry(m, f"m{m.server}", ("127.0.0.1", m.server)) for m in members])
+            MembershipChange(False, 1, [Endpoint(m, f"m{m.server}", ("127.0.0.1", m.server)) for m in members])
         )
 
     def send(self, attempt, entry):
@@ -43,7 +45,7 @@
 
     def undo(self, attempt):
         self.undone.append(attempt)
-        return Status.TIMEOUT
+        return AttemptStatus.TIMEOUT
 
     def is_out(self, attempt):
         return attempt in self.sent
@@ -65,7 +67,7 @@
         self.seconds = seconds
 
     def verdicts(self):
-        return [a.verdict for a in self.answers]
+        return [a.outcome for a in self.answers]
 
 
 def fetch(request=1, server=CACHE.server, source=PARENT.server):
--- a/tests/router_harness.py
+++ b/tests/router_harness.py
@@ -4,12 +4,31 @@
 from rookbend.routing import Router
 
 SECOND = 1_000_000
-MEDIA = api.TrafficClass("media", aim_us=500_000, deadline_us=6 * SECOND, aim_stretch=2.0, worth=2.0)
-PAGES = api.TrafficClass("pages", aim_us=250_000, deadline_us=2_500_000, aim_stretch=2.0, fresh_us=20 * SECOND)
+MEDIA = api.TrafficClass(
+    "media", latency_objective_us=500_000, deadline_us=6 * SECOND, latency_objective_stretch=2.0, priority_weight=2.0
+)
+PAGES = api.TrafficClass(
+    "pages",
+    latency_objective_us=250_000,
+    deadline_us=2_500_000,
+    latency_objective_stretch=2.0,
+    freshness_lifetime_us=20 * SECOND,
+)
 KEYED = api.TrafficClass(
-    "orders", aim_us=700_000, deadline_us=3 * SECOND, effect=api.Effect.KEYED, repeat_window_us=2 * SECOND, write=True
+    "orders",
+    latency_objective_us=700_000,
+    deadline_us=3 * SECOND,
+    idempotency=api.Idempotency.IDEMPOTENCY_KEY,
+    idempotency_key_window_us=2 * SECOND,
+    is_write=True,
+)
+UNSAFE = api.TrafficClass(
+    "pay",
+    latency_objective_us=700_000,
+    deadline_us=3 * SECOND,
+    idempotency=api.Idempotency.NOT_IDEMPOTENT,
+    is_write=True,
 )
-UNSAFE = api.TrafficClass("pay", aim_us=700_000, deadline_us=3 * SECOND, effect=api.Effect.UNSAFE, write=True)
 
 CACHES = tuple(api.Member(100 + i, weight=8.0, cell=i // 2, zone=1) for i in range(3))
 ELSEWHERE = api.Member(150, weight=8.0, zone=2)
@@ -27,23 +46,23 @@
         parent_kind=1,
         origin_kind=2,
         pace_kb_per_s=1000.0,
-        joins=True,
-        detail="all",
+        supports_joined_fills=True,
+        answer_detail="all",
         max_attempts=6,
-        cancelling=True,
-        report_fields=("inflight",),
+        allows_cancellation=True,
+        load_report_fields=("inflight",),
         purge_grace_us=500_000,
-        purge_takes_us=6 * SECOND,
-        cold_share=0.2,
+        purge_propagation_us=6 * SECOND,
+        cold_capacity_ratio=0.2,
         warm_up_us=20 * SECOND,
-        fall_multiple=2.0,
-        fall_us=2 * SECOND,
-        parent_cold_share=0.06,
+        overload_multiple=2.0,
+        overload_window_us=2 * SECOND,
+        parent_cold_capacity_ratio=0.06,
         parent_warm_up_us=22 * SECOND,
-        parent_fall_multiple=2.0,
+        parent_overload_multiple=2.0,
         drain_grace_us=500_000,
-        tick_us=2000,
-        ask_within_us=10 * SECOND,
+        clock_tick_us=2000,
+        membership_poll_interval_us=10 * SECOND,
     )
     base.update(changes)
     return api.Settings(**base)
@@ -56,7 +75,7 @@
         self.timers = []
         self.numbers = {}
         self.next_id = 1
-        self.feed(api.MembersChanged(api.ListKind.CACHED, 1, tuple(members)))
+        self.feed(api.MembershipUpdated(api.MembershipUpdateKind.CACHED, 1, tuple(members)))
 
     def feed(self, event, after=0):
         self.now += after
@@ -64,7 +83,7 @@
         for a in actions:
             if isinstance(a, api.SetTimer):
                 self.timers.append((self.now + a.delay_us, a.token))
-            if isinstance(a, (api.Fetch, api.Lookup)):
+            if isinstance(a, (api.Fetch, api.FetchCached)):
                 self.numbers[a.request] = self.numbers.get(a.request, -1) + 1
         return actions
 
@@ -74,11 +93,20 @@
         patience = patience or self.router.s.classes[cls].deadline_us
         return request, self.feed(api.RequestArrived(request, cls, obj, self.now + patience, size, group, part))
 
-    def finish(self, attempt, status=api.Status.OK, note=api.Note.NONE, after=0, final=None, number=None, load=()):
+    def finish(
+        self,
+        attempt,
+        status=api.AttemptStatus.OK,
+        note=api.AttemptDetail.NONE,
+        after=0,
+        final=None,
+        number=None,
+        load=(),
+    ):
         """Ends the newest attempt of a request, as the action that made it says."""
         self.now += after
         number = self.numbers[attempt.request] if number is None else number
-        final = status is api.Status.OK if final is None else final
+        final = status is api.AttemptStatus.OK if final is None else final
         return self.feed(
             api.AttemptFinished(attempt.request, number, attempt.server, status, after, final, note, 0, load)
         )
@@ -97,8 +125,8 @@
 
 
 def sends(actions):
-    return [a for a in actions if isinstance(a, (api.Fetch, api.Lookup))]
+    return [a for a in actions if isinstance(a, (api.Fetch, api.FetchCached))]
 
 
 def finals(actions):
-    return [a for a in actions if isinstance(a, (api.Fail, api.Refuse))]
+    return [a for a in actions if isinstance(a, (api.Fail, api.Reject))]
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -114,7 +114,7 @@
     """The two ways to the module's settings: nested JSON here, paths and values there."""
     import msgspec
 
-    from rookbend import simulator_codec
+    from rookbend import simulator_settings
 
     def paths(value, at=""):
         if isinstance(value, dict):
@@ -128,7 +128,7 @@
         ]
 
     nested = configuration.to_router_settings(msgspec.convert(SETTINGS, configuration.DirectorSettings))
-    assert nested == simulator_codec.parse_settings("\n".join(paths(SETTINGS)))
+    assert nested == simulator_settings.parse_settings("\n".join(paths(SETTINGS)))
 
 
 def test_what_is_off_is_not_imported():
--- a/tests/test_dns_front.py
+++ b/tests/test_dns_front.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from rookbend.core.model import Entry, MembershipChange
+from rookbend.core.model import Endpoint, MembershipChange
 from rookbend.interface import Member, MemberState
 from rookbend.protocol.coordinator_stream import server_number
 from tests.director_scenario import OBJ, on_stage, play
@@ -347,7 +347,7 @@
     async def check(stage):
         await stage.play(NAMED)
         number = server_number("cache1")
-        moved = Entry(Member(number, 50.0, 0, 1, 0, MemberState.READY, 0), "cache1", ("127.0.0.12", 1))
+        moved = Endpoint(Member(number, 50.0, 0, 1, 0, MemberState.READY, 0), "cache1", ("127.0.0.12", 1))
         stage.service.engine.membership_changed(MembershipChange(False, 3, [moved]))
         front = stage.service.dns.front
         told = []
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -6,9 +6,9 @@
 
 from rookbend import interface as api
 from rookbend.core.clock import Clock
-from rookbend.core.model import Purge, Result, Verdict
+from rookbend.core.model import AttemptResult, FinalOutcome, Purge
 from rookbend.fronts.platform import PlatformFront, PlatformSession
-from rookbend.interface import MemberState, Status
+from rookbend.interface import AttemptStatus, MemberState
 from rookbend.routing import Router
 from tests import router_harness
 from tests.director_scenario import frame
@@ -21,7 +21,7 @@
     bench.run_until(101.9)
     assert not bench.answers
     bench.run_until(102.1)
-    assert bench.verdicts() == [Verdict.FAILED] and bench.engine.counters.late_guard == 1
+    assert bench.verdicts() == [FinalOutcome.FAILED] and bench.engine.counters.late_guard == 1
 
 
 def test_an_id_in_use_is_no_other_requests_and_is_free_again_after_its_answer():
@@ -29,12 +29,12 @@
     bench = Bench(Script([fetch()], [], [fetch(2)]))
     bench.ask(rid="a" * 16)
     bench.ask(rid="a" * 16, obj=6)
-    assert bench.verdicts() == [Verdict.FAILED] and len(bench.sent) == 1
-    bench.engine.finished(bench.sent[0], Result(Status.OK, body=b"x"))
+    assert bench.verdicts() == [FinalOutcome.FAILED] and len(bench.sent) == 1
+    bench.engine.finished(bench.sent[0], AttemptResult(AttemptStatus.OK, body=b"x"))
     bench.ask(rid="a" * 16)
-    assert len(bench.sent) == 2 and bench.verdicts()[1:] == [Verdict.SERVED]
+    assert len(bench.sent) == 2 and bench.verdicts()[1:] == [FinalOutcome.SERVED]
     bench.engine.cancel(next(iter(bench.engine._open.values())))
-    assert not bench.engine._rids
+    assert not bench.engine._request_ids
 
 
 def test_one_attempt_at_a_time_and_six_at_most():
@@ -43,27 +43,28 @@
     assert len(bench.sent) == 1 and bench.engine.counters.moot == 1
     bench = Bench(Script(*[[fetch()] for _ in range(12)]))
     bench.ask()
-    while not bench.sent[-1].over:
-        bench.engine.finished(bench.sent[-1], Result(Status.ERROR))
+    while not bench.sent[-1].is_finished:
+        bench.engine.finished(bench.sent[-1], AttemptResult(AttemptStatus.ERROR))
     assert len(bench.sent) == 6
 
 
 def test_a_write_that_may_have_run_is_neither_sent_again_nor_refused():
-    bench = Bench(Script([fetch()], [fetch()], [api.Refuse(1, 5)]))
+    bench = Bench(Script([fetch()], [fetch()], [api.Reject(1, 5)]))
     bench.ask(cls=3)
-    bench.engine.finished(bench.sent[0], Result(Status.RESET))
-    assert len(bench.sent) == 1 and bench.verdicts() == [Verdict.FAILED]
+    bench.engine.finished(bench.sent[0], AttemptResult(AttemptStatus.RESET))
+    assert len(bench.sent) == 1 and bench.verdicts() == [FinalOutcome.FAILED]
 
 
 def test_a_write_proven_not_to_have_run_goes_again():
     bench = Bench(Script([fetch()], [fetch()]))
     bench.ask(cls=3)
-    bench.engine.finished(bench.sent[0], Result(Status.CONNECT_FAILED))
+    bench.engine.finished(bench.sent[0], AttemptResult(AttemptStatus.CONNECT_FAILED))
     assert len(bench.sent) == 2 and not bench.answers
 
 
 @pytest.mark.parametrize(
-    "undone, verdict", [(Status.TIMEOUT, Verdict.FAILED), (Status.CONNECT_FAILED, Verdict.REFUSED)]
+    "undone, verdict",
+    [(AttemptStatus.TIMEOUT, FinalOutcome.FAILED), (AttemptStatus.CONNECT_FAILED, FinalOutcome.REJECTED)],
 )
 def test_a_write_of_a_client_that_left_is_refused_only_if_its_bytes_never_left(undone, verdict):
     """On a connection that others share, what is half out goes out whole."""
@@ -72,23 +73,23 @@
     bench.is_out = lambda attempt: False
     bench.undo = lambda attempt: undone
     bench.engine.client_left(open_request)
-    bench.engine.finished(bench.sent[0], Result(Status.OK))
+    bench.engine.finished(bench.sent[0], AttemptResult(AttemptStatus.OK))
     assert bench.verdicts() == [verdict] and bench.engine.open_requests == 0
 
 
 def test_never_two_answers():
-    bench = Bench(Script([fetch()], [api.Fail(1), api.Refuse(1)]))
+    bench = Bench(Script([fetch()], [api.Fail(1), api.Reject(1)]))
     bench.ask()
-    bench.engine.finished(bench.sent[0], Result(Status.OK, body=b"x"))
-    bench.engine.finished(bench.sent[0], Result(Status.OK, body=b"y"))
+    bench.engine.finished(bench.sent[0], AttemptResult(AttemptStatus.OK, body=b"x"))
+    bench.engine.finished(bench.sent[0], AttemptResult(AttemptStatus.OK, body=b"y"))
     bench.run_until(110)
-    assert [(a.verdict, a.body) for a in bench.answers] == [(Verdict.SERVED, b"x")]
+    assert [(a.outcome, a.body) for a in bench.answers] == [(FinalOutcome.SERVED, b"x")]
 
 
 def test_giving_up_while_an_attempt_is_out_undoes_it():
-    bench = Bench(Script([fetch(), api.Refuse(1, 300)]))
+    bench = Bench(Script([fetch(), api.Reject(1, 300)]))
     bench.ask()
-    assert bench.undone == bench.sent and bench.answers[0].backoff_us == 300
+    assert bench.undone == bench.sent and bench.answers[0].retry_after_us == 300
 
 
 def test_cancel_ends_the_request_and_undoes_its_attempt():
@@ -129,11 +130,11 @@
 
 
 def test_a_withheld_attempt_is_placed_anew():
-    bench = Bench(Router(router_harness.settings(direct=True), 7))
+    bench = Bench(Router(router_harness.settings(allows_direct_to_source=True), 7))
     bench.ask()
     first = bench.sent[0]
     bench.membership(api.Member(first.server, 8.0, 0, 1, 0, MemberState.DRAINING))
-    bench.engine.finished(first, Result(Status.MOOT))
+    bench.engine.finished(first, AttemptResult(AttemptStatus.MOOT))
     assert len(bench.sent) == 2 and bench.sent[1].server != first.server
 
 
@@ -143,7 +144,7 @@
     bench.engine.settle_by(101 * SECOND)
     bench.ask(seconds=5)
     bench.run_until(101.01)
-    assert bench.verdicts() == [Verdict.FAILED] * 2 and bench.undone == bench.sent
+    assert bench.verdicts() == [FinalOutcome.FAILED] * 2 and bench.undone == bench.sent
 
 
 def test_the_clock_never_steps_back_and_meets_unix_time():
@@ -198,7 +199,7 @@
     client, written = session(bench)
     client.feed(asked(1))
     body = bytes(1000)
-    bench.engine.finished(bench.sent[0], Result(Status.OK, body=body))
+    bench.engine.finished(bench.sent[0], AttemptResult(AttemptStatus.OK, body=body))
     head, rest = written
     assert rest is body and int.from_bytes(head[:4], "big") == len(head) - 4 + len(body)
 
@@ -223,14 +224,14 @@
     bench = Bench(Script([fetch()], [fetch(server=PARENT.server)]))
     keyed(bench, deadline_us=10 * SECOND)
     bench.seconds += after_s
-    bench.engine.finished(bench.sent[0], Result(Status.TIMEOUT))
+    bench.engine.finished(bench.sent[0], AttemptResult(AttemptStatus.TIMEOUT))
     assert len(bench.sent) == sent
 
 
 def test_a_repeat_that_waited_past_its_window_is_not_written():
     bench = Bench(Script([fetch()], [fetch(server=PARENT.server)]))
     keyed(bench)
-    bench.engine.finished(bench.sent[0], Result(Status.TIMEOUT))
+    bench.engine.finished(bench.sent[0], AttemptResult(AttemptStatus.TIMEOUT))
     assert bench.engine.may_write(bench.sent[1])
     bench.seconds += 1.985
     assert not bench.engine.may_write(bench.sent[1])
@@ -239,6 +240,6 @@
 @pytest.mark.parametrize("group, sent", [("all", 2), ("zone", 1), ("cell", 1)])
 def test_a_repeat_stays_in_the_group_of_the_first(group, sent):
     bench = Bench(Script([fetch()], [fetch(server=PARENT.server)]))
-    keyed(bench, group=group)
-    bench.engine.finished(bench.sent[0], Result(Status.TIMEOUT))
+    keyed(bench, retry_scope=group)
+    bench.engine.finished(bench.sent[0], AttemptResult(AttemptStatus.TIMEOUT))
     assert len(bench.sent) == sent
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -326,7 +326,7 @@
         await stage.play("cache1 wait down")
         await stage.actors["agent1"].peer.listen(stage.nursery, stage.actors["agent2"].peer.port)
         await stage.play("cache1 wait degraded\n all wait 0.15")
-        member = stage.service.engine.entries[server].member
+        member = stage.service.engine.endpoints[server].member
         assert member.started_us > stage.service.clock.now() - 3_000_000
         assert stage.state("cache1")[1] == 20, "the rules' cold share at first"
         levels = []
--- a/tests/test_health_registry.py
+++ b/tests/test_health_registry.py
@@ -1,11 +1,10 @@
 """The verdict on members: the table of precedence row by row, and properties over any order of events."""
 
-import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
 from rookbend.core.check_result import Outcome, Words
-from rookbend.core.model import Entry
+from rookbend.core.model import Endpoint
 from rookbend.health.model import (
     AgentHeard,
     AttemptSeen,
@@ -22,10 +21,8 @@
     State,
     Tick,
 )
-from rookbend.health.own_status import standing
 from rookbend.health.registry import Board
-from rookbend.health.spare_capacity import Headroom, Sample
-from rookbend.interface import Member, MemberState, Status
+from rookbend.interface import AttemptStatus, Member, MemberState
 
 SECOND = 1_000_000
 START, RAMP_US = 20, 10 * SECOND
@@ -38,7 +35,7 @@
 
 
 def entry(server, state=MemberState.READY, started=0, port=1):
-    return Entry(Member(server, 8.0, zone=1, state=state, started_us=started), f"m{server}", ("127.0.0.1", port))
+    return Endpoint(Member(server, 8.0, zone=1, state=state, started_us=started), f"m{server}", ("127.0.0.1", port))
 
 
 class Watched:
@@ -124,12 +121,12 @@
 def test_attempts_that_fail_in_a_row_take_out_for_a_while():
     b = Watched()
     for _ in range(9):
-        b.feed(AttemptSeen(1, Status.CONNECT_FAILED))
-    b.feed(AttemptSeen(1, Status.OK))
+        b.feed(AttemptSeen(1, AttemptStatus.CONNECT_FAILED))
+    b.feed(AttemptSeen(1, AttemptStatus.OK))
     for _ in range(9):
-        b.feed(AttemptSeen(1, Status.RESET))
+        b.feed(AttemptSeen(1, AttemptStatus.RESET))
     assert b.state()[0] == "ready"
-    assert b.feed(AttemptSeen(1, Status.RESET)).state() == ("down", 0, "passive")
+    assert b.feed(AttemptSeen(1, AttemptStatus.RESET)).state() == ("down", 0, "passive")
     assert b.wait(5 * SECOND).state() == ("degraded", START, "slow-start")
 
 
@@ -198,7 +195,9 @@
         st.sampled_from([None, None, 0, 40, 100]),
     ),
     st.builds(lambda s, o, n: ("checked", s, o, n), SERVERS, st.sampled_from(Outcome), st.sampled_from([1, 2, 3, 3])),
-    st.builds(AttemptSeen, SERVERS, st.sampled_from([Status.OK, Status.RESET, Status.CONNECT_FAILED])),
+    st.builds(
+        AttemptSeen, SERVERS, st.sampled_from([AttemptStatus.OK, AttemptStatus.RESET, AttemptStatus.CONNECT_FAILED])
+    ),
     st.builds(Ordered, SERVERS, st.sampled_from(Order), st.just("")),
 )
 HISTORY = st.lists(
@@ -275,39 +274,3 @@
     b.feed(MembershipHeard(True, []))
     assert not b.board.rows and not b.board.tiers and not b.board._armed
     assert all(isinstance(s, Said) for s in b.said)
-
-
-# Our own weight
-
-
-def test_headroom_falls_at_once_and_rises_by_steps_that_last():
-    h, now = Headroom(step=0.1, rise_us=SECOND, least=0.1), 0
-    h.measure(now, Sample(lag=0.8, members=2, in_use=2))
-    assert (h.weight, h.why) == (20, "lag")
-    weights = []
-    for now in range(0, 12 * SECOND, SECOND // 4):
-        h.measure(now, Sample(members=2, in_use=2))
-        weights.append(h.weight)
-    rises = [b - a for a, b in zip(weights, weights[1:], strict=False)]
-    assert set(rises) == {0, 10} and weights[-1] == 100 and weights[3] == 20
-    h.measure(now, Sample(open=0.95, members=4, in_use=1))
-    assert (h.weight, h.why) == (10, "open")
-    for i in range(40):  # a target that swings by less than a step is not followed
-        h.measure(now + i * SECOND, Sample(lag=0.88 if i % 2 else 0.9))
-    assert h.weight == 10
-
-
-@pytest.mark.parametrize(
-    "phase, sample, taking, admin, up",
-    [
-        ("starting", Sample(), False, "ready", False),
-        ("ready", Sample(), True, "ready", True),
-        ("ready", Sample(members=2), False, "ready", False),
-        ("draining", Sample(), False, "drain", True),
-    ],
-)
-def test_the_lifecycle_comes_before_the_room(phase, sample, taking, admin, up):
-    h = Headroom()
-    h.measure(0, sample)
-    s = standing(phase, h, 100)
-    assert (s.taking, s.admin, s.up) == (taking, admin, up)
--- a/tests/test_invariant_checker.py
+++ b/tests/test_invariant_checker.py
@@ -20,7 +20,7 @@
 from rookbend.testing.weighted_score import ClassWorth, Ended, earned, measure
 
 MS, SECOND = 1_000, 1_000_000
-WARMTH = Warmth(capacity=10.0, cold_share=0.2, warm_up_us=10 * SECOND, multiple=4.0)
+WARMTH = Warmth(capacity=10.0, cold_ratio=0.2, warm_up_us=10 * SECOND, multiple=4.0)
 
 
 def read(rid="r", at=0, once=False):
@@ -171,8 +171,8 @@
     assert judge(*[e if isinstance(e, Started) else Fill(e.at - late, "c1", 5.0) for e in events]).counts()["cold"]
 
 
-VIDEO = ClassWorth("video", 2.0, 600 * MS, aim_stretch=2.0, late_worth=0.1)
-PAGE = ClassWorth("page", 1.0, 300 * MS, stale_worth=0.7)
+VIDEO = ClassWorth("video", 2.0, 600 * MS, latency_objective_stretch=2.0, late_priority_weight=0.1)
+PAGE = ClassWorth("page", 1.0, 300 * MS, stale_priority_weight=0.7)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_member_connections.py
+++ b/tests/test_member_connections.py
@@ -1,7 +1,7 @@
 """Connections to members on loopback: spoilt and late answers, ids used again, sharing."""
 
-from rookbend.core.model import Result
-from rookbend.interface import Status
+from rookbend.core.model import AttemptResult
+from rookbend.interface import AttemptStatus
 from tests.director_scenario import on_stage, play
 
 
@@ -66,7 +66,7 @@
         engine = stage.service.engine
         (open_request,) = engine._open.values()
         engine.backend.undo(open_request.flight)  # as the module does where the source is silent
-        engine.finished(open_request.flight, Result(Status.CANCELLED))
+        engine.finished(open_request.flight, AttemptResult(AttemptStatus.CANCELLED))
         await stage.play("""
             cache1 expect nothing
             director wait 0.6
--- a/tests/test_membership_stream.py
+++ b/tests/test_membership_stream.py
@@ -91,7 +91,7 @@
             )
         )
         await trio.sleep(0.01)
-        assert sorted(e.name for e in stage.service.engine.entries.values()) == ["cache2", "records", "upper"]
+        assert sorted(e.name for e in stage.service.engine.endpoints.values()) == ["cache2", "records", "upper"]
         await stage.play(SERVE_BY.format(1, "cache2"))
 
     on_stage(check)
@@ -110,7 +110,7 @@
             )
         )
         await trio.sleep(0.01)
-        assert "cache9" in [e.name for e in stage.service.engine.entries.values()]
+        assert "cache9" in [e.name for e in stage.service.engine.endpoints.values()]
         await stage.play(SERVE_BY.format(2, "cache1"))
         assert stage.service.counters.connects == connects + 1
 
--- a/tests/test_no_duplicate_execution.py
+++ b/tests/test_no_duplicate_execution.py
@@ -6,7 +6,7 @@
 from tests.router_harness import CACHES, ORIGIN, PARENTS, SECOND, Rig, finals, sends
 
 
-def through(rig, lead, status, note=api.Note.NONE):
+def through(rig, lead, status, note=api.AttemptDetail.NONE):
     """The servers and sources that a request meets while each attempt ends like that, and its last actions."""
     met = [(lead.server, getattr(lead, "source", None))]
     while True:
@@ -18,22 +18,22 @@
 
 
 def test_each_cache_is_asked_once_and_then_the_request_is_refused():
-    rig = Rig(retry_after=True)
-    met, out = through(rig, sends(rig.arrive(5)[1])[0], api.Status.CONNECT_FAILED)
+    rig = Rig(allows_retry_after=True)
+    met, out = through(rig, sends(rig.arrive(5)[1])[0], api.AttemptStatus.CONNECT_FAILED)
     assert sorted(server for server, _ in met) == sorted(m.server for m in CACHES)
-    assert [type(a) for a in finals(out)] == [api.Refuse]
+    assert [type(a) for a in finals(out)] == [api.Reject]
 
 
 def test_where_direct_is_allowed_the_source_is_the_last_to_be_asked():
-    rig = Rig(retry_after=True, direct=True)
-    met, _ = through(rig, sends(rig.arrive(5)[1])[0], api.Status.CONNECT_FAILED)
+    rig = Rig(allows_retry_after=True, allows_direct_to_source=True)
+    met, _ = through(rig, sends(rig.arrive(5)[1])[0], api.AttemptStatus.CONNECT_FAILED)
     assert sorted(server for server, _ in met[:3]) == sorted(m.server for m in CACHES)
     assert met[3][0] in {m.server for m in (*PARENTS, ORIGIN)}
 
 
 def test_parents_that_cannot_be_reached_are_asked_once_each_and_then_the_origin_fills():
     rig = Rig()
-    met, _ = through(rig, sends(rig.arrive(5)[1])[0], api.Status.FULL, api.Note.SOURCE_UNREACHABLE)
+    met, _ = through(rig, sends(rig.arrive(5)[1])[0], api.AttemptStatus.FULL, api.AttemptDetail.SOURCE_UNREACHABLE)
     sources = [source for _, source in met]
     assert sorted(sources[:3]) == sorted(m.server for m in PARENTS)
     assert set(sources[3:]) <= {ORIGIN.server}
@@ -41,30 +41,32 @@
 
 def test_with_every_cache_ejected_each_gets_one_attempt_at_a_time():
     """Guards boxes that return cold: requests that nobody else can take fell on them all at once."""
-    rig = Rig(retry_after=True)
+    rig = Rig(allows_retry_after=True)
     for i in range(30):
-        through(rig, sends(rig.arrive(1000 + i)[1])[0], api.Status.CONNECT_FAILED)
+        through(rig, sends(rig.arrive(1000 + i)[1])[0], api.AttemptStatus.CONNECT_FAILED)
     assert all(rig.router.health.get(m.server).until > rig.now for m in CACHES)
     out = [sends(rig.arrive(2000 + i)[1]) for i in range(20)]
     assert sorted(s[0].server for s in out if s) == sorted(m.server for m in CACHES)
 
 
-@pytest.mark.parametrize("note", [api.Note.SOURCE_UNREACHABLE, api.Note.SOURCE_REFUSED, api.Note.ORIGIN_FAILED])
+@pytest.mark.parametrize(
+    "note", [api.AttemptDetail.SOURCE_UNREACHABLE, api.AttemptDetail.SOURCE_REFUSED, api.AttemptDetail.ORIGIN_FAILED]
+)
 def test_what_fails_behind_a_cache_takes_no_place_for_fills_away(note):
     rig = Rig()
     before = rig.router.limit.limit
     for i in range(10):
-        rig.finish(sends(rig.arrive(1000 + i)[1])[0], api.Status.FULL, note=note, after=1_000)
+        rig.finish(sends(rig.arrive(1000 + i)[1])[0], api.AttemptStatus.FULL, note=note, after=1_000)
         rig.now += 10 * SECOND
     assert rig.router.limit.limit == before
 
 
 def test_a_guessed_size_does_not_refuse_where_a_known_one_would():
     """A quarter of a second is left; by the guess half of sending takes longer."""
-    rig = Rig(retry_after=True)
+    rig = Rig(allows_retry_after=True)
     assert sends(rig.arrive(5, size=0.0, patience=250_000)[1])
     assert not sends(rig.arrive(6, size=750.0, patience=250_000)[1])
-    rig = Rig(retry_after=True)
+    rig = Rig(allows_retry_after=True)
     for i in range(12):  # load at every cache, so that it would be late everywhere
         rig.arrive(100 + i, size=3000.0)
     refused = rig.arrive(5, size=2500.0, patience=1_000_000)[1]
@@ -72,14 +74,14 @@
 
 
 def test_a_guess_three_times_too_long_still_refuses():
-    rig = Rig(retry_after=True)
+    rig = Rig(allows_retry_after=True)
     out = rig.arrive(5, size=0.0, patience=100_000)[1]  # a third of 750 ms, of which half must be left
     assert finals(out) and not sends(out)
 
 
 def test_where_every_cache_is_full_a_guess_refuses_as_a_known_size_does():
     """Guards those who can be in time in a burst: a guess counts by its third only where a cache has room."""
-    rig = Rig(retry_after=True)
+    rig = Rig(allows_retry_after=True)
     for i in range(60):
         rig.arrive(100 + i, size=400.0)
     held = [rig.router.health.get(m.server).out / m.weight for m in CACHES]
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -9,7 +9,7 @@
 
 from rookbend import config as configuration
 from rookbend import interface as api
-from rookbend.core.model import Entry, MembershipChange, Verdict
+from rookbend.core.model import Endpoint, FinalOutcome, MembershipChange
 from rookbend.interface import MemberState
 from rookbend.operations import metrics_text, persisted_state
 from rookbend.operations.exclusions import MOST, Bans
@@ -22,7 +22,7 @@
 
 
 def entry(name, state=READY, started=0):
-    return Entry(api.Member(int(name[1:]), started_us=started, state=state), name, ("127.0.0.1", 1))
+    return Endpoint(api.Member(int(name[1:]), started_us=started, state=state), name, ("127.0.0.1", 1))
 
 
 def whole(*entries):
@@ -34,7 +34,7 @@
 
 
 def states(told):
-    return {e.name: e.member.state for e in told.entries}
+    return {e.name: e.member.state for e in told.endpoints}
 
 
 # Bans
@@ -57,9 +57,9 @@
     assert bans.order("c1", True, 100).news and not bans.order("c1", True, 110).news
     back = bans.order("c1", False, 500)
     assert back.news and states(back.change) == {"c1": READY}
-    assert back.change.entries[0].member.started_us == 500
-    assert bans.heard(part(entry("c1", started=300))).entries[0].member.started_us == 500, "told late"
-    assert bans.heard(part(entry("c1", started=900))).entries[0].member.started_us == 900
+    assert back.change.endpoints[0].member.started_us == 500
+    assert bans.heard(part(entry("c1", started=300))).endpoints[0].member.started_us == 500, "told late"
+    assert bans.heard(part(entry("c1", started=900))).endpoints[0].member.started_us == 900
     again = bans.order("c1", False, 1000)
     assert not again.fault and not again.news
 
@@ -157,7 +157,7 @@
 
 
 def test_figures_are_lines_of_name_value_and_kind():
-    answers = {("a", Verdict.SERVED): 812}
+    answers = {("a", FinalOutcome.SERVED): 812}
     text = metrics_text.text(metrics_text.by_class("a", answers), [("in_flight", 14)]).decode()
     assert text.splitlines() == [
         "svc.requests.a.served:812|c",
--- a/tests/test_operations_settings.py
+++ b/tests/test_operations_settings.py
@@ -115,17 +115,17 @@
             **{f: getattr(old, f) for f in old.__slots__},
             "max_attempts": 2,
             "zone": 9,
-            "classes": (d, replace(b, effect=api.Effect.UNSAFE), replace(a, name="new")),
+            "classes": (d, replace(b, idempotency=api.Idempotency.NOT_IDEMPOTENT), replace(a, name="new")),
         }
     )
     both = reload_validation.merged(old, new)
     assert [x.name for x in both.classes] == ["media", "pages", "orders", "pay", "new"]
-    assert [x.gone for x in both.classes] == [True, False, True, False, False]
-    assert both.classes[1].effect is api.Effect.UNSAFE and both.max_attempts == 2
+    assert [x.is_retired for x in both.classes] == [True, False, True, False, False]
+    assert both.classes[1].idempotency is api.Idempotency.NOT_IDEMPOTENT and both.max_attempts == 2
     assert both.zone == old.zone and reload_validation.waiting(old, new) == ["zone"]
     assert reload_validation.effective(old, both) == ["max_attempts", "+new", "-media", "-orders", "~pages"]
     again = reload_validation.merged(both, old)
-    assert [x.gone for x in again.classes] == [False, False, False, False, True], "a class may come back"
+    assert [x.is_retired for x in again.classes] == [False, False, False, False, True], "a class may come back"
 
 
 def test_the_module_keeps_requests_under_way_as_they_were_and_binds_new_ones():
@@ -136,7 +136,7 @@
         rig.router.s, max_attempts=1, classes=(*rig.router.s.classes, replace(rig.router.s.classes[0], name="fresh"))
     )
     rig.feed(api.SettingsChanged(new))
-    assert not sends(rig.finish(sent, api.Status.CONNECT_FAILED)), "one attempt is all there is now"
+    assert not sends(rig.finish(sent, api.AttemptStatus.CONNECT_FAILED)), "one attempt is all there is now"
     _, actions = rig.arrive(6, cls=4)
     assert sends(actions), "the class that has come is routed"
     assert rig.router.cold.s is new and rig.router.members.s is new
@@ -145,8 +145,10 @@
 def test_two_senders_share_the_budget_of_a_cold_cache():
     def sent_at_once(senders):
         cold = api.Member(100, weight=8.0, zone=1, started_us=100_000_000)
-        rig = Rig(members=(cold, ORIGIN, api.Member(200, weight=30.0, kind=1)), now=100_000_000, direct=False)
-        rig.feed(api.Shared(senders), after=3_000_000)
+        rig = Rig(
+            members=(cold, ORIGIN, api.Member(200, weight=30.0, kind=1)), now=100_000_000, allows_direct_to_source=False
+        )
+        rig.feed(api.ActiveProcessesChanged(senders), after=3_000_000)
         return sum(bool(sends(rig.arrive(1000 + i, size=100.0)[1])) for i in range(200))
 
     alone, shared = sent_at_once(1), sent_at_once(2)
--- a/tests/test_origin_protection.py
+++ b/tests/test_origin_protection.py
@@ -8,9 +8,9 @@
 
 def refused(**changes):
     """A rig whose origin has just failed one read."""
-    rig = Rig(retry_after=True, max_retry_after_us=500_000, **changes)
+    rig = Rig(allows_retry_after=True, max_retry_after_us=500_000, **changes)
     lead = sends(rig.arrive(5)[1])[0]
-    rig.finish(lead, api.Status.FULL, note=api.Note.ORIGIN_FAILED, after=50_000)
+    rig.finish(lead, api.AttemptStatus.FULL, note=api.AttemptDetail.ORIGIN_FAILED, after=50_000)
     return rig
 
 
@@ -20,9 +20,9 @@
     count = 0
     for i in range(MANY):
         lead = sends(rig.arrive(first + i)[1])[0]
-        count += lead.only_if_held
+        count += lead.only_if_cached
         rig.feed(api.RequestCancelled(lead.request))
-        rig.finish(lead, api.Status.CANCELLED)
+        rig.finish(lead, api.AttemptStatus.CANCELLED)
     return count / MANY
 
 
@@ -43,23 +43,23 @@
     rig = refused()
     rig.router.seed = 8
     rig.now += 2_500_000
-    ours = [sends(rig.arrive(1000 + i)[1])[0].only_if_held for i in range(50)]
+    ours = [sends(rig.arrive(1000 + i)[1])[0].only_if_cached for i in range(50)]
     other = refused()
     other.now += 2_500_000
-    theirs = [sends(other.arrive(1000 + i)[1])[0].only_if_held for i in range(50)]
+    theirs = [sends(other.arrive(1000 + i)[1])[0].only_if_cached for i in range(50)]
     assert ours != theirs
 
 
 def test_what_no_parent_holds_is_answered_at_once_and_asks_nobody_else():
     rig = refused()
     lead = sends(rig.arrive(1000)[1])[0]
-    out = rig.finish(lead, api.Status.MISS, note=api.Note.SOURCE_LACKS, after=20_000)
+    out = rig.finish(lead, api.AttemptStatus.MISS, note=api.AttemptDetail.SOURCE_LACKS, after=20_000)
     assert not sends(out)
-    assert [type(a) for a in finals(out)] == [api.Refuse]
+    assert [type(a) for a in finals(out)] == [api.Reject]
 
 
 def test_a_write_goes_to_the_origin_all_the_same():
-    rig = refused(direct=True)
+    rig = refused(allows_direct_to_source=True)
     first = sends(rig.arrive(1000, cls=3)[1])[0]
     assert first.server == ORIGIN.server
 
@@ -69,9 +69,9 @@
     before = rig.router.limit.limit
     for i in range(20):
         lead = sends(rig.arrive(1000 + i)[1])[0]
-        rig.finish(lead, api.Status.FULL, note=api.Note.ORIGIN_FAILED, after=1_000)
+        rig.finish(lead, api.AttemptStatus.FULL, note=api.AttemptDetail.ORIGIN_FAILED, after=1_000)
         rig.now += 10 * SECOND
     assert rig.router.limit.limit == before
     lead = sends(rig.arrive(5000)[1])[0]
-    rig.finish(lead, api.Status.FULL, after=1_000)  # a cache's own refusal still does
+    rig.finish(lead, api.AttemptStatus.FULL, after=1_000)  # a cache's own refusal still does
     assert rig.router.limit.limit < before
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -6,7 +6,7 @@
 import pytest
 
 from rookbend.core.model import Attempt, MembershipChange, Purge, Request
-from rookbend.interface import MemberState, Note, Status
+from rookbend.interface import AttemptDetail, AttemptStatus, MemberState
 from rookbend.protocol import cache_lines, client_frames
 from rookbend.protocol.coordinator_stream import (
     EventStream,
@@ -67,15 +67,19 @@
     first, second, third, fourth = (
         a.result for a in cache_lines.AnswerParser(("utilization", "outstanding")).feed(CACHE)
     )
-    assert (first.status, first.note, first.fill_wait_us, first.load, first.body) == (
-        Status.OK,
-        Note.FILLED,
+    assert (first.status, first.detail, first.fill_queue_us, first.load_report, first.body) == (
+        AttemptStatus.OK,
+        AttemptDetail.FILLED,
         12_500,
         (0.61, 7.0),
         b"hel\r\n",
     )
-    assert second.status is Status.MISS and third.unchanged
-    assert (fourth.status, fourth.note, fourth.load) == (Status.FULL, Note.NO_FILL_PLACE, (0.5,))
+    assert second.status is AttemptStatus.MISS and third.unchanged
+    assert (fourth.status, fourth.detail, fourth.load_report) == (
+        AttemptStatus.FULL,
+        AttemptDetail.NO_FILL_PLACE,
+        (0.5,),
+    )
 
 
 @pytest.mark.parametrize("asked", [("util", "inflight", "x1"), ("utilization", "outstanding", "x1")])
@@ -83,7 +87,7 @@
 def test_a_load_report_is_read_under_either_name_of_its_figures(asked, told):
     """Guards the module's belief about load: under the other names, no report ever reached it."""
     (answer,) = cache_lines.AnswerParser(asked).feed(b"a1 ok load=%b 0\r\n\r\n" % told)
-    assert answer.result.load == (0.5, 7.0, 0.0)
+    assert answer.result.load_report == (0.5, 7.0, 0.0)
 
 
 @pytest.mark.parametrize(
@@ -120,8 +124,20 @@
 
 
 def test_a_command_says_what_the_attempt_says():
-    request = Request("9" * 16, 0, "video", "7f", 127, 0, part=3, known="ab", body=b"xy")
-    attempt = Attempt(request, 1, 0, 10, 20, 0, 1_500_000, keep=1, max_age_us=400, join=True, renew=True)
+    request = Request("9" * 16, 0, "video", "7f", 127, 0, part=3, known_version="ab", body=b"xy")
+    attempt = Attempt(
+        request,
+        1,
+        0,
+        10,
+        20,
+        0,
+        1_500_000,
+        retention_rank=1,
+        max_age_us=400,
+        join_fill=True,
+        refresh_in_background=True,
+    )
     assert cache_lines.write_do(attempt, 1_000, "p1") == (
         b"do 9999999999999999 c=video,k=7f,p=3,w=1499,next=p1,admit=1,agelim=1,"
         b"ways=wait-for+background,cached=ab 2\r\nxy\r\n"
@@ -141,9 +157,9 @@
         "up_since_ms": 7,
     }
     change = translate(msgspec.convert({"endpoints": {"revision": 3, "members": [line]}}, Update))
-    member = change.entries[0].member
+    member = change.endpoints[0].member
     assert (
-        isinstance(change, MembershipChange) and not change.complete and change.entries[0].address == ("127.0.0.1", 9)
+        isinstance(change, MembershipChange) and not change.complete and change.endpoints[0].address == ("127.0.0.1", 9)
     )
     assert (member.server, member.zone, member.kind, member.started_us, member.state) == (
         server_number("s1"),
@@ -156,7 +172,7 @@
     purge = translate(msgspec.convert(evict, Update))
     assert purge == Purge(1 << 64, 0, 5000)  # number 0 would mean a group
     gone = {"endpoints": {"members": [{"id": "s1", "phase": "DELETED"}]}}
-    assert translate(msgspec.convert(gone, Update)).entries[0].member.state is MemberState.GONE
+    assert translate(msgspec.convert(gone, Update)).endpoints[0].member.state is MemberState.GONE
 
 
 @pytest.mark.parametrize("line", [{"id": "s", "phase": "ODD"}, {"id": "s", "host_port": "nowhere"}])
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -7,11 +7,11 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from rookbend.core.model import Entry, MembershipChange, Purge
-from rookbend.interface import Limited, Member, MemberState, RequestArrived
+from rookbend.core.model import Endpoint, MembershipChange, Purge
+from rookbend.interface import AdmissionLimitsChanged, Member, MemberState, RequestArrived
 from rookbend.protocol import gossip as wire
 from rookbend.recovery import coordinator as machine
-from rookbend.recovery import replicated_rows, state_validity
+from rookbend.recovery import replicated_rows
 from rookbend.recovery.failure_classification import HOLD_US, SILENT_US, Happened, Verdict
 from rookbend.recovery.missed_purges import Gap
 from rookbend.recovery.origin_ramp import BACK_US, STEP_US, Outcomes, Share
@@ -74,25 +74,6 @@
     assert d.feed(NOW, machine.Datagram(1, data)) == [] and d.unreadable == 1
 
 
-# The table of trust
-
-
-def test_the_table_says_what_stands():
-    stands, hour = state_validity.stands, 3600 * SECOND
-    assert stands("order", 1, NOW) and stands("order", NOW + hour, NOW), "kept, whatever the clock says"
-    assert stands("drain", NOW + hour, NOW), "a limit from the future binds"
-    assert not stands("drain", NOW - hour, NOW) and state_validity.counted_from(NOW + hour, NOW) == NOW
-    assert stands("hint", NOW - SECOND, NOW) and not stands("hint", NOW + SECOND, NOW)
-    assert stands("purge", NOW - 5 * SECOND, NOW, 6 * SECOND)
-    assert not stands("purge", NOW - 7 * SECOND, NOW, 6 * SECOND) and not stands("verdict", NOW, NOW)
-
-
-def test_every_kind_on_disk_has_its_row_in_the_table():
-    from rookbend.state.model import KINDS
-
-    assert set(KINDS) == set(state_validity.BY_KIND)
-
-
 # Whom to believe
 
 
@@ -333,7 +314,7 @@
 
 
 def entry(name, state=MemberState.READY, kind=0, started=0):
-    return Entry(
+    return Endpoint(
         Member(int.from_bytes(name.encode(), "big"), kind=kind, state=state, started_us=started), name, ("127.0.0.1", 1)
     )
 
@@ -343,7 +324,7 @@
 
 
 def passed(actions):
-    return {e.name: e.member for a in actions if type(a) is machine.Members for e in a.change.entries}
+    return {e.name: e.member for a in actions if type(a) is machine.Members for e in a.change.endpoints}
 
 
 def test_an_old_drain_binds_until_a_list_that_is_no_older_says_otherwise():
@@ -434,15 +415,18 @@
 
 def test_the_module_refuses_a_closed_class_at_once_with_spread_times():
     from rookbend import Router, Settings
-    from rookbend.interface import Refuse, TrafficClass
+    from rookbend.interface import Reject, TrafficClass
 
     classes = tuple(TrafficClass(n, 600_000, 2_000_000) for n in ("a", "b"))
-    router = Router(Settings(classes=classes, retry_after=True, max_retry_after_us=500_000, max_open=100), seed=3)
-    router.handle(0, Limited(frozenset({1}), 5.0))
+    router = Router(
+        Settings(classes=classes, allows_retry_after=True, max_retry_after_us=500_000, max_requests_in_flight=100),
+        seed=3,
+    )
+    router.handle(0, AdmissionLimitsChanged(frozenset({1}), 5.0))
     waits = []
     for i in range(1, 40):
         (action,) = router.handle(i, RequestArrived(i, 1, 7, 2_000_000))
-        assert type(action) is Refuse
+        assert type(action) is Reject
         waits.append(action.retry_after_us)
     assert min(waits) >= 250_000 and max(waits) <= 500_000 and len(set(waits)) > 20
 
--- a/tests/test_request_collapsing.py
+++ b/tests/test_request_collapsing.py
@@ -8,7 +8,7 @@
     rig = Rig()
     _, first = rig.arrive(5)
     _, second = rig.arrive(5)
-    assert len(sends(first)) == 1 and sends(first)[0].join
+    assert len(sends(first)) == 1 and sends(first)[0].join_fill
     assert not sends(second) and not finals(second)
 
 
@@ -22,9 +22,9 @@
     rig = Rig()
     lead = sends(rig.arrive(5)[1])[0]
     waiter, _ = rig.arrive(5)
-    after = sends(rig.finish(lead, note=api.Note.FILLED, after=50_000))
+    after = sends(rig.finish(lead, note=api.AttemptDetail.FILLED, after=50_000))
     assert [a.request for a in after] == [waiter]
-    assert (after[0].server, after[0].source, after[0].join) == (lead.server, lead.source, True)
+    assert (after[0].server, after[0].source, after[0].join_fill) == (lead.server, lead.source, True)
 
 
 def test_failed_lead_is_not_handed_on_and_the_oldest_waiter_leads():
@@ -32,7 +32,7 @@
     lead = sends(rig.arrive(5)[1])[0]
     oldest, _ = rig.arrive(5)
     rig.arrive(5)
-    after = sends(rig.finish(lead, api.Status.ERROR, after=20_000))
+    after = sends(rig.finish(lead, api.AttemptStatus.ERROR, after=20_000))
     assert [a.request for a in after] == [oldest]
 
 
@@ -49,7 +49,7 @@
     rig.arrive(5)
     waiter, _ = rig.arrive(5)
     out = sends(rig.run_timers(rig.now + 700_000))
-    assert [a.request for a in out] == [waiter] and out[0].join
+    assert [a.request for a in out] == [waiter] and out[0].join_fill
     waited = rig.now - 100 * SECOND
     assert waited <= 500_000 + 2 * 100_000
 
@@ -62,16 +62,16 @@
 
 def test_copy_served_a_moment_ago_is_not_waited_for():
     rig = Rig()
-    rig.finish(sends(rig.arrive(5)[1])[0], note=api.Note.FILLED, after=50_000)
+    rig.finish(sends(rig.arrive(5)[1])[0], note=api.AttemptDetail.FILLED, after=50_000)
     assert sends(rig.arrive(5)[1])
     assert sends(rig.arrive(5)[1])
 
 
 def test_table_at_its_bound_lets_requests_pass_joining():
-    rig = Rig(max_open=2)
+    rig = Rig(max_requests_in_flight=2)
     rig.arrive(1)
     out = sends(rig.arrive(2)[1])
-    assert out and out[0].join
+    assert out and out[0].join_fill
     assert len(rig.router.marks) == 1
 
 
@@ -79,8 +79,8 @@
     here, there = Rig(router_index=0), Rig(router_index=2, members=tuple(reversed(EVERYONE)))
     for obj in range(1, 30):
         a, b = sends(here.arrive(obj)[1])[0], sends(there.arrive(obj)[1])[0]
-        here.finish(a, note=api.Note.HIT)
-        there.finish(b, note=api.Note.HIT)
+        here.finish(a, note=api.AttemptDetail.HIT)
+        there.finish(b, note=api.AttemptDetail.HIT)
         assert (a.server, a.source) == (b.server, b.source)
         assert a.server in {m.server for m in CACHES} and a.source in {m.server for m in PARENTS}
 
@@ -91,16 +91,16 @@
     used = set()
     for obj in range(1, 30):
         a, b = sends(east.arrive(obj)[1])[0], sends(west.arrive(obj)[1])[0]
-        east.finish(a, note=api.Note.HIT)
-        west.finish(b, note=api.Note.HIT)
+        east.finish(a, note=api.AttemptDetail.HIT)
+        west.finish(b, note=api.AttemptDetail.HIT)
         assert a.source == b.source and b.server == ELSEWHERE.server
         used.add(a.source)
     assert used == {m.server for m in PARENTS}
 
 
 def test_write_skips_the_table_and_goes_to_the_origin():
-    rig = Rig(direct=True)
-    assert sends(rig.arrive(5, cls=2)[1])[0] == api.Lookup(1, ORIGIN.server, sends_timeout(rig))
+    rig = Rig(allows_direct_to_source=True)
+    assert sends(rig.arrive(5, cls=2)[1])[0] == api.FetchCached(1, ORIGIN.server, sends_timeout(rig))
     assert sends(rig.arrive(5, cls=2)[1]) and not rig.router.marks
 
 
@@ -109,6 +109,6 @@
 
 
 def test_write_without_direct_goes_through_a_cache():
-    rig = Rig(direct=False)
+    rig = Rig(allows_direct_to_source=False)
     out = sends(rig.arrive(5, cls=2)[1])[0]
-    assert out.server in {m.server for m in CACHES} and out.source == ORIGIN.server and out.keep == 0
+    assert out.server in {m.server for m in CACHES} and out.source == ORIGIN.server and out.retention_rank == 0
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -7,7 +7,7 @@
 def test_deadline_time_out_is_answered_at_once():
     rig = Rig()
     request, out = rig.arrive(5)
-    done = rig.finish(sends(out)[0], api.Status.TIMEOUT, after=6 * SECOND, final=False)
+    done = rig.finish(sends(out)[0], api.AttemptStatus.TIMEOUT, after=6 * SECOND, final=False)
     assert finals(done) == [api.Fail(request)]
     assert not sends(done)
 
@@ -20,7 +20,7 @@
         open_attempts += sends(out)
         answers += finals(out)
     while open_attempts:
-        out = rig.finish(open_attempts.pop(0), api.Status.ERROR, after=30_000)
+        out = rig.finish(open_attempts.pop(0), api.AttemptStatus.ERROR, after=30_000)
         open_attempts += sends(out)
         answers += finals(out)
         out = rig.run_timers(rig.now + 1)
@@ -36,52 +36,59 @@
     rig = Rig()
     lead = sends(rig.arrive(5)[1])[0]
     rig.feed(api.RequestCancelled(lead.request), after=1000)
-    assert not sends(rig.finish(lead, api.Status.ERROR, after=1000, final=True))
+    assert not sends(rig.finish(lead, api.AttemptStatus.ERROR, after=1000, final=True))
     assert not sends(rig.run_timers(rig.now + 10 * SECOND))
 
 
 def test_refusal_carries_a_retry_after_where_clients_take_it():
-    rig = Rig(members=(), retry_after=True, max_retry_after_us=400_000)
+    rig = Rig(members=(), allows_retry_after=True, max_retry_after_us=400_000)
     request, out = rig.arrive(5)
-    assert finals(out) == [api.Refuse(request, 400_000)]
+    assert finals(out) == [api.Reject(request, 400_000)]
 
 
 def test_unsafe_request_that_may_have_run_is_failed_not_repeated():
-    rig = Rig(direct=True, retry_after=True)
+    rig = Rig(allows_direct_to_source=True, allows_retry_after=True)
     request, out = rig.arrive(5, cls=3)
-    done = rig.finish(sends(out)[0], api.Status.RESET, after=10_000)
+    done = rig.finish(sends(out)[0], api.AttemptStatus.RESET, after=10_000)
     assert finals(done) == [api.Fail(request)] and not sends(done)
 
 
 def test_unsafe_request_waits_for_its_answer_and_a_keyed_one_does_not():
     """Guards a slow origin's answers: given up early, a write that can't be repeated failed for nothing."""
-    rig = Rig(direct=True)
+    rig = Rig(allows_direct_to_source=True)
     unsafe, keyed = (sends(rig.arrive(5, cls=cls)[1])[0] for cls in (3, 2))
     assert unsafe.timeout_us == 3 * SECOND and keyed.timeout_us < 0.7 * SECOND
 
 
 def test_unsafe_request_proven_not_run_goes_again():
-    rig = Rig(direct=True)
+    rig = Rig(allows_direct_to_source=True)
     _, out = rig.arrive(5, cls=3)
-    assert sends(rig.finish(sends(out)[0], api.Status.CONNECT_FAILED, after=10_000))
+    assert sends(rig.finish(sends(out)[0], api.AttemptStatus.CONNECT_FAILED, after=10_000))
 
 
 def test_keyed_request_is_repeated_within_its_window_only():
-    rig = Rig(direct=True, retry_after=True)
+    rig = Rig(allows_direct_to_source=True, allows_retry_after=True)
     _, out = rig.arrive(5, cls=2)
-    again = sends(rig.finish(sends(out)[0], api.Status.ERROR, after=500_000))
+    again = sends(rig.finish(sends(out)[0], api.AttemptStatus.ERROR, after=500_000))
     assert again
-    late = rig.finish(again[0], api.Status.ERROR, after=1_600_000)
+    late = rig.finish(again[0], api.AttemptStatus.ERROR, after=1_600_000)
     assert not sends(late) and finals(late)
 
 
 def test_keyed_request_stays_in_its_zone_and_is_not_refused_outside_group_all():
-    cls = api.TrafficClass("k", 700_000, 3 * SECOND, effect=api.Effect.KEYED, group="cell", repeat_window_us=2 * SECOND)
-    rig = Rig(classes=(cls,), retry_after=True)
+    cls = api.TrafficClass(
+        "k",
+        700_000,
+        3 * SECOND,
+        idempotency=api.Idempotency.IDEMPOTENCY_KEY,
+        retry_scope="cell",
+        idempotency_key_window_us=2 * SECOND,
+    )
+    rig = Rig(classes=(cls,), allows_retry_after=True)
     request, out = rig.arrive(5)
     first = sends(out)[0]
     seen = {m.server: m.cell for m in CACHES}
-    after = rig.finish(first, api.Status.ERROR, after=10_000)
+    after = rig.finish(first, api.AttemptStatus.ERROR, after=10_000)
     for a in sends(after):
         assert seen[a.server] == seen[first.server]
     if not sends(after):
@@ -94,15 +101,15 @@
     rig.arrive(5)
     drained = [m for m in CACHES if m.server == lead.server][0]
     gone = api.Member(drained.server, 8.0, drained.cell, 1, 0, api.MemberState.DRAINING)
-    rig.feed(api.MembersChanged(api.ListKind.DELTA, 2, (gone,)), after=1000)
-    released = sends(rig.finish(lead, note=api.Note.FILLED, after=50_000))
+    rig.feed(api.MembershipUpdated(api.MembershipUpdateKind.DELTA, 2, (gone,)), after=1000)
+    released = sends(rig.finish(lead, note=api.AttemptDetail.FILLED, after=50_000))
     assert released and released[0].server != lead.server
 
 
 def test_draining_parent_is_no_source_and_a_list_that_lacks_it_means_gone():
     rig = Rig()
     home = sends(rig.arrive(5)[1])[0].source
-    rig.feed(api.MembersChanged(api.ListKind.FULL, 2, tuple(m for m in EVERYONE if m.server != home)))
+    rig.feed(api.MembershipUpdated(api.MembershipUpdateKind.FULL, 2, tuple(m for m in EVERYONE if m.server != home)))
     for obj in range(1, 40):
         for a in sends(rig.arrive(obj)[1]):
             assert a.source != home
@@ -115,14 +122,19 @@
         _, out = rig.arrive(obj + 1000, cls=cls, size=size, after=10_000)
         for a in sends(out):
             total += size / 1000.0 if pick(a) else 0.0
-            rig.finish(a, note=api.Note.FILLED)
+            rig.finish(a, note=api.AttemptDetail.FILLED)
     return total
 
 
 def test_cold_cache_gets_no_more_than_its_budget():
     now = 100 * SECOND
     cold = api.Member(100, 8.0, 0, 1, started_us=now)
-    rig = Rig(members=(cold, *CACHES[1:], *PARENTS, ORIGIN), cold_share=0.2, fall_multiple=2.0, fall_us=2 * SECOND)
+    rig = Rig(
+        members=(cold, *CACHES[1:], *PARENTS, ORIGIN),
+        cold_capacity_ratio=0.2,
+        overload_multiple=2.0,
+        overload_window_us=2 * SECOND,
+    )
     work = spent_on(rig, lambda a: a.server == 100, 2)
     assert 0 < work <= 2.0 * 0.28 * 8.0 * 2.0
 
@@ -130,21 +142,23 @@
 def test_cold_parent_is_charged_its_fills():
     now = 100 * SECOND
     cold = api.Member(200, 30.0, zone=0, kind=1, started_us=now)
-    rig = Rig(members=(*CACHES, cold, *PARENTS[1:], ORIGIN), parent_cold_share=0.06, fall_us=2 * SECOND)
+    rig = Rig(
+        members=(*CACHES, cold, *PARENTS[1:], ORIGIN), parent_cold_capacity_ratio=0.06, overload_window_us=2 * SECOND
+    )
     work = spent_on(rig, lambda a: a.source == 200, 2)
     assert work <= 2.0 * 0.146 * 30.0 * 2.0 / 3
 
 
 def test_purged_object_is_asked_for_with_an_age_younger_than_the_purge_and_not_joined():
     rig = Rig()
-    rig.feed(api.Purged(5, 0, age_us=200_000))
+    rig.feed(api.PurgeReceived(5, 0, age_us=200_000))
     out = sends(rig.arrive(5, after=700_000)[1])[0]
     assert 0 < out.max_age_us < 900_000
 
 
 def test_group_purge_binds_fresh_classes_too_and_ends_when_all_copies_are_gone():
     rig = Rig()
-    rig.feed(api.Purged(0, 9, age_us=0))
+    rig.feed(api.PurgeReceived(0, 9, age_us=0))
     out = sends(rig.arrive(5, cls=1, group=9, after=300_000)[1])[0]
     assert 0 < out.max_age_us < 300_000
     later = sends(rig.arrive(6, cls=1, group=9, after=8 * SECOND)[1])[0]
@@ -154,14 +168,16 @@
 def test_nobody_waits_on_a_fill_begun_before_the_purge():
     rig = Rig()
     rig.arrive(5)
-    rig.feed(api.Purged(5, 0, age_us=0), after=10_000)
+    rig.feed(api.PurgeReceived(5, 0, age_us=0), after=10_000)
     assert sends(rig.arrive(5, after=10_000)[1])
 
 
 def test_restarted_router_keeps_to_half_of_the_cold_budget():
     now = 100 * SECOND
     cold = api.Member(100, 8.0, 0, 1, started_us=now - SECOND)
-    rig = Rig(members=(cold, *PARENTS, ORIGIN), cold_share=0.2, fall_multiple=2.0, fall_us=2 * SECOND)
+    rig = Rig(
+        members=(cold, *PARENTS, ORIGIN), cold_capacity_ratio=0.2, overload_multiple=2.0, overload_window_us=2 * SECOND
+    )
     work = spent_on(rig, lambda a: a.server == 100, 1)
     assert work <= 0.5 * 2.0 * 0.25 * 8.0 * 2.0
 
@@ -175,9 +191,9 @@
             members=(*CACHES, cold, ORIGIN),
             router_count=routers,
             router_index=index,
-            parent_cold_share=0.06,
-            parent_fall_multiple=2.0,
-            fall_us=2 * SECOND,
+            parent_cold_capacity_ratio=0.06,
+            parent_overload_multiple=2.0,
+            overload_window_us=2 * SECOND,
         )
         rig.router.cold.born = now - 20 * SECOND
         sent.append(sum(a.source == 200 for obj in range(20) for a in sends(rig.arrive(obj + 1)[1])))
--- a/tests/test_simulated_fleet.py
+++ b/tests/test_simulated_fleet.py
@@ -5,7 +5,7 @@
 import pytest
 
 from benchmarks.origin import turn, world
-from rookbend.core.model import Verdict
+from rookbend.core.model import FinalOutcome
 from rookbend.testing.simulation import EdgeFleet, World
 from rookbend.testing.simulation.clock import Simulation
 from rookbend.testing.simulation.links import Kept, Pipe
@@ -38,9 +38,9 @@
     inner = fleet._answered
 
     def answered(kind, item, part, zone, tries, since, request, answer):
-        answers.append(request.rid)
+        answers.append(request.request_id)
         if fleet.sim.now > request.deadline_us:
-            late.append(request.rid)
+            late.append(request.request_id)
         inner(kind, item, part, zone, tries, since, request, answer)
 
     fleet._answered = answered
@@ -49,8 +49,8 @@
     fleet.sim.run(30_000_000)
     assert len(answers) == len(set(answers)) == fleet.last_rid and not late
     assert not any(node.engine.open_requests for node in fleet.nodes)
-    given = {v for r in fleet.seconds.values() for v in Verdict if r[v.value]}
-    assert given >= {Verdict.SERVED, Verdict.REFUSED}
+    given = {v for r in fleet.seconds.values() for v in FinalOutcome if r[v.value]}
+    assert given >= {FinalOutcome.SERVED, FinalOutcome.REJECTED}
 
 
 def test_the_same_seed_gives_the_same_run():
--- a/tests/test_simulator_codec.py
+++ b/tests/test_simulator_codec.py
@@ -8,7 +8,7 @@
 import pytest
 
 from rookbend import interface as api
-from rookbend import simulator_codec
+from rookbend import simulator_codec, simulator_settings
 
 ROOT = Path(__file__).parent.parent
 SETTINGS = """\
@@ -91,39 +91,41 @@
 
 def test_missing_setting_is_named():
     with pytest.raises(simulator_codec.WireError, match="limits.maxAttempts"):
-        simulator_codec.parse_settings(SETTINGS.replace("limits.maxAttempts=4\n", ""))
+        simulator_settings.parse_settings(SETTINGS.replace("limits.maxAttempts=4\n", ""))
 
 
 def test_settings_are_read_and_unknown_keys_skipped():
-    s = simulator_codec.parse_settings(SETTINGS)
-    assert (s.zone, s.router_count, s.parent_kind, s.classes[0].effect) == (1, 2, 1, api.Effect.SAFE)
+    s = simulator_settings.parse_settings(SETTINGS)
+    assert (s.zone, s.router_count, s.parent_kind, s.classes[0].idempotency) == (1, 2, 1, api.Idempotency.IDEMPOTENT)
 
 
 def test_events_are_read():
     record = struct.pack(">BIIBIHBIBBIBf", 0, 3, 77, 1, 7, 80, 1, 500, 1, 2, 40, 1, 2.5)
     ((instance, event),) = simulator_codec.read_batch(record, 1)
     assert instance == 3
-    assert event == api.AttemptFinished(77, 1, 7 << 16 | 80, api.Status.OK, 500, True, api.Note.FILLED, 40, (2.5,))
+    assert event == api.AttemptFinished(
+        77, 1, 7 << 16 | 80, api.AttemptStatus.OK, 500, True, api.AttemptDetail.FILLED, 40, (2.5,)
+    )
     purge = struct.pack(">BIQIH", 1, 3, 9, 100, 4)
-    assert simulator_codec.read_batch(purge, 1) == [(3, api.Purged(9, 4, 100))]
+    assert simulator_codec.read_batch(purge, 1) == [(3, api.PurgeReceived(9, 4, 100))]
 
 
 def test_every_action_has_a_record():
     server = 7 << 16 | 80
     for action, code in (
-        (api.Lookup(1, server, 5), 5),
-        (api.Fetch(1, server, 5, server, join=True), 8),
+        (api.FetchCached(1, server, 5), 5),
+        (api.Fetch(1, server, 5, server, join_fill=True), 8),
         (api.Fail(1), 2),
-        (api.Refuse(1, 5), 7),
+        (api.Reject(1, 5), 7),
         (api.CancelAttempt(1, 0), 9),
         (api.SetTimer(5, 1), 11),
-        (api.Probe(server), 12),
-        (api.CloseIdle(server), 3),
-        (api.ReloadMembers(), 10),
-        (api.WatchMembers(True), 0),
-        (api.SendPeer(None, b"hi"), 6),
-        (api.LogLine("x"), 1),
-        (api.Fault("x"), 4),
+        (api.StartHealthCheck(server), 12),
+        (api.CloseIdleConnections(server), 3),
+        (api.ReloadMembership(), 10),
+        (api.SubscribeMembership(True), 0),
+        (api.SendPeerMessage(None, b"hi"), 6),
+        (api.WriteLog("x"), 1),
+        (api.InternalError("x"), 4),
     ):
         data = simulator_codec.write_action(3, action)
         assert data[0] == code and data[1:5] == struct.pack(">I", 3)
--- a/tests/test_slow_start_fleet.py
+++ b/tests/test_slow_start_fleet.py
@@ -52,13 +52,13 @@
                 router_index=index,
                 router_count=self.directors,
                 routers_by_zone=seats,
-                cold_share=LEAST,
+                cold_capacity_ratio=LEAST,
                 warm_up_us=WARM_UP_US,
-                fall_multiple=MULTIPLE,
-                fall_us=WINDOW_US,
-                parent_cold_share=PARENT_LEAST,
+                overload_multiple=MULTIPLE,
+                overload_window_us=WINDOW_US,
+                parent_cold_capacity_ratio=PARENT_LEAST,
                 parent_warm_up_us=PARENT_WARM_UP_US,
-                parent_fall_multiple=MULTIPLE,
+                parent_overload_multiple=MULTIPLE,
             ),
             seed=index,
         )
@@ -106,7 +106,15 @@
                 now,
                 index,
                 api.AttemptFinished(
-                    action.request, number, action.server, api.Status.OK, TAKES_US, True, api.Note.FILLED, 0, ()
+                    action.request,
+                    number,
+                    action.server,
+                    api.AttemptStatus.OK,
+                    TAKES_US,
+                    True,
+                    api.AttemptDetail.FILLED,
+                    0,
+                    (),
                 ),
             )
 
@@ -120,7 +128,11 @@
         self.at(now + int(self.random.expovariate(per_s) * 1e6), self.arrive, index, per_s)
 
     def hear(self, now, index, cold):
-        self.feed(now, index, api.MembersChanged(api.ListKind.FULL, 1 + cold, self.members(self.zone(index), cold)))
+        self.feed(
+            now,
+            index,
+            api.MembershipUpdated(api.MembershipUpdateKind.FULL, 1 + cold, self.members(self.zone(index), cold)),
+        )
 
     def restart(self, now, index):
         self.routers[index] = self.start(index)
