--- a/rookbend/leases/coordinator.py
+++ b/rookbend/leases/coordinator.py
@@ -14,15 +14,31 @@
 
 import msgspec
 
+from rookbend.coordination.actions import DeleteRow, PersistRow, SendDatagram, WriteLogLine
+from rookbend.coordination.events import DatagramReceived, TimerExpired
 from rookbend.core.token_bucket import Bucket
 from rookbend.leases import leader_tasks, order_replication, ramp_allocation
 from rookbend.leases import sharded_checks as checks
+from rookbend.leases.actions import Action, Count, Lost, OrderDone, OrderStands, Owned, Told, WriteLine
+from rookbend.leases.events import (
+    Asked,
+    Counted,
+    Event,
+    Found,
+    Kept,
+    Living,
+    Move,
+    NewVoters,
+    OldDisk,
+    OrderGiven,
+    Stop,
+    Written,
+)
 from rookbend.leases.fencing import Receiver
 from rookbend.leases.fleet_report import Report
 from rookbend.leases.lease import Grant, Phase, Sets, Tenure, Terms, Voter
 from rookbend.protocol import leases as wire
 from rookbend.protocol.gossip import fleet_number
-from rookbend.recovery.coordinator import Datagram, Forget, Keep, Say, Send, Tick
 
 BEAT_US = 100_000  # the machine's own, while anything is owned, asked for or voted on
 ASK_AGAIN_US = 200_000  # a round whose votes were lost
@@ -59,152 +75,6 @@
     report_us: int = 60_000_000
 
 
-# Events
-
-
-@dataclass(slots=True)
-class Kept:
-    """A row that was promised is on disk, or can't be."""
-
-    kind: str
-    key: str
-    safe: bool
-
-
-@dataclass(slots=True)
-class Living:
-    """Directors of which there is a sign of life, this one among them."""
-
-    places: frozenset[int]
-
-
-@dataclass(slots=True)
-class Stop:
-    """SIGTERM: what is owned goes to others."""
-
-
-@dataclass(slots=True)
-class NewVoters:
-    voters: frozenset[int]
-
-
-@dataclass(slots=True)
-class OldDisk:
-    """Others know a later life of ours than the disk does."""
-
-
-@dataclass(slots=True)
-class OrderGiven:
-    """By an operator, here. `id` is ours."""
-
-    id: int
-    member: str
-    order: str
-    by: str
-
-
-@dataclass(slots=True)
-class Found:
-    """What our checks have found of a shard that we own: findings, and the figure of those known."""
-
-    scope: int
-    findings: list[checks.Finding]
-    covered: int
-
-
-@dataclass(slots=True)
-class Asked:
-    """Calls to the origin of late by director, of those heard, while a ramp lasts; else empty."""
-
-    calls: Mapping[int, int]
-
-
-@dataclass(slots=True)
-class Counted:
-    """Our own counters, in the order of `report.FIGURES`."""
-
-    figures: tuple[int, ...]
-
-
-@dataclass(slots=True)
-class Written:
-    """What became of a line: `highest` is the ledger's newest token where it refused ours."""
-
-    number: int
-    ok: bool
-    highest: int = 0
-
-
-@dataclass(slots=True)
-class Move:
-    """An operator's: hand a scope that we own to that director."""
-
-    scope: int
-    place: int
-
-
-Event = (
-    Tick | Datagram | Kept | Living | Stop | NewVoters | OldDisk | OrderGiven | Found | Asked | Counted | Written | Move
-)
-
-# Actions, beside those that are recovery's too
-
-
-@dataclass(slots=True)
-class Owned:
-    """From now on, until that time or `Lost`: what stands on the scope may run."""
-
-    scope: int
-    token: int
-    until: int
-
-
-@dataclass(slots=True)
-class Lost:
-    scope: int
-    why: str
-
-
-@dataclass(slots=True)
-class OrderStands:
-    """Takes effect here: on a member."""
-
-    member: str
-    order: str
-    by: str
-
-
-@dataclass(slots=True)
-class OrderDone:
-    id: int
-    fault: str
-
-
-@dataclass(slots=True)
-class Told:
-    """A shard's owner has told of it: the follower has news for the board."""
-
-    scope: int
-
-
-@dataclass(slots=True)
-class Count:
-    """Our counters are wanted."""
-
-
-@dataclass(slots=True)
-class WriteLine:
-    """To the ledger, by the lease's end and not later."""
-
-    number: int
-    token: int
-    line: str
-    until: int
-
-
-Action = Send | Keep | Forget | Owned | Lost | OrderStands | OrderDone | Told | Count | WriteLine | Say
-
-
 @dataclass(slots=True)
 class VoteDue:
     """A vote that waits for the disk."""
@@ -326,7 +196,7 @@
         return self.out
 
     def _say(self, event: str, level: str = "info", **fields) -> None:
-        self.out.append(Say(event, level, fields))
+        self.out.append(WriteLogLine(event, level, fields))
 
     def _jitter(self, span_us: int) -> int:
         return int(self.random.random() * span_us)
@@ -339,7 +209,7 @@
             self._take(now, peer, wire.decode(data))
         elif self.budget.take(now):
             self.sent += 1
-            self.out.append(Send(peer, data))
+            self.out.append(SendDatagram(peer, data))
         else:
             self.silenced += 1
 
@@ -356,11 +226,11 @@
     def _say_released(self, now: int, scope: int, token: int, successor: int = -1) -> None:
         self._to_voters(now, wire.Release(*self._head(), ((scope, token, successor),)))
 
-    def _keep_entry(self, entry: wire.Entry, promised: bool = False) -> None:
-        self.out.append(Keep("log", _log_key(entry[0]), msgspec.msgpack.encode(entry), promised))
+    def _keep_entry(self, entry: wire.Entry, awaited: bool = False) -> None:
+        self.out.append(PersistRow("log", _log_key(entry[0]), msgspec.msgpack.encode(entry), awaited))
 
     def _keep_stands(self) -> None:
-        self.out.append(Keep("log", "stands", msgspec.msgpack.encode(self.log.committed)))
+        self.out.append(PersistRow("log", "stands", msgspec.msgpack.encode(self.log.committed)))
 
     # What is owned
 
@@ -383,7 +253,7 @@
 
     # Time
 
-    def _tick(self, now: int, event: Tick) -> None:
+    def _tick(self, now: int, event: TimerExpired) -> None:
         if now < self.due_us:
             return
         rows: list[tuple[int, int, int]] = []
@@ -506,7 +376,7 @@
     def _raise(self, scope: int, token: int) -> None:
         """Our own token binds us as a receiver too."""
         if self.receiver.rises(scope, token):
-            self.out.append(Keep("token", str(scope), msgspec.msgpack.encode(token)))
+            self.out.append(PersistRow("token", str(scope), msgspec.msgpack.encode(token)))
         self.receiver.accept(scope, token)
 
     def _hand_over(self, now: int, scope: int, successor: int) -> None:
@@ -590,7 +460,7 @@
 
     # Datagrams
 
-    def _datagram(self, now: int, event: Datagram) -> None:
+    def _datagram(self, now: int, event: DatagramReceived) -> None:
         try:
             message = wire.decode(event.data)
         except wire.OwnershipError:
@@ -623,7 +493,7 @@
             key, due = str(scope), VoteDue(sender, m.life, scope, round_, token)
             if vote.is_new:
                 self.votes_due.setdefault(key, deque()).append(due)
-                self.out.append(Keep("promise", key, msgspec.msgpack.encode((sender, m.life, token)), True))
+                self.out.append(PersistRow("promise", key, msgspec.msgpack.encode((sender, m.life, token)), True))
             elif vote.granted and any(d.token == token for d in self.votes_due.get(key, ())):
                 for waiting in self.votes_due[key]:
                     waiting.round = round_  # asked again before its grant was on disk: the vote waits on
@@ -726,7 +596,7 @@
             if token > self._believable(now):
                 self.unreadable += 1
                 return False
-            self.out.append(Keep("token", str(scope), msgspec.msgpack.encode(token)))
+            self.out.append(PersistRow("token", str(scope), msgspec.msgpack.encode(token)))
             self.top = max(self.top, token)
         if self.receiver.accept(scope, token):
             return True
@@ -911,7 +781,7 @@
             if self.log.put(m.entry):
                 due = self.appends_due.setdefault(_log_key(number), deque())
                 due.append((sender, m.life, m.token, number))
-                self._keep_entry(m.entry, promised=True)
+                self._keep_entry(m.entry, awaited=True)
             elif self.log.entries[number] == m.entry and _log_key(number) not in self.appends_due:
                 self._send(now, sender, wire.Appended(*self._head(), m.life, m.token, number))
         if sender != self.config.me:
@@ -1026,7 +896,7 @@
         if due:
             self._keep_stands()
         for number in self.log.compact():
-            self.out.append(Forget("log", _log_key(number)))
+            self.out.append(DeleteRow("log", _log_key(number)))
 
     def _orders_tick(self, now: int) -> None:
         if ORDERS not in self.tenures:
@@ -1120,8 +990,8 @@
 
 
 HANDLERS = {
-    Tick: Director._tick,
-    Datagram: Director._datagram,
+    TimerExpired: Director._tick,
+    DatagramReceived: Director._datagram,
     Kept: Director._kept,
     Living: Director._living,
     Stop: Director._stop,
--- a/rookbend/net/leases.py
+++ b/rookbend/net/leases.py
@@ -99,7 +99,7 @@
     def _datagram(self, sender: int, data: bytes) -> bool:
         if not is_ours(data):
             return self._passed_on is not None and self._passed_on(sender, data)
-        self.feed(machine.Datagram(sender, data))
+        self.feed(machine.DatagramReceived(sender, data))
         return True
 
     # What goes out
@@ -108,20 +108,20 @@
         for action in actions:
             CARRY[type(action)](self, action)
 
-    def _send(self, a: machine.Send) -> None:
+    def _send(self, a: machine.SendDatagram) -> None:
         if self.engine.peers is not None:
             self.engine.peers.send(a.peer, a.data)
 
-    def _keep(self, a: machine.Keep) -> None:
+    def _keep(self, a: machine.PersistRow) -> None:
         def safe(yes: bool) -> None:
             self.feed(machine.Kept(a.kind, a.key, yes))
 
         if self.state is not None:
-            self.state.put(a.kind, a.key, a.value, safe if a.promised else None)
-        elif a.promised:
+            self.state.put(a.kind, a.key, a.value, safe if a.awaited else None)
+        elif a.awaited:
             safe(True)  # no disk: this voter is quiet after a start, and copies the log of the others
 
-    def _forget(self, a: machine.Forget) -> None:
+    def _forget(self, a: machine.DeleteRow) -> None:
         if self.state is not None:
             self.state.drop(a.kind, a.key)
 
@@ -288,7 +288,7 @@
     async def _run(self) -> None:
         while True:
             self._due_earlier = trio.Event()
-            self.feed(machine.Tick())
+            self.feed(machine.TimerExpired())
             for number, scope in self.tasks.items():
                 # A renewal moves the end of what runs under it.
                 scope.deadline = self._monotonic_at(self.machine.tenures[number].until)
@@ -311,9 +311,9 @@
 
 
 CARRY = {
-    machine.Send: OwnershipPart._send,
-    machine.Keep: OwnershipPart._keep,
-    machine.Forget: OwnershipPart._forget,
+    machine.SendDatagram: OwnershipPart._send,
+    machine.PersistRow: OwnershipPart._keep,
+    machine.DeleteRow: OwnershipPart._forget,
     machine.Owned: lambda part, a: None,
     machine.Lost: OwnershipPart._lost,
     machine.OrderStands: OwnershipPart._order_stands,
@@ -321,5 +321,5 @@
     machine.Told: OwnershipPart._told,
     machine.Count: OwnershipPart._count,
     machine.WriteLine: OwnershipPart._write_line,
-    machine.Say: lambda part, a: part.log(a.event, a.level, **a.fields),
+    machine.WriteLogLine: lambda part, a: part.log(a.event, a.level, **a.fields),
 }
--- a/rookbend/net/recovery.py
+++ b/rookbend/net/recovery.py
@@ -118,7 +118,7 @@
         """Whether it is of this exchange, and not the module's."""
         if not is_ours(data):
             return False
-        self.feed(machine.Datagram(sender, data))
+        self.feed(machine.DatagramReceived(sender, data))
         return True
 
     def _attempt(self, attempt: Attempt, result: AttemptResult | None) -> None:
@@ -145,20 +145,20 @@
         for action in actions:
             CARRY[type(action)](self, action)
 
-    def _send(self, a: machine.Send) -> None:
+    def _send(self, a: machine.SendDatagram) -> None:
         if self.engine.peers is not None:
             self.sent += 1
             self.engine.peers.send(a.peer, a.data)
 
-    def _keep(self, a: machine.Keep) -> None:
+    def _keep(self, a: machine.PersistRow) -> None:
         if self.state is None:
-            if a.promised:
+            if a.awaited:
                 self._kept(a, True)  # no disk: the order lasts as long as somebody of the fleet does
             return
-        done = (lambda safe: self._kept(a, safe)) if a.promised else None
+        done = (lambda safe: self._kept(a, safe)) if a.awaited else None
         self.state.put(a.kind, a.key, a.value, done)
 
-    def _forget(self, a: machine.Forget) -> None:
+    def _forget(self, a: machine.DeleteRow) -> None:
         if self.state is not None:
             self.state.drop(a.kind, a.key)
 
@@ -194,7 +194,7 @@
 
     # Operators
 
-    def _kept(self, a: machine.Keep, safe: bool) -> None:
+    def _kept(self, a: machine.PersistRow, safe: bool) -> None:
         if safe:
             self.feed(machine.OrderKept(a.key, a.value))
         promise = self._promises.pop(a.key, None)
@@ -232,7 +232,7 @@
         clock = self.site.clock
         while True:
             self._due_earlier = trio.Event()
-            self.feed(machine.Tick())
+            self.feed(machine.TimerExpired())
             if self.limits is not None and self.limits.rate is not None:
                 # What waits in the module for its turn hears of time by this alone.
                 self.engine.limit(self.limits.closed, self.limits.rate)
@@ -242,13 +242,13 @@
 
 
 CARRY = {
-    machine.Send: RecoveryPart._send,
-    machine.Keep: RecoveryPart._keep,
-    machine.Forget: RecoveryPart._forget,
+    machine.SendDatagram: RecoveryPart._send,
+    machine.PersistRow: RecoveryPart._keep,
+    machine.DeleteRow: RecoveryPart._forget,
     machine.Members: RecoveryPart._members,
     machine.OrderLearnt: RecoveryPart.learn,
     machine.PurgeLearnt: lambda part, a: part.engine.purged(a.purge),
     machine.LimitsSet: RecoveryPart._limits,
     machine.BootRaised: RecoveryPart._boot,
-    machine.Say: lambda part, a: part.log(a.event, a.level, **a.fields),
+    machine.WriteLogLine: lambda part, a: part.log(a.event, a.level, **a.fields),
 }
--- a/rookbend/recovery/coordinator.py
+++ b/rookbend/recovery/coordinator.py
@@ -12,6 +12,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field, replace
 
+from rookbend.coordination.actions import DeleteRow, PersistRow, SendDatagram, WriteLogLine
+from rookbend.coordination.events import DatagramReceived, TimerExpired
 from rookbend.core.model import Endpoint, MembershipChange, Purge
 from rookbend.core.token_bucket import Bucket
 from rookbend.interface import MemberState
@@ -57,17 +59,6 @@
 # Events
 
 
-@dataclass(slots=True)
-class Tick:
-    pass
-
-
-@dataclass(slots=True)
-class Datagram:
-    sender: int
-    data: bytes
-
-
 @dataclass(slots=True)
 class MembershipTold:
     change: MembershipChange
@@ -119,33 +110,11 @@
 
 
 CoordinatorEvent = MembershipTold | PurgeTold | StreamHeard | CallMade | CallEnded
-Event = Tick | Datagram | CoordinatorEvent | OrderGiven | OrderKept | Command
+Event = TimerExpired | DatagramReceived | CoordinatorEvent | OrderGiven | OrderKept | Command
 
 # Actions
 
 
-@dataclass(slots=True)
-class Send:
-    peer: int
-    data: bytes
-
-
-@dataclass(slots=True)
-class Keep:
-    """To be kept on disk, where there is one; `promised`: somebody waits for it to be safe."""
-
-    kind: str
-    key: str
-    value: bytes
-    promised: bool = False
-
-
-@dataclass(slots=True)
-class Forget:
-    kind: str
-    key: str
-
-
 @dataclass(slots=True)
 class Members:
     """What goes on to health or the engine in place of what the coordinator told."""
@@ -181,14 +150,9 @@
     boot: int
 
 
-@dataclass(slots=True)
-class Say:
-    event: str
-    level: str
-    fields: dict
-
-
-Action = Send | Keep | Forget | Members | PurgeLearnt | OrderLearnt | LimitsSet | BootRaised | Say
+Action = (
+    SendDatagram | PersistRow | DeleteRow | Members | PurgeLearnt | OrderLearnt | LimitsSet | BootRaised | WriteLogLine
+)
 
 
 class Director:
@@ -259,7 +223,7 @@
         return self.out
 
     def _say(self, event: str, level: str = "info", **fields) -> None:
-        self.out.append(Say(event, level, fields))
+        self.out.append(WriteLogLine(event, level, fields))
 
     @property
     def phase(self) -> Phase:
@@ -270,7 +234,7 @@
 
     # Time
 
-    def _tick(self, now: int, event: Tick) -> None:
+    def _tick(self, now: int, event: TimerExpired) -> None:
         if now < self.due_us:
             return
         self._release_drains(now)
@@ -371,7 +335,7 @@
             self.out.append(new)
 
     def _keep_hint(self, rate: float) -> None:
-        self.out.append(Keep("hint", "origin", int(rate).to_bytes(4, "big")))
+        self.out.append(PersistRow("hint", "origin", int(rate).to_bytes(4, "big")))
 
     # The membership
 
@@ -403,12 +367,12 @@
             drains.drop(name)
             drains.put(name, kept.write((int(state), revision)))
             self.drained_at[name] = now
-            self.out.append(Keep("drain", name, drains.rows[name]))
+            self.out.append(PersistRow("drain", name, drains.rows[name]))
 
     def _lift(self, name: str) -> None:
         self.rows["drain"].drop(name)
         self.drained_at.pop(name, None)
-        self.out.append(Forget("drain", name))
+        self.out.append(DeleteRow("drain", name))
 
     def _release_drains(self, now: int) -> None:
         """Drains from before whose bound is over; what the present list says stands by itself."""
@@ -454,7 +418,7 @@
         p = event.purge
         key = f"g {p.group}" if p.object_id is None else f"o {p.object_id:x}"
         if self.rows["purge"].put(key, kept.write(p.unix_us // 1000)):
-            self.out.append(Keep("purge", key, self.rows["purge"].rows[key]))
+            self.out.append(PersistRow("purge", key, self.rows["purge"].rows[key]))
 
     def _stream(self, now: int, event: StreamHeard) -> None:
         if not self.gap.covered:
@@ -488,7 +452,7 @@
         key = f"{self.config.me}/{event.member}"
         # Above all of our own from before: the boot number leads, and only grows.
         value = kept.write((event.order, event.by, (self.boot << 24) + self.sequence_of_orders))
-        self.out.append(Keep("order", key, value, True))
+        self.out.append(PersistRow("order", key, value, True))
 
     def _order_kept(self, now: int, event: OrderKept) -> None:
         # Only now: a peer that had taken an order which the disk then refuses would give it back to us.
@@ -507,13 +471,13 @@
             self.sequence.held = event.word == "hold"
         self._say("recovery_order", "warning", order=event.word, stage=self.sequence.stage.name.lower())
         self.due_us = now
-        self._tick(now, Tick())
+        self._tick(now, TimerExpired())
 
     # Others
 
     def _send(self, now: int, peer: int, data: bytes) -> None:
         if self.budget.take(now):
-            self.out.append(Send(peer, data))
+            self.out.append(SendDatagram(peer, data))
         else:
             self.silenced += 1
 
@@ -548,7 +512,7 @@
     def _fleet(self) -> int:
         return wire.fleet_number(self.config.fleet)
 
-    def _datagram(self, now: int, event: Datagram) -> None:
+    def _datagram(self, now: int, event: DatagramReceived) -> None:
         try:
             message = wire.decode(event.data)
         except wire.FleetError:
@@ -586,7 +550,7 @@
         calls = min(calls, CALLS_MOST)
         self.share.heard(sender, Outcomes(now, rate / 10, calls, min(bad, calls), min(slow, calls), fastest * 1000))
         if hello.boot > known:
-            self.out.append(Keep("peer", str(sender), hello.boot.to_bytes(8, "big")))
+            self.out.append(PersistRow("peer", str(sender), hello.boot.to_bytes(8, "big")))
         for kind, name in enumerate(wire.KINDS):
             wanted = (
                 name == "order" or (name == "purge" and not self.gap.covered) or (name == "drain" and not self.told)
@@ -638,12 +602,12 @@
         if what not in ("o", "g") or not _is_number(number, what):
             self.unreadable += 1
         elif now - made_us <= PURGE_MARGIN * self.config.purge_propagation_us and self.rows["purge"].put(key, value):
-            self.out += [Keep("purge", key, value), PurgeLearnt(self._purge(key, made_us // 1000))]
+            self.out += [PersistRow("purge", key, value), PurgeLearnt(self._purge(key, made_us // 1000))]
 
     def _drain_from_peers(self, now: int, key: str, value: bytes) -> None:
         if self.rows["drain"].put(key, value):
             self.drained_at[key] = now
-            self.out.append(Keep("drain", key, value))
+            self.out.append(PersistRow("drain", key, value))
             if key in self.told:
                 self._pass_on([self.told[key]])
 
@@ -652,7 +616,7 @@
         if not owner.isdigit() or int(owner) >= self.config.count or not member:
             self.unreadable += 1
         elif self.rows["order"].put(key, value):
-            self.out.append(Keep("order", key, value))
+            self.out.append(PersistRow("order", key, value))
             self._order_stands(key)
 
     # What operators read
@@ -725,8 +689,8 @@
 
 
 HANDLERS = {
-    Tick: Director._tick,
-    Datagram: Director._datagram,
+    TimerExpired: Director._tick,
+    DatagramReceived: Director._datagram,
     MembershipTold: Director._membership,
     PurgeTold: Director._purge_told,
     StreamHeard: Director._stream,
--- a/rookbend/testing/lease_simulation.py
+++ b/rookbend/testing/lease_simulation.py
@@ -122,7 +122,7 @@
         if node.machine is not of:
             return
         if not node.frozen:
-            self._feed(node, machine.Tick())
+            self._feed(node, machine.TimerExpired())
         self._push(self.now + max(1_000, of.due_us - self.clock(node)), self._tick, node, of)
 
     def _live(self, node: Node, of: machine.Director) -> None:
@@ -153,15 +153,15 @@
     def _carry_out(self, node: Node, actions: list) -> None:
         for a in actions:
             kind = type(a)
-            if kind is machine.Send:
+            if kind is machine.SendDatagram:
                 self._send(node, a)
-            elif kind is machine.Keep:
+            elif kind is machine.PersistRow:
                 if not node.refuses:
                     node.disk[a.kind, a.key] = a.value
-                if a.promised:
+                if a.awaited:
                     event = machine.Kept(a.kind, a.key, not node.refuses)
                     self._push(self.now + 1_000, self._feed_of, node, node.machine, event)
-            elif kind is machine.Forget:
+            elif kind is machine.DeleteRow:
                 node.disk.pop((a.kind, a.key), None)
             elif kind is machine.Owned:
                 self._won(node, a)
@@ -176,7 +176,7 @@
             elif kind is machine.WriteLine:
                 # The line is in the socket's buffer: it arrives whenever the network likes.
                 self._push(self.now + int(self.random.random() * 200_000), self._write, node, node.machine, a)
-            elif kind is machine.Say:
+            elif kind is machine.WriteLogLine:
                 node.said[a.event] += 1
 
     def _won(self, node: Node, a: machine.Owned) -> None:
@@ -206,14 +206,16 @@
 
     # Datagrams
 
-    def _send(self, node: Node, a: machine.Send) -> None:
+    def _send(self, node: Node, a: machine.SendDatagram) -> None:
         assert len(a.data) <= 256
         self.sent[(self.now - EPOCH) // SECOND] += 1
         self.bytes += len(a.data)
         for _ in range(2 if self.random.random() < self.double else 1):
             if (node.number, a.peer) not in self.cut and self.random.random() >= self.loss:
                 late = int(self.late_us * (1 + self.random.expovariate(1.0)))
-                self._push(self.now + late, self._feed, self.nodes[a.peer], machine.Datagram(node.number, a.data))
+                self._push(
+                    self.now + late, self._feed, self.nodes[a.peer], machine.DatagramReceived(node.number, a.data)
+                )
 
     # What is looked at
 
--- a/rookbend/testing/recovery_simulation.py
+++ b/rookbend/testing/recovery_simulation.py
@@ -90,7 +90,7 @@
     lives: list[tuple[int, int]] = field(default_factory=list)  # (boot, life) that it has told of
     members: dict[str, Endpoint] = field(default_factory=dict)  # what went on to the engine
     orders: dict[str, str] = field(default_factory=dict)  # what went on to health
-    said: list[machine.Say] = field(default_factory=list)
+    said: list[machine.WriteLogLine] = field(default_factory=list)
     frozen: list = field(default_factory=list)
     is_frozen: bool = False
     events: Counter = field(default_factory=Counter)
@@ -233,7 +233,7 @@
         if node.machine is not of:
             return
         if not node.is_frozen:
-            self._feed(number, machine.Tick())
+            self._feed(number, machine.TimerExpired())
         self._push(max(of.due_us, self.now + 1_000), self._tick, number, of)
 
     def _feed(self, number: int, event) -> None:
@@ -249,13 +249,13 @@
         for a in actions:
             kind = type(a)
             node.events[kind.__name__] += 1
-            if kind is machine.Send:
+            if kind is machine.SendDatagram:
                 self._send(node.number, a.peer, a.data)
-            elif kind is machine.Keep:
+            elif kind is machine.PersistRow:
                 node.disk.put(self.now, a.kind, a.key, a.value)
-                if a.promised:
+                if a.awaited:
                     self._feed(node.number, machine.OrderKept(a.key, a.value))
-            elif kind is machine.Forget:
+            elif kind is machine.DeleteRow:
                 node.disk.drop(a.kind, a.key)
             elif kind is machine.LimitsSet and self.recovery:
                 node.limits = a
@@ -268,7 +268,7 @@
                 node.members.update({e.name: e for e in a.change.endpoints})
             elif kind is machine.OrderLearnt:
                 node.orders[a.member] = a.order
-            elif kind is machine.Say:
+            elif kind is machine.WriteLogLine:
                 node.said.append(a)
 
     # Datagrams
@@ -279,7 +279,7 @@
         for _ in range(2 if self.random.random() < self.double else 1):
             if (source, target) not in self.cut and self.random.random() >= self.loss:
                 late = int(self.late_us * (1 + self.random.expovariate(1.0)))
-                self._push(self.now + late, self._feed, target, machine.Datagram(source, data))
+                self._push(self.now + late, self._feed, target, machine.DatagramReceived(source, data))
 
     # Demand
 
--- a/tests/test_leases_fleet.py
+++ b/tests/test_leases_fleet.py
@@ -191,7 +191,7 @@
         wire.encode(wire.Ask(m.fleet, 1, 5, 0, 0, ((0, -5, 0),))),
     ]
     for data in bad:
-        m.feed(now, machine.Datagram(1, data))
+        m.feed(now, machine.DatagramReceived(1, data))
     assert m.unreadable == len(bad) and m.describe(now) == before
     with pytest.raises(wire.OwnershipError):
         wire.decode(bad[2])
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -14,9 +14,8 @@
 from rookbend.recovery import replicated_rows
 from rookbend.recovery.failure_classification import HOLD_US, SILENT_US, Happened, Verdict
 from rookbend.recovery.missed_purges import Gap
-from rookbend.recovery.origin_ramp import BACK_US, STEP_US, Outcomes, Share
 from rookbend.recovery.peers import Peers
-from rookbend.recovery.startup_stages import Facts, Plan, Sequence, Stage
+from rookbend.recovery.startup_stages import Stage
 from rookbend.testing.recovery_simulation import EPOCH, ORIGIN, PARENT, SECOND, FleetSim, World
 
 NOW = EPOCH
@@ -55,7 +54,10 @@
 def test_no_bytes_make_a_machine_raise(data):
     d = director()
     for raw in (data, wire.MAGIC + data, wire.MAGIC + b"\x98" + data):
-        assert all(type(a) in (machine.Send, machine.Say) for a in d.feed(NOW, machine.Datagram(1, raw)))
+        assert all(
+            type(a) in (machine.SendDatagram, machine.WriteLogLine)
+            for a in d.feed(NOW, machine.DatagramReceived(1, raw))
+        )
 
 
 @pytest.mark.parametrize(
@@ -71,7 +73,7 @@
 def test_figures_that_can_not_be_are_counted_and_dropped(message):
     d = director()
     data = wire.MAGIC + wire._encoder.encode(message)
-    assert d.feed(NOW, machine.Datagram(1, data)) == [] and d.unreadable == 1
+    assert d.feed(NOW, machine.DatagramReceived(1, data)) == [] and d.unreadable == 1
 
 
 # Whom to believe
@@ -184,114 +186,6 @@
     assert gap.covered_by == "peers 1 2"
 
 
-# The share
-
-
-def test_the_rate_grows_while_all_is_well_stands_while_calls_queue_and_halves():
-    share, now = Share(40, 400, NOW), NOW
-    for _ in range(3):
-        now += STEP_US
-        for _ in range(60):
-            share.asked()
-            share.ended(now, True, 40_000)
-        assert share.tick(now, 1.0)
-    grown = share.rate
-    assert grown == pytest.approx(40 * 1.6**3)
-    now += STEP_US + SECOND
-    for _ in range(60):
-        share.asked()
-        share.ended(now, True, 700_000)
-    assert not share.tick(now, 1.0) and share.rate == grown, "it queues: not pushed"
-    for _ in range(50):
-        share.ended(now, False, 1_000)
-    assert share.tick(now, 1.0) and share.rate == grown / 2 and not share.tick(now + 1, 1.0)
-    assert share.tick(now + BACK_US - 1, 1.0) is False
-
-
-def test_a_director_that_sees_too_few_calls_goes_by_what_others_saw():
-    share = Share(40, 400, NOW)
-    share.asked()
-    share.ended(NOW, False, 1_000)
-    assert not share.unwell(NOW)
-    for i in range(1, 5):
-        share.heard(i, Outcomes(NOW, 40, 2, 1, 0, 40_000))
-    assert share.unwell(NOW) and share.tick(NOW + BACK_US, 0.01) and share.rate == 20
-    assert not share.unwell(NOW + 3 * SECOND), "their word fades"
-
-
-def test_nobody_runs_ahead_of_the_others_median_and_all_are_free_together():
-    share = Share(100, 400, NOW)
-    for i in range(1, 4):
-        share.heard(i, Outcomes(NOW + STEP_US, 50, 5, 0, 0, 40_000))
-    share.tick(NOW + STEP_US, 1.0)
-    assert share.rate == 62.5
-    for i in range(1, 4):
-        share.heard(i, Outcomes(NOW + 2 * STEP_US, 0, 5, 0, 0, 40_000))
-    share.tick(NOW + 2 * STEP_US, 1.0)
-    assert share.rate is None
-
-
-def test_a_part_is_never_under_one_of_all():
-    share = Share(40, 400, NOW)
-    assert share.part(5, 10, True) == 0.2 and share.part(5, 10, False) == 0.1
-    assert share.part(99, 10, True) == 0.1 and share.part(0, 10, True) == 1
-
-
-# The sequence
-
-WELL = Facts(Happened.WHOLE, True, True, 1.0, 0.0, 1.0, True, True, 1.0)
-
-
-def replaced(facts, **changes):
-    return Facts(**{**{n: getattr(facts, n) for n in facts.__slots__}, **changes})
-
-
-def test_stages_come_in_order_each_after_its_floor():
-    s, now, seen = Sequence(Plan(), NOW), NOW, []
-    while s.stage is not Stage.SERVING:
-        now += 50_000
-        if s.tick(now, WELL):
-            seen.append((s.stage, now - NOW))
-    assert [stage for stage, _ in seen] == list(Stage)[1:]
-    assert seen[-1][1] <= 2 * SECOND and all(b[1] - a[1] >= 300_000 for a, b in zip(seen, seen[1:], strict=False))
-
-
-def test_alone_no_floor_holds_anything_back():
-    s, facts = Sequence(Plan(), NOW), replaced(WELL, happened=Happened.ALONE, up_share=0.1, serving_share=0.0)
-    for i in range(5):
-        assert s.tick(NOW + i, facts)
-    assert s.stage is Stage.SERVING
-
-
-def test_what_is_wanted_gives_way_to_its_deadline_and_what_is_needed_does_not():
-    s = Sequence(Plan(), NOW)
-    few = replaced(WELL, up_share=0.2)
-    assert not s.tick(NOW + 4 * SECOND, few) and s.waits == "50% of the fleet, 20% there"
-    assert s.tick(NOW + 5 * SECOND, few) and s.late == ["writes without 50% of the fleet, 20% there"]
-    s = Sequence(Plan(), NOW)
-    assert not s.tick(NOW + 999 * SECOND, replaced(WELL, has_origin=False))
-    assert s.waits == "a list that names the origin"
-
-
-def test_a_stage_is_left_backwards_and_not_entered_again_at_once():
-    s, now = Sequence(Plan(), NOW), NOW
-    while s.stage is not Stage.FILLS:
-        now += 100_000
-        s.tick(now, replaced(WELL, unlimited=False))
-    assert s.tick(now, replaced(WELL, origin_bad=0.9)) and s.stage is Stage.WRITES
-    assert not s.tick(now + SECOND, WELL) and s.tick(now + 2 * SECOND, WELL) and s.stage is Stage.READS
-    assert s.tick(now, replaced(WELL, has_origin=False)) and s.stage is Stage.LISTENING
-
-
-def test_an_operator_holds_and_skips():
-    s = Sequence(Plan(), NOW)
-    s.held = True
-    assert not s.tick(NOW + 99 * SECOND, WELL) and s.waits == "an operator's order"
-    s.held = False
-    s.skip()
-    assert s.tick(NOW + 1, replaced(WELL, up_share=0.0)) and not s.tick(NOW + 2, replaced(WELL, origin_bad=0.5))
-
-
 # The machine
 
 
@@ -333,7 +227,7 @@
     assert passed(d.feed(NOW, listed(7, entry("c0"))))["c0"].state is MemberState.DRAINING
     found = d.feed(NOW, listed(9, entry("c0")))
     assert passed(found)["c0"].state is MemberState.READY
-    assert machine.Forget("drain", "c0") in found
+    assert machine.DeleteRow("drain", "c0") in found
 
 
 def test_a_drain_past_its_bound_is_lifted_and_one_from_the_future_is_counted_from_now():
@@ -342,7 +236,7 @@
     found = passed(d.feed(NOW, listed(7, entry("c0"), entry("c1"))))
     assert found["c0"].state is MemberState.DRAINING and found["c1"].state is MemberState.READY
     later = NOW + 601 * SECOND
-    assert passed(d.feed(later, machine.Tick()))["c0"].state is MemberState.READY
+    assert passed(d.feed(later, machine.TimerExpired()))["c0"].state is MemberState.READY
 
 
 def test_all_members_are_cold_until_this_director_is_known_to_have_been_alone():
@@ -350,7 +244,7 @@
     found = passed(d.feed(NOW, listed(1, entry("c0"), entry("c1", started=NOW + 5))))
     assert found["c0"].started_us == NOW and found["c1"].started_us == NOW + 5 and found["records"].started_us == 0
     for i in (1, 2, 3):
-        found = passed(d.feed(NOW + SECOND, machine.Datagram(i, wire.encode(hello(i)))))
+        found = passed(d.feed(NOW + SECOND, machine.DatagramReceived(i, wire.encode(hello(i)))))
         assert bool(found) == (i == 3)
     assert found["c0"].started_us == 0 and d.sequence.stage is Stage.SERVING, "at once, without a beat"
 
@@ -371,42 +265,44 @@
     d.feed(NOW, listed(1, entry("c0")))
     row = ("c0", replicated_rows.write((int(MemberState.DRAINING), 5)))
     for i in (1, 2):
-        d.feed(NOW, machine.Datagram(i, wire.encode(hello(i, life=i))))
+        d.feed(NOW, machine.DatagramReceived(i, wire.encode(hello(i, life=i))))
         piece = wire.Piece(wire.fleet_number("f"), i, i, wire.KINDS.index("drain"), (row,), False)
-        found = passed(d.feed(NOW, machine.Datagram(i, wire.encode(piece))))
+        found = passed(d.feed(NOW, machine.DatagramReceived(i, wire.encode(piece))))
         assert bool(found) == (i == 2)
     assert found["c0"].state is MemberState.DRAINING
 
 
 def test_our_boot_number_goes_above_what_a_peer_knows_of_us():
     d = director(boot=3)
-    found = d.feed(NOW, machine.Datagram(1, wire.encode(hello(1, yours=(40, 9)))))
+    found = d.feed(NOW, machine.DatagramReceived(1, wire.encode(hello(1, yours=(40, 9)))))
     assert machine.BootRaised(41) in found and d.boot == 41
     assert not any(
         type(a) is machine.BootRaised
-        for a in d.feed(NOW, machine.Datagram(1, wire.encode(hello(1, beat=2, yours=(2**40, 9)))))
+        for a in d.feed(NOW, machine.DatagramReceived(1, wire.encode(hello(1, beat=2, yours=(2**40, 9)))))
     )
 
 
 def test_an_order_of_an_older_life_does_not_win_against_a_newer_one():
     old = director(boot=2)
-    value = next(a.value for a in old.feed(NOW, machine.OrderGiven("c0", "drain", "kim")) if type(a) is machine.Keep)
+    value = next(
+        a.value for a in old.feed(NOW, machine.OrderGiven("c0", "drain", "kim")) if type(a) is machine.PersistRow
+    )
     d = director(boot=5)
     (kept,) = d.feed(NOW, machine.OrderGiven("c0", "ready", "kim"))
     assert d.rows["order"].get("0/c0") is None, "nothing stands, nor goes to a peer, before it is safe"
     d.feed(NOW, machine.OrderKept(kept.key, kept.value))
-    d.feed(NOW, machine.Datagram(1, wire.encode(hello(1))))
+    d.feed(NOW, machine.DatagramReceived(1, wire.encode(hello(1))))
     piece = wire.Piece(wire.fleet_number("f"), 1, 5, 0, (("0/c0", value),), False)
-    assert d.feed(NOW, machine.Datagram(1, wire.encode(piece))) == []
+    assert d.feed(NOW, machine.DatagramReceived(1, wire.encode(piece))) == []
     assert d.rows["order"].get("0/c0")[0] == "ready"
 
 
 def test_datagrams_are_bounded_by_a_budget_whatever_others_ask():
     d, sent = director(count=40), 0
-    d.feed(NOW, machine.Datagram(1, wire.encode(hello(1))))
+    d.feed(NOW, machine.DatagramReceived(1, wire.encode(hello(1))))
     ask = wire.encode(wire.Ask(wire.fleet_number("f"), 1, 5, 0, ""))
     for i in range(1000):
-        sent += sum(type(a) is machine.Send for a in d.feed(NOW + i * 1000, machine.Datagram(1, ask)))
+        sent += sum(type(a) is machine.SendDatagram for a in d.feed(NOW + i * 1000, machine.DatagramReceived(1, ask)))
     assert sent <= machine.BURST + machine.BUDGET + 1 and d.silenced > 900
 
 
