--- a/benchmarks/health.py
+++ b/benchmarks/health.py
@@ -2,12 +2,11 @@
 
     python -m benchmarks.health [--quick | --smallest] [--before CHECKOUT]
 
-1. reaction: from an agent's answer `drain`, or the coordinator's event written, to the last byte of a new
-   attempt that its box reads after it. Seen from outside the director, by the clock of the stand-ins.
+1. reaction: from an agent's `drain`, or the coordinator's event, to the last byte of an attempt that its member reads.
 2. stalled: client latency and CPU a request with none and with 30% of the agents stalled in mid-reply, in
    turns of equal length, several of each in one run.
 3. before: the same figures of the version before, of this one with health off, and on.
-4. cost: CPU a check, and bytes a member on the board and in the plan.
+4. cost: CPU a check, and bytes a member in the registry and in the plan.
 5. platform: memory and time to start with all of it off, beside another checkout (the version before).
 """
 
@@ -204,19 +203,20 @@
 def bytes_a_member(count: int) -> float:
     """Of the board's rows and the plan's jobs, one check each."""
     from rookbend.core.model import Endpoint
-    from rookbend.health.model import CheckPolicy, HealthPolicy, MembershipHeard
-    from rookbend.health.registry import Board
+    from rookbend.health.events import MembershipReceived
+    from rookbend.health.model import CheckPolicy, HealthPolicy
+    from rookbend.health.registry import HealthRegistry
     from rookbend.interface import Member
     from rookbend.scheduling.scheduler import Plan, Room
 
     entries = [Endpoint(Member(i, zone=1), f"m{i}", ("127.0.0.1", i % 65536)) for i in range(1, count + 1)]
-    board = Board(HealthPolicy((CheckPolicy("agent", True),)), lambda e: "cache")
+    registry = HealthRegistry(HealthPolicy((CheckPolicy("agent", True),)), lambda e: "cache")
     plan = Plan(1, Room(1, 1))
     tracemalloc.start()
-    board.handle(1, MembershipHeard(True, entries))
+    registry.handle(1, MembershipReceived(True, entries))
     for i in range(1, count + 1):
         plan.put(("check", i, "agent"), i)
-    board.out = []
+    registry._actions = []
     size, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     return size / count
--- a/rookbend/components.py
+++ b/rookbend/components.py
@@ -1,8 +1,7 @@
 """The parts that the settings ask for, one function each. What is off is not imported.
 
-A new subsystem is one entry of `OPTIONAL`: whether the settings ask for it, and the function that
-builds it from the director's `Site`. What later entries need of it, it leaves in `site.built`.
-"""
+A new one is an entry of `OPTIONAL`: whether the settings ask for it, and the function that builds it from the director's
+`Site`. What later entries need of it, it leaves in `site.built`."""
 
 from __future__ import annotations
 
@@ -41,15 +40,15 @@
 
 
 def _balancer(site: Site) -> list[Part]:
-    from rookbend.health.own_status import Standing, standing
-    from rookbend.health.spare_capacity import Headroom
+    from rookbend.health.own_status import OwnStatus, own_status
+    from rookbend.health.spare_capacity import SpareCapacity
     from rookbend.net.health import GrpcServer, Measuring, agent_server, http_server
 
     s = site.operators
-    headroom = Headroom(s.headroom.step, s.headroom.rise_us, s.headroom.least)
+    headroom = SpareCapacity(s.headroom.step, s.headroom.rise_us, s.headroom.least)
 
-    def stand() -> Standing:
-        return standing(site.phase(), headroom, site.most_clients)
+    def stand() -> OwnStatus:
+        return own_status(site.phase(), headroom, site.most_clients)
 
     measuring = Measuring(headroom, site.sample, site.clock)
     parts: list[Part] = [measuring]
@@ -69,16 +68,16 @@
 def policy_of(settings: Settings, rules) -> object:
     """The board's policy from the operators' settings. Slow start follows the rules for cold members: a
     tier's own share at first and time to warm up, unless the operators are more careful."""
-    from rookbend.health.model import CheckPolicy, HealthPolicy, Ramp
+    from rookbend.health.model import CheckPolicy, HealthPolicy, SlowStartPolicy
 
     h = settings.health
 
-    def ramp(share: float, takes_us: int) -> Ramp:
+    def ramp(share: float, takes_us: int) -> SlowStartPolicy:
         if h.start_at >= 0:
             share = min(share, h.start_at)
         elif h.slow_start_us > 0 and share >= 1:
             share = START_AT  # the rules know no cold members, the operators do
-        return Ramp(max(1, round(share * 100)), max(takes_us, h.slow_start_us))
+        return SlowStartPolicy(max(1, round(share * 100)), max(takes_us, h.slow_start_us))
 
     def check_policy(c: Check) -> CheckPolicy:
         return CheckPolicy(
@@ -106,28 +105,28 @@
     """Members' health: the board, its desk, and the checks that the settings name."""
 
     def __init__(self, site: Site):
-        from rookbend.health.registry import Board
-        from rookbend.health.service import Desk, role_namer
+        from rookbend.health.registry import HealthRegistry
+        from rookbend.health.service import HealthService, role_namer
         from rookbend.net.checks import WATCH, CheckDriver
         from rookbend.net.scheduling import Runner
         from rookbend.scheduling.scheduler import Plan, Room
 
         self.clock, self.rules = site.clock, site.engine.settings
         engine, b = site.engine, site.operators.background
-        board = Board(policy_of(site.operators, self.rules), role_namer(self.rules))
-        self.desk = Desk(engine, board, site.log)
+        registry = HealthRegistry(policy_of(site.operators, self.rules), role_namer(self.rules))
+        self.service = HealthService(engine, registry, site.log)
         self.descriptors = b.descriptors + (b.watches if self._watches(site.operators) else 0)
         plan = Plan(
             b.rate, Room(b.running, b.descriptors), {WATCH: Room(b.watches, b.watches)}, int(site.config.seed, 16)
         )
         self.runner = Runner(plan, self.clock)
-        self.driver = CheckDriver(self.desk, self.runner, self.clock, site.operators.checks)
+        self.driver = CheckDriver(self.service, self.runner, self.clock, site.operators.checks)
         self._due_earlier = trio.Event()
-        self.desk.on_due = lambda due: self._due_earlier.set()
-        site.watch.membership_changed = self.desk.membership_changed
+        self.service.on_due = lambda due: self._due_earlier.set()
+        site.watch.membership_changed = self.service.membership_changed
         site.gauges.append(lambda: {"background_jobs": len(plan.jobs), "background_running": plan.running})
         if site.operators.health.passive_fall:
-            engine.on_attempt_end = self.desk.attempt_ended
+            engine.on_attempt_end = self.service.attempt_ended
 
     @staticmethod
     def _watches(settings: Settings) -> bool:
@@ -139,19 +138,19 @@
 
     async def _ticks(self) -> None:
         while True:
-            self.desk.tick()
+            self.service.tick()
             self._due_earlier = trio.Event()
             with trio.CancelScope() as scope:
-                if self.desk.due_us:
-                    scope.deadline = self.clock.monotonic_at(self.desk.due_us)
+                if self.service.due_us:
+                    scope.deadline = self.clock.monotonic_at(self.service.due_us)
                 await self._due_earlier.wait()
 
     def reload(self, settings: Settings) -> None:
-        from rookbend.health.model import PolicyChanged
+        from rookbend.health.events import PolicyChanged
 
         if settings.health is None:
             return
-        self.desk.feed(PolicyChanged(policy_of(settings, self.rules)))
+        self.service.feed(PolicyChanged(policy_of(settings, self.rules)))
         self.driver.replace(settings.checks)
 
 
@@ -175,7 +174,8 @@
 
 
 def _admin(site: Site) -> list[Part]:
-    from rookbend.health.model import Order, Ordered
+    from rookbend.health.events import OrderReceived
+    from rookbend.health.model import Order
     from rookbend.net.http_server import SmallServer, serve_http
     from rookbend.protocol.admin import AdminDesk
 
@@ -194,21 +194,21 @@
                     return 409, "[ownership] is off: no orders for the whole fleet"
                 fault = await ownership.order(name, order.value, by)
                 return (503, f"the order on {name}: {fault}") if fault else (200, "")
-            server = health.desk.find(name)
+            server = health.service.find(name)
             if server is None:
                 return 404, f"no member {name}"
             # Safe first: an order that was said to stand is not taken back by a power loss.
             if recovery is not None and (refused := await recovery.order(name, order.value, by)):
                 return 503, f"the order on {name} is {refused}"
-            health.desk.feed(Ordered(server, order, by))
+            health.service.feed(OrderReceived(server, order, by))
             return 200, ""
 
-        tables["/members"] = lambda: {"director": site.config.name, "members": health.desk.table()}
+        tables["/members"] = lambda: {"director": site.config.name, "members": health.service.table()}
         tables["/background"] = lambda: {
             "jobs": len(health.runner.plan.jobs),
             "running": health.runner.plan.running,
             "started": health.runner.plan.started,
-            "overtaken": health.desk.board.overtaken,
+            "overtaken": health.service.registry.overtaken,
         }
     metrics = None
     if admin.metrics:
@@ -217,7 +217,7 @@
         def gauges() -> dict[str, float]:
             return {name: value for part in site.gauges for name, value in part().items()}
 
-        metrics = Figures(site.counters, health.desk.table if health else None, gauges).text
+        metrics = Figures(site.counters, health.service.table if health else None, gauges).text
     desk = AdminDesk(tables, order, metrics, command, own)
     site.built["admin"] = server = SmallServer(
         admin.listen, site.clock, site.outbox, lambda channel: serve_http(channel, desk.answer)
--- a/rookbend/core/check_result.py
+++ b/rookbend/core/check_result.py
@@ -6,7 +6,7 @@
 from enum import Enum
 
 
-class Outcome(Enum):
+class CheckOutcome(Enum):
     """How a check ended."""
 
     PASSED = "passed"
@@ -20,11 +20,11 @@
     @property
     def passes(self) -> bool:
         """Whether the member may be used after it."""
-        return self in (Outcome.PASSED, Outcome.DEGRADED)
+        return self in (CheckOutcome.PASSED, CheckOutcome.DEGRADED)
 
 
 @dataclass(frozen=True, slots=True)
-class Words:
+class AgentReport:
     """What an agent said in one line; None where it said nothing on that matter.
 
     `weight` is percent, 0 to 100; `admin` is ready, drain or maint; `up` whether it says up or down.
--- /dev/null
+++ b/rookbend/health/check_schedule.py
@@ -0,0 +1,34 @@
+"""How often a check is made of a member, and with which priority."""
+
+from __future__ import annotations
+
+from typing import NamedTuple
+
+from rookbend.health.check_state import CheckState
+from rookbend.health.member_health import MemberHealth
+from rookbend.health.model import CheckPolicy
+from rookbend.scheduling.scheduler import IDLE, NORMAL, URGENT
+
+
+class Cadence(NamedTuple):
+    """Microseconds to the next run of a check, and its priority in the scheduler."""
+
+    interval_us: int
+    priority: int
+
+
+def policies_of(member: MemberHealth | None) -> list[CheckPolicy]:
+    """The policies of a member's checks."""
+    return [check.policy for check in member.checks.values()] if member is not None else []
+
+
+def cadence_of(member: MemberHealth | None, check_name: str) -> Cadence | None:
+    """How soon a check runs next, or None where the member or the check is no more."""
+    check: CheckState | None = member.checks.get(check_name) if member is not None else None
+    if member is None or check is None:
+        return None
+    if check.in_doubt():
+        return Cadence(check.policy.fast_us, URGENT)
+    if check.down:
+        return Cadence(check.policy.down_us, IDLE)
+    return Cadence(check.policy.interval_us, URGENT if member.in_doubt() else NORMAL)
--- a/rookbend/health/model.py
+++ b/rookbend/health/model.py
@@ -1,13 +1,13 @@
-"""What is known about a member's health, and what is made of it: evidence in, verdicts out.
+"""States, causes and policies of members' health, and the verdict on one member.
 
 The order in which evidence counts, first match decides (docs/HEALTH.md has the table for operators):
 
-    1 membership  gone: the row goes, and with it everything known        nothing lifts it
+    1 membership  gone: the member is dropped with all that is known      nothing lifts it
     2 membership  draining                                                nothing lifts it
     3 order       maintain, drain                                         only the order `ready`
-    4 agent       maint, drain, or a weight of 0%                         only that agent's own word
+    4 agent       maint, drain, or a weight of 0%                         only that agent's next report
     5 checks      agent `down`, a check that fell, attempts that failed   limited by `max-out` (panic)
-    6 hold        back from 5, but it came and went too often             time
+    6 hold        passes again, but its ejection has not run out          time
     7 weight      the least of the agents' weights and of the slow start
 
 An agent or a check can take away or reduce. Nothing but the membership adds a member.
@@ -18,24 +18,21 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from rookbend.core.check_result import Outcome, Words
-from rookbend.core.model import Endpoint
-from rookbend.interface import AttemptStatus
-
-FULL = 100  # percent
+FULL = 100  # percent of the weight that the membership gives
 
 
 class State(Enum):
     """The effective state of a member."""
 
     READY = "ready"
-    DEGRADED = "degraded"  # in use, with less weight or in doubt
-    DRAINING = "draining"  # nothing new
-    DOWN = "down"  # nothing new: taken out by checks
-    MAINTENANCE = "maintenance"  # nothing new: taken out by people
+    DEGRADED = "degraded"  # in use, at a lower weight or in doubt
+    DRAINING = "draining"  # no new requests
+    DOWN = "down"  # no new requests: ejected by checks
+    MAINTENANCE = "maintenance"  # no new requests: taken out by an operator
 
     @property
     def in_use(self) -> bool:
+        """Whether new requests may go there."""
         return self in (State.READY, State.DEGRADED)
 
 
@@ -54,7 +51,7 @@
 
 
 class Order(Enum):
-    """What an operator says of a member."""
+    """An operator's order about a member."""
 
     READY = "ready"  # lifts the other two
     DRAIN = "drain"
@@ -63,11 +60,16 @@
 
 @dataclass(frozen=True, slots=True)
 class CheckPolicy:
-    """How the results of one check are counted and how often it is made. Microseconds."""
+    """How often one check is made and how its results count.
+
+    `tier` is cache, parent, origin or all. `interval_us` holds for a healthy member, `fast_us` while its state is in
+    doubt, `down_us` while it is down. `rise` and `fall` are results in a row that change the state. A result older
+    than `stale_us` counts no more.
+    """
 
     name: str
     is_agent: bool = False
-    tier: str = "cache"  # cache, parent, origin, all
+    tier: str = "cache"
     interval_us: int = 2_000_000
     fast_us: int = 500_000
     down_us: int = 5_000_000
@@ -77,8 +79,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ramp:
-    """Slow start of a tier: the share at first, and how long until all of it. Percent, microseconds."""
+class SlowStartPolicy:
+    """Slow start of a tier: percent of the weight at first, and microseconds until all of it."""
 
     start: int = FULL
     takes_us: int = 0
@@ -86,81 +88,34 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthPolicy:
+    """The operators' settings for all members.
+
+    `max_out` is the share of a tier that checks may eject; beyond it they are ignored (panic), until the tier has been
+    within the limit for `panic_hold_us`. An ejection lasts `hold_us` at least, doubled with each flap within
+    `flap_window_us`, `hold_most_us` at most. `passive_fall` attempts in a row that failed to connect or were reset
+    eject for `passive_hold_us`; 0 counts none. `weigh` says whose weight reaches the decision module: caches,
+    all or none. `ramps` is the slow start by role.
+    """
+
     checks: tuple[CheckPolicy, ...] = ()
-    max_out: float = 0.5  # share of a tier that checks may take out; beyond it they are ignored
-    panic_hold_us: int = 5_000_000  # and stay ignored until it has been within for so long
-    hold_us: int = 2_000_000  # out at least so long; doubles with each flap
+    max_out: float = 0.5
+    panic_hold_us: int = 5_000_000
+    hold_us: int = 2_000_000
     hold_most_us: int = 120_000_000
     flap_window_us: int = 60_000_000
-    passive_fall: int = 10  # attempts in a row that failed to connect or were reset; 0: not counted
+    passive_fall: int = 10
     passive_hold_us: int = 5_000_000
-    weigh: str = "caches"  # whose weight reaches the module: caches, all, none
-    ramps: tuple[tuple[str, Ramp], ...] = ()  # by role
-
-
-# Events. Each is fed with the time at which it was heard.
-
-
-@dataclass(slots=True)
-class MembershipHeard:
-    complete: bool
-    entries: list[Endpoint]
-
-
-@dataclass(slots=True)
-class AgentHeard:
-    """An agent's line. `number` grows with each start of a check: what was overtaken is not believed."""
-
-    server: int
-    check: str
-    number: int
-    words: Words
-
-
-@dataclass(slots=True)
-class CheckEnded:
-    """A check's end; for an agent only where it gave no usable line."""
-
-    server: int
-    check: str
-    number: int
-    outcome: Outcome
-    reason: str = ""
-
-
-@dataclass(slots=True)
-class AttemptSeen:
-    server: int
-    status: AttemptStatus
-
-
-@dataclass(slots=True)
-class Ordered:
-    server: int
-    order: Order
-    by: str = ""
-
-
-@dataclass(slots=True)
-class PolicyChanged:
-    policy: HealthPolicy
-
-
-@dataclass(slots=True)
-class Tick:
-    pass
-
-
-Event = MembershipHeard | AgentHeard | CheckEnded | AttemptSeen | Ordered | PolicyChanged | Tick
-
-
-# What comes out
+    weigh: str = "caches"
+    ramps: tuple[tuple[str, SlowStartPolicy], ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """The effective state. `weight` is percent of what the membership gives; `since_us` is when the evidence
-    behind it was heard; `cold_since_us` when it was last found not to run, 0 if never."""
+    """The effective state of a member.
+
+    `weight` is percent of what the membership gives; `since_us` is when the evidence behind it was received;
+    `cold_since_us` when its process was last found not to run, 0 if never.
+    """
 
     state: State
     weight: int
@@ -168,23 +123,3 @@
     reason: str = ""
     since_us: int = 0
     cold_since_us: int = 0
-
-
-@dataclass(slots=True)
-class Judged:
-    """A member's verdict has changed in state, weight or coldness; None where the member has gone."""
-
-    server: int
-    verdict: Verdict | None
-
-
-@dataclass(slots=True)
-class Said:
-    """Something operators want to read."""
-
-    event: str
-    level: str
-    fields: dict
-
-
-Action = Judged | Said
--- a/rookbend/health/own_status.py
+++ b/rookbend/health/own_status.py
@@ -1,35 +1,40 @@
-"""What this director says of itself, in terms that each balancer's protocol can word. Pure."""
+"""What this director reports of itself to a balancer in front, in terms that each protocol can express. Pure."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-from rookbend.health.spare_capacity import FULL, Headroom
+from rookbend.health.model import FULL
+from rookbend.health.spare_capacity import SpareCapacity
 
 
 @dataclass(frozen=True, slots=True)
-class Standing:
-    """`admin` ready, drain or maint; `weight` percent; `most_connections` 0 if not limited."""
+class OwnStatus:
+    """`admin` is ready, drain or maint; `weight` percent; `most_connections` 0 where not limited.
+
+    `state` is one word for people: the lifecycle's phase, or what keeps the director from serving.
+    """
 
     admin: str
     up: bool
     weight: int
     most_connections: int
-    state: str  # one word for people: the lifecycle's, or what keeps it from serving
+    state: str
     reason: str = ""
 
     @property
     def taking(self) -> bool:
+        """Whether new requests are admitted."""
         return self.up and self.admin == "ready"
 
 
-def standing(phase: str, headroom: Headroom, most_connections: int) -> Standing:
-    """By the lifecycle's phase first: at SIGTERM `drain`, whatever room there is."""
+def own_status(phase: str, capacity: SpareCapacity, most_connections: int) -> OwnStatus:
+    """The status in a lifecycle phase: from SIGTERM on `drain`, whatever capacity is spare."""
     if phase == "draining":
-        return Standing("drain", True, 0, most_connections, phase)
+        return OwnStatus("drain", True, 0, most_connections, phase)
     if phase != "ready":
-        return Standing("ready", False, 0, 0, phase, phase)
-    if not headroom.up:
-        return Standing("ready", False, 0, 0, "no-member", "no member in use")
-    reason = f"{headroom.why} at {headroom.weight}%" if headroom.weight < FULL else ""
-    return Standing("ready", True, headroom.weight, most_connections, phase, reason)
+        return OwnStatus("ready", False, 0, 0, phase, phase)
+    if not capacity.up:
+        return OwnStatus("ready", False, 0, 0, "no-member", "no member in use")
+    reason = f"{capacity.limited_by} at {capacity.weight}%" if capacity.weight < FULL else ""
+    return OwnStatus("ready", True, capacity.weight, most_connections, phase, reason)
--- a/rookbend/health/registry.py
+++ b/rookbend/health/registry.py
@@ -1,353 +1,245 @@
-"""The board: one row a member, fed with evidence, answering with verdicts. Pure: no I/O, no clock.
+"""The health of all members: fed evidence, it answers with verdicts that changed. Pure: no I/O, no clock.
 
-`handle(now, event)` gives the actions that follow; `due_us` is when a `Tick` is next of use. An event costs
-the work of one row; a whole tier is looked at only when its panic begins or ends.
+`handle(now, event)` gives the actions that follow; `due_us` is when `TimerExpired` is next of use. An event costs the
+work of one member; a whole tier is looked at only when its panic begins or ends.
 
-The limit on a tier (its members of one kind and zone): of those that neither the membership nor people have taken
-out, checks may take out `max_out` of the count, rounded down. Would they take out more, they are all ignored
-for that tier (panic), and that is said: when everything seems to fail at once, it is more likely that we do.
-Panic ends once the count against has stayed within the limit for `panic_hold_us`. An agent's `drain` or
-`maint` and an operator's order are nobody's guess and count in panic too.
+The limit on a tier (its members of one kind and zone): of those that neither the membership nor orders have taken
+out, checks may eject `max_out` of the count, rounded down. Would they eject more, they are all ignored for that tier
+(panic), and that is logged: when everything seems to fail at once, the fault is more likely this director's. Panic
+ends once the count has stayed within the limit for `panic_hold_us`. An agent's drain or maint and an operator's order
+count in panic too.
 """
 
 from __future__ import annotations
 
-import heapq
 from collections.abc import Callable
+from typing import Any
 
+from rookbend.coordination.events import TimerExpired
 from rookbend.core.model import Endpoint
-from rookbend.health.member import Row, opinions_for
-from rookbend.health.model import (
-    FULL,
+from rookbend.health.check_state import check_states
+from rookbend.health.events import (
     Action,
-    AgentHeard,
-    AttemptSeen,
-    Cause,
-    CheckEnded,
-    CheckPolicy,
+    AgentReported,
+    AttemptObserved,
+    CheckCompleted,
     Event,
-    HealthPolicy,
-    Judged,
-    MembershipHeard,
-    Ordered,
+    MembershipReceived,
+    OrderReceived,
     PolicyChanged,
-    Ramp,
-    Said,
-    State,
-    Tick,
-    Verdict,
+    VerdictChanged,
 )
+from rookbend.health.log_lines import member_state_line, order_line, panic_line
+from rookbend.health.member_health import MemberHealth
+from rookbend.health.member_timers import ANY_TIER, MemberTimers
+from rookbend.health.model import HealthPolicy, SlowStartPolicy, Verdict
+from rookbend.health.tier import PanicChange, Tier
 from rookbend.interface import MemberState
-from rookbend.scheduling.scheduler import IDLE, NORMAL, URGENT
 
-NO_RAMP = Ramp()
+NO_SLOW_START = SlowStartPolicy()
+MAX_ORDER_AUTHOR_LENGTH = 40
 
 
-class Tier:
-    """Members of one kind and zone: how many may be taken out, and how many checks would take out."""
+class HealthRegistry:
+    """The members by server number, and their tiers by (kind, zone).
 
-    __slots__ = ("against", "calm_since", "eligible", "kind", "panic", "rows", "zone")
-
-    def __init__(self, kind: int, zone: int):
-        self.kind, self.zone = kind, zone
-        self.rows: set[int] = set()
-        self.eligible: set[int] = set()  # neither the membership nor people have taken them out
-        self.against: set[int] = set()  # of these, the ones that checks speak against
-        self.panic = False
-        self.calm_since = 0  # in panic: within the limit since then, or 0
-
-    def limit(self, max_out: float) -> int:
-        return int(max_out * len(self.eligible) + 1e-9)
-
-
-class Board:
-    """`role_of` names a member's role from its entry: cache, parent or origin."""
+    `role_of` names a member's role from its endpoint: cache, parent or origin. `overtaken` counts results that were
+    ignored: of a check or member that is no more, or older than one received.
+    """
 
     def __init__(self, policy: HealthPolicy, role_of: Callable[[Endpoint], str]):
-        self.policy, self.role_of = policy, role_of
-        self.ramps = dict(policy.ramps)
-        self.rows: dict[int, Row] = {}
+        self.policy = policy
+        self.role_of = role_of
+        self.members: dict[int, MemberHealth] = {}
         self.tiers: dict[tuple[int, int], Tier] = {}
-        self.number = 0  # of the newest check begun
-        self.out: list[Action] = []
-        self._due: list[tuple[int, int]] = []  # (when, server), 0 for a tier's calm; stale rows pass
-        self._armed: dict[int, int] = {}  # server: the time it is armed for
-        self.overtaken = 0  # results not believed: of a check or member that is no more
+        self.overtaken = 0
+        self._slow_start = dict(policy.ramps)
+        self._newest_check = 0
+        self._actions: list[Action] = []
+        self.timers = MemberTimers()
 
     @property
     def due_us(self) -> int:
-        return self._due[0][0] if self._due else 0
+        """When time alone next changes something, or 0."""
+        return self.timers.due_us
 
     def begin_check(self) -> int:
-        """The number of a check that begins now."""
-        self.number += 1
-        return self.number
+        """The number of a run of a check that begins now."""
+        self._newest_check += 1
+        return self._newest_check
 
     def handle(self, now: int, event: Event) -> list[Action]:
-        self.out = []
+        """Takes one event, received at `now` (microseconds); returns what follows from it."""
+        self._actions = []
         HANDLERS[type(event)](self, now, event)
-        return self.out
+        return self._actions
 
     # Events
 
-    def _membership(self, now: int, event: MembershipHeard) -> None:
+    def _on_membership(self, now: int, event: MembershipReceived) -> None:
         if event.complete:
-            named = {e.member.server for e in event.entries}
-            for server in [s for s in self.rows if s not in named]:
+            named = {endpoint.member.server for endpoint in event.endpoints}
+            for server in [server for server in self.members if server not in named]:
                 self._drop(now, server)
-        for entry in event.entries:
-            server, row = entry.member.server, self.rows.get(entry.member.server)
-            if entry.member.state is MemberState.GONE:
-                self._drop(now, server)
-            elif row is None:
-                self._add(now, entry)
+        for endpoint in event.endpoints:
+            member = self.members.get(endpoint.member.server)
+            if endpoint.member.state is MemberState.GONE:
+                self._drop(now, endpoint.member.server)
+            elif member is None:
+                self._add(now, endpoint)
             else:
-                self._renew(now, row, entry)
+                self._renew(now, member, endpoint)
 
-    def _add(self, now: int, entry: Endpoint, before: Row | None = None) -> None:
-        """A new row. What people have ordered of the member `before` holds, whatever runs there now."""
-        server = entry.member.server
-        row = self.rows[server] = Row(entry, self.role_of(entry), self.policy, self.number, now)
+    def _add(self, now: int, endpoint: Endpoint, before: MemberHealth | None = None) -> None:
+        """A new member. An operator's order on the member `before` holds, whatever process runs there now."""
+        server = endpoint.member.server
+        member = MemberHealth(endpoint, self.role_of(endpoint), self.policy, self._newest_check, now)
+        self.members[server] = member
         if before is not None:
-            row.order, row.order_us, row.order_by = before.order, before.order_us, before.order_by
-        key = entry.member.kind, entry.member.zone
+            member.apply_order(before.order_us, before.order, before.order_by)
+        key = endpoint.member.kind, endpoint.member.zone
         tier = self.tiers.get(key) or self.tiers.setdefault(key, Tier(*key))
-        tier.rows.add(server)
-        self._judge(now, row, forced=True)
-
-    def _renew(self, now: int, row: Row, entry: Endpoint) -> None:
-        old, new = row.entry.member, entry.member
-        if (
-            (new.kind, new.zone) != (old.kind, old.zone)
-            or new.started_us > old.started_us
-            or entry.address != row.entry.address
-        ):
-            # Another process, or another place: what was seen of the old one is no evidence on this one.
-            self._drop(now, new.server, told=False)
-            return self._add(now, entry, row)
+        tier.members.add(server)
+        self._evaluate(now, member, forced=True)
+
+    def _renew(self, now: int, member: MemberHealth, endpoint: Endpoint) -> None:
+        old = member.endpoint.member
+        new = endpoint.member
+        moved = (new.kind, new.zone) != (old.kind, old.zone) or endpoint.address != member.endpoint.address
+        if moved or new.started_us > old.started_us:
+            # Another process, or another place: what was found of the old one is no evidence on this one.
+            self._drop(now, new.server, publish=False)
+            return self._add(now, endpoint, member)
         if new.state is not old.state:
-            row.roster_us = now
-        row.entry = entry
-        self._judge(now, row, forced=True)
+            member.membership_us = now
+        member.endpoint = endpoint
+        self._evaluate(now, member, forced=True)
 
-    def _drop(self, now: int, server: int, told: bool = True) -> None:
-        row = self.rows.pop(server, None)
-        if row is None:
+    def _drop(self, now: int, server: int, publish: bool = True) -> None:
+        member = self.members.pop(server, None)
+        if member is None:
             return
-        key = row.entry.member.kind, row.entry.member.zone
+        key = member.endpoint.member.kind, member.endpoint.member.zone
         tier = self.tiers[key]
-        for members in (tier.rows, tier.eligible, tier.against):
-            members.discard(server)
-        self._armed.pop(server, None)
-        if not tier.rows:
-            del self.tiers[key]
+        tier.discard(server)
+        self.timers.disarm(server)
+        if tier.members:
+            self._update_panic(now, tier)
         else:
-            self._weigh_tier(now, tier)
-        if told:
-            self.out.append(Judged(server, None))
+            del self.tiers[key]
+        if publish:
+            self._actions.append(VerdictChanged(server, None))
 
-    def _result(self, now: int, event: AgentHeard | CheckEnded) -> None:
-        row = self.rows.get(event.server)
-        if row is None or row.is_overtaken(event.check, event.number):
+    def _on_check(self, now: int, event: AgentReported | CheckCompleted) -> None:
+        member = self.members.get(event.server)
+        if member is None or member.is_overtaken(event.check, event.number):
             self.overtaken += 1
             return
-        if type(event) is AgentHeard:
-            row.hear_words(now, event)
-        else:
-            row.hear_result(now, event)
-        self._judge(now, row)
+        member.apply_check(now, event)
+        self._evaluate(now, member)
 
-    def _attempt(self, now: int, event: AttemptSeen) -> None:
-        row = self.rows.get(event.server)
-        if row is None:
+    def _on_attempt(self, now: int, event: AttemptObserved) -> None:
+        member = self.members.get(event.server)
+        if member is None:
             return
-        before = row.passive_until
-        row.see_attempt(now, event.status, self.policy)
-        if row.passive_until != before:  # else nothing that a verdict rests on
-            self._judge(now, row)
-
-    def _ordered(self, now: int, event: Ordered) -> None:
-        row = self.rows.get(event.server)
-        if row is not None:
-            row.order, row.order_us, row.order_by = event.order, now, event.by[:40]
-            self.out.append(
-                Said("order", "warning", {"member": row.entry.name, "order": event.order.value, "by": row.order_by})
-            )
-            self._judge(now, row)
-
-    def _policy(self, now: int, event: PolicyChanged) -> None:
-        """New checks and figures. What a check of the same name and kind has found is kept."""
-        self.policy, self.ramps = event.policy, dict(event.policy.ramps)
-        for row in self.rows.values():
-            old, fresh = row.opinions, opinions_for(row.role, event.policy, self.number)
-            for name, opinion in fresh.items():
-                if name in old and old[name].policy.is_agent is opinion.policy.is_agent:
-                    old[name].policy = opinion.policy
-                    fresh[name] = old[name]
-            row.opinions = fresh
-        for row in list(self.rows.values()):
-            self._judge(now, row)
-
-    def _tick(self, now: int, event: Tick) -> None:
-        while self._due and self._due[0][0] <= now:
-            at, server = heapq.heappop(self._due)
-            if not server:
+        before = member.passive_until_us
+        member.apply_attempt(now, event.status, self.policy)
+        if member.passive_until_us != before:
+            self._evaluate(now, member)
+
+    def _on_order(self, now: int, event: OrderReceived) -> None:
+        member = self.members.get(event.server)
+        if member is None:
+            return
+        member.apply_order(now, event.order, event.by[:MAX_ORDER_AUTHOR_LENGTH])
+        self._actions.append(order_line(member))
+        self._evaluate(now, member)
+
+    def _on_policy(self, now: int, event: PolicyChanged) -> None:
+        """Other checks and limits. What a check of the same name and kind has found is retained."""
+        self.policy = event.policy
+        self._slow_start = dict(event.policy.ramps)
+        for member in self.members.values():
+            checks = check_states(member.role, event.policy, self._newest_check)
+            for name, new in checks.items():
+                old = member.checks.get(name)
+                if old is not None and old.policy.is_agent is new.policy.is_agent:
+                    old.policy = new.policy
+                    checks[name] = old
+            member.checks = checks
+        for member in list(self.members.values()):
+            self._evaluate(now, member)
+
+    def _on_timer(self, now: int, event: TimerExpired) -> None:
+        while (server := self.timers.pop_due(now)) is not None:
+            if server == ANY_TIER:
                 for tier in self.tiers.values():
-                    self._weigh_tier(now, tier)
-            elif self._armed.get(server) == at:
-                del self._armed[server]
-                self._judge(now, self.rows[server])
+                    self._update_panic(now, tier)
+            else:
+                self._evaluate(now, self.members[server])
 
     # Verdicts
 
-    def _judge(self, now: int, row: Row, forced: bool = False) -> None:
+    def _evaluate(self, now: int, member: MemberHealth, forced: bool = False) -> None:
         """Takes what is known of one member to its verdict, by way of its tier."""
-        server = row.entry.member.server
-        tier = self.tiers[row.entry.member.kind, row.entry.member.zone]
-        asked = row.asked_out()
-        against = row.judge_failing(now, self.policy)
-        _put(tier.eligible, server, asked is None)
-        _put(tier.against, server, asked is None and against is not None)
-        self._weigh_tier(now, tier)
-        self._publish(now, row, tier, asked, against, forced)
-
-    def _weigh_tier(self, now: int, tier: Tier) -> None:
-        """Begins or ends a tier's panic."""
-        limit, against = tier.limit(self.policy.max_out), len(tier.against)
-        before = tier.panic
-        if against > limit:
-            tier.panic, tier.calm_since = True, 0
-        elif tier.panic and not tier.calm_since:
-            tier.calm_since = now
-            heapq.heappush(self._due, (now + self.policy.panic_hold_us, 0))
-        elif tier.panic and now >= tier.calm_since + self.policy.panic_hold_us:
-            tier.panic = False
-        if tier.panic is before:
+        endpoint = member.endpoint.member
+        tier = self.tiers[endpoint.kind, endpoint.zone]
+        requested = member.requested_verdict()
+        failing = member.update_ejection(now, self.policy)
+        tier.place(endpoint.server, requested is None, failing is not None)
+        self._update_panic(now, tier)
+        self._publish(now, member, tier, requested, failing, forced)
+
+    def _update_panic(self, now: int, tier: Tier) -> None:
+        change = tier.update_panic(now, self.policy.max_out, self.policy.panic_hold_us)
+        if change is PanicChange.CALMED:
+            self.timers.arm_tier(now + self.policy.panic_hold_us)
+        if change not in (PanicChange.BEGAN, PanicChange.ENDED):
             return
-        self.out.append(
-            Said(
-                "panic_began" if tier.panic else "panic_ended",
-                "error",
-                {
-                    "kind": tier.kind,
-                    "zone": tier.zone,
-                    "against": against,
-                    "eligible": len(tier.eligible),
-                    "limit": limit,
-                },
-            )
-        )
-        for server in sorted(tier.against):
-            row = self.rows[server]
-            self._publish(now, row, tier, None, row.judge_failing(now, self.policy), False)
+        self._actions.append(panic_line(tier, self.policy))
+        for server in sorted(tier.failing):
+            member = self.members[server]
+            self._publish(now, member, tier, None, member.update_ejection(now, self.policy), False)
 
     def _publish(
-        self, now: int, row: Row, tier: Tier, asked: Verdict | None, against: Verdict | None, forced: bool
+        self,
+        now: int,
+        member: MemberHealth,
+        tier: Tier,
+        requested: Verdict | None,
+        failing: Verdict | None,
+        forced: bool,
     ) -> None:
-        old, ramp = row.verdict, self.ramps.get(row.role, NO_RAMP)
-        new = asked or (None if tier.panic else against) or row.asked_zero(now) or self._in_use(now, row, ramp, against)
-        row.verdict = new
-        self._arm(now, row, ramp)
-        server = row.entry.member.server
-        if (
-            forced
-            or old is None
-            or (old.state, old.weight, old.cold_since_us) != (new.state, new.weight, new.cold_since_us)
-        ):
-            self.out.append(Judged(server, new))
+        old = member.verdict
+        slow_start = self._slow_start.get(member.role, NO_SLOW_START)
+        new = requested or (None if tier.panic else failing) or member.zero_weight_verdict(now)
+        if new is None:
+            new = member.in_use_verdict(now, slow_start, failing)
+        member.verdict = new
+        self._arm(now, member, slow_start)
+        if forced or old is None or _differ(old, new):
+            self._actions.append(VerdictChanged(member.endpoint.member.server, new))
         if old is not None and old.state is not new.state:
-            self.out.append(
-                Said(
-                    "member_state",
-                    "info" if new.state.in_use else "warning",
-                    {
-                        "member": row.entry.name,
-                        "state": new.state.value,
-                        "was": old.state.value,
-                        "weight": new.weight,
-                        "cause": new.cause.value,
-                        "reason": new.reason,
-                    },
-                )
-            )
-
-    def _in_use(self, now: int, row: Row, ramp: Ramp, ignored: Verdict | None) -> Verdict:
-        """The verdict on a member that is in use; `ignored` is what checks said against it, in panic."""
-        old = row.verdict
-        if old is not None and not old.state.in_use:
-            if ignored is not None and old.state is State.DOWN:
-                row.resume(now)
-            else:
-                row.come_back(now, ramp)
-        level = row.settle_level(now, ramp)
-        if ignored is not None:
-            return Verdict(
-                State.DEGRADED, level, Cause.PANIC, f"ignored: {ignored.reason}", ignored.since_us, row.cold_us
-            )
-        if not row.bound:
-            return Verdict(State.DEGRADED, level, Cause.SLOW_START, "back since", row.ramp_us, row.cold_us)
-        for name, o in row.opinions.items():
-            if o.weight_at(now) == level < FULL:
-                return Verdict(
-                    State.DEGRADED, level, Cause.AGENT, f"{name}: {level}% {o.reason}".rstrip(), o.heard_us, row.cold_us
-                )
-        for name, o in row.opinions.items():
-            if o.degraded and not o.stale(now):
-                return Verdict(
-                    State.DEGRADED, level, Cause.CHECK, f"{name}: {o.reason or 'degraded'}", o.heard_us, row.cold_us
-                )
-        heard = max((o.heard_us for o in row.opinions.values()), default=0) or row.roster_us
-        return Verdict(State.READY, level, Cause.NOTHING, "", heard, row.cold_us)
-
-    def _arm(self, now: int, row: Row, ramp: Ramp) -> None:
-        server, due = row.entry.member.server, row.next_change(now, ramp)
-        if due and self._armed.get(server, 0) != due:
-            self._armed[server] = due
-            heapq.heappush(self._due, (due, server))
-        elif not due:
-            self._armed.pop(server, None)
-        if len(self._due) > 4 * len(self.rows) + 64:
-            # Rows armed anew leave old entries behind; a flapping agent must not fill the heap with them.
-            self._due = [(at, s) for s, at in self._armed.items()]
-            self._due += [
-                (t.calm_since + self.policy.panic_hold_us, 0) for t in self.tiers.values() if t.panic and t.calm_since
-            ]
-            heapq.heapify(self._due)
-
-    # What the scheduler of checks asks
-
-    def checks_of(self, server: int) -> list[CheckPolicy]:
-        row = self.rows.get(server)
-        return [o.policy for o in row.opinions.values()] if row is not None else []
-
-    def cadence(self, server: int, check: str) -> tuple[int, int] | None:
-        """(microseconds to the next run of a check, its priority), or None where it is no more."""
-        row = self.rows.get(server)
-        opinion = row.opinions.get(check) if row is not None else None
-        if opinion is None:
-            return None
-        policy = opinion.policy
-        if opinion.in_doubt():
-            return policy.fast_us, URGENT
-        if opinion.down:
-            # Out for long it costs little to learn a little later that it is back.
-            return policy.down_us, IDLE
-        return policy.interval_us, URGENT if row.in_doubt() else NORMAL
-
-
-def _put(members: set[int], server: int, inside: bool) -> None:
-    if inside:
-        members.add(server)
-    else:
-        members.discard(server)
-
-
-HANDLERS = {
-    MembershipHeard: Board._membership,
-    AgentHeard: Board._result,
-    CheckEnded: Board._result,
-    AttemptSeen: Board._attempt,
-    Ordered: Board._ordered,
-    PolicyChanged: Board._policy,
-    Tick: Board._tick,
+            self._actions.append(member_state_line(member, old, new))
+
+    def _arm(self, now: int, member: MemberHealth, slow_start: SlowStartPolicy) -> None:
+        self.timers.arm(member.endpoint.member.server, member.next_change_us(now, slow_start))
+        if self.timers.is_overgrown(len(self.members)):
+            calm = [tier.calm_since_us for tier in self.tiers.values() if tier.panic and tier.calm_since_us]
+            self.timers.rebuild([since_us + self.policy.panic_hold_us for since_us in calm])
+
+
+def _differ(old: Verdict, new: Verdict) -> bool:
+    """Whether the engine has to know of the difference."""
+    return (old.state, old.weight, old.cold_since_us) != (new.state, new.weight, new.cold_since_us)
+
+
+HANDLERS: dict[type, Callable[[HealthRegistry, int, Any], None]] = {
+    MembershipReceived: HealthRegistry._on_membership,
+    AgentReported: HealthRegistry._on_check,
+    CheckCompleted: HealthRegistry._on_check,
+    AttemptObserved: HealthRegistry._on_attempt,
+    OrderReceived: HealthRegistry._on_order,
+    PolicyChanged: HealthRegistry._on_policy,
+    TimerExpired: HealthRegistry._on_timer,
 }
--- /dev/null
+++ b/rookbend/health/slow_start.py
@@ -0,0 +1,61 @@
+"""Slow start: how the weight of a member rises again after it was out of use."""
+
+from __future__ import annotations
+
+from rookbend.health.model import FULL, SlowStartPolicy
+
+STEP_PERCENT = 5  # a rising weight is published in such steps
+
+
+class SlowStart:
+    """The weight of one member while it is in use.
+
+    It rises evenly from `from_percent` at `began_us`. `level_percent` is the weight now; `limits` tells whether slow
+    start is what limits it, and not the member's own agents.
+    """
+
+    __slots__ = ("began_us", "from_percent", "level_percent", "limits")
+
+    def __init__(self) -> None:
+        self.from_percent = FULL
+        self.began_us = 0
+        self.level_percent = FULL
+        self.limits = False
+
+    def restart(self, now_us: int, policy: SlowStartPolicy) -> None:
+        """In use again: from the first share of the policy on."""
+        self.from_percent = policy.start
+        self.began_us = now_us
+        self.limits = True
+
+    def resume(self, now_us: int) -> None:
+        """In use again since what ejected the member is ignored: from the level it had."""
+        self.from_percent = max(1, self.level_percent)
+        self.began_us = now_us
+        self.limits = True
+
+    def update(self, now_us: int, target_percent: int, policy: SlowStartPolicy) -> int:
+        """The weight now: falls at once to the target, rises no faster than slow start allows."""
+        if not self.limits and target_percent > self.level_percent:
+            self.from_percent = max(1, self.level_percent)
+            self.began_us = now_us
+        cap = self.cap_at(now_us, policy)
+        self.level_percent = min(target_percent, cap)
+        self.limits = target_percent > cap
+        return self.level_percent
+
+    def cap_at(self, now_us: int, policy: SlowStartPolicy) -> int:
+        """The highest weight that slow start allows, in percent, rounded down to a step while it rises."""
+        if self.from_percent >= FULL or not policy.takes_us or policy.start >= FULL:
+            return FULL
+        risen = self.from_percent + (FULL - policy.start) * (now_us - self.began_us) // policy.takes_us
+        return FULL if risen >= FULL else max(self.from_percent, risen // STEP_PERCENT * STEP_PERCENT)
+
+    def next_step_us(self, now_us: int, policy: SlowStartPolicy) -> int:
+        """When the published cap next changes, or 0."""
+        level = self.cap_at(now_us, policy)
+        if level >= FULL:
+            return 0
+        goal = min(FULL, level // STEP_PERCENT * STEP_PERCENT + STEP_PERCENT)
+        span = FULL - policy.start
+        return max(now_us + 1, self.began_us + -(-(goal - self.from_percent) * policy.takes_us // span))
--- a/rookbend/health/spare_capacity.py
+++ b/rookbend/health/spare_capacity.py
@@ -1,8 +1,8 @@
-"""Our own weight, told to a balancer in front: how much of a director is left. Pure.
+"""This director's own weight, as a balancer in front is told it: how much capacity is spare. Pure.
 
-Each resource has a share from which its use counts, and is used up at 1. The weight is the least that any of
-them leaves. It falls at once, by whole steps; it rises a step at a time, each after the room has been there
-for `rise_us`, so that balancers that follow it don't swing the load between directors.
+Each resource counts from a share of its use on, and is used up at 1. The weight is the least that any of them leaves.
+It falls at once, in whole steps; it rises a step at a time, each after capacity has been spare for `rise_us`, so that
+balancers that follow it do not swing the load between directors.
 """
 
 from __future__ import annotations
@@ -11,50 +11,66 @@
 
 from rookbend.health.model import FULL
 
-COUNTS_FROM = {"lag": 0.2, "open": 0.5, "descriptors": 0.7, "memory": 0.8}
+COUNTS_FROM = {"lag": 0.2, "open": 0.5, "descriptors": 0.7, "memory": 0.8}  # share in use, by field of `Sample`
 
 
 @dataclass(frozen=True, slots=True)
 class Sample:
-    """What a director measures of itself. Shares are 0 to 1, of what is allowed."""
+    """What a director measures of itself: shares of what is allowed, 0 to 1.
 
-    lag: float = 0.0  # of the lag at which new requests are refused
-    open: float = 0.0  # requests
+    `lag` is of the loop lag at which new requests are rejected; `open` of requests in flight. `members` are the
+    director's own caches in the membership, `in_use` those of them that serve.
+    """
+
+    lag: float = 0.0
+    open: float = 0.0
     descriptors: float = 0.0
     memory: float = 0.0
-    members: int = 0  # this director's own caches, as far as the membership has told
-    in_use: int = 0  # of these, in service by their effective state
+    members: int = 0
+    in_use: int = 0
+
 
+class SpareCapacity:
+    """The weight in percent, and the resource that limits it ("" where none does)."""
 
-class Headroom:
     def __init__(self, step: float = 0.1, rise_us: int = 2_000_000, least: float = 0.1):
-        self.step, self.rise_us, self.least = round(step * FULL), rise_us, round(least * FULL)
-        self.weight, self.why = FULL, ""
+        self.step = round(step * FULL)
+        self.rise_us = rise_us
+        self.least = round(least * FULL)
+        self.weight = FULL
+        self.limited_by = ""
         self.up = True
-        self._room_since = 0  # there has been room for a step more since then, or 0
-
-    def left(self, sample: Sample) -> tuple[int, str]:
-        """(percent left, the resource that decides)."""
-        shares = {name: (1 - getattr(sample, name)) / (1 - begins) for name, begins in COUNTS_FROM.items()}
-        if sample.members:
-            shares["members"] = sample.in_use / sample.members
-        name = min(shares, key=shares.get)
-        left = min(max(round(shares[name] * FULL), 0), FULL)
-        return left, name if left < FULL else ""
-
-    def measure(self, now: int, sample: Sample) -> None:
-        left, why = self.left(sample)
-        # With no member in use nothing could be served: a balancer is better off elsewhere. An empty membership
-        # only says that nobody has told us yet.
+        self._spare_since_us = 0  # capacity for a step more has been spare since then, or 0
+
+    def measure(self, now_us: int, sample: Sample) -> None:
+        """Takes a sample into account."""
+        left, limited_by = left_of(sample)
+        # With no member in use a balancer is better off elsewhere; an empty membership was only not received yet.
         self.up = not sample.members or sample.in_use > 0
         goal = max(left // self.step * self.step if left < FULL else FULL, self.least)
         if goal < self.weight:
-            self.weight, self.why, self._room_since = goal, why, 0
+            self.weight = goal
+            self.limited_by = limited_by
+            self._spare_since_us = 0
         elif goal < min(self.weight + self.step, FULL):
-            self._room_since = 0
+            self._spare_since_us = 0
         elif goal > self.weight:
-            self._room_since = self._room_since or now
-            if now - self._room_since >= self.rise_us:
-                self.weight, self._room_since = min(self.weight + self.step, goal), now
+            self._rise(now_us, goal)
         if self.weight == FULL:
-            self.why = ""
+            self.limited_by = ""
+
+    def _rise(self, now_us: int, goal: int) -> None:
+        self._spare_since_us = self._spare_since_us or now_us
+        if now_us - self._spare_since_us >= self.rise_us:
+            self.weight = min(self.weight + self.step, goal)
+            self._spare_since_us = now_us
+
+
+def left_of(sample: Sample) -> tuple[int, str]:
+    """(percent left, the resource that limits it)."""
+    shares = {name: (1 - getattr(sample, name)) / (1 - begins) for name, begins in COUNTS_FROM.items()}
+    if sample.members:
+        shares["members"] = sample.in_use / sample.members
+    name = min(shares, key=lambda resource: shares[resource])
+    left = min(max(round(shares[name] * FULL), 0), FULL)
+    return left, name if left < FULL else ""
--- a/rookbend/leases/sharded_checks.py
+++ b/rookbend/leases/sharded_checks.py
@@ -11,9 +11,11 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from rookbend.core.check_result import Outcome, Words
-from rookbend.health.member import Opinion, Row
-from rookbend.health.model import FULL, AgentHeard, CheckEnded
+from rookbend.core.check_result import AgentReport, CheckOutcome
+from rookbend.health.check_state import CheckState
+from rookbend.health.events import AgentReported, CheckCompleted
+from rookbend.health.member_health import MemberHealth
+from rookbend.health.model import FULL
 
 BEAT_US = 500_000
 SILENT_US = 2_000_000  # an owner's word counts so long: then each checks for itself
@@ -24,17 +26,17 @@
 Finding = tuple[int, int, int, int]  # server, check's place, flags, weight
 
 
-def finding(server: int, place: int, o: Opinion) -> Finding:
+def finding(server: int, place: int, o: CheckState) -> Finding:
     admin = {"drain": DRAIN, "maint": MAINT}.get(o.admin, 0)
     return server, place, DOWN * o.down | DEGRADED * o.degraded | admin, o.weight
 
 
-def told(rows: Iterable[Row], checks: list[str]) -> tuple[list[Finding], int]:
+def told(rows: Iterable[MemberHealth], checks: list[str]) -> tuple[list[Finding], int]:
     """What an owner tells of these members: what is not plainly well, and the figure of those it knows."""
     findings, covered = [], 0
     for row in rows:
-        server = row.entry.member.server
-        opinions = [(checks.index(name), o) for name, o in row.opinions.items() if name in checks]
+        server = row.endpoint.member.server
+        opinions = [(checks.index(name), o) for name, o in row.checks.items() if name in checks]
         if opinions and all(o.heard or o.outcome is not None for _, o in opinions):
             covered ^= server
         findings += [f for f in (finding(server, place, o) for place, o in opinions) if f[2] or f[3] != FULL]
@@ -96,19 +98,19 @@
         return s is not None and s.whole and s.heard_us > 0 and now - s.heard_us < SILENT_US
 
     def evidence(
-        self, now: int, scope: int, rows: Iterable[Row], checks: list[str], number: int
-    ) -> list[CheckEnded | AgentHeard]:
+        self, now: int, scope: int, rows: Iterable[MemberHealth], checks: list[str], number: int
+    ) -> list[CheckCompleted | AgentReported]:
         """What the newest telling is to our board: only what is news, and now and then a word that nothing
         is, so that it does not go stale. `number` is that of a check that begins now."""
         s, out, ours = self.shards[scope], [], 0
         rows = list(rows)
         for row in rows:
-            if any(name in checks for name in row.opinions):
-                ours ^= row.entry.member.server
+            if any(name in checks for name in row.checks):
+                ours ^= row.endpoint.member.server
         s.whole = ours == s.covered
         for row in rows:
-            server = row.entry.member.server
-            for name, o in row.opinions.items():
+            server = row.endpoint.member.server
+            for name, o in row.checks.items():
                 said = s.bad.get((server, checks.index(name))) if name in checks else None
                 if said is None and not s.whole:
                     continue  # its owner may not know of it
@@ -117,8 +119,8 @@
 
 
 def _news(
-    now: int, server: int, name: str, o: Opinion, said: tuple[int, int], number: int
-) -> list[CheckEnded | AgentHeard]:
+    now: int, server: int, name: str, o: CheckState, said: tuple[int, int], number: int
+) -> list[CheckCompleted | AgentReported]:
     flags, weight = said
     down, degraded = bool(flags & DOWN), bool(flags & DEGRADED)
     aging = not o.heard or now - o.heard_us >= o.policy.stale_us // 3
@@ -126,14 +128,14 @@
         admin = "drain" if flags & DRAIN else "maint" if flags & MAINT else ""
         if not aging and (o.down, o.admin, o.weight) == (down, admin, weight):
             return []
-        words = Words(up=not down, admin=admin or "ready", weight=weight, reason="by its owner")
-        return [AgentHeard(server, name, number, words)]
+        words = AgentReport(up=not down, admin=admin or "ready", weight=weight, reason="by its owner")
+        return [AgentReported(server, name, number, words)]
     if down and not o.down:
-        return [CheckEnded(server, name, number, Outcome.DISMISSED, "by its owner")]  # counts at once
+        return [CheckCompleted(server, name, number, CheckOutcome.DISMISSED, "by its owner")]  # counts at once
     if not down and o.down:
-        well = Outcome.DEGRADED if degraded else Outcome.PASSED
-        return [CheckEnded(server, name, number, well, "by its owner")] * o.policy.rise
+        well = CheckOutcome.DEGRADED if degraded else CheckOutcome.PASSED
+        return [CheckCompleted(server, name, number, well, "by its owner")] * o.policy.rise
     if aging or degraded is not o.degraded:
-        outcome = Outcome.FAILED if down else Outcome.DEGRADED if degraded else Outcome.PASSED
-        return [CheckEnded(server, name, number, outcome, "by its owner")]
+        outcome = CheckOutcome.FAILED if down else CheckOutcome.DEGRADED if degraded else CheckOutcome.PASSED
+        return [CheckCompleted(server, name, number, outcome, "by its owner")]
     return []
--- a/rookbend/net/checks.py
+++ b/rookbend/net/checks.py
@@ -10,10 +10,11 @@
 
 import trio
 
-from rookbend.core.check_result import Outcome, Words
+from rookbend.core.check_result import AgentReport, CheckOutcome
 from rookbend.core.clock import Clock
-from rookbend.health.model import AgentHeard, CheckEnded
-from rookbend.health.service import Desk
+from rookbend.health.check_schedule import cadence_of, policies_of
+from rookbend.health.events import AgentReported, CheckCompleted
+from rookbend.health.service import HealthService
 from rookbend.net.member_connection import open_socket
 from rookbend.net.scheduling import Runner
 from rookbend.scheduling.scheduler import Plan
@@ -23,7 +24,7 @@
 RECEIVE = 16 << 10
 
 
-Result = tuple[Outcome, str] | Words
+Result = tuple[CheckOutcome, str] | AgentReport
 
 
 class WatchUnsupportedError(Exception):
@@ -65,8 +66,8 @@
 class CheckDriver:
     """Keeps a job in the plan for each check of each member, and runs them."""
 
-    def __init__(self, desk: Desk, runner: Runner, clock: Clock, checks: tuple[Check, ...]):
-        self.desk, self.runner, self.clock = desk, runner, clock
+    def __init__(self, health: HealthService, runner: Runner, clock: Clock, checks: tuple[Check, ...]):
+        self.health, self.runner, self.clock = health, runner, clock
         self.plan: Plan = runner.plan
         self.checks = {c.name: c for c in checks}
         self.made = 0
@@ -75,7 +76,7 @@
         self.rests: Callable[[int, int], tuple[bool, int]] = lambda server, interval_us: (True, 0)
         self.on_result: Callable[[int], None] = lambda server: None
         runner.work[CHECK] = runner.work[WATCH] = self._run
-        desk.on_members = self.members_changed
+        health.on_members = self.members_changed
 
     # Which checks there are
 
@@ -85,7 +86,7 @@
             for check in self.checks.values():
                 self._drop(server, check)
         for server in added:
-            for policy in self.desk.board.checks_of(server):
+            for policy in policies_of(self.health.registry.members.get(server)):
                 # Spread over an interval: a thousand members that come in one event are not asked at once.
                 key = kind_of(self.checks[policy.name]), server, policy.name
                 self._put(key, now + self.plan.spread(key, policy.interval_us))
@@ -100,9 +101,9 @@
             if self.checks.get(name) == check:
                 self.checks[name] = check  # unchanged: what is out of it still counts
                 continue
-            for server in self.desk.board.rows:
+            for server in self.health.registry.members:
                 self._drop(server, check)
-        self.members_changed(list(self.desk.board.rows), [])
+        self.members_changed(list(self.health.registry.members), [])
 
     def _drop(self, server: int, check: Check) -> None:
         key = kind_of(check), server, check.name
@@ -110,7 +111,7 @@
         self.no_watch.discard(key)
 
     def _put(self, key: tuple, due_us: int) -> None:
-        cadence = self.desk.board.cadence(key[1], key[2])
+        cadence = cadence_of(self.health.registry.members.get(key[1]), key[2])
         if cadence is not None:
             self.plan.put(key, due_us, cadence[1], key[0])
 
@@ -118,27 +119,27 @@
 
     async def _run(self, key: tuple) -> None:
         kind, server, name = key
-        check, row, board = self.checks.get(name), self.desk.board.rows.get(server), self.desk.board
+        check, row, registry = self.checks.get(name), self.health.registry.members.get(server), self.health.registry
         if check is None or row is None:
             return
         ours, least_us = self.rests(server, check.interval_us)
         if not ours:
             return self._put(key, self.clock.now() + least_us)
-        host, port = row.entry.address
-        began, number = self.clock.now(), board.begin_check()
+        host, port = row.endpoint.address
+        began, number = self.clock.now(), registry.begin_check()
         watch = kind == WATCH and key not in self.no_watch
         self.made += 1
 
         def heard(result: Result) -> None:
-            if isinstance(result, Words):
-                self.desk.feed(AgentHeard(server, name, number, result))
+            if isinstance(result, AgentReport):
+                self.health.feed(AgentReported(server, name, number, result))
             else:
-                self.desk.feed(CheckEnded(server, name, number, *result))
+                self.health.feed(CheckCompleted(server, name, number, *result))
             self.on_result(server)
 
         def rest_us() -> int:
-            cadence, row = board.cadence(server, name), board.rows.get(server)
-            if cadence is None or self.checks.get(name) is not check or row.entry.address != (host, port):
+            cadence, row = cadence_of(registry.members.get(server), name), registry.members.get(server)
+            if cadence is None or self.checks.get(name) is not check or row.endpoint.address != (host, port):
                 return 0  # the check or the member is no more, or is elsewhere
             return cadence[0]
 
@@ -171,7 +172,7 @@
                 scope.deadline = self.clock.monotonic_at(began_us + check.answer_by_us)
                 sock = await open_socket(address)
                 if exchange is None:
-                    return Outcome.PASSED, ""
+                    return CheckOutcome.PASSED, ""
                 await send(sock, preface(check, sock) + exchange.start())
                 if getattr(exchange, "watch", False):
                     return await self._watch(check, exchange, sock, scope, heard, rest_us)
@@ -179,13 +180,13 @@
                     await move(sock, exchange)
                 return exchange.result
         except ConnectionRefusedError:
-            return Outcome.REFUSED, "connection refused"
+            return CheckOutcome.REFUSED, "connection refused"
         except OSError as error:
-            return Outcome.BROKEN, error.strerror or type(error).__name__
+            return CheckOutcome.BROKEN, error.strerror or type(error).__name__
         finally:
             if sock is not None:
                 sock.close()
-        return Outcome.SILENT, "no connection" if sock is None else "no whole answer"
+        return CheckOutcome.SILENT, "no connection" if sock is None else "no whole answer"
 
     async def _watch(
         self,
--- a/rookbend/net/health.py
+++ b/rookbend/net/health.py
@@ -8,8 +8,8 @@
 import trio
 
 from rookbend.core.clock import Clock
-from rookbend.health.own_status import Standing
-from rookbend.health.spare_capacity import Headroom, Sample
+from rookbend.health.own_status import OwnStatus
+from rookbend.health.spare_capacity import Sample, SpareCapacity
 from rookbend.net.buffered_socket import Channel, Outbox
 from rookbend.net.component import Part
 from rookbend.net.http_server import IDLE_US, SmallServer, serve_http
@@ -22,7 +22,7 @@
 class Measuring(Part):
     """Takes a sample of ourselves every `MEASURE_US`, and tells who follows us when it matters."""
 
-    def __init__(self, headroom: Headroom, sample: Callable[[], Sample], clock: Clock):
+    def __init__(self, headroom: SpareCapacity, sample: Callable[[], Sample], clock: Clock):
         self.headroom, self.sample, self.clock = headroom, sample, clock
         self.on_change: list[Callable[[], None]] = []
 
@@ -46,7 +46,7 @@
 
 
 def agent_server(
-    address: tuple[str, int], clock: Clock, outbox: Outbox, standing: Callable[[], Standing]
+    address: tuple[str, int], clock: Clock, outbox: Outbox, standing: Callable[[], OwnStatus]
 ) -> SmallServer:
     """Says one line to each who connects, and closes."""
 
@@ -58,7 +58,7 @@
 
 
 def http_server(
-    address: tuple[str, int], clock: Clock, outbox: Outbox, standing: Callable[[], Standing]
+    address: tuple[str, int], clock: Clock, outbox: Outbox, standing: Callable[[], OwnStatus]
 ) -> SmallServer:
     def handle(request) -> tuple[int, bytes, str]:
         s = standing()
@@ -73,7 +73,7 @@
 class GrpcServer(SmallServer):
     """Check and Watch. Watchers stay, and hear of each change at once."""
 
-    def __init__(self, address: tuple[str, int], clock: Clock, outbox: Outbox, standing: Callable[[], Standing]):
+    def __init__(self, address: tuple[str, int], clock: Clock, outbox: Outbox, standing: Callable[[], OwnStatus]):
         super().__init__(address, clock, outbox, self._grpc, lasting=True)
         self.standing = standing
         self.open_now: dict[Channel, object] = {}
--- a/rookbend/net/leases.py
+++ b/rookbend/net/leases.py
@@ -143,10 +143,10 @@
         self.feed(machine.Counted((c.requests, c.served, c.refused, c.failed)))
 
     def _told(self, a: machine.Told) -> None:
-        desk, follower = self.health.desk, self.machine.follower
-        number = desk.board.begin_check()
+        service, follower = self.health.service, self.machine.follower
+        number = service.registry.begin_check()
         for event in follower.evidence(self.now(), a.scope, self._rows(a.scope), self.check_names, number):
-            desk.feed(event)
+            service.feed(event)
 
     # Checks
 
@@ -155,7 +155,7 @@
 
     def _rows(self, scope: int) -> list:
         """The board's, of the members of a shard."""
-        return [row for server, row in self.health.desk.board.rows.items() if self._scope_of(server) == scope]
+        return [row for server, row in self.health.service.registry.members.items() if self._scope_of(server) == scope]
 
     def rests(self, server: int, interval_us: int) -> tuple[bool, int]:
         """Whether a check of that member is ours to make now, and how long the next one rests at least."""
--- a/rookbend/net/recovery.py
+++ b/rookbend/net/recovery.py
@@ -1,7 +1,6 @@
 """The driver of recovery: feeds the machine (`recovery.coordinator`) what comes in, carries its actions out.
 
-The machine's clock is monotonic from the Unix time of the start, so that a stepped system clock changes no age.
-"""
+The machine's clock is monotonic from the Unix time of the start, so that a stepped system clock changes no age."""
 
 from __future__ import annotations
 
@@ -169,12 +168,13 @@
 
     def _give(self, member: str) -> None:
         """An order from before, to health, once the member is there."""
-        from rookbend.health.model import Order, Ordered
+        from rookbend.health.events import OrderReceived
+        from rookbend.health.model import Order
 
-        server = self.health.desk.find(member) if self.health is not None else None
+        server = self.health.service.find(member) if self.health is not None else None
         if server is not None:
             order, by = self.orders.pop(member)
-            self.health.desk.feed(Ordered(server, Order(order), by))
+            self.health.service.feed(OrderReceived(server, Order(order), by))
 
     def _members(self, a: machine.Members) -> None:
         self._pass_on(a.change)
--- a/rookbend/protocol/agent.py
+++ b/rookbend/protocol/agent.py
@@ -14,7 +14,7 @@
 
 import re
 
-from rookbend.core.check_result import Outcome, Words
+from rookbend.core.check_result import AgentReport, CheckOutcome
 
 DOWN = frozenset({"down", "fail", "failed", "stopped"})
 ADMIN = frozenset({"ready", "drain", "maint"})
@@ -27,7 +27,7 @@
 LONGEST_ADVICE = 1 << 20
 
 
-def read_line(line: str) -> Words:
+def read_line(line: str) -> AgentReport:
     """The words of one line. Of two on the same matter the later counts; of drain and maint, as of up and
     down, the one that takes away: a line that says both is no reason to send."""
     said, hash_sign, reason = line.partition("#")
@@ -49,7 +49,7 @@
         else:
             unknown += 1
     reason = "".join(c if c.isprintable() else " " for c in reason.strip())[:LONGEST_REASON]
-    return Words(up, admin, weight, most, reason, unknown)
+    return AgentReport(up, admin, weight, most, reason, unknown)
 
 
 ADMIN_RANK = {"ready": 0, "drain": 1, "maint": 2}
@@ -61,7 +61,7 @@
     def __init__(self, send: str, most_bytes: int):
         self._send, self._most = send.encode(), most_bytes
         self._text = b""
-        self.result: Words | tuple[Outcome, str] | None = None
+        self.result: AgentReport | tuple[CheckOutcome, str] | None = None
 
     def start(self) -> bytes:
         return self._send
@@ -76,12 +76,12 @@
         if end is not None:
             self._take(self._text[: end.start()])
         elif len(self._text) > self._most:
-            self.result = Outcome.BROKEN, f"no end of line in {self._most} bytes"
+            self.result = CheckOutcome.BROKEN, f"no end of line in {self._most} bytes"
         elif not data:
             if self._text.strip():
                 self._take(self._text, cut=True)
             else:
-                self.result = Outcome.BROKEN, "closed without a word"
+                self.result = CheckOutcome.BROKEN, "closed without a word"
         return b""
 
     def _take(self, line: bytes, cut: bool = False) -> None:
@@ -89,10 +89,10 @@
         text = line.decode("ascii", "replace")
         words = read_line(text)
         if cut and words.unknown:
-            self.result = Outcome.BROKEN, "closed in the middle of a line"
+            self.result = CheckOutcome.BROKEN, "closed in the middle of a line"
         elif words.up is words.admin is words.weight is words.most_connections is None:
             shown = "".join(c if c.isascii() and c.isprintable() else "." for c in text[:40])
-            self.result = Outcome.BROKEN, f"nothing to go by in {shown!r}"
+            self.result = CheckOutcome.BROKEN, f"nothing to go by in {shown!r}"
         else:
             self.result = words
 
--- a/rookbend/protocol/grpc_health.py
+++ b/rookbend/protocol/grpc_health.py
@@ -17,7 +17,7 @@
 from google.protobuf import descriptor_pb2, descriptor_pool, message_factory
 from google.protobuf.message import DecodeError
 
-from rookbend.core.check_result import Outcome
+from rookbend.core.check_result import CheckOutcome
 
 SERVING, NOT_SERVING, SERVICE_UNKNOWN = 1, 2, 3
 STATUS_NAMES = {0: "UNKNOWN", 1: "SERVING", 2: "NOT_SERVING", 3: "SERVICE_UNKNOWN"}
@@ -94,7 +94,7 @@
         self._h2 = h2.connection.H2Connection(h2.config.H2Configuration(client_side=True))
         self._host, self._service, self.watch = host, service, watch
         self._messages, self._stream = Messages(), 0
-        self.result: tuple[Outcome, str] | None = None
+        self.result: tuple[CheckOutcome, str] | None = None
         self.ended = False
         self.unimplemented = False  # the server has no Watch: its Check may do
         self.heard_pong = True
@@ -128,16 +128,16 @@
         if self.ended:
             return b""
         if not data:
-            self._end(Outcome.BROKEN, "closed before the answer")
+            self._end(CheckOutcome.BROKEN, "closed before the answer")
             return b""
         try:
             for event in self._h2.receive_data(data):
                 self._take(event)
         except (h2.exceptions.ProtocolError, GrpcError, DecodeError) as error:
-            self._end(Outcome.BROKEN, f"no gRPC: {error}"[:120])
+            self._end(CheckOutcome.BROKEN, f"no gRPC: {error}"[:120])
         return self._h2.data_to_send()
 
-    def _end(self, outcome: Outcome, reason: str) -> None:
+    def _end(self, outcome: CheckOutcome, reason: str) -> None:
         if not self.ended:
             self.ended = True
             if self.watch or self.result is None:
@@ -148,13 +148,13 @@
         if kind is h2.events.PingAckReceived:
             self.heard_pong = True
         elif kind is h2.events.ConnectionTerminated:
-            self._end(Outcome.BROKEN, "GOAWAY")
+            self._end(CheckOutcome.BROKEN, "GOAWAY")
         elif getattr(event, "stream_id", 0) != self._stream:
             return
         elif kind is h2.events.ResponseReceived:
             headers = {_text(k): _text(v) for k, v in event.headers}
             if headers.get(":status") != "200":
-                self._end(Outcome.FAILED, f"HTTP status {headers.get(':status')}")
+                self._end(CheckOutcome.FAILED, f"HTTP status {headers.get(':status')}")
             elif "grpc-status" in headers:
                 self._trailers(headers)
         elif kind is h2.events.DataReceived:
@@ -164,15 +164,15 @@
         elif kind is h2.events.TrailersReceived:
             self._trailers({_text(k): _text(v) for k, v in event.headers})
         elif kind is h2.events.StreamReset:
-            self._end(Outcome.BROKEN, "the stream was reset")
+            self._end(CheckOutcome.BROKEN, "the stream was reset")
         elif kind is h2.events.StreamEnded:
-            self._end(Outcome.BROKEN, "ended without a status")
+            self._end(CheckOutcome.BROKEN, "ended without a status")
 
     def _status(self, status: int) -> None:
         if self.result is not None and not self.watch:
             raise GrpcError("a second message in answer to a Check")
         name = STATUS_NAMES.get(status, str(status))
-        self.result = (Outcome.PASSED, "") if status == SERVING else (Outcome.FAILED, name)
+        self.result = (CheckOutcome.PASSED, "") if status == SERVING else (CheckOutcome.FAILED, name)
 
     def _trailers(self, fields: dict[str, str]) -> None:
         code = fields.get("grpc-status", "")
@@ -180,9 +180,9 @@
         if code != "0":
             # A status that was told before an error does not count: the call as a whole has failed.
             self.result = None
-            self._end(Outcome.FAILED, f"grpc-status {code or 'missing'}")
+            self._end(CheckOutcome.FAILED, f"grpc-status {code or 'missing'}")
         else:
-            self._end(Outcome.BROKEN, "ended without a status")
+            self._end(CheckOutcome.BROKEN, "ended without a status")
 
 
 def _text(value) -> str:
--- a/rookbend/protocol/http_check.py
+++ b/rookbend/protocol/http_check.py
@@ -8,7 +8,7 @@
 
 import h11
 
-from rookbend.core.check_result import Outcome
+from rookbend.core.check_result import CheckOutcome
 
 FAIL_AT_ONCE = b"x-envoy-immediate-health-check-fail"
 DEGRADED = b"x-envoy-degraded"
@@ -31,7 +31,7 @@
         self._body = b""
         self._status = 0
         self._degraded = False
-        self.result: tuple[Outcome, str] | None = None
+        self.result: tuple[CheckOutcome, str] | None = None
 
     def start(self) -> bytes:
         return self._http.send(self._request) + self._http.send(h11.EndOfMessage())
@@ -48,7 +48,7 @@
                     break
                 self._take(event)
         except h11.RemoteProtocolError as error:
-            self.result = Outcome.BROKEN, f"no HTTP: {error}"[:120]
+            self.result = CheckOutcome.BROKEN, f"no HTTP: {error}"[:120]
         return b""
 
     def _take(self, event) -> None:
@@ -59,21 +59,21 @@
             if self._wanted and self._wanted in self._body:
                 self._passed()
             elif len(self._body) > self._most:
-                self.result = Outcome.FAILED, f"not found in the first {self._most} bytes of the body"
+                self.result = CheckOutcome.FAILED, f"not found in the first {self._most} bytes of the body"
         elif isinstance(event, h11.EndOfMessage):
-            self.result = Outcome.FAILED, f"{self._status} with another body"
+            self.result = CheckOutcome.FAILED, f"{self._status} with another body"
         elif isinstance(event, h11.ConnectionClosed):
-            self.result = Outcome.BROKEN, "closed before the answer"
+            self.result = CheckOutcome.BROKEN, "closed before the answer"
 
     def _head(self, answer: h11.Response) -> None:
         self._status, names = answer.status_code, {name for name, _ in answer.headers}
         self._degraded = DEGRADED in names
         if FAIL_AT_ONCE in names:
-            self.result = Outcome.DISMISSED, "asked to be taken out at once"
+            self.result = CheckOutcome.DISMISSED, "asked to be taken out at once"
         elif not any(low <= self._status <= high for low, high in self._statuses):
-            self.result = Outcome.FAILED, f"status {self._status}"
+            self.result = CheckOutcome.FAILED, f"status {self._status}"
         elif not self._wanted:
             self._passed()
 
     def _passed(self) -> None:
-        self.result = (Outcome.DEGRADED, "says it is degraded") if self._degraded else (Outcome.PASSED, "")
+        self.result = (CheckOutcome.DEGRADED, "says it is degraded") if self._degraded else (CheckOutcome.PASSED, "")
--- a/tests/director_scenario.py
+++ b/tests/director_scenario.py
@@ -17,7 +17,8 @@
 import trio.testing
 
 from rookbend.config import Config
-from rookbend.health.model import Order, Ordered
+from rookbend.health.events import OrderReceived
+from rookbend.health.model import Order
 from rookbend.service import Service
 from rookbend.settings import parse
 from rookbend.testing.health_agents import listen_together
@@ -120,12 +121,12 @@
 
     def order(self, _, order, name):
         """An operator's order, as the operators' listener passes it on."""
-        desk = self.service.health.desk
-        desk.feed(Ordered(desk.find(name), Order(order), "test"))
+        service = self.service.health.service
+        service.feed(OrderReceived(service.find(name), Order(order), "test"))
 
     def state(self, name):
         """What health makes of a member: (state, weight, cause)."""
-        row = next(r for r in self.service.health.desk.table() if r["member"] == name)
+        row = next(r for r in self.service.health.service.table() if r["member"] == name)
         return row["state"], row["weight"], row["cause"]
 
     async def tell(self, coordinator, *lines):
--- /dev/null
+++ b/tests/health_harness.py
@@ -0,0 +1,73 @@
+"""A health registry under test: members, a clock of the test's, and the verdicts that were published."""
+
+from rookbend.coordination.events import TimerExpired
+from rookbend.core.check_result import AgentReport, CheckOutcome
+from rookbend.core.model import Endpoint
+from rookbend.health.check_schedule import cadence_of
+from rookbend.health.events import (
+    AgentReported,
+    CheckCompleted,
+    MembershipReceived,
+    VerdictChanged,
+)
+from rookbend.health.model import CheckPolicy, HealthPolicy, SlowStartPolicy
+from rookbend.health.registry import HealthRegistry
+from rookbend.interface import Member, MemberState
+
+SECOND = 1_000_000
+START, RAMP_US = 20, 10 * SECOND
+POLICY = HealthPolicy(
+    checks=(CheckPolicy("agent", True, stale_us=5 * SECOND), CheckPolicy("page", rise=2, fall=3)),
+    max_out=0.5,
+    hold_us=SECOND,
+    ramps=(("cache", SlowStartPolicy(START, RAMP_US)),),
+)
+
+
+def entry(server, state=MemberState.READY, started=0, port=1):
+    return Endpoint(Member(server, 8.0, zone=1, state=state, started_us=started), f"m{server}", ("127.0.0.1", port))
+
+
+class Watched:
+    """A board under a clock of the test's, with the member changes it has told."""
+
+    def __init__(self, count=4, policy=POLICY, step=lambda b: None):
+        self.step = step
+        self.now, self.registry, self.told, self.said = 100 * SECOND, HealthRegistry(policy, lambda e: "cache"), {}, []
+        self.feed(MembershipReceived(True, [entry(s) for s in range(1, count + 1)]))
+
+    def feed(self, event, after=0):
+        """Time passes in the order in which the board asks for it."""
+        until = self.now + after
+        while self.registry.due_us and self.registry.due_us <= until:
+            self.now = max(self.now, self.registry.due_us)
+            self._hear(self.registry.handle(self.now, TimerExpired()))
+        self.now = until
+        self._hear(self.registry.handle(self.now, event))
+        return self
+
+    def _hear(self, actions):
+        self.step(self)
+        for action in actions:
+            if isinstance(action, VerdictChanged):
+                self.told[action.server] = action.verdict
+            else:
+                self.said.append(action)
+
+    def words(self, server, after=0, **words):
+        return self.feed(AgentReported(server, "agent", self.registry.begin_check(), AgentReport(**words)), after)
+
+    def checked(self, server, outcome=CheckOutcome.FAILED, times=1, check="page"):
+        for _ in range(times):
+            self.feed(CheckCompleted(server, check, self.registry.begin_check(), outcome, "why"), 1)
+        return self
+
+    def wait(self, us):
+        return self.feed(TimerExpired(), us)
+
+    def cadence(self, server, check):
+        return cadence_of(self.registry.members.get(server), check)
+
+    def state(self, server=1):
+        v = self.registry.members[server].verdict
+        return v.state.value, v.weight, v.cause.value
--- /dev/null
+++ b/tests/health_scenarios.py
@@ -0,0 +1,79 @@
+"""Scenarios of members' health: settings with checks, and where requests are placed."""
+
+import copy
+
+import trio
+import trio.testing
+
+from tests.director_scenario import SETTINGS, on_stage, play
+
+PROBING = copy.deepcopy(SETTINGS)
+PROBING["limits"]["probes"] = True
+TWO = "cache1", "cache2", "upper", "records"
+AGENT = """
+[health]
+    max-out 50%
+    hold 100ms
+[check agent]
+    type agent
+    port AGENTS
+    interval 1s
+    fast 200ms
+    stale 4s
+"""
+HTTP = """
+[health]
+    hold 100ms
+[check page]
+    type http
+    port AGENTS
+    interval 1s
+    fast 100ms
+    expect-body fine
+"""
+GRPC = """
+[health]
+    hold 100ms
+[check grpc]
+    type {type}
+    port AGENTS
+    interval 1s
+    fast 100ms
+    stale 4s
+"""
+
+
+def health(scenario, operators=AGENT, members=TWO, **options):
+    return play(scenario, operators=operators, members=members, settings=PROBING, **options)
+
+
+def on_health(steps, operators=AGENT, members=TWO, **options):
+    return on_stage(steps, operators=operators, members=members, settings=PROBING, **options)
+
+
+async def placed(stage, number):
+    """Sends a read and tells which caches hear it, having them answer."""
+    await stage.play(f"client send request {number} video chunk={number}")
+    heard = None
+    with trio.fail_after(5):
+        while heard is None:
+            heard = next(
+                (n for n in ("cache1", "cache2") if stage.actors[n].heard.statistics().current_buffer_used), None
+            )
+            await trio.sleep(0.01)
+    await stage.play(f"""
+        {heard} expect do rid={number:016x}
+        {heard} send ok note=mem body=x
+        client expect served {number}
+    """)
+    return heard
+
+
+async def where(stage, first, count=12):
+    """The caches that new reads go to, on a new connection: an old one may have idled out."""
+    client = stage.actors["client"]
+    await client.close()
+    await trio.testing.wait_all_tasks_blocked()
+    while client.heard.statistics().current_buffer_used:
+        client.heard.receive_nowait()
+    return {await placed(stage, first + i) for i in range(count)}
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -9,7 +9,7 @@
 
 from rookbend.cli import members
 from rookbend.logs import EventBudget, Log
-from tests.test_health import AGENT, on_health
+from tests.health_scenarios import AGENT, on_health
 
 ADMIN = AGENT + "[admin]\n listen 127.0.0.1:0\n metrics yes\n"
 SECOND = 1_000_000
--- /dev/null
+++ b/tests/test_health_checks.py
@@ -0,0 +1,169 @@
+"""Health checks of members, and members and settings that change under a check."""
+
+import pytest
+import trio
+import trio.testing
+
+from tests.director_scenario import OBJ, on_stage
+from tests.health_scenarios import GRPC, HTTP, health, on_health, where
+
+
+@pytest.mark.parametrize(
+    "said, state",
+    [
+        ("http 200 fine", "ready"),
+        ("http 200 broken", "down"),
+        ("http 503 fine", "down"),
+        ("http 200 fine X-Envoy-Degraded:true", "degraded"),
+        ("http 200 fine X-Envoy-Immediate-Health-Check-Fail:true", "down"),
+        ("stall HTTP/1.1 200 x", "down"),
+        ("flood HTTP/1.1_200_x_", "down"),
+        ("leave HTTP", "down"),
+    ],
+)
+def test_an_http_check_goes_by_status_body_and_headers(said, state):
+    async def steps(stage):
+        await stage.play(f"agent2 send http 200 fine\n agent1 send {said}\n all wait 6")
+        assert stage.state("cache1")[0] == state, stage.service.health.service.table()
+        assert b"GET /health HTTP/1.1" in stage.actors["agent2"].peer.heard[-1]
+
+    on_health(steps, operators=HTTP)
+
+
+@pytest.mark.parametrize("kind", ["grpc", "grpc-watch"])
+def test_a_grpc_check_goes_by_the_status_told(kind):
+    async def steps(stage):
+        await stage.play("""
+            agent1 send grpc serving
+            agent2 send grpc serving
+            all wait 3
+            cache1 wait ready
+            agent1 send grpc refusing
+            cache1 wait down
+            agent1 send grpc serving
+            cache1 wait degraded
+        """)
+        assert stage.state("cache2") == ("ready", 100, "nothing")
+
+    on_health(steps, operators=GRPC.format(type=kind))
+
+
+def test_a_watch_that_goes_silent_is_noticed():
+    """It says nothing while nothing changes: only a ping that nobody answers tells its end."""
+
+    async def steps(stage):
+        await stage.play("agent1 send grpc serving\n agent2 send grpc serving\n all wait 5")
+        watched = stage.actors["agent1"].peer.asked
+        assert stage.state("cache1")[0] == "ready" and watched == 1, "one stream, and it lasts"
+        await stage.play("agent1 send grpc deaf\n cache1 wait down")
+        assert stage.actors["agent1"].peer.asked > watched
+
+    on_health(steps, operators=GRPC.format(type="grpc-watch"))
+
+
+def test_a_plain_connect_is_enough_for_a_tcp_check():
+    async def steps(stage):
+        await stage.play("all wait 3")
+        assert stage.state("cache1")[0] == "ready"
+        await stage.actors["agent1"].close()
+        await stage.play("cache1 wait down")
+
+    on_health(steps, operators="[health]\n hold 1s\n[check up]\n type tcp\n port AGENTS\n interval 1s\n proxy local\n")
+
+
+def test_a_proxy_header_goes_before_the_question():
+    async def steps(stage):
+        await stage.play("agent1 send http 200 fine\n all wait 3")
+        return list(stage.actors["agent1"].peer.heard)
+
+    heard = on_health(steps, operators=HTTP + "    proxy proxy\n")
+    assert heard and all(h.startswith(b"\r\n\r\n\0\r\nQUIT\n\x21\x11\0\x0c\x7f\0\0") and b"GET /" in h for h in heard)
+
+
+# Members and settings that change under a check
+
+
+def test_a_check_that_a_reload_removes_is_not_heard_any_more():
+    async def steps(stage):
+        await stage.play("agent1 send stall down\n agent1 expect ask")
+        stage.operators = type(stage.operators)(health=stage.operators.health)
+        stage.service.reload()
+        stage.actors["agent1"].peer.manner.text = b"down\n"
+        await trio.sleep(30)
+        assert stage.state("cache1") == ("ready", 100, "nothing")
+        assert not stage.service.health.runner.plan.jobs
+        asked = stage.actors["agent1"].peer.asked
+        await trio.sleep(30)
+        assert stage.actors["agent1"].peer.asked == asked
+
+    on_health(steps)
+
+
+def test_a_box_replaced_at_the_same_address_inherits_nothing_of_the_check_that_is_out():
+    async def steps(stage):
+        service, coordinator = stage.service.health.service, stage.actors["coordinator"]
+        await stage.play("agent1 send down\n cache1 wait down\n agent1 send stall down\n agent1 expect ask")
+        gone = stage.member("cache1", "DELETED")
+        new = {**stage.member("cache1"), "id": "cache9"}
+        await stage.tell(coordinator, gone, new)
+        while service.find("cache9") is None:
+            await trio.sleep(0.01)
+        assert service.find("cache1") is None and stage.state("cache9") == ("ready", 100, "nothing")
+        await trio.sleep(2)
+        assert stage.state("cache9")[0] == "ready" and service.registry.overtaken >= 1
+
+    on_health(steps)
+
+
+def test_orders_hold_through_what_agents_and_restarts_say():
+    async def steps(stage):
+        await stage.play("""
+            director send order maintain cache1
+            agent1 send ready up 100%
+            all wait 3
+        """)
+        assert stage.state("cache1") == ("maintenance", 0, "order")
+        await stage.tell(
+            stage.actors["coordinator"], {**stage.member("cache1"), "up_since_ms": int(stage.unix() * 1000)}
+        )
+        await trio.sleep(1)
+        assert stage.state("cache1") == ("maintenance", 0, "order") and await where(stage, 1) == {"cache2"}
+        await stage.play("director send order ready cache1\n cache1 wait degraded")
+
+    on_health(steps)
+
+
+def test_a_name_is_not_given_for_a_box_whose_agent_has_it_draining():
+    health(
+        f"""
+        dns send p0.{OBJ}.g17.video.route.example.org id=5
+        cache1 expect do k={OBJ}
+        cache1 send ok note=mem body=hello
+        resolver expect cache1.example.org
+        agent1 send drain
+        cache1 wait draining
+        resolver send 127.0.0.11
+        dns expect REFUSED unnamed
+    """,
+        members=("cache1", "upper", "records"),
+    )
+
+
+def test_grpc_watchers_in_front_hear_of_the_drain_at_once():
+    from rookbend.core.check_result import CheckOutcome
+    from rookbend.protocol.grpc_health import GrpcAsk
+
+    async def steps(stage):
+        ask, told = GrpcAsk("x", "", watch=True), []
+        async with await trio.open_tcp_stream(*stage.service.balancer[2].address) as stream:
+            await stream.send_all(ask.start())
+            while len(told) < 2:
+                await stream.send_all(ask.feed(await stream.receive_some(65536)) or b"")
+                if ask.result is not None:
+                    told.append(ask.result)
+                    ask.result = None
+                    stage.service.stop()
+        assert told == [(CheckOutcome.PASSED, ""), (CheckOutcome.FAILED, "NOT_SERVING")]
+        assert trio.current_time() < 0.5, "not only once the latecomers' time is over"
+
+    on_stage(steps)
--- a/tests/test_health_protocols.py
+++ b/tests/test_health_protocols.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from rookbend.core.check_result import Outcome, Words
+from rookbend.core.check_result import AgentReport, CheckOutcome
 from rookbend.protocol.agent import AgentAsk, read_line, write_line
 from rookbend.protocol.grpc_health import NOT_SERVING, SERVING, GrpcAsk, GrpcServe
 from rookbend.protocol.http_check import HttpAsk
@@ -14,29 +14,29 @@
 @pytest.mark.parametrize(
     "line, words",
     [
-        ("up", Words(up=True)),
-        ("UP", Words(up=True)),
-        ("down", Words(up=False)),
-        ("fail", Words(up=False)),
-        ("failed#x", Words(up=False, reason="x")),
-        ("stopped # disk full", Words(up=False, reason="disk full")),
-        ("ready", Words(admin="ready")),
-        ("drain", Words(admin="drain")),
-        ("maint", Words(admin="maint")),
-        ("75%", Words(weight=75)),
-        ("0%", Words(weight=0)),
-        ("250%", Words(weight=100)),
-        ("maxconn:30", Words(most_connections=30)),
-        ("up,ready\t75% maxconn:9", Words(True, "ready", 75, 9)),
-        (" , up ,, ready", Words(True, "ready")),
-        ("up down", Words(up=False)),
-        ("down up", Words(up=False)),
-        ("drain ready", Words(admin="drain")),
-        ("maint drain", Words(admin="maint")),
-        ("up -5% x%", Words(up=True, unknown=2)),
-        ("up #down drain", Words(up=True, reason="down drain")),
-        ("#", Words()),
-        ("", Words()),
+        ("up", AgentReport(up=True)),
+        ("UP", AgentReport(up=True)),
+        ("down", AgentReport(up=False)),
+        ("fail", AgentReport(up=False)),
+        ("failed#x", AgentReport(up=False, reason="x")),
+        ("stopped # disk full", AgentReport(up=False, reason="disk full")),
+        ("ready", AgentReport(admin="ready")),
+        ("drain", AgentReport(admin="drain")),
+        ("maint", AgentReport(admin="maint")),
+        ("75%", AgentReport(weight=75)),
+        ("0%", AgentReport(weight=0)),
+        ("250%", AgentReport(weight=100)),
+        ("maxconn:30", AgentReport(most_connections=30)),
+        ("up,ready\t75% maxconn:9", AgentReport(True, "ready", 75, 9)),
+        (" , up ,, ready", AgentReport(True, "ready")),
+        ("up down", AgentReport(up=False)),
+        ("down up", AgentReport(up=False)),
+        ("drain ready", AgentReport(admin="drain")),
+        ("maint drain", AgentReport(admin="maint")),
+        ("up -5% x%", AgentReport(up=True, unknown=2)),
+        ("up #down drain", AgentReport(up=True, reason="down drain")),
+        ("#", AgentReport()),
+        ("", AgentReport()),
     ],
 )
 def test_every_word_of_an_agent(line, words):
@@ -46,14 +46,14 @@
 @pytest.mark.parametrize(
     "parts, result",
     [
-        ((b"u", b"p 5", b"0%\r\ngarbage"), Words(up=True, weight=50)),
-        ((b"up\rdown\n",), Words(up=True)),
-        ((b"drain", b""), Words(admin="drain")),
-        ((b"up rea", b""), (Outcome.BROKEN, "closed in the middle of a line")),
-        ((b"",), (Outcome.BROKEN, "closed without a word")),
-        ((b"\n",), (Outcome.BROKEN, "nothing to go by in ''")),
-        ((b"\xff\xfe\x00\n",), (Outcome.BROKEN, "nothing to go by in '...'")),
-        ((b"x" * 50, b"x" * 51), (Outcome.BROKEN, "no end of line in 100 bytes")),
+        ((b"u", b"p 5", b"0%\r\ngarbage"), AgentReport(up=True, weight=50)),
+        ((b"up\rdown\n",), AgentReport(up=True)),
+        ((b"drain", b""), AgentReport(admin="drain")),
+        ((b"up rea", b""), (CheckOutcome.BROKEN, "closed in the middle of a line")),
+        ((b"",), (CheckOutcome.BROKEN, "closed without a word")),
+        ((b"\n",), (CheckOutcome.BROKEN, "nothing to go by in ''")),
+        ((b"\xff\xfe\x00\n",), (CheckOutcome.BROKEN, "nothing to go by in '...'")),
+        ((b"x" * 50, b"x" * 51), (CheckOutcome.BROKEN, "no end of line in 100 bytes")),
     ],
 )
 def test_an_agents_line_is_read_to_its_end(parts, result):
@@ -67,7 +67,9 @@
 
 
 def test_what_we_say_is_what_we_would_read():
-    assert read_line(write_line("ready", True, 70, 300, "lag").decode().strip()) == Words(True, "ready", 70, 300, "lag")
+    assert read_line(write_line("ready", True, 70, 300, "lag").decode().strip()) == AgentReport(
+        True, "ready", 70, 300, "lag"
+    )
     assert write_line("drain", True, 70, 300) == b"up drain\n"
 
 
@@ -85,12 +87,12 @@
 
 def test_http_goes_by_status_then_body():
     ok = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello"
-    assert http(ok) is Outcome.PASSED and http(ok, body="ell") is Outcome.PASSED
-    assert http(ok, body="bye") is Outcome.FAILED and http(ok, statuses=((204, 204),)) is Outcome.FAILED
-    assert http(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhe", body="bye") is Outcome.BROKEN
-    assert http(b"HTTP/1.1 200 OK\r\n\r\n" + b"x" * 200, body="bye") is Outcome.FAILED
-    assert http(b"HTTP/1.1 100 Continue\r\n\r\n" + ok) is Outcome.PASSED
-    assert http(b"SSH-2.0-x\r\n") is Outcome.BROKEN and http(b"") is Outcome.BROKEN
+    assert http(ok) is CheckOutcome.PASSED and http(ok, body="ell") is CheckOutcome.PASSED
+    assert http(ok, body="bye") is CheckOutcome.FAILED and http(ok, statuses=((204, 204),)) is CheckOutcome.FAILED
+    assert http(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhe", body="bye") is CheckOutcome.BROKEN
+    assert http(b"HTTP/1.1 200 OK\r\n\r\n" + b"x" * 200, body="bye") is CheckOutcome.FAILED
+    assert http(b"HTTP/1.1 100 Continue\r\n\r\n" + ok) is CheckOutcome.PASSED
+    assert http(b"SSH-2.0-x\r\n") is CheckOutcome.BROKEN and http(b"") is CheckOutcome.BROKEN
 
 
 def test_the_proxy_header_is_as_specified():
@@ -121,22 +123,22 @@
 
 
 def test_grpc_check_tells_serving_not_serving_and_what_is_unknown():
-    assert Grpc().result[0] is Outcome.PASSED
-    assert Grpc(status=NOT_SERVING).result == (Outcome.FAILED, "NOT_SERVING")
-    assert Grpc(service="other").result == (Outcome.FAILED, "grpc-status 5")
+    assert Grpc().result[0] is CheckOutcome.PASSED
+    assert Grpc(status=NOT_SERVING).result == (CheckOutcome.FAILED, "NOT_SERVING")
+    assert Grpc(service="other").result == (CheckOutcome.FAILED, "grpc-status 5")
 
 
 def test_grpc_watch_tells_each_change_and_its_end():
     g = Grpc(watch=True)
-    assert g.result[0] is Outcome.PASSED and not g.client.ended
+    assert g.result[0] is CheckOutcome.PASSED and not g.client.ended
     g.status = NOT_SERVING
     g.carry(down=g.server.changed())
-    assert g.result == (Outcome.FAILED, "NOT_SERVING") and g.server.changed() == b""
+    assert g.result == (CheckOutcome.FAILED, "NOT_SERVING") and g.server.changed() == b""
     g.carry(up=g.client.ping())
     assert g.client.heard_pong
     g.client.feed(b"")
-    assert g.client.ended and g.result[0] is Outcome.BROKEN
-    assert Grpc(service="other", watch=True).result == (Outcome.FAILED, "SERVICE_UNKNOWN")
+    assert g.client.ended and g.result[0] is CheckOutcome.BROKEN
+    assert Grpc(service="other", watch=True).result == (CheckOutcome.FAILED, "SERVICE_UNKNOWN")
 
 
 def test_a_server_without_watch_is_told_apart():
@@ -144,7 +146,7 @@
     g.server, g.client = GrpcServe(lambda: SERVING), GrpcAsk("a", "", True)
     g.server._call = lambda stream, path, messages: g.server._finish(stream, 12, "no")
     g.carry(g.client.start(), g.server.start())
-    assert g.client.unimplemented and g.result == (Outcome.FAILED, "grpc-status 12")
+    assert g.client.unimplemented and g.result == (CheckOutcome.FAILED, "grpc-status 12")
 
 
 @pytest.mark.parametrize("data", [b"HTTP/1.1 400 x\r\n\r\n", b"\0" * 50, b"\xff" * 5000])
@@ -153,7 +155,7 @@
     client.start(), server.start()
     client.feed(data), server.feed(data)
     client.feed(b""), server.feed(b"")
-    assert client.result[0] is Outcome.BROKEN and client.ended and server.ended
+    assert client.result[0] is CheckOutcome.BROKEN and client.ended and server.ended
 
 
 def test_no_bytes_raise_in_any_of_them():
