--- a/rookbend/components.py
+++ b/rookbend/components.py
@@ -1,7 +1,7 @@
 """The parts that the settings ask for, one function each. What is off is not imported.
 
-A new one is an entry of `OPTIONAL`: whether the settings ask for it, and the function that builds it from the director's
-`Site`. What later entries need of it, it leaves in `site.built`."""
+A new one is an entry of `OPTIONAL`: whether the settings ask for it, and the function that builds it from the
+director's `Site`. What later entries need of it, it leaves in `site.built`."""
 
 from __future__ import annotations
 
