--- a/rookbend/components.py
+++ b/rookbend/components.py
@@ -1,18 +1,18 @@
 """The parts that the settings ask for, one function each. What is off is not imported.
 
 A new subsystem is one entry of `OPTIONAL`: whether the settings ask for it, and the function that
-builds it from the director's `Site`. What later entries need of it, it leaves in `site.built`.
+builds it from the director's `ComponentContext`. What later entries need of it, it leaves in `site.built`.
 """
 
 from __future__ import annotations
 
 import trio
 
-from rookbend.net.component import Part, Site
+from rookbend.net.component import Component, ComponentContext
 from rookbend.settings import Check, Settings
 
 
-def _dns(site: Site) -> list[Part]:
+def _dns(site: ComponentContext) -> list[Component]:
     from rookbend.fronts.dns import DnsFront
     from rookbend.net.dns import DnsServer, ResolverClient
 
@@ -23,7 +23,7 @@
     return [server]
 
 
-def _names(site: Site):
+def _names(site: ComponentContext):
     """Where there is a disk: what keeps the names that the DNS front gives out for writes."""
     state = site.built.get("state")
     if state is None:
@@ -40,7 +40,7 @@
     return names
 
 
-def _balancer(site: Site) -> list[Part]:
+def _balancer(site: ComponentContext) -> list[Component]:
     from rookbend.health.own_status import Standing, standing
     from rookbend.health.spare_capacity import Headroom
     from rookbend.net.health import GrpcServer, Measuring, agent_server, http_server
@@ -52,7 +52,7 @@
         return standing(site.phase(), headroom, site.most_clients)
 
     measuring = Measuring(headroom, site.sample, site.clock)
-    parts: list[Part] = [measuring]
+    parts: list[Component] = [measuring]
     for where, build in ((s.agent_server, agent_server), (s.http_server, http_server), (s.grpc_server, GrpcServer)):
         if where is not None:
             parts.append(build(where.listen, site.clock, site.outbox, stand))
@@ -102,10 +102,10 @@
     )
 
 
-class HealthPart(Part):
+class HealthPart(Component):
     """Members' health: the board, its desk, and the checks that the settings name."""
 
-    def __init__(self, site: Site):
+    def __init__(self, site: ComponentContext):
         from rookbend.health.registry import Board
         from rookbend.health.service import Desk, role_namer
         from rookbend.net.checks import WATCH, CheckDriver
@@ -155,26 +155,26 @@
         self.driver.replace(settings.checks)
 
 
-def _health(site: Site) -> list[Part]:
+def _health(site: ComponentContext) -> list[Component]:
     site.built["health"] = health = HealthPart(site)
     return [health]
 
 
-def _recovery(site: Site) -> list[Part]:
+def _recovery(site: ComponentContext) -> list[Component]:
     from rookbend.net.recovery import RecoveryPart
 
     site.built["recovery"] = recovery = RecoveryPart(site)
     return [recovery]
 
 
-def _ownership(site: Site) -> list[Part]:
+def _ownership(site: ComponentContext) -> list[Component]:
     from rookbend.net.leases import OwnershipPart
 
     site.built["ownership"] = ownership = OwnershipPart(site)
     return [ownership]
 
 
-def _admin(site: Site) -> list[Part]:
+def _admin(site: ComponentContext) -> list[Component]:
     from rookbend.health.model import Order, Ordered
     from rookbend.net.http_server import SmallServer, serve_http
     from rookbend.protocol.admin import AdminDesk
@@ -225,14 +225,14 @@
     return [server]
 
 
-def _state(site: Site) -> list[Part]:
+def _state(site: ComponentContext) -> list[Component]:
     from rookbend.net.state import StatePart
 
     site.built["state"] = state = StatePart(site)
     return [state]
 
 
-def _daily(site: Site) -> list[Part]:
+def _daily(site: ComponentContext) -> list[Component]:
     from rookbend.net.operations import DailyPart
 
     site.built["daily"] = daily = DailyPart(site)
@@ -253,6 +253,6 @@
 )
 
 
-def optional(site: Site) -> list[Part]:
+def optional(site: ComponentContext) -> list[Component]:
     found = [part for wanted, build in OPTIONAL if wanted(site.operators) for part in build(site)]
     return found + (_daily(site) if site.config.operator else [])
--- a/rookbend/core/engine.py
+++ b/rookbend/core/engine.py
@@ -58,11 +58,11 @@
 
     # What the coordinator's watch and the peers call
 
-    def limit(self, closed: frozenset[int], per_s: float | None) -> None:
+    def set_admission_limits(self, closed: frozenset[int], per_s: float | None) -> None:
         """Limits for the module: see `interface.Limited`."""
         self._post(api.AdmissionLimitsChanged(closed, per_s))
 
-    def share(self, senders: int) -> None:
+    def set_active_processes(self, senders: int) -> None:
         """So many processes of this director send: see `interface.Shared`."""
         self._post(api.ActiveProcessesChanged(senders))
 
--- a/rookbend/core/intake.py
+++ b/rookbend/core/intake.py
@@ -28,7 +28,7 @@
             index = row[0]
         return index
 
-    def adopt(self, settings: api.Settings) -> None:
+    def apply_settings(self, settings: api.Settings) -> None:
         """Other settings, between two events: requests under way keep their class as it was when they came.
 
         `settings.classes` begins with the classes known before, each in its place; those that are `gone`
@@ -95,7 +95,7 @@
         self._post(api.RequestCancelled(open_request.id))
         self._call_off(open_request)
 
-    def client_left(self, open_request: OpenRequest | None) -> None:
+    def client_half_closed(self, open_request: OpenRequest | None) -> None:
         """The client has closed its sending side, and may be gone for good: no attempt begins for it.
 
         An attempt that is out may still bring the answer. Anything else ends now.
@@ -121,7 +121,7 @@
             return Answer(FinalOutcome.FAILED)
         return Answer(FinalOutcome.REJECTED, retry_after_us=self.retry_after_us)
 
-    def settle_by(self, at_us: int) -> None:
+    def finish_all_by(self, at_us: int) -> None:
         """No request, open or to come, is answered later than this."""
         self._settle_at = at_us
         for open_request in list(self._open.values()):
--- a/rookbend/core/send_guards.py
+++ b/rookbend/core/send_guards.py
@@ -21,7 +21,7 @@
         self.counters.roster_changes += 1
         self._apply(change)
 
-    def judged(self, entries: list[Endpoint]) -> None:
+    def health_changed(self, entries: list[Endpoint]) -> None:
         """Members whose state or weight differs from what the membership says, by other evidence."""
         self.counters.judgements += len(entries)
         self._apply(MembershipChange(False, 0, entries))
--- a/rookbend/drain.py
+++ b/rookbend/drain.py
@@ -44,7 +44,7 @@
                 accepting.cancel()
         service.front.say_closing()
         settled = now + self._settled_us()
-        service.engine.settle_by(settled)
+        service.engine.finish_all_by(settled)
         for part in service.parts:
             part.drain(settled)
         await trio.sleep_until(service.clock.monotonic_at(now + LATECOMERS_US))
--- a/rookbend/fronts/platform.py
+++ b/rookbend/fronts/platform.py
@@ -197,7 +197,7 @@
             engine.counters.ended(request.class_name, FinalOutcome.REJECTED)
             self._answer(stream, Answer(FinalOutcome.REJECTED, retry_after_us=engine.retry_after_us))
         for open_request in list(self.open_streams.values()):
-            engine.client_left(open_request)
+            engine.client_half_closed(open_request)
 
     def _count(self, frame: frames.RequestFrame, verdict: FinalOutcome) -> None:
         """An answer that the engine never hears of. One of no known class is nobody's figure: clients could
--- a/rookbend/health/service.py
+++ b/rookbend/health/service.py
@@ -74,7 +74,7 @@
                 self._flush_us = self._flush_us or now + GATHER_US
                 self._pending[server] = None
         if urgent:
-            self.engine.judged(urgent)
+            self.engine.health_changed(urgent)
         self._tell_due()
 
     def attempt_ended(self, server: int, status: AttemptStatus) -> None:
@@ -89,7 +89,7 @@
         if self._flush_us and now >= self._flush_us:
             self._flush_us = 0
             pending, self._pending = self._pending, {}
-            self.engine.judged([self.effective(s) for s in pending if s in self.board.rows])
+            self.engine.health_changed([self.effective(s) for s in pending if s in self.board.rows])
         if self.board.due_us and now >= self.board.due_us:
             self.feed(Tick())
         self._tell_due()
--- a/rookbend/net/component.py
+++ b/rookbend/net/component.py
@@ -23,7 +23,7 @@
 
 
 @dataclass
-class Site:
+class ComponentContext:
     """What a part may see of its director. The lifecycle is not in it: a part is told of the drain."""
 
     config: Config
@@ -46,7 +46,7 @@
     built: dict[str, object] = field(default_factory=dict)
 
 
-class Part:
+class Component:
     """`descriptors` are kept back for it. All methods but `open` must not fail."""
 
     descriptors = 0
--- a/rookbend/net/dns.py
+++ b/rookbend/net/dns.py
@@ -15,7 +15,7 @@
 from rookbend.fronts.dns import DnsFront
 from rookbend.net.acceptor import accept
 from rookbend.net.buffered_socket import Channel, Outbox, prepare
-from rookbend.net.component import Part
+from rookbend.net.component import Component
 from rookbend.net.listeners import Listeners
 from rookbend.net.member_connection import open_socket
 from rookbend.protocol.dns import (
@@ -46,7 +46,7 @@
     raise AssertionError("not reached")
 
 
-class DnsServer(Part):
+class DnsServer(Component):
     """Both transports on one port; the port asked for may be 0."""
 
     descriptors = TCP_CLIENTS + 32  # its clients, and lookups at the resolver
--- a/rookbend/net/health.py
+++ b/rookbend/net/health.py
@@ -11,7 +11,7 @@
 from rookbend.health.own_status import Standing
 from rookbend.health.spare_capacity import Headroom, Sample
 from rookbend.net.buffered_socket import Channel, Outbox
-from rookbend.net.component import Part
+from rookbend.net.component import Component
 from rookbend.net.http_server import IDLE_US, SmallServer, serve_http
 from rookbend.protocol import health as http_health
 from rookbend.protocol.agent import write_line
@@ -19,7 +19,7 @@
 MEASURE_US = 250_000
 
 
-class Measuring(Part):
+class Measuring(Component):
     """Takes a sample of ourselves every `MEASURE_US`, and tells who follows us when it matters."""
 
     def __init__(self, headroom: Headroom, sample: Callable[[], Sample], clock: Clock):
--- a/rookbend/net/http_server.py
+++ b/rookbend/net/http_server.py
@@ -11,7 +11,7 @@
 from rookbend.core.clock import Clock
 from rookbend.net.acceptor import accept
 from rookbend.net.buffered_socket import Channel, Outbox, prepare
-from rookbend.net.component import Part
+from rookbend.net.component import Component
 from rookbend.net.listeners import Listeners
 from rookbend.protocol.http_serve import HttpRequest, HttpServe
 
@@ -19,7 +19,7 @@
 IDLE_US = 10_000_000
 
 
-class SmallServer(Part):
+class SmallServer(Component):
     """`client(channel)` speaks to one client, to its end; `lasting` for one whose clients stay."""
 
     descriptors = CLIENTS + 1
--- a/rookbend/net/leases.py
+++ b/rookbend/net/leases.py
@@ -15,7 +15,7 @@
 from rookbend.leases import coordinator as machine
 from rookbend.leases import leader_tasks, sharded_checks
 from rookbend.leases.lease import Terms
-from rookbend.net.component import Part, Site
+from rookbend.net.component import Component, ComponentContext
 from rookbend.net.member_connection import open_socket
 from rookbend.net.recovery import LIFE_BITS
 from rookbend.protocol.leases import is_ours
@@ -28,10 +28,10 @@
 KINDS = "promise", "token", "log"
 
 
-class OwnershipPart(Part):
+class OwnershipPart(Component):
     descriptors = 2  # the ledger
 
-    def __init__(self, site: Site):
+    def __init__(self, site: ComponentContext):
         self.site, self.engine, self.log = site, site.engine, site.log
         self.recovery, self.state = site.built["recovery"], site.built.get("state")
         self.health = site.built.get("health")
--- a/rookbend/net/operations.py
+++ b/rookbend/net/operations.py
@@ -11,7 +11,7 @@
 
 from rookbend.core.model import MembershipChange
 from rookbend.interface import MemberState
-from rookbend.net.component import Part, Site
+from rookbend.net.component import Component, ComponentContext
 from rookbend.net.listeners import Listeners
 from rookbend.net.operator import CALLERS, Door
 from rookbend.net.upgrade import Upgrade
@@ -50,10 +50,10 @@
             self.log("kept_unwritten", "error", path=str(self.path), reason=str(error))
 
 
-class DailyPart(Part):
+class DailyPart(Component):
     descriptors = CALLERS + 4  # the door's, and the connections to two other processes of this director
 
-    def __init__(self, site: Site):
+    def __init__(self, site: ComponentContext):
         self.site = site
         self.upgrade: Upgrade | None = None
         self.file: KeptFile | None = None
--- a/rookbend/net/operator.py
+++ b/rookbend/net/operator.py
@@ -16,7 +16,7 @@
 from rookbend.core.clock import Clock
 from rookbend.net.acceptor import accept
 from rookbend.net.buffered_socket import Channel, Outbox, prepare
-from rookbend.net.component import Part
+from rookbend.net.component import Component
 from rookbend.protocol.http_serve import HttpServe
 from rookbend.protocol.operator import OperatorDesk
 
@@ -25,7 +25,7 @@
 LEAVE_US = 250_000  # what a caller sends beyond its call is read for so long
 
 
-class Door(Part):
+class Door(Component):
     """`desk` answers; callers are held in the order in which they came."""
 
     descriptors = CALLERS + 2
--- a/rookbend/net/recovery.py
+++ b/rookbend/net/recovery.py
@@ -11,7 +11,7 @@
 
 from rookbend.core.model import Attempt, AttemptResult, MembershipChange, Purge
 from rookbend.interface import AttemptDetail, AttemptStatus
-from rookbend.net.component import Part, Site
+from rookbend.net.component import Component, ComponentContext
 from rookbend.protocol.gossip import is_ours
 from rookbend.recovery import coordinator as machine
 from rookbend.recovery.startup_stages import Plan
@@ -23,7 +23,7 @@
 COST_OF_PARTS = 4.0  # objects that come in parts are large: what one costs beside one that does not
 
 
-def config_of(site: Site) -> machine.Config:
+def config_of(site: ComponentContext) -> machine.Config:
     s, wanted, rules = site.operators, site.operators.recovery, site.engine.settings
     classes = tuple((c.is_write, c.priority_weight, COST_OF_PARTS if c.has_parts else 1.0) for c in rules.classes)
     return machine.Config(
@@ -50,8 +50,8 @@
         self.ended, self.safe = trio.Event(), False
 
 
-class RecoveryPart(Part):
-    def __init__(self, site: Site):
+class RecoveryPart(Component):
+    def __init__(self, site: ComponentContext):
         self.site, self.engine, self.log = site, site.engine, site.log
         self.state, self.health = site.built.get("state"), site.built.get("health")
         self._mono_us = site.clock.monotonic_us
@@ -185,7 +185,7 @@
         self.limits = a
         # The engine's clock is another: it may have been set forward since.
         self.engine.oldest_us = a.oldest_us and self.site.clock.now() - (self.now() - a.oldest_us)
-        self.engine.limit(a.closed, a.rate)
+        self.engine.set_admission_limits(a.closed, a.rate)
 
     def _boot(self, a: machine.BootRaised) -> None:
         if self.state is not None:
@@ -235,7 +235,7 @@
             self.feed(machine.Tick())
             if self.limits is not None and self.limits.rate is not None:
                 # What waits in the module for its turn hears of time by this alone.
-                self.engine.limit(self.limits.closed, self.limits.rate)
+                self.engine.set_admission_limits(self.limits.closed, self.limits.rate)
             wait_us = max(0, self.machine.due_us - self.now())
             with trio.move_on_at(clock.monotonic_at(clock.now() + wait_us)):
                 await self._due_earlier.wait()
--- a/rookbend/net/state.py
+++ b/rookbend/net/state.py
@@ -8,18 +8,18 @@
 import trio
 
 from rookbend.config import ConfigError
-from rookbend.net.component import Part, Site
+from rookbend.net.component import Component, ComponentContext
 from rookbend.state.disk import Disk, Writer
 from rookbend.state.ledger import Done, Ledger
 from rookbend.state.model import Identity, StateError
 
 
-class StatePart(Part):
+class StatePart(Component):
     """`boot` is the number of this life. Raises ConfigError where the folder can't be used."""
 
     descriptors = 8
 
-    def __init__(self, site: Site):
+    def __init__(self, site: ComponentContext):
         wanted, self.clock, self.log = site.operators.state, site.clock, site.log
         try:
             self.disk = Disk(Path(wanted.folder), Identity(site.config.name, wanted.fleet))
--- a/rookbend/process_metrics.py
+++ b/rookbend/process_metrics.py
@@ -21,7 +21,7 @@
 PAGE = os.sysconf("SC_PAGE_SIZE")
 
 
-class Vitals:
+class ProcessMetrics:
     """`pool` is there once the director runs; `lag_us` is the lateness that counts as full load."""
 
     def __init__(self, engine: Engine, front: FrontServer, limits: Limits, lag_us: int):
--- a/rookbend/reload.py
+++ b/rookbend/reload.py
@@ -68,7 +68,7 @@
         settings = reload_validation.merged(engine.settings, told)
         changed = reload_validation.effective(engine.settings, settings)
         if changed:
-            engine.adopt(settings)
+            engine.apply_settings(settings)
         if s.pool is not None:
             s.pool.adopt(new.settings.limits.max_streams, new.settings.limits.idle_close_us)
         return changed, waits
--- a/rookbend/service.py
+++ b/rookbend/service.py
@@ -26,12 +26,12 @@
 from rookbend.logs import Log
 from rookbend.net.buffered_socket import Outbox
 from rookbend.net.client_listener import FrontServer
-from rookbend.net.component import Part, Site
+from rookbend.net.component import Component, ComponentContext
 from rookbend.net.listeners import Listeners
 from rookbend.net.peers import PeerSocket
 from rookbend.net.pool import Pool
 from rookbend.net.watch import Watch
-from rookbend.process_metrics import OWN_DESCRIPTORS, Vitals
+from rookbend.process_metrics import OWN_DESCRIPTORS, ProcessMetrics
 from rookbend.protocol.coordinator_stream import Translator, split_address
 from rookbend.reload import Reload, coordinator_address
 from rookbend.routing import Router
@@ -92,9 +92,9 @@
         self.ready = trio.Event()
         self.pool: Pool | None = None
         self.peers: PeerSocket | None = None
-        self.vitals = Vitals(self.engine, self.front, limits, self.operators.headroom.lag_us)
+        self.vitals = ProcessMetrics(self.engine, self.front, limits, self.operators.headroom.lag_us)
         self.listeners = Listeners()
-        self.site = Site(
+        self.site = ComponentContext(
             config,
             self.operators,
             self.engine,
@@ -109,10 +109,10 @@
             self.listeners,
             gauges=[self.vitals.gauges],
         )
-        self.parts: list[Part] = components.optional(self.site)
+        self.parts: list[Component] = components.optional(self.site)
         built = self.site.built
         self.dns, self.health, self.admin = built.get("dns"), built.get("health"), built.get("admin")
-        self.balancer: list[Part] = built.get("balancer", [])
+        self.balancer: list[Component] = built.get("balancer", [])
         self.daily, self.upgrade = built.get("daily"), built.get("upgrade")
         if self.upgrade is not None:
             self.upgrade.changed = self._share
@@ -202,7 +202,7 @@
             return
         handover = self.upgrade.handover
         self.pool.most_connections = self._most_connections(handover.processes)
-        self.engine.share(handover.senders)
+        self.engine.set_active_processes(handover.senders)
         self.front.most_unsent = (self.config.limits.memory_mb << 20) // UNSENT_SHARE // handover.processes
         if self.peers is not None:
             self.peers.listen(not handover.taken_over)
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -72,7 +72,7 @@
     open_request = bench.ask(cls=3)
     bench.is_out = lambda attempt: False
     bench.undo = lambda attempt: undone
-    bench.engine.client_left(open_request)
+    bench.engine.client_half_closed(open_request)
     bench.engine.finished(bench.sent[0], AttemptResult(AttemptStatus.OK))
     assert bench.verdicts() == [verdict] and bench.engine.open_requests == 0
 
@@ -141,7 +141,7 @@
 def test_settling_brings_every_deadline_forward():
     bench = Bench(Script([fetch()], [fetch(2)]))
     bench.ask(seconds=5)
-    bench.engine.settle_by(101 * SECOND)
+    bench.engine.finish_all_by(101 * SECOND)
     bench.ask(seconds=5)
     bench.run_until(101.01)
     assert bench.verdicts() == [FinalOutcome.FAILED] * 2 and bench.undone == bench.sent
