--- a/rookbend/components.py
+++ b/rookbend/components.py
@@ -127,7 +127,7 @@
         site.watch.membership_changed = self.desk.membership_changed
         site.gauges.append(lambda: {"background_jobs": len(plan.jobs), "background_running": plan.running})
         if site.operators.health.passive_fall:
-            engine.on_attempt_end = self.desk.attempt_ended
+            engine.attempts.on_attempt_end = self.desk.attempt_ended
 
     @staticmethod
     def _watches(settings: Settings) -> bool:
--- /dev/null
+++ b/rookbend/core/attempts.py
@@ -0,0 +1,192 @@
+"""The attempts of open requests: begun as the router decides, ended once, whatever becomes of the request."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Mapping
+
+from rookbend.core import retry_safety
+from rookbend.core.clock import Clock
+from rookbend.core.counters import Counters
+from rookbend.core.model import Answer, Attempt, AttemptResult, Endpoint, FinalOutcome
+from rookbend.core.open_request import OpenRequest, OpenRequestTable
+from rookbend.core.ports import Backend
+from rookbend.core.rejection import rejection, retry_after_us
+from rookbend.core.router_driver import RouterDriver
+from rookbend.core.timers import TimerKind, TimerQueue
+from rookbend.interface import (
+    NEVER_EXECUTED,
+    AttemptFinished,
+    AttemptStatus,
+    CancelAttempt,
+    Fetch,
+    FetchCached,
+    Settings,
+)
+
+COUNTER_NAMES: dict[AttemptStatus, str] = {
+    status: status.name.lower() for status in AttemptStatus if status is not AttemptStatus.CANCELLED
+}
+
+
+class AttemptRunner:
+    """Starts, cancels and finishes attempts; `backend` has to be set before the first one.
+
+    `on_attempt(attempt, result)` is called as an attempt goes out, with None, and with its result as it ends.
+    `on_attempt_end(server, status)` is called at its end alone.
+    """
+
+    backend: Backend
+
+    def __init__(
+        self,
+        settings: Settings,
+        requests: OpenRequestTable,
+        endpoints: Mapping[int, Endpoint],
+        driver: RouterDriver,
+        timers: TimerQueue,
+        clock: Clock,
+        counters: Counters,
+    ) -> None:
+        self.settings = settings
+        self.oldest_copy_us = 0  # copies that left the origin before this are not asked for; 0: as the router says
+        self.on_attempt: Callable[[Attempt, AttemptResult | None], None] | None = None
+        self.on_attempt_end: Callable[[int, AttemptStatus], None] | None = None
+        self._requests = requests
+        self._endpoints = endpoints
+        self._driver = driver
+        self._timers = timers
+        self._clock = clock
+        self._counters = counters
+
+    def start(self, action: FetchCached | Fetch) -> None:
+        """Begins the attempt that the router decided, or ends it as MOOT where a guard forbids it."""
+        now_us = self._driver.now_us
+        open_request = self._requests.by_id.get(action.request)
+        if open_request is None:
+            return self._forbid(action, 0, is_final=True)
+        number = open_request.attempt_count
+        open_request.attempt_count += 1
+        endpoint = self._endpoints.get(action.server)
+        if endpoint is None or not self._may_start(open_request, number, endpoint, now_us):
+            return self._forbid(action, number, is_final=False)
+        deadline_us = open_request.deadline_us
+        due_us = min(now_us + action.timeout_us, deadline_us) if action.timeout_us else deadline_us
+        attempt = Attempt(open_request.request, open_request.id, number, action.server, 0, now_us, due_us)
+        if type(action) is Fetch:
+            self._set_fill_options(attempt, action, now_us)
+        if open_request.may_have_run:
+            attempt.retry_deadline_us = retry_safety.retry_deadline_us(open_request, self.settings)
+        # Guards a request that was lost once to a reset: its next try goes out on a new connection. Writes
+        # are not sent on new connections as such: each director doing so kept dozens of idle ones at the
+        # origin, whose table, shared by a fleet, turned nine writes in ten away (docs/design/fleet.md).
+        attempt.new_connection = open_request.had_reset
+        open_request.current_attempt = attempt
+        self._counters.attempts += 1
+        if self.on_attempt is not None:
+            self.on_attempt(attempt, None)
+        if due_us < deadline_us:
+            self._timers.schedule(due_us, TimerKind.ATTEMPT_TIMEOUT, attempt)
+        self.backend.send(attempt, endpoint)
+
+    def _may_start(self, open_request: OpenRequest, number: int, endpoint: Endpoint, now_us: int) -> bool:
+        """One attempt at a time, a limited number of them, none after the deadline, and no unsafe repeat."""
+        settings = self.settings
+        if open_request.current_attempt is not None or open_request.deadline_us <= now_us:
+            return False
+        if number >= open_request.max_attempts or number >= settings.max_attempts:
+            return False
+        if not open_request.may_have_run:
+            return True
+        return retry_safety.may_retry(open_request, endpoint.member, settings, now_us)
+
+    def _set_fill_options(self, attempt: Attempt, action: Fetch, now_us: int) -> None:
+        attempt.source = 0 if action.source == action.server else action.source
+        attempt.retention_rank = action.retention_rank
+        attempt.max_age_us = action.max_age_us
+        attempt.join_fill = action.join_fill
+        attempt.only_if_cached = action.only_if_cached
+        attempt.refresh_in_background = action.refresh_in_background
+        attempt.parent_no_store = action.parent_no_store
+        if self.oldest_copy_us:
+            # Guards against a purge that was made while this director could not receive it.
+            oldest_age_us = max(1, now_us - self.oldest_copy_us)
+            attempt.max_age_us = min(attempt.max_age_us or oldest_age_us, oldest_age_us)
+
+    def _forbid(self, action: FetchCached | Fetch, number: int, is_final: bool) -> None:
+        self._counters.moot += 1
+        self._driver.enqueue(AttemptFinished(action.request, number, action.server, AttemptStatus.MOOT, 0, is_final))
+
+    def cancel(self, action: CancelAttempt) -> None:
+        """Gives up an attempt that the router no longer wants, if it is the one in flight."""
+        open_request = self._requests.by_id.get(action.request)
+        attempt = open_request.current_attempt if open_request is not None else None
+        if attempt is not None and attempt.number == action.attempt:
+            self.backend.undo(attempt)
+            self.finished(attempt, AttemptResult(AttemptStatus.CANCELLED))
+
+    def abandon(self, open_request: OpenRequest) -> None:
+        """Gives up the attempt in flight of a request that is closed."""
+        attempt = open_request.current_attempt
+        open_request.current_attempt = None
+        if attempt is not None and not attempt.is_finished:
+            self.backend.undo(attempt)
+            self.finished(attempt, AttemptResult(AttemptStatus.CANCELLED))
+
+    def withdraw(self, open_request: OpenRequest, attempt: Attempt) -> None:
+        """Takes back the attempt in flight of a request that is answered next; the caller finishes it."""
+        open_request.current_attempt = None
+        if self.backend.undo(attempt) not in NEVER_EXECUTED:
+            retry_safety.note_possible_run(open_request, attempt, self._endpoints.get(attempt.server))
+
+    def expire(self, attempt: Attempt) -> None:
+        """Ends an attempt whose time is over."""
+        self.finished(attempt, AttemptResult(self.backend.undo(attempt)))
+
+    def finished(self, attempt: Attempt, result: AttemptResult) -> None:
+        """The attempt has ended. Only the first call counts."""
+        if attempt.is_finished:
+            return
+        attempt.is_finished = True
+        status = result.status
+        counter_name = COUNTER_NAMES.get(status)
+        if counter_name is not None:
+            setattr(self._counters, counter_name, getattr(self._counters, counter_name) + 1)
+        open_request = self._requests.by_id.get(attempt.id)
+        is_final = open_request is None
+        if open_request is not None and open_request.current_attempt is attempt:
+            open_request.current_attempt = None
+            is_final = self._answer_if_last(open_request, attempt, result)
+        self._driver.post(
+            AttemptFinished(
+                attempt.id,
+                attempt.number,
+                attempt.server,
+                status,
+                self._clock.now() - attempt.sent_us,
+                is_final,
+                result.detail,
+                result.fill_queue_us,
+                result.load_report,
+            )
+        )
+        if self.on_attempt_end is not None:
+            self.on_attempt_end(attempt.server, status)
+        if self.on_attempt is not None:
+            self.on_attempt(attempt, result)
+
+    def _answer_if_last(self, open_request: OpenRequest, attempt: Attempt, result: AttemptResult) -> bool:
+        """Answers the request if no further attempt may follow this one; returns whether it did."""
+        status = result.status
+        if status is AttemptStatus.OK:
+            answer = Answer(FinalOutcome.SERVED, result.body, result.unchanged, 0, attempt.server)
+            self._requests.answer(open_request, answer)
+            return True
+        if status not in NEVER_EXECUTED:
+            retry_safety.note_possible_run(open_request, attempt, self._endpoints.get(attempt.server))
+        if status is AttemptStatus.RESET:
+            open_request.had_reset = True
+        if not open_request.client_half_closed:
+            return False
+        self._counters.clients_left += 1
+        self._requests.answer(open_request, rejection(open_request, retry_after_us(self.settings)))
+        return True
--- /dev/null
+++ b/rookbend/core/deadlines.py
@@ -0,0 +1,65 @@
+"""Runs the timers, and sees to it that every request has its answer by its deadline."""
+
+from __future__ import annotations
+
+from rookbend.core.attempts import AttemptRunner
+from rookbend.core.clock import Clock
+from rookbend.core.counters import Counters
+from rookbend.core.model import Answer, FinalOutcome
+from rookbend.core.open_request import OpenRequest, OpenRequestTable
+from rookbend.core.router_driver import RouterDriver
+from rookbend.core.timers import TimerKind, TimerQueue
+from rookbend.interface import RequestCancelled, TimerFired
+
+
+class DeadlineKeeper:
+    """`finish_all_at_us` is the time by which everything is answered, 0 while no such time is set."""
+
+    def __init__(
+        self,
+        timers: TimerQueue,
+        requests: OpenRequestTable,
+        attempts: AttemptRunner,
+        driver: RouterDriver,
+        clock: Clock,
+        counters: Counters,
+    ) -> None:
+        self.finish_all_at_us = 0
+        self._timers = timers
+        self._requests = requests
+        self._attempts = attempts
+        self._driver = driver
+        self._clock = clock
+        self._counters = counters
+
+    def run_due(self) -> int:
+        """Runs every timer that is due; returns when the next one is, or 0."""
+        now_us = self._clock.now()
+        for timer in self._timers.pop_due(now_us):
+            kind = timer.kind
+            subject = timer.subject
+            if kind is TimerKind.ROUTER:
+                self._driver.post(TimerFired(subject))
+            elif kind is TimerKind.ATTEMPT_TIMEOUT:
+                if not subject.is_finished:
+                    self._attempts.expire(subject)
+            elif subject.id in self._requests.by_id and subject.deadline_us <= now_us:
+                self._expire(subject)
+        return self._timers.next_due_us
+
+    def finish_all_by(self, at_us: int) -> None:
+        """No request, open or to come, is answered later than this."""
+        self.finish_all_at_us = at_us
+        for open_request in list(self._requests.by_id.values()):
+            if open_request.deadline_us > at_us:
+                open_request.deadline_us = at_us
+                self._timers.schedule(at_us, TimerKind.REQUEST_DEADLINE, open_request)
+
+    def _expire(self, open_request: OpenRequest) -> None:
+        """Guards against a router that still holds the request when its time is over."""
+        if open_request.current_attempt is not None:
+            self._attempts.expire(open_request.current_attempt)
+        if self._requests.by_id.get(open_request.id) is open_request:
+            self._counters.late_guard += 1
+            self._requests.answer(open_request, Answer(FinalOutcome.FAILED))
+            self._driver.post(RequestCancelled(open_request.id))
--- a/rookbend/core/engine.py
+++ b/rookbend/core/engine.py
@@ -1,243 +1,231 @@
-"""The engine: feeds events to the module, carries out its actions, owns requests and timers.
+"""The engine: owns the open requests, feeds events to the router and carries out its actions.
 
-Whatever the module decides, the engine keeps to this: one final answer a request, by its deadline; one
-attempt at a time, `max_attempts` at most; no repeat of what may have run, but under its key; nothing to a member that
-drains or is gone, and nothing decided before a purge that was told since.
+Whatever the router decides, the engine keeps to this: one final answer a request, by its deadline; one attempt at a
+time, `max_attempts` at most; no repeat of what may have run, but under its idempotency key; nothing to a member that
+drains or has left, and nothing decided before a purge that was received since.
 """
 
 from __future__ import annotations
 
-from collections import deque
 from collections.abc import Callable
 
 from rookbend import interface as api
+from rookbend.core.actions import ActionHandlers
+from rookbend.core.attempts import AttemptRunner
 from rookbend.core.clock import Clock
 from rookbend.core.counters import Counters
-from rookbend.core.intake import Intake
-from rookbend.core.model import Answer, Attempt, AttemptResult, Endpoint, FinalOutcome
-from rookbend.core.open_request import Backend, OpenRequest, Peers
-from rookbend.core.retry_safety import Repeats
-from rookbend.core.send_guards import Guards
-from rookbend.core.timers import ATTEMPT, ROUTER, Timers
-from rookbend.interface import AttemptStatus
-
-COUNTED = {s: s.name.lower() for s in AttemptStatus if s is not AttemptStatus.CANCELLED}
-
-
-class Engine(Intake, Guards, Repeats, Timers):
-    """One director's requests, attempts and timers, between the fronts, the module and the backend."""
-
-    def __init__(self, settings: api.Settings, router, clock: Clock, counters: Counters, log: Callable[..., None]):
-        self.settings, self.router, self.clock = settings, router, clock
-        self.counters, self.log = counters, log
-        self.backend: Backend | None = None
-        self.peers: Peers | None = None
-        self.endpoints: dict[int, Endpoint] = {}
+from rookbend.core.deadlines import DeadlineKeeper
+from rookbend.core.membership_view import MembershipView
+from rookbend.core.model import Answer, AttemptResult, Endpoint, FinalOutcome, MembershipChange, Purge, Request
+from rookbend.core.open_request import OpenRequest, OpenRequestTable
+from rookbend.core.ports import Backend, PeerTransport, RoutingPolicy
+from rookbend.core.purge_log import PurgeLog
+from rookbend.core.rejection import rejection, retry_after_us
+from rookbend.core.router_driver import RouterDriver
+from rookbend.core.send_guard import SendGuard
+from rookbend.core.timers import TimerKind, TimerQueue
+from rookbend.core.traffic_classes import TrafficClassIndex
+from rookbend.interface import AttemptStatus, Idempotency
+
+LONGEST_PEER_MESSAGE_BYTES = 256
+
+
+class Engine:
+    """One director's requests, attempts and timers, between the fronts, the router and the backend.
+
+    `backend` has to be set before the first request, `peers` only where there are any. `endpoints` are the known
+    members by number. Calls that need nothing of the engine itself are those of its collaborators: `may_write` of
+    `SendGuard`, `finished` of `AttemptRunner`, `run_due` and `finish_all_by` of `DeadlineKeeper`.
+    """
+
+    def __init__(
+        self,
+        settings: api.Settings,
+        router: RoutingPolicy,
+        clock: Clock,
+        counters: Counters,
+        log: Callable[..., None],
+    ) -> None:
+        self.router = router
+        self.clock = clock
+        self.counters = counters
+        self.log = log
+        self.peers: PeerTransport | None = None
+        self.on_peer: Callable[[int, bytes], bool] | None = None  # takes the messages that are not the router's
         self.lag_us = 0  # how late the loop ran last: what is read now may have waited as long
-        self.on_timer_change: Callable[[int], None] = lambda due: None
-        self.on_attempt_end: Callable[[int, AttemptStatus], None] | None = None  # what health hears of attempts
-        # What recovery hears of them: as one goes out (None), and how it ended.
-        self.on_attempt: Callable[[Attempt, AttemptResult | None], None] | None = None
-        self.on_peer: Callable[[int, bytes], bool] | None = None  # takes what is not the module's
-        self.oldest_us = 0  # copies that left the origin before are not asked for; 0: as the module says
-        self._open: dict[int, OpenRequest] = {}
-        self.classes = {c.name: i for i, c in enumerate(settings.classes)}
-        self._vanished: dict[str, tuple[int, int]] = {}  # name: (index, taken until); one row a class name
-        self._request_ids: set[str] = set()  # of the open requests
-        self._last_id = 0
-        self._timers: list[tuple] = []
-        self._timer_number = 0
-        self._armed = 0
-        self._events: deque = deque()
-        self._pumping = False
-        self._now = 0
-        self._restarted: dict[int, int] = {}  # when a member was seen to have restarted; until told, or warm, or gone
-        self._purged_objects: dict[int, int] = {}  # when a purge was told, until all older copies are gone
-        self._purged_groups: dict[int, int] = {}
-        self._settle_at = 0
-
-    # What the coordinator's watch and the peers call
-
-    def set_admission_limits(self, closed: frozenset[int], per_s: float | None) -> None:
-        """Limits for the module: see `interface.Limited`."""
-        self._post(api.AdmissionLimitsChanged(closed, per_s))
-
-    def set_active_processes(self, senders: int) -> None:
-        """So many processes of this director send: see `interface.Shared`."""
-        self._post(api.ActiveProcessesChanged(senders))
+        self.timers = TimerQueue()
+        self.requests = OpenRequestTable(counters)
+        self.traffic_classes = TrafficClassIndex(settings, clock)
+        self.membership = MembershipView(settings, clock, lambda server: self.backend.forget(server))
+        self.purges = PurgeLog(settings, clock)
+        self._driver = RouterDriver(router, clock)
+        self.attempts = AttemptRunner(
+            settings, self.requests, self.membership.endpoints, self._driver, self.timers, clock, counters
+        )
+        self._driver.handlers = ActionHandlers(
+            self.requests, self.attempts, self.timers, self._driver, log, self._send_to_peer
+        ).by_type()
+        self._deadlines = DeadlineKeeper(self.timers, self.requests, self.attempts, self._driver, clock, counters)
+        self._settings = settings
+        # Bound here, since a call passed on would cost a layer for each request.
+        self.endpoints = self.membership.endpoints
+        self.is_in_service = self.membership.is_in_service
+        self.has_member_in_service = self.membership.has_member_in_service
+        self.may_write = SendGuard(self.membership, self.purges, clock).may_write
+        self.finished = self.attempts.finished
+        self.class_index = self.traffic_classes.index_of
+        self.run_due = self._deadlines.run_due
+        self.finish_all_by = self._deadlines.finish_all_by
+        self._post = self._driver.post
+
+    @property
+    def settings(self) -> api.Settings:
+        """The settings in force."""
+        return self._settings
+
+    @settings.setter
+    def settings(self, settings: api.Settings) -> None:
+        self._settings = settings
+        self.attempts.settings = settings
+        self.membership.settings = settings
+        self.purges.settings = settings
+
+    @property
+    def backend(self) -> Backend:
+        """What carries attempts to members."""
+        return self.attempts.backend
+
+    @backend.setter
+    def backend(self, backend: Backend) -> None:
+        self.attempts.backend = backend
+
+    @property
+    def retry_after_us(self) -> int:
+        """The Retry-After of a rejection; 0 where the settings allow none."""
+        return retry_after_us(self._settings)
+
+    @property
+    def open_requests(self) -> int:
+        """How many requests are owed their answer."""
+        return len(self.requests.by_id)
+
+    # Called by the fronts
+
+    def submit(self, request: Request, reply: Callable[[Answer], None]) -> OpenRequest | None:
+        """Takes a request; `reply` is called exactly once, unless the request is cancelled first."""
+        self.counters.requests += 1
+        self.counters.retries += request.is_retry
+        finish_all_at_us = self._deadlines.finish_all_at_us
+        if finish_all_at_us:
+            request.deadline_us = min(request.deadline_us, finish_all_at_us)
+        if request.deadline_us <= self.clock.now() or request.request_id in self.requests.request_ids:
+            # An id in use names another request: members could not tell the two apart.
+            self.counters.ended(request.class_name, FinalOutcome.FAILED)
+            reply(Answer(FinalOutcome.FAILED))
+            return None
+        settings = self._settings
+        traffic_class = settings.classes[request.traffic_class]
+        is_idempotent = traffic_class.idempotency is Idempotency.IDEMPOTENT and not traffic_class.is_write
+        open_request = self.requests.add(request, reply, is_idempotent, settings.max_attempts)
+        self.timers.schedule(request.deadline_us, TimerKind.REQUEST_DEADLINE, open_request)
+        self._post(
+            api.RequestArrived(
+                open_request.id,
+                request.traffic_class,
+                request.object_id,
+                request.deadline_us,
+                0.0,
+                request.group,
+                request.part,
+                0,
+                request.is_retry,
+                traffic_class.is_write,
+            )
+        )
+        return open_request
 
-    def peer_message(self, sender: int, data: bytes) -> None:
-        """A datagram from another director, known by its number."""
-        self.counters.peer_messages += 1
-        if self.on_peer is not None and self.on_peer(sender, data):
+    def cancel(self, open_request: OpenRequest | None) -> None:
+        """The client has gone: nobody waits for an answer, and none is given."""
+        if open_request is None or not self.requests.remove(open_request):
             return
-        self._post(api.PeerMessageReceived(sender, data))
+        self.counters.cancelled += 1
+        self._post(api.RequestCancelled(open_request.id))
+        self.attempts.abandon(open_request)
 
-    # What the backend calls
+    def client_half_closed(self, open_request: OpenRequest | None) -> None:
+        """The client has closed its sending side, and may be gone for good: no attempt begins for it.
 
-    def finished(self, attempt: Attempt, result: AttemptResult) -> None:
-        """The attempt has ended. Told once; what comes after is ignored."""
-        if attempt.is_finished:
-            return
-        attempt.is_finished = True
-        status = result.status
-        if (name := COUNTED.get(status)) is not None:
-            setattr(self.counters, name, getattr(self.counters, name) + 1)
-        open_request = self._open.get(attempt.id)
-        if open_request is not None and open_request.flight is attempt:
-            open_request.flight = None
-            if status not in api.NEVER_EXECUTED:
-                self._may_have_run(open_request, attempt)
-            open_request.reset |= status is AttemptStatus.RESET
-            if status is AttemptStatus.OK:
-                self._answer(
-                    open_request, Answer(FinalOutcome.SERVED, result.body, result.unchanged, 0, attempt.server)
-                )
-                open_request = None
-            elif open_request.client_left:
-                self.counters.clients_left += 1
-                self._answer(open_request, self._no_further_attempt(open_request))
-                open_request = None
-        self._post(
-            api.AttemptFinished(
-                attempt.id,
-                attempt.number,
-                attempt.server,
-                status,
-                self.clock.now() - attempt.sent_us,
-                open_request is None,
-                result.detail,
-                result.fill_queue_us,
-                result.load_report,
-            )
-        )
-        if self.on_attempt_end is not None:
-            self.on_attempt_end(attempt.server, status)
-        if self.on_attempt is not None:
-            self.on_attempt(attempt, result)
-
-    # The module
-
-    def _post(self, event) -> None:
-        """Feeds events to the module one by one: what an action sets off waits until it is carried out."""
-        events = self._events
-        events.append(event)
-        if self._pumping:
+        An attempt that is out may still bring the answer. Anything else ends now.
+        """
+        if open_request is None or open_request.id not in self.requests.by_id:
             return
-        self._pumping = True
-        try:
-            # One reading of the clock for an event and all that it sets off at once.
-            now = self._now = self.clock.now()
-            handle = self.router.handle
-            while events:
-                for action in handle(now, events.popleft()):
-                    ACTIONS[type(action)](self, action)
-        finally:
-            self._pumping = False
-
-    def _fetch(self, a) -> None:
-        now = self._now
-        open_request = self._open.get(a.request)
-        if open_request is None:
-            return self._refuse_to_send(a, 0, True)
-        number = open_request.attempts
-        open_request.attempts += 1
-        entry = self.endpoints.get(a.server)
-        if (
-            open_request.flight is not None
-            or number >= min(open_request.most, self.settings.max_attempts)
-            or entry is None
-            or not self._may_repeat(open_request, entry.member, now)
-            or open_request.deadline <= now
-        ):
-            return self._refuse_to_send(a, number, False)
-        due = min(now + a.timeout_us, open_request.deadline) if a.timeout_us else open_request.deadline
-        attempt = Attempt(open_request.request, open_request.id, number, a.server, 0, now, due)
-        if type(a) is api.Fetch:
-            attempt.source = 0 if a.source == a.server else a.source
-            attempt.retention_rank, attempt.max_age_us, attempt.join_fill = a.retention_rank, a.max_age_us, a.join_fill
-            attempt.only_if_cached, attempt.refresh_in_background = a.only_if_cached, a.refresh_in_background
-            attempt.parent_no_store = a.parent_no_store
-            if self.oldest_us:
-                # Guards against a purge that was told while nobody listened: see recovery/gap.py.
-                young = max(1, now - self.oldest_us)
-                attempt.max_age_us = min(attempt.max_age_us or young, young)
-        attempt.retry_deadline_us = self._repeat_by(open_request)
-        # Guards a request that was lost once to a reset: its next try goes out on a new connection. Writes
-        # are not sent on new connections as such: each director doing so kept dozens of idle ones at the
-        # origin, whose table, shared by a fleet, turned nine writes in ten away (docs/design/fleet.md).
-        attempt.new_connection = open_request.reset
-        open_request.flight = attempt
-        self.counters.attempts += 1
-        if self.on_attempt is not None:
-            self.on_attempt(attempt, None)
-        if due < open_request.deadline:
-            self._set_timer(due, ATTEMPT, attempt)
-        self.backend.send(attempt, entry)
-
-    def _refuse_to_send(self, a, number: int, final: bool) -> None:
-        self.counters.moot += 1
-        self._events.append(api.AttemptFinished(a.request, number, a.server, AttemptStatus.MOOT, 0, final))
-
-    def _fail(self, a) -> None:
-        self._end(a.request, Answer(FinalOutcome.FAILED))
-
-    def _refuse(self, a) -> None:
-        open_request = self._open.get(a.request)
-        if open_request is not None and not open_request.may_be_refused:
-            # Guards the rule on refusals: they tell the client that another try does no harm.
-            return self._end(a.request, Answer(FinalOutcome.FAILED))
-        self._end(a.request, Answer(FinalOutcome.REJECTED, retry_after_us=a.retry_after_us))
-
-    def _end(self, ident: int, answer: Answer) -> None:
-        open_request = self._open.get(ident)
-        if open_request is not None:
-            self._answer(open_request, answer)
-            self._call_off(open_request)
-
-    def _answer(self, open_request: OpenRequest, answer: Answer) -> None:
-        del self._open[open_request.id]
-        self._request_ids.discard(open_request.request.request_id)
-        self.counters.ended(open_request.request.class_name, answer.outcome)
-        open_request.reply(answer)
-
-    def _call_off(self, open_request: OpenRequest) -> None:
-        attempt, open_request.flight = open_request.flight, None
-        if attempt is not None and not attempt.is_finished:
-            self.backend.undo(attempt)
+        open_request.client_half_closed = True
+        attempt = open_request.current_attempt
+        if attempt is not None:
+            if self.backend.is_out(attempt):
+                return
+            self.attempts.withdraw(open_request, attempt)
+        self.counters.clients_left += 1
+        self.requests.answer(open_request, rejection(open_request, self.retry_after_us))
+        self._post(api.RequestCancelled(open_request.id))
+        if attempt is not None:
             self.finished(attempt, AttemptResult(AttemptStatus.CANCELLED))
 
-    def _cancel_attempt(self, a) -> None:
-        open_request = self._open.get(a.request)
-        attempt = open_request.flight if open_request is not None else None
-        if attempt is not None and attempt.number == a.attempt:
-            self.backend.undo(attempt)
-            self.finished(attempt, AttemptResult(AttemptStatus.CANCELLED))
+    # Called by the lifecycle
+
+    def apply_settings(self, settings: api.Settings) -> None:
+        """Takes other settings: requests under way keep their class as it was when they came.
+
+        `settings.classes` begins with the classes known before, each in its place. What is on its way to one
+        that is retired is still taken, nothing else.
+        """
+        self.traffic_classes.apply_settings(settings)
+        self.settings = settings
+        self._post(api.SettingsChanged(settings))
+
+    def set_active_processes(self, processes: int) -> None:
+        """How many processes of this director send: see `interface.ActiveProcessesChanged`."""
+        self._post(api.ActiveProcessesChanged(processes))
+
+    # Called by the coordinator's watch, by health, recovery and the peers
+
+    def membership_changed(self, change: MembershipChange) -> None:
+        """The membership, or a part of it: from here on nothing new goes to a member that is not in service."""
+        self.counters.roster_changes += 1
+        self._post(self.membership.apply(change))
+
+    def health_changed(self, endpoints: list[Endpoint]) -> None:
+        """Members whose state or weight differs from what the membership says, by other evidence."""
+        self.counters.judgements += len(endpoints)
+        self._post(self.membership.apply(MembershipChange(False, 0, endpoints)))
+
+    def member_restarted(self, server: int) -> None:
+        """A member was seen to restart: it is cold from now on, until the membership reports its start."""
+        endpoint = self.endpoints.get(server)
+        if endpoint is None:
+            return
+        self.counters.restarts_seen += 1
+        self.log("member_restarted", "info", member=endpoint.name)
+        self.membership.note_restart(server)
+        self._post(self.membership.apply(MembershipChange(False, 0, [endpoint])))
+
+    def purged(self, purge: Purge) -> None:
+        """A purge: what was decided before it is not written any more."""
+        self.counters.purges += 1
+        self._post(self.purges.record(purge))
+
+    def set_admission_limits(self, rejected_classes: frozenset[int], fills_per_s: float | None) -> None:
+        """Limits for the router: see `interface.AdmissionLimitsChanged`."""
+        self._post(api.AdmissionLimitsChanged(rejected_classes, fills_per_s))
+
+    def peer_message(self, sender: int, data: bytes) -> None:
+        """A datagram from another director, known by its number."""
+        self.counters.peer_messages += 1
+        if self.on_peer is not None and self.on_peer(sender, data):
+            return
+        self._post(api.PeerMessageReceived(sender, data))
 
-    def _module_timer(self, a) -> None:
-        self._set_timer(self._now + a.delay_us, ROUTER, a.token)
-
-    def _send_peer(self, a) -> None:
-        if self.settings.allows_peer_messages and len(a.data) <= 256:
-            self.peers.send(a.peer, a.data)
-
-    def _fault(self, a) -> None:
-        self.log("module_fault", "error", text=a.text)
-
-
-ACTIONS = {
-    api.Fetch: Engine._fetch,
-    api.FetchCached: Engine._fetch,
-    api.Fail: Engine._fail,
-    api.Reject: Engine._refuse,
-    api.CancelAttempt: Engine._cancel_attempt,
-    api.SetTimer: Engine._module_timer,
-    api.CloseIdleConnections: lambda engine, a: engine.backend.close_idle(a.server),
-    api.SendPeerMessage: Engine._send_peer,
-    api.WriteLog: lambda engine, a: engine.log("module", text=a.text),
-    api.InternalError: Engine._fault,
-    # The list is pushed by the coordinator, and caches may not be probed.
-    api.SubscribeMembership: lambda engine, a: None,
-    api.ReloadMembership: lambda engine, a: None,
-    api.StartHealthCheck: lambda engine, a: None,
-}
+    def _send_to_peer(self, peer: int | None, data: bytes) -> None:
+        is_allowed = self._settings.allows_peer_messages and len(data) <= LONGEST_PEER_MESSAGE_BYTES
+        if is_allowed and self.peers is not None:
+            self.peers.send(peer, data)
--- a/rookbend/core/open_request.py
+++ b/rookbend/core/open_request.py
@@ -1,63 +1,77 @@
-"""A request that is owed its answer, and what the engine stands on: the backend and the peers."""
+"""Requests that are owed their final answer."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Protocol
 
-from rookbend.core.model import Answer, Attempt, Endpoint, Request
-from rookbend.interface import AttemptStatus, Member
+from rookbend.core.counters import Counters
+from rookbend.core.model import Answer, Attempt, Request
+from rookbend.interface import Member
 
-
-class Backend(Protocol):
-    """Carries attempts to members."""
-
-    def send(self, attempt: Attempt, entry: Endpoint) -> None:
-        """Sends the attempt as soon as a connection takes it; the engine hears of its end by `finished`."""
-
-    def undo(self, attempt: Attempt) -> AttemptStatus:
-        """Gives the attempt up; tells whether it may have run (TIMEOUT) or never did (CONNECT_FAILED)."""
-
-    def is_out(self, attempt: Attempt) -> bool:
-        """Whether the attempt has gone out whole; what has not can still be kept from its member."""
-
-    def forget(self, server: int) -> None:
-        """The member has gone, or has another address."""
-
-    def close_idle(self, server: int) -> None:
-        """Closes the connections to a member on which nothing is out."""
-
-
-class Peers(Protocol):
-    """Carries messages to other directors."""
-
-    def send(self, peer: int | None, data: bytes) -> None:
-        """Sends a datagram to one director by its number, or to all."""
+LARGEST_REQUEST_NUMBER = 0xFFFFFFFF  # numbers start again at 1 after it
 
 
 @dataclass(slots=True, eq=False)
 class OpenRequest:
-    """A request that is owed its final answer. `write` says that it may not simply be repeated."""
+    """A request that is owed its final answer. One that is not `is_idempotent` may not simply be repeated."""
 
     id: int
     request: Request
     reply: Callable[[Answer], None]
-    write: bool
-    most: int  # attempts at most
-    deadline: int = 0
-    attempts: int = 0
-    flight: Attempt | None = None  # the attempt that is out
+    deadline_us: int
+    is_idempotent: bool
+    max_attempts: int
+    attempt_count: int = 0
+    current_attempt: Attempt | None = None  # the attempt in flight
     may_have_run: bool = False
-    ran_at_us: int = 0  # when the first attempt that may have run was decided, and where it went
-    ran_on: Member | None = None
-    reset: bool = False  # an attempt was lost to a reset
-    client_left: bool = False  # its client may have gone: no further attempt begins
+    first_run_us: int = 0  # when the first attempt that may have run was decided
+    first_run_member: Member | None = None  # and the member that it went to
+    had_reset: bool = False  # an attempt was lost to a reset connection
+    client_half_closed: bool = False  # its client may be gone: no further attempt begins
 
     @property
-    def may_be_refused(self) -> bool:
-        """Whether another try does no harm: what may not simply be repeated has not run, nor is it out."""
-        return not (self.write and (self.may_have_run or self.flight is not None))
-
-    def __post_init__(self):
-        self.deadline = self.request.deadline_us
+    def may_be_rejected(self) -> bool:
+        """Whether the client may be told that a repeat does no harm.
+
+        Not where a request that is not idempotent may have run or is in flight.
+        """
+        return self.is_idempotent or not (self.may_have_run or self.current_attempt is not None)
+
+
+class OpenRequestTable:
+    """The open requests by the number that the router knows them by. Each gets at most one answer."""
+
+    __slots__ = ("_counters", "by_id", "last_id", "request_ids")
+
+    def __init__(self, counters: Counters) -> None:
+        self.by_id: dict[int, OpenRequest] = {}
+        self.request_ids: set[str] = set()  # the clients' ids of the open requests
+        self.last_id = 0
+        self._counters = counters
+
+    def add(
+        self, request: Request, reply: Callable[[Answer], None], is_idempotent: bool, max_attempts: int
+    ) -> OpenRequest:
+        """Opens a request under the next number; its client's id must not be in use."""
+        self.request_ids.add(request.request_id)
+        number = self.last_id % LARGEST_REQUEST_NUMBER + 1
+        self.last_id = number
+        open_request = OpenRequest(number, request, reply, request.deadline_us, is_idempotent, max_attempts)
+        self.by_id[number] = open_request
+        return open_request
+
+    def answer(self, open_request: OpenRequest, answer: Answer) -> None:
+        """Closes a request with its final answer."""
+        request = open_request.request
+        del self.by_id[open_request.id]
+        self.request_ids.discard(request.request_id)
+        self._counters.ended(request.class_name, answer.outcome)
+        open_request.reply(answer)
+
+    def remove(self, open_request: OpenRequest) -> bool:
+        """Closes a request that gets no answer; returns False where it was closed before."""
+        if self.by_id.pop(open_request.id, None) is None:
+            return False
+        self.request_ids.discard(open_request.request.request_id)
+        return True
--- /dev/null
+++ b/rookbend/core/ports.py
@@ -0,0 +1,42 @@
+"""What the engine requires of its surroundings: a router, a backend and a transport to peers."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from typing import Protocol
+
+from rookbend.core.model import Attempt, Endpoint
+from rookbend.interface import Action, AttemptStatus, Event
+
+
+class RoutingPolicy(Protocol):
+    """Decides what is done with each request."""
+
+    def handle(self, now_us: int, event: Event) -> Iterable[Action]:
+        """Takes one event and returns the actions to carry out, in order."""
+
+
+class Backend(Protocol):
+    """Carries attempts to members."""
+
+    def send(self, attempt: Attempt, entry: Endpoint) -> None:
+        """Sends the attempt as soon as a connection takes it; the engine learns of its end by `finished`."""
+
+    def undo(self, attempt: Attempt) -> AttemptStatus:
+        """Gives the attempt up; returns TIMEOUT if it may have run, CONNECT_FAILED if it never did."""
+
+    def is_out(self, attempt: Attempt) -> bool:
+        """Whether the attempt has gone out whole; what has not can still be withheld from its member."""
+
+    def forget(self, server: int) -> None:
+        """Drops the connections to a member that has left or has another address."""
+
+    def close_idle(self, server: int) -> None:
+        """Closes the connections to a member that carry no attempt."""
+
+
+class PeerTransport(Protocol):
+    """Carries messages to other directors."""
+
+    def send(self, peer: int | None, data: bytes) -> None:
+        """Sends a datagram to one director by its number, or to all where `peer` is None."""
--- a/rookbend/core/restart_detection.py
+++ b/rookbend/core/restart_detection.py
@@ -21,7 +21,7 @@
 class RestartEvidence:
     """Fed what happens to one member's connections; `connected` tells of a restart, once."""
 
-    def __init__(self):
+    def __init__(self) -> None:
         self.seen = Seen.NOTHING
 
     def connection_lost(self, reset: bool) -> None:
--- a/rookbend/core/timers.py
+++ b/rookbend/core/timers.py
@@ -1,46 +1,56 @@
-"""Timers of attempts, of requests and of the module, in one heap."""
+"""Timers of attempts, of requests and of the router, in one heap."""
 
 from __future__ import annotations
 
 import heapq
+from collections.abc import Callable, Iterator
+from enum import Enum
+from typing import Any, NamedTuple
 
-from rookbend import interface as api
-from rookbend.core.model import Answer, AttemptResult, FinalOutcome
-from rookbend.core.open_request import OpenRequest
-
-ATTEMPT, REQUEST, ROUTER = range(3)  # what a timer is for
-
-
-class Timers:
-    """The part of `Engine` that acts when it is time; `on_timer_change(due)` hears of an earlier one."""
-
-    def _set_timer(self, due: int, kind: int, what) -> None:
-        self._timer_number += 1
-        heapq.heappush(self._timers, (due, self._timer_number, kind, what))
-        if due < self._armed or not self._armed:
-            self._armed = due
-            self.on_timer_change(due)
-
-    def run_due(self) -> int:
-        """Runs every timer that is due; returns when the next one is, or 0."""
-        timers, now = self._timers, self.clock.now()
-        while timers and timers[0][0] <= now:
-            _, _, kind, what = heapq.heappop(timers)
-            if kind == ROUTER:
-                self._post(api.TimerFired(what))
-            elif kind == ATTEMPT:
-                if not what.is_finished:
-                    self.finished(what, AttemptResult(self.backend.undo(what)))
-            elif what.id in self._open and what.deadline <= now:
-                self._deadline(what)
-        self._armed = timers[0][0] if timers else 0
-        return self._armed
-
-    def _deadline(self, open_request: OpenRequest) -> None:
-        """The deadline guard: guards against a module that still holds the request when its time is over."""
-        if open_request.flight is not None:
-            self.finished(open_request.flight, AttemptResult(self.backend.undo(open_request.flight)))
-        if self._open.get(open_request.id) is open_request:
-            self.counters.late_guard += 1
-            self._answer(open_request, Answer(FinalOutcome.FAILED))
-            self._post(api.RequestCancelled(open_request.id))
+
+class TimerKind(Enum):
+    """What a timer is for, and with that what its `subject` is."""
+
+    ATTEMPT_TIMEOUT = "attempt timeout"  # an Attempt
+    REQUEST_DEADLINE = "request deadline"  # an OpenRequest
+    ROUTER = "router"  # the router's own token
+
+
+class Timer(NamedTuple):
+    """One entry of the heap. `sequence` keeps timers that are due together in the order of their setting."""
+
+    due_us: int
+    sequence: int
+    kind: TimerKind
+    subject: Any
+
+
+def _ignore_earlier_due(due_us: int) -> None:
+    """Stands in until somebody runs the timers."""
+
+
+class TimerQueue:
+    """Timers by due time. `on_earlier_due(due_us)` is called when the next timer comes earlier than before."""
+
+    __slots__ = ("_heap", "_sequence", "next_due_us", "on_earlier_due")
+
+    def __init__(self) -> None:
+        self.next_due_us = 0  # 0: no timer is set
+        self.on_earlier_due: Callable[[int], None] = _ignore_earlier_due
+        self._heap: list[Timer] = []
+        self._sequence = 0
+
+    def schedule(self, due_us: int, kind: TimerKind, subject: Any) -> None:
+        """Sets a timer. Timers are never cancelled: whoever runs them skips those that no longer matter."""
+        self._sequence += 1
+        heapq.heappush(self._heap, Timer(due_us, self._sequence, kind, subject))
+        if due_us < self.next_due_us or not self.next_due_us:
+            self.next_due_us = due_us
+            self.on_earlier_due(due_us)
+
+    def pop_due(self, now_us: int) -> Iterator[Timer]:
+        """Removes and yields the timers that are due, with those that are set meanwhile and are due as well."""
+        heap = self._heap
+        while heap and heap[0].due_us <= now_us:
+            yield heapq.heappop(heap)
+        self.next_due_us = heap[0].due_us if heap else 0
--- a/rookbend/fronts/dns.py
+++ b/rookbend/fronts/dns.py
@@ -87,7 +87,7 @@
 
     def _take(self, lookup: Lookup, source: tuple, respond: Respond) -> None:
         # Names in DNS know no case: the lookup's is in small letters.
-        classes = self.engine.classes.items()
+        classes = self.engine.traffic_classes.by_name.items()
         index = next((i for name, i in classes if name.lower() == lookup.class_name), None)
         if index is None:
             return respond(reply_to(lookup.query, Outcome(dns.rcode.NXDOMAIN, note="unknown class")))
@@ -224,7 +224,7 @@
     def _write(self, t: Try, query: dns.message.Message, respond: Respond) -> None:
         """The last look at the membership, with the reply right behind it."""
         outcome = t.outcome
-        if outcome.server and not self.engine.serving(outcome.server):
+        if outcome.server and not self.engine.is_in_service(outcome.server):
             # Guards the drain: the box left between its answer and this reply, or since the first reply.
             outcome = (
                 self._unnamed(t, "its box has left")
--- a/rookbend/net/recovery.py
+++ b/rookbend/net/recovery.py
@@ -78,7 +78,7 @@
         self._pass_on, site.watch.membership_changed = site.watch.membership_changed, self._roster_changed
         site.watch.purged = self._purged
         site.watch.heard = lambda: self.feed(machine.StreamHeard())
-        site.engine.on_attempt = self._attempt
+        site.engine.attempts.on_attempt = self._attempt
         site.engine.on_peer = self._datagram
         site.gauges.append(self.gauges)
         self._carry_out(self.machine.begin(self.now()))
@@ -184,7 +184,7 @@
     def _limits(self, a: machine.LimitsSet) -> None:
         self.limits = a
         # The engine's clock is another: it may have been set forward since.
-        self.engine.oldest_us = a.oldest_us and self.site.clock.now() - (self.now() - a.oldest_us)
+        self.engine.attempts.oldest_copy_us = a.oldest_us and self.site.clock.now() - (self.now() - a.oldest_us)
         self.engine.set_admission_limits(a.closed, a.rate)
 
     def _boot(self, a: machine.BootRaised) -> None:
--- a/rookbend/process_metrics.py
+++ b/rookbend/process_metrics.py
@@ -28,7 +28,7 @@
         self.engine, self.front, self.limits, self.lag_us = engine, front, limits, lag_us
         self.pool: Pool | None = None
         self._timer_due_earlier = trio.Event()
-        engine.on_timer_change = lambda due: self._timer_due_earlier.set()
+        engine.timers.on_earlier_due = lambda due: self._timer_due_earlier.set()
 
     async def run_timers(self) -> None:
         clock, engine = self.engine.clock, self.engine
@@ -65,7 +65,7 @@
             (self.pool.open_connections + len(self.front.open) + OWN_DESCRIPTORS) / limits.sockets,
             resident / (limits.memory_mb << 20),
             len(members),
-            sum(engine.serving(e.member.server) for e in members),
+            sum(engine.is_in_service(e.member.server) for e in members),
         )
 
     def _is_ours(self, entry) -> bool:
--- a/rookbend/testing/simulation/node.py
+++ b/rookbend/testing/simulation/node.py
@@ -19,7 +19,7 @@
         self.router = fleet.make(settings, fleet.seed * 1_000_003 + number)
         self.engine = Engine(settings, self.router, SimClock(self.sim), Counters(), lambda *a, **k: None)
         self.engine.backend = self
-        self.engine.on_timer_change = self._arm
+        self.engine.timers.on_earlier_due = self._arm
         self._armed = 0
 
     def _arm(self, due: int) -> None:
--- a/tests/engine_harness.py
+++ b/tests/engine_harness.py
@@ -56,13 +56,13 @@
     def ask(self, cls=0, seconds=2.0, obj=5, rid=None):
         now = self.engine.clock.now()
         return self.engine.submit(
-            Request(rid or f"{self.engine._last_id:016x}", cls, "c", "k", obj, now + int(seconds * SECOND)),
+            Request(rid or f"{self.engine.requests.last_id:016x}", cls, "c", "k", obj, now + int(seconds * SECOND)),
             self.answers.append,
         )
 
     def run_until(self, seconds):
-        while self.engine._armed and self.engine._armed <= seconds * SECOND:
-            self.seconds = max(self.seconds, self.engine._armed / SECOND)
+        while self.engine.timers.next_due_us and self.engine.timers.next_due_us <= seconds * SECOND:
+            self.seconds = max(self.seconds, self.engine.timers.next_due_us / SECOND)
             self.engine.run_due()
         self.seconds = seconds
 
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -33,8 +33,8 @@
     bench.engine.finished(bench.sent[0], AttemptResult(AttemptStatus.OK, body=b"x"))
     bench.ask(rid="a" * 16)
     assert len(bench.sent) == 2 and bench.verdicts()[1:] == [FinalOutcome.SERVED]
-    bench.engine.cancel(next(iter(bench.engine._open.values())))
-    assert not bench.engine._request_ids
+    bench.engine.cancel(next(iter(bench.engine.requests.by_id.values())))
+    assert not bench.engine.requests.request_ids
 
 
 def test_one_attempt_at_a_time_and_six_at_most():
--- a/tests/test_member_connections.py
+++ b/tests/test_member_connections.py
@@ -64,9 +64,9 @@
             cache1 send stall rid=0000000000000001
         """)
         engine = stage.service.engine
-        (open_request,) = engine._open.values()
-        engine.backend.undo(open_request.flight)  # as the module does where the source is silent
-        engine.finished(open_request.flight, AttemptResult(AttemptStatus.CANCELLED))
+        (open_request,) = engine.requests.by_id.values()
+        engine.backend.undo(open_request.current_attempt)  # as the module does where the source is silent
+        engine.finished(open_request.current_attempt, AttemptResult(AttemptStatus.CANCELLED))
         await stage.play("""
             cache1 expect nothing
             director wait 0.6
