--- a/rookbend/health/service.py
+++ b/rookbend/health/service.py
@@ -81,7 +81,7 @@
                 self._flush_us = self._flush_us or now + GATHER_US
                 self._pending[server] = None
         if urgent:
-            self.engine.judged(urgent)
+            self.engine.health_changed(urgent)
         self._announce_due()
 
     def attempt_ended(self, server: int, status: AttemptStatus) -> None:
@@ -100,7 +100,7 @@
             self._flush_us = 0
             pending, self._pending = self._pending, {}
             members = self.registry.members
-            self.engine.judged([self._effective_of(members[s]) for s in pending if s in members])
+            self.engine.health_changed([self._effective_of(members[s]) for s in pending if s in members])
         if self.registry.due_us and now >= self.registry.due_us:
             self.feed(TimerExpired())
         self._announce_due()
