--- a/rookbend/components.py
+++ b/rookbend/components.py
@@ -233,12 +233,12 @@
 
 
 def _daily(site: ComponentContext) -> list[Component]:
-    from rookbend.net.operations import DailyPart
+    from rookbend.net.operations import OperationsComponent
 
-    site.built["daily"] = daily = DailyPart(site)
-    if daily.upgrade is not None:
-        site.built["upgrade"] = daily.upgrade
-    return [daily]
+    site.built["operations"] = operations = OperationsComponent(site)
+    if operations.upgrade is not None:
+        site.built["upgrade"] = operations.upgrade
+    return [operations]
 
 
 # By what the operators' settings ask for. The door is the platform's: its address is in the configuration.
--- a/rookbend/drain.py
+++ b/rookbend/drain.py
@@ -38,7 +38,7 @@
         service = self.service
         now = self.began_us = service.clock.now()
         if service.upgrade is not None:
-            service.upgrade.handover.told_to_leave()
+            service.upgrade.handover.shutdown_requested()
             if service.upgrade.handover.taken_over:
                 # The next process takes from the same queue: nothing that waits in it is lost by our leaving.
                 accepting.cancel()
--- a/rookbend/net/operations.py
+++ b/rookbend/net/operations.py
@@ -1,5 +1,4 @@
-"""What makes a director one that operators run day by day: the door and what is called there, members left
-out by hand, and upgrades."""
+"""The component behind the operators' endpoint: exclusions, metrics, and upgrades of the program."""
 
 from __future__ import annotations
 
@@ -13,128 +12,144 @@
 from rookbend.interface import MemberState
 from rookbend.net.component import Component, ComponentContext
 from rookbend.net.listeners import Listeners
-from rookbend.net.operator import CALLERS, Door
+from rookbend.net.operator_endpoint import MAX_CALLERS, OperatorEndpoint
 from rookbend.net.upgrade import Upgrade
 from rookbend.operations import metrics_text, persisted_state
-from rookbend.operations.exclusions import Bans, Ordered
+from rookbend.operations.exclusions import ExclusionResult, Exclusions
+from rookbend.operations.persisted_state import PersistedState, PersistedStateError
 from rookbend.protocol.coordinator_stream import split_address
-from rookbend.protocol.operator import OperatorDesk
+from rookbend.protocol.operator_api import OperatorApi
 
+UPGRADE_DESCRIPTORS = 4  # connections to two other processes of this director, and what is accepted meanwhile
 
-class KeptFile:
-    """Where the bans are kept for the next process, in `$TMPDIR`; each change is a file written whole."""
+
+class PersistedStateFile:
+    """Where exclusions are written for the next process, in `$TMPDIR`; each change replaces the file whole."""
 
     def __init__(self, folder: str, name: str, log: Callable[..., None]):
-        self.path, self.name, self.log = Path(folder) / f"rookbend.{name}.kept", name, log
+        self.path = Path(folder) / f"rookbend.{name}.kept"
+        self.name = name
+        self.log = log
 
-    def read(self) -> persisted_state.Kept:
+    def read(self) -> PersistedState:
+        """The content, or an empty state where there is no usable file."""
         try:
             with open(self.path, "rb") as file:
-                return persisted_state.read(file.read(persisted_state.LONGEST), self.name)
+                return persisted_state.decode(file.read(persisted_state.MAX_SIZE_BYTES), self.name)
         except FileNotFoundError:
             pass
-        except (OSError, persisted_state.KeptError) as error:
-            self.log("kept_unusable", "error", path=str(self.path), reason=str(error))
-        return persisted_state.Kept(self.name)
-
-    def write(self, bans: Bans) -> None:
-        fresh = f"{self.path}.{os.getpid()}"
+        except (OSError, PersistedStateError) as error:
+            self.log("exclusions_unusable", "error", path=str(self.path), reason=str(error))
+        return PersistedState(self.name)
+
+    def write(self, exclusions: Exclusions) -> None:
+        """Replaces the file; where that fails the exclusions hold all the same, here and at the other process."""
+        state = PersistedState(self.name, excluded=list(exclusions.excluded), included_us=dict(exclusions.included_us))
+        temporary = f"{self.path}.{os.getpid()}"
         try:
-            with open(fresh, "wb") as file:
-                file.write(
-                    persisted_state.write(persisted_state.Kept(self.name, out=list(bans.out), back_us=bans.back_us))
-                )
-            os.replace(fresh, self.path)
+            with open(temporary, "wb") as file:
+                file.write(persisted_state.encode(state))
+            os.replace(temporary, self.path)
         except OSError as error:
-            # The order stands all the same, here and at a process that serves beside this one.
-            self.log("kept_unwritten", "error", path=str(self.path), reason=str(error))
+            self.log("exclusions_unwritten", "error", path=str(self.path), reason=str(error))
+
 
+class OperationsComponent(Component):
+    """Owns the exclusions, and stands between the coordinator's watch and whatever takes the membership next."""
 
-class DailyPart(Component):
-    descriptors = CALLERS + 4  # the door's, and the connections to two other processes of this director
+    descriptors = MAX_CALLERS + UPGRADE_DESCRIPTORS
 
-    def __init__(self, site: ComponentContext):
-        self.site = site
+    def __init__(self, context: ComponentContext):
+        self.context = context
         self.upgrade: Upgrade | None = None
-        self.file: KeptFile | None = None
-        before = persisted_state.Kept(site.config.name)
+        self.file: PersistedStateFile | None = None
+        before = PersistedState(context.config.name)
         folder = os.environ.get("TMPDIR", "")
         if folder:
-            self.upgrade = Upgrade(folder, site.config.name, site.clock, site.log, site.listeners)
-            self.upgrade.on_ban = self._neighbour
-            site.listeners.shared = True
-            self.file = KeptFile(folder, site.config.name, site.log)
+            self.upgrade = Upgrade(folder, context.config.name, context.clock, context.log, context.listeners)
+            self.upgrade.on_exclusion = self._exclusion_of_other_process
+            context.listeners.shared = True
+            self.file = PersistedStateFile(folder, context.config.name, context.log)
             before = self.file.read()
-        self.bans = Bans(tuple(before.out), before.back_us)
-        # In front of whatever weighs the list: a ban is told as the list's own word would be.
-        self._told, site.watch.membership_changed = site.watch.membership_changed, self._heard
-        self.desk = OperatorDesk(site.phase, self.figures, self.maintain)
-        self.door: Door | None = None
+        self.exclusions = Exclusions(before.excluded, before.included_us)
+        # Before health: an exclusion reaches it as the membership's own state would.
+        self._forward_membership = context.watch.membership_changed
+        context.watch.membership_changed = self._membership_changed
+        self.api = OperatorApi(context.phase, self.metrics, self.set_excluded)
+        self.endpoint: OperatorEndpoint | None = None
 
     def open(self, listeners: Listeners) -> None:
-        listener = listeners.tcp(split_address(self.site.config.operator))
-        self.door = Door(listener, self.desk, self.site.clock, self.site.outbox)
+        """Takes the listening socket of the endpoint."""
+        listener = listeners.tcp(split_address(self.context.config.operator))
+        self.endpoint = OperatorEndpoint(listener, self.api, self.context.clock, self.context.outbox)
 
     def start(self, nursery: trio.Nursery) -> None:
-        self.door.start(nursery)
+        """Begins to answer, and to wait for a next process."""
+        assert self.endpoint is not None  # `open` comes before `start`
+        self.endpoint.start(nursery)
         if self.upgrade is not None:
             nursery.start_soon(self.upgrade.run)
 
     def leave(self) -> None:
+        """The process ends."""
         if self.upgrade is not None:
             self.upgrade.leave()
 
-    # Maintenance
+    # Exclusions
 
-    def _heard(self, change: MembershipChange) -> None:
-        self._told(self.bans.heard(change))
+    def _membership_changed(self, change: MembershipChange) -> None:
+        self._forward_membership(self.exclusions.apply(change))
 
-    def maintain(self, member: str, out: bool) -> str:
-        """An order at the door; what is wrong with it, or nothing. Once this returns, it binds here."""
-        ordered = self.bans.order(member, out, self.site.clock.now())
-        self._take(member, out, ordered)
-        if ordered.news and self.upgrade is not None:
-            self.upgrade.tell_ban(member, out)
-        return ordered.fault
+    def set_excluded(self, member: str, exclude: bool) -> str:
+        """An operator's call; what is wrong with it, or "". Once this returns, it holds here."""
+        result = self.exclusions.set_excluded(member, exclude, self.context.clock.now())
+        self._carry_out(member, exclude, result)
+        if result.changed and self.upgrade is not None:
+            self.upgrade.send_exclusion(member, exclude)
+        return result.error
 
-    def _neighbour(self, member: str, out: bool) -> bool:
-        """The same, as another process of this director was told."""
-        ordered = self.bans.adopt(member, out, self.site.clock.now())
-        self._take(member, out, ordered)
-        return ordered.news
+    def _exclusion_of_other_process(self, member: str, exclude: bool) -> bool:
+        """The same, as another process of this director was asked; tells whether it changed anything."""
+        result = self.exclusions.adopt(member, exclude, self.context.clock.now())
+        self._carry_out(member, exclude, result)
+        return result.changed
 
-    def _take(self, member: str, out: bool, ordered: Ordered) -> None:
-        if not ordered.news:
+    def _carry_out(self, member: str, exclude: bool, result: ExclusionResult) -> None:
+        if not result.changed:
             return
-        if ordered.change is not None and ordered.change.endpoints:
-            self._told(ordered.change)
+        if result.change is not None and result.change.endpoints:
+            self._forward_membership(result.change)
         if self.file is not None:
-            self.file.write(self.bans)
-        self.site.log("maintenance", "warning", member=member, out=out)
+            self.file.write(self.exclusions)
+        self.context.log("maintenance", "warning", member=member, out=exclude)
 
-    # Figures
+    # Metrics
 
-    def figures(self) -> bytes:
-        engine, counters = self.site.engine, self.site.counters
+    def metrics(self) -> bytes:
+        """Counters and gauges in the operators' format."""
+        engine = self.context.engine
+        counters = self.context.counters
         lines = []
-        for name in dict.fromkeys(c.name for c in engine.settings.classes):
-            lines += metrics_text.by_class(name, counters.by_class)
+        for name in dict.fromkeys(traffic_class.name for traffic_class in engine.settings.classes):
+            lines += metrics_text.requests_by_class(name, counters.by_class)
         lines += [
             ("attempts", engine.backend.written),
             ("reloads_ok", counters.reloads_ok),
             ("reloads_failed", counters.reloads_failed),
         ]
-        known, excluded = self._caches()
-        return metrics_text.text(
-            lines, [("in_flight", engine.open_requests), ("caches_known", known), ("caches_excluded", excluded)]
-        )
-
-    def _caches(self) -> tuple[int, int]:
-        """Listed caches, and those of them that the director avoids: by the list, by hand or by choice."""
-        engine = self.site.engine
-        s, now = engine.settings, engine.clock.now()
-        caches = [e.member for e in engine.endpoints.values() if e.member.kind not in (s.parent_kind, s.origin_kind)]
-        seen = engine.router.health.servers
-        return len(caches), sum(
-            m.state is not MemberState.READY or (m.server in seen and seen[m.server].until > now) for m in caches
+        known, excluded = self._count_caches()
+        gauges = [("in_flight", engine.open_requests), ("caches_known", known), ("caches_excluded", excluded)]
+        return metrics_text.text(lines, gauges)
+
+    def _count_caches(self) -> tuple[int, int]:
+        """Listed caches, and those of them that are not used: by the membership, an operator or ejection."""
+        engine = self.context.engine
+        other_kinds = (engine.settings.parent_kind, engine.settings.origin_kind)
+        now = engine.clock.now()
+        caches = [e.member for e in engine.endpoints.values() if e.member.kind not in other_kinds]
+        servers = engine.router.health.servers
+        excluded = sum(
+            member.state is not MemberState.READY or (member.server in servers and servers[member.server].until > now)
+            for member in caches
         )
+        return len(caches), excluded
--- /dev/null
+++ b/rookbend/net/operator_endpoint.py
@@ -0,0 +1,86 @@
+"""The operators' HTTP listener: one call a connection, every answer within a second.
+
+Three things could break that promise. Callers that send nothing or half a call hold descriptors: they are counted apart
+from clients, closed after `CALL_US`, and where all places are taken the oldest makes room at once. A loop that is late
+would be late here too: an answer takes one reading of what is in memory, and no call waits for another. And an answer
+must not be lost to what its caller sent beyond the call: after it the endpoint closes its side, and reads on for a
+moment before it closes the other.
+"""
+
+from __future__ import annotations
+
+import socket
+
+import trio
+
+from rookbend.core.clock import Clock
+from rookbend.net.acceptor import accept
+from rookbend.net.buffered_socket import Channel, Outbox, prepare
+from rookbend.net.component import Component
+from rookbend.protocol.http_serve import HttpServe
+from rookbend.protocol.operator_api import OperatorApi
+
+MAX_CALLERS = 24
+CALL_US = 1_000_000  # a call that is not complete by then is not answered
+LINGER_US = 250_000  # what a caller sends beyond its call is read for so long
+
+
+class OperatorEndpoint(Component):
+    """Accepts callers and has `api` answer them; callers are held in the order in which they came."""
+
+    descriptors = MAX_CALLERS + 2
+
+    def __init__(self, listener: socket.socket, api: OperatorApi, clock: Clock, outbox: Outbox):
+        self.listener = listener
+        self.api = api
+        self.clock = clock
+        self.outbox = outbox
+        self.address = listener.getsockname()[:2]
+        self.callers: dict[Channel, trio.CancelScope] = {}
+        self.answered = 0
+
+    def start(self, nursery: trio.Nursery) -> None:
+        """Begins to accept."""
+        nursery.start_soon(self._serve)
+
+    async def _serve(self) -> None:
+        async with trio.open_nursery() as nursery:
+            await accept(self.listener, trio.CancelScope(), lambda sock: self._take(sock, nursery))
+
+    def _take(self, sock: socket.socket, nursery: trio.Nursery) -> None:
+        if len(self.callers) >= MAX_CALLERS:
+            oldest = next(iter(self.callers))
+            self.callers.pop(oldest).cancel()
+            oldest.close()  # its descriptor at once: the newcomer's is there already
+        channel = Channel(prepare(sock), nursery, self.outbox)
+        scope = trio.CancelScope(deadline=self._deadline_in(CALL_US))
+        self.callers[channel] = scope
+        nursery.start_soon(self._serve_caller, channel, scope)
+
+    async def _serve_caller(self, channel: Channel, scope: trio.CancelScope) -> None:
+        try:
+            with scope:
+                await self._answer(channel, scope)
+        finally:
+            self.callers.pop(channel, None)
+            channel.close()
+
+    async def _answer(self, channel: Channel, scope: trio.CancelScope) -> None:
+        http = HttpServe()
+        request = None
+        while request is None and not http.ended:
+            request = http.feed(await channel.receive())
+        if request is not None:
+            channel.write(http.answer(*self.api.answer(request), close=True))
+            self.answered += 1
+        elif http.refusal:
+            channel.write(http.refusal)
+        else:
+            return
+        channel.finish()
+        scope.deadline = self._deadline_in(LINGER_US)
+        while await channel.receive():
+            pass
+
+    def _deadline_in(self, delay_us: int) -> float:
+        return self.clock.monotonic_at(self.clock.now() + delay_us)
--- a/rookbend/net/upgrade.py
+++ b/rookbend/net/upgrade.py
@@ -1,7 +1,8 @@
-"""The driver of upgrades: the elder process gives its listening sockets, both pass on orders.
+"""The driver of upgrades: a process gives its listening sockets to its successor; both pass exclusions on.
 
-A Unix socket in `$TMPDIR`, which only the processes of one director share. Its owner is whom a next one
-will ask: each takes the path over once it serves. What a word means is for `daily.handover` to say.
+They meet at a Unix socket in `$TMPDIR`, which only the processes of one director share. The process that listens
+there is the one a next process asks: each takes the path over once it serves. `operations.handover` says what a
+message means.
 """
 
 from __future__ import annotations
@@ -11,7 +12,7 @@
 import os
 import socket
 import struct
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 from pathlib import Path
 
 import trio
@@ -19,103 +20,109 @@
 from rookbend.core.clock import Clock
 from rookbend.net.listeners import Listeners
 from rookbend.operations.handover import Handover
-from rookbend.protocol import upgrade as words
+from rookbend.protocol import upgrade as upgrade_protocol
 
-GIVEN_US = 3_000_000  # an elder that has not given by then stands still: the younger starts by itself
-PATH_MOST = 100  # bytes of a Unix socket's path, less than the kernel's 108
-GIVEN_MOST = 64  # descriptors in one message
-PEER = struct.Struct("3i")  # SO_PEERCRED: pid, uid, gid
-GONE = OSError, trio.BrokenResourceError, trio.ClosedResourceError, words.UpgradeError
+RETRY_S = 1
+GIVE_TIMEOUT_US = 3_000_000  # a predecessor that has not given by then stands still: the successor starts by itself
+MAX_PATH_BYTES = 100  # bytes of a Unix socket's path, less than the kernel's 108
+MAX_DESCRIPTORS = 64  # descriptors in one message
+PEER_CREDENTIALS = struct.Struct("3i")  # SO_PEERCRED: pid, uid, gid
+CONNECTION_ERRORS = OSError, trio.BrokenResourceError, trio.ClosedResourceError, upgrade_protocol.UpgradeError
+
+Rights = tuple[int, int, "array.array[int]"]  # ancillary data: level, type, descriptors
 
 
 class Link:
-    """The connection to one neighbour."""
+    """The connection to one other process of this director."""
 
     def __init__(self, raw: socket.socket):
         raw.setblocking(False)
-        self.raw, self.sock, self.words = raw, trio.socket.from_stdlib_socket(raw), words.Words()
+        self.raw = raw
+        self.sock = trio.socket.from_stdlib_socket(raw)
+        self.reader = upgrade_protocol.MessageReader()
 
-    def say(self, word: words.Word, rights=()) -> None:
-        """Small and rare: what the socket does not take at once is lost, its reader stands still."""
+    def send(self, message: upgrade_protocol.Message, rights: Sequence[Rights] = ()) -> None:
+        """Sends at once or not at all: messages are small and rare; a full socket has a reader that stands still."""
         with contextlib.suppress(OSError):
-            self.raw.sendmsg([words.write(word)], rights)
+            self.raw.sendmsg([upgrade_protocol.encode(message)], rights)
 
 
 class Upgrade:
-    """`on_ban(member, out)` hears of a neighbour's order, and says whether it was news; `changed()` of every
-    change of `handover`."""
+    """`on_exclusion(member, exclude)` takes another process's exclusion and tells whether it changed anything;
+    `changed()` is called at every change of `handover`."""
 
     def __init__(self, folder: str, name: str, clock: Clock, log: Callable[..., None], listeners: Listeners):
         self.path = Path(folder) / f"rookbend.{name}.sock"
         self.name, self.clock, self.log, self.listeners = name, clock, log, listeners
         self.handover = Handover()
         self.links: dict[int, Link] = {}
-        self.elder: Link | None = None
-        self.on_ban: Callable[[str, bool], bool] = lambda member, out: False
+        self.predecessor: Link | None = None
+        self.on_exclusion: Callable[[str, bool], bool] = lambda member, out: False
         self.changed: Callable[[], None] = lambda: None
-        self._last = 0
-        self._asking: socket.socket | None = None
+        self._connections = 0
+        self._listener: socket.socket | None = None
 
-    # The younger's side
+    # The successor's side
 
     async def inherit(self) -> None:
         """Asks the process before for its sockets, if there is one."""
-        if not self.path.exists() or len(os.fsencode(self.path)) > PATH_MOST:
+        if not self.path.exists() or len(os.fsencode(self.path)) > MAX_PATH_BYTES:
             return
         self.listeners.predecessor = True
-        due = self.clock.now() + GIVEN_US
+        due = self.clock.now() + GIVE_TIMEOUT_US
         link, reason = Link(socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)), "it stands still"
         try:
             with trio.CancelScope(deadline=self.clock.monotonic_at(due)):
                 await link.sock.connect(str(self.path))
                 self._check_peer(link.sock)
-                await self._ask(link)
-        except GONE as error:
-            # Nobody listens at a path that a crash has left behind: there is no process before.
+                await self._request_listeners(link)
+        except CONNECTION_ERRORS as error:
+            # Nobody listens at a path that a crash has left behind: there is no predecessor.
             self.listeners.predecessor = not isinstance(error, ConnectionRefusedError)
             reason = str(error) or type(error).__name__
-        if self.elder is None:
+        if self.predecessor is None:
             link.sock.close()
             self.log("upgrade_alone", "warning", reason=reason)
 
-    async def _ask(self, link: Link) -> None:
-        link.say(words.Ask(words.VERSION, self.name))
+    async def _request_listeners(self, link: Link) -> None:
+        link.send(upgrade_protocol.RequestListeners(upgrade_protocol.VERSION, self.name))
         names, found = None, array.array("i")
-        space = socket.CMSG_SPACE(GIVEN_MOST * found.itemsize)
+        space = socket.CMSG_SPACE(MAX_DESCRIPTORS * found.itemsize)
         while names is None:
-            data, extra, _, _ = await link.sock.recvmsg(words.LONGEST, space)
+            data, extra, _, _ = await link.sock.recvmsg(upgrade_protocol.MAX_LINE_BYTES, space)
             for level, kind, body in extra:
                 if (level, kind) == (socket.SOL_SOCKET, socket.SCM_RIGHTS):
                     found.frombytes(body[: len(body) - len(body) % found.itemsize])
             if not data:
-                raise words.UpgradeError("the process before has ended")
-            for word in link.words.feed(data):
-                names = word.listeners if isinstance(word, words.Give) else names
+                raise upgrade_protocol.UpgradeError("the process before has ended")
+            for message in link.reader.feed(data):
+                names = message.listeners if isinstance(message, upgrade_protocol.GiveListeners) else names
         self.listeners.take(names, list(found))
-        self.elder = link
-        self.handover.inherited()
+        self.predecessor = link
+        self.handover.listeners_inherited()
         self.log("upgrade_inherited", listeners=len(names))
 
     @staticmethod
-    def _check_peer(sock) -> None:
-        # Guards against another user who can write to the folder.
-        _, uid, _ = PEER.unpack(sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, PEER.size))
+    def _check_peer(sock: trio.socket.SocketType) -> None:
+        # The folder may be writable for another user.
+        credentials = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, PEER_CREDENTIALS.size)
+        _, uid, _ = PEER_CREDENTIALS.unpack(credentials)
         if uid != os.getuid():
-            raise words.UpgradeError(f"the other process belongs to user {uid}")
+            raise upgrade_protocol.UpgradeError(f"the other process belongs to user {uid}")
 
-    # The elder's side
+    # The predecessor's side
 
     async def run(self) -> None:
-        """Serves: tells the process before, if any, and waits for the next one, until it is cancelled."""
+        """Tells the predecessor, if any, that this process serves, and waits for successors until it is cancelled."""
         async with trio.open_nursery() as nursery:
-            if self.elder is not None:
-                nursery.start_soon(self._hear_elder, nursery)
-            await self._take_asks(nursery)
+            if self.predecessor is not None:
+                nursery.start_soon(self._watch_predecessor, self.predecessor)
+            await self._accept_successors(nursery)
 
     def open(self) -> None:
-        """From here on a next process asks this one."""
+        """From here on a next process asks this one for its sockets."""
         self.close()
-        if len(os.fsencode(self.path)) > PATH_MOST:
+        if len(os.fsencode(self.path)) > MAX_PATH_BYTES:
             return self.log("upgrade_unable", "warning", reason=f"the path is too long: {self.path}")
         sock, fresh = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM), f"{self.path}.{os.getpid()}"
         try:
@@ -124,20 +131,20 @@
             sock.listen(8)
             sock.setblocking(False)
             os.replace(fresh, self.path)
-            self._asking = sock
+            self._listener = sock
         except OSError as error:
             sock.close()
             self.log("upgrade_unable", "error", reason=str(error))
 
     def leave(self) -> None:
-        """At the end: a path that nobody listens at is not left behind."""
+        """At the end: a path at which nobody listens is not left behind."""
         self.close()
-        if not self._answered():
+        if not self._is_listening():
             self.path.unlink(missing_ok=True)
 
-    def _answered(self) -> bool:
-        """Whether a process listens at the path. Guards against taking it from one that does: an elder that
-        stood still as it was asked hears of the younger only once that has long begun by itself."""
+    def _is_listening(self) -> bool:
+        """Whether a process listens at the path, which then must not be taken from it: a predecessor that stood still
+        as it was asked learns of its successor only once that has long begun by itself."""
         with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as probe:
             probe.setblocking(False)
             try:
@@ -149,86 +156,89 @@
             return True
 
     def close(self) -> None:
-        if self._asking is not None:
-            trio.lowlevel.notify_closing(self._asking)
-            self._asking.close()
-            self._asking = None
+        if self._listener is not None:
+            trio.lowlevel.notify_closing(self._listener)
+            self._listener.close()
+            self._listener = None
 
-    async def _take_asks(self, nursery: trio.Nursery) -> None:
+    async def _accept_successors(self, nursery: trio.Nursery) -> None:
         while True:
-            if self._asking is None:
+            if self._listener is None:
                 self.open()
+            listener = self._listener
+            if listener is None:  # no socket can be made there now
+                await trio.sleep(RETRY_S)
+                continue
             try:
-                await trio.lowlevel.wait_readable(self._asking)
-                sock, _ = self._asking.accept()
-            except (OSError, trio.ClosedResourceError, AttributeError):
-                await trio.sleep(1)
+                await trio.lowlevel.wait_readable(listener)
+                sock, _ = listener.accept()
+            except (OSError, trio.ClosedResourceError):
+                await trio.sleep(RETRY_S)
                 continue
-            nursery.start_soon(self._serve_younger, Link(sock))
+            nursery.start_soon(self._serve_successor, Link(sock))
 
-    async def _serve_younger(self, link: Link) -> None:
-        self._last += 1
-        number = self._last
+    async def _serve_successor(self, link: Link) -> None:
+        self._connections += 1
+        number = self._connections
         with link.sock:
             try:
                 self._check_peer(link.sock)
-                while data := await link.sock.recv(words.LONGEST):
-                    for word in link.words.feed(data):
-                        self._younger_said(number, link, word)
-            except GONE as error:
+                while data := await link.sock.recv(upgrade_protocol.MAX_LINE_BYTES):
+                    for message in link.reader.feed(data):
+                        self._take_message(number, link, message)
+            except CONNECTION_ERRORS as error:
                 self.log("upgrade_link_lost", "warning", reason=str(error) or type(error).__name__)
-        # Not where this process ends: the path is the younger's then.
-        served = self.handover.younger.get(number)
+        # Not where this process ends: the path is the successor's then.
+        served = self.handover.successors.get(number)
         if served is not None:
             del self.links[number]
-            self.handover.younger_gone(number)
+            self.handover.successor_ended(number)
             self.log("upgrade_ended", "warning", served=served)
             self.changed()
-            if not self._answered():
-                self.open()  # the path was the younger's: a next one asks us again
+            if not self._is_listening():
+                self.open()  # the path was the successor's: a next process asks this one again
 
-    def _younger_said(self, number: int, link: Link, word: words.Word) -> None:
-        if isinstance(word, words.Ask):
-            fits = word.version == words.VERSION and word.name == self.name
+    def _take_message(self, number: int, link: Link, message: upgrade_protocol.Message) -> None:
+        if isinstance(message, upgrade_protocol.RequestListeners):
+            fits = message.version == upgrade_protocol.VERSION and message.name == self.name
             names, descriptors = self.listeners.offer() if fits else ([], [])
             rights = [(socket.SOL_SOCKET, socket.SCM_RIGHTS, array.array("i", descriptors))] if names else []
-            link.say(words.Give(names), rights)
+            link.send(upgrade_protocol.GiveListeners(names), rights)
             if fits:
                 self.links[number] = link
-                self.handover.asked(number)
+                self.handover.successor_asked(number)
                 self.log("upgrade_asked")
                 self.changed()
-        elif isinstance(word, words.Serving):
-            self.handover.serves(number)
+        elif isinstance(message, upgrade_protocol.Serving):
+            self.handover.successor_serves(number)
             self.log("upgrade_shared")
             self.changed()
-        elif isinstance(word, words.Ban):
-            self._ban(word, link)
+        elif isinstance(message, upgrade_protocol.SetExclusion):
+            self._apply_exclusion(message, link)
 
-    # Both
+    # Both sides
 
-    async def _hear_elder(self, nursery: trio.Nursery) -> None:
-        link = self.elder
-        link.say(words.Serving())
+    async def _watch_predecessor(self, link: Link) -> None:
+        link.send(upgrade_protocol.Serving())
         with link.sock:
             try:
-                while data := await link.sock.recv(words.LONGEST):
-                    for word in link.words.feed(data):
-                        if isinstance(word, words.Ban):
-                            self._ban(word, link)
-            except GONE as error:
+                while data := await link.sock.recv(upgrade_protocol.MAX_LINE_BYTES):
+                    for message in link.reader.feed(data):
+                        if isinstance(message, upgrade_protocol.SetExclusion):
+                            self._apply_exclusion(message, link)
+            except CONNECTION_ERRORS as error:
                 self.log("upgrade_link_lost", "warning", reason=str(error) or type(error).__name__)
-        self.elder = None
-        self.handover.elder_gone()
+        self.predecessor = None
+        self.handover.predecessor_ended()
         self.log("upgrade_alone_again")
         self.changed()
 
-    def tell_ban(self, member: str, out: bool, but: Link | None = None) -> None:
-        """To every neighbour but the one that it came from."""
-        for link in (*self.links.values(), *((self.elder,) if self.elder else ())):
-            if link is not but:
-                link.say(words.Ban(member, out))
+    def send_exclusion(self, member: str, exclude: bool, except_to: Link | None = None) -> None:
+        """Passes an exclusion on to every other process but the one it came from."""
+        for link in (*self.links.values(), *((self.predecessor,) if self.predecessor else ())):
+            if link is not except_to:
+                link.send(upgrade_protocol.SetExclusion(member, exclude))
 
-    def _ban(self, word: words.Ban, link: Link) -> None:
-        if self.on_ban(word.member, word.out):
-            self.tell_ban(word.member, word.out, but=link)
+    def _apply_exclusion(self, message: upgrade_protocol.SetExclusion, link: Link) -> None:
+        if self.on_exclusion(message.member, message.exclude):
+            self.send_exclusion(message.member, message.exclude, except_to=link)
--- a/rookbend/operations/reload_validation.py
+++ b/rookbend/operations/reload_validation.py
@@ -1,12 +1,12 @@
-"""Settings that change while a director serves: whether a file is whole, and what of it takes effect.
+"""Settings that change while a director serves: whether a file is complete, and what of it takes effect.
 
-A reload is all or nothing. A file is whole if it can be read as the types say, if its values can be meant
-(config.check), and if it names every key that the start's did: a key with a default of ours, left out by a
-file that was cut or written by half, would else change what the director does without a word.
+A reload is all or nothing. A file is complete if it can be read as the types say, if its values are valid
+(config.check), and if it names every key that the start's did: a key with a default, left out by a file that was
+truncated, would else change what the director does without a trace.
 
-The decision module is not built anew: it is told the new settings and keeps what it has learned (who holds
-what, who fails, what was sent to cold members). Its classes keep their numbers: one that vanishes stays in
-its place as gone, one that comes is added behind, so a request under way is never looked up under another.
+The decision module is not built anew: it gets the new settings and keeps what it has learned (which cache holds what,
+which server fails, what was sent to warming members). Its classes keep their numbers: one that is no longer named
+stays in its place as retired, a new one is appended, so a request in flight is never looked up under another.
 """
 
 from __future__ import annotations
@@ -17,9 +17,9 @@
 
 Shape = dict[str, "Shape"] | None
 
-# What members, rows and peers are known by: other values would need the list to be read anew.
+# What members and peers are identified by: other values would need the membership to be read anew.
 AT_START = "zone", "router_index", "parent_kind", "origin_kind", "membership_is_pushed"
-OPEN = frozenset({"known"})  # events, worded as they come
+FREE_FORM = frozenset({"known"})  # the coordinator's events
 # The names under which the log has always listed a change, where the field's own name is another.
 LOGGED_NAMES = {
     "home_parents": "home_hub",
@@ -45,38 +45,40 @@
 }
 
 
-def shape(value) -> Shape:
+def shape(value: object) -> Shape:
     """The keys of a decoded file; of a list of objects, those that all of them have (under "*")."""
     if isinstance(value, dict):
-        return {key: None if key in OPEN else shape(v) for key, v in value.items()}
+        return {key: None if key in FREE_FORM else shape(v) for key, v in value.items()}
     if isinstance(value, list) and value and all(isinstance(v, dict) for v in value):
-        shapes = [shape(v) for v in value]
-        return {"*": {key: s for key, s in shapes[0].items() if all(key in other for other in shapes)}}
+        first, *others = value
+        common = [key for key in first if all(key in other for other in others)]
+        return {"*": {key: None if key in FREE_FORM else shape(first[key]) for key in common}}
     return None
 
 
-def missing(wanted: Shape, value, path: str = "") -> str:
-    """The path of the first key that the value lacks, or nothing."""
+def missing(wanted: Shape, value: object, path: str = "") -> str:
+    """The path of the first key that the value lacks, or ""."""
     if not wanted:
         return ""
     if "*" in wanted:
         rows = value if isinstance(value, list) else []
-        return next((m for i, row in enumerate(rows) if (m := missing(wanted["*"], row, f"{path}[{i}]"))), "")
+        found = (missing(wanted["*"], row, f"{path}[{i}]") for i, row in enumerate(rows))
+        return next(filter(None, found), "")
     for key, below in wanted.items():
         where = f"{path}.{key}" if path else key
         if not isinstance(value, dict) or key not in value:
             return where
-        if found := missing(below, value[key], where):
-            return found
+        if lacking := missing(below, value[key], where):
+            return lacking
     return ""
 
 
 def merged(old: Settings, new: Settings) -> Settings:
     """The new settings as they take effect: classes in their places, and what holds from the start."""
     coming = {c.name: c for c in new.classes}
-    classes = [coming.pop(c.name, None) or replace(c, is_retired=True) for c in old.classes]
-    kept = {name: getattr(old, name) for name in AT_START}
-    return replace(new, classes=(*classes, *coming.values()), **kept)
+    classes = [coming.pop(c.name) if c.name in coming else replace(c, is_retired=True) for c in old.classes]
+    at_start = {name: getattr(old, name) for name in AT_START}
+    return replace(new, classes=(*classes, *coming.values()), **at_start)
 
 
 def waiting(old: Settings, new: Settings) -> list[str]:
--- /dev/null
+++ b/rookbend/protocol/operator_api.py
@@ -0,0 +1,68 @@
+"""The operators' HTTP endpoint: which call gets which answer. A 2xx means yes, a 4xx or 5xx means no.
+
+GET /status                            yes as soon as this process takes clients
+GET /status/metrics                    the metrics
+PUT /maintenance/enter?member=ID       exclude that member
+PUT /maintenance/exit?member=ID        include it again
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import NamedTuple
+from urllib.parse import parse_qs
+
+from rookbend.protocol.http_serve import HttpRequest
+
+TEXT = "text/plain"
+MAX_QUOTED_PATH = 200
+
+
+class Reply(NamedTuple):
+    """An HTTP answer: status, body, content type."""
+
+    status: int
+    body: bytes
+    content_type: str = TEXT
+
+
+def _line(status: int, line: str) -> Reply:
+    return Reply(status, line.encode() + b"\n")
+
+
+class OperatorApi:
+    """`phase()` is the lifecycle's phase by name; `set_excluded(member, exclude)` gives what is wrong, or ""."""
+
+    def __init__(
+        self, phase: Callable[[], str], metrics: Callable[[], bytes], set_excluded: Callable[[str, bool], str]
+    ):
+        self._phase = phase
+        self._metrics = metrics
+        self._set_excluded = set_excluded
+        self._calls: dict[str, tuple[str, Callable[[HttpRequest], Reply]]] = {
+            "/status": ("GET", self._status),
+            "/status/metrics": ("GET", lambda request: Reply(200, self._metrics())),
+            "/maintenance/enter": ("PUT", lambda request: self._maintenance(request, True)),
+            "/maintenance/exit": ("PUT", lambda request: self._maintenance(request, False)),
+        }
+
+    def answer(self, request: HttpRequest) -> Reply:
+        """The answer to one call."""
+        call = self._calls.get(request.path)
+        if call is None:
+            return _line(404, f"no such call: {request.path[:MAX_QUOTED_PATH]}")
+        method, handler = call
+        if request.method != method:
+            return _line(405, f"{request.path} is called with {method}")
+        return handler(request)
+
+    def _status(self, request: HttpRequest) -> Reply:
+        phase = self._phase()
+        return _line(200 if phase == "ready" else 503, phase)
+
+    def _maintenance(self, request: HttpRequest, exclude: bool) -> Reply:
+        members = parse_qs(request.query, keep_blank_values=True).get("member", [])
+        if len(members) != 1 or not members[0]:
+            return _line(400, "exactly one member=ID is needed")
+        error = self._set_excluded(members[0], exclude)
+        return _line(404, error) if error else _line(200, f"{members[0]} {'out' if exclude else 'in use'}")
--- a/rookbend/protocol/upgrade.py
+++ b/rookbend/protocol/upgrade.py
@@ -1,11 +1,11 @@
-"""What two processes of one director say to one another over their Unix socket: one JSON object a line.
+"""The messages between two processes of one director over their Unix socket: one JSON object a line.
 
-    younger  {"type":"ask","version":1,"name":"n3"}
-    elder    {"type":"give","listeners":["tcp 10.0.0.4 7001"]}     the descriptors come with it, in this order
-    younger  {"type":"serving"}
-    both     {"type":"ban","member":"s-1","out":true}              an order that one of them was given
+    successor    {"type":"ask","version":1,"name":"n3"}
+    predecessor  {"type":"give","listeners":["tcp 10.0.0.4 7001"]}     the descriptors come with it, in this order
+    successor    {"type":"serving"}
+    both         {"type":"ban","member":"s-1","out":true}              an exclusion that one of them was asked for
 
-One of a version that is not ours is given nothing, and starts by itself.
+A process of another version is given nothing, and starts by itself. The form is rookbend's own.
 """
 
 from __future__ import annotations
@@ -13,49 +13,57 @@
 import msgspec
 
 VERSION = 1
-LONGEST = 1 << 16
+MAX_LINE_BYTES = 1 << 16
 
 
 class UpgradeError(Exception):
-    """What came is none of these words."""
+    """The other process sent what is no message, or is not one that may be served."""
 
 
-class Ask(msgspec.Struct, tag="ask"):
+class RequestListeners(msgspec.Struct, tag="ask"):
+    """A successor asks for the listening sockets."""
+
     version: int
     name: str
 
 
-class Give(msgspec.Struct, tag="give"):
+class GiveListeners(msgspec.Struct, tag="give"):
+    """The predecessor's answer; the descriptors come with it, in the order of the names."""
+
     listeners: list[str] = []
     version: int = VERSION
 
 
 class Serving(msgspec.Struct, tag="serving"):
-    pass
+    """The successor serves."""
+
 
+class SetExclusion(msgspec.Struct, tag="ban"):
+    """An operator excluded a member, or included it again."""
 
-class Ban(msgspec.Struct, tag="ban"):
     member: str
-    out: bool
+    exclude: bool = msgspec.field(name="out")
 
 
-Word = Ask | Give | Serving | Ban
-_decoder = msgspec.json.Decoder(Word)
+Message = RequestListeners | GiveListeners | Serving | SetExclusion
+_decoder: msgspec.json.Decoder[Message] = msgspec.json.Decoder(Message)
 
 
-def write(word: Word) -> bytes:
-    return msgspec.json.encode(word) + b"\n"
+def encode(message: Message) -> bytes:
+    """One line."""
+    return msgspec.json.encode(message) + b"\n"
 
 
-class Words:
-    """Fed bytes, gives words; holds one incomplete line of `LONGEST` bytes at most."""
+class MessageReader:
+    """Fed bytes, gives messages; holds one incomplete line of `MAX_LINE_BYTES` at most."""
 
-    def __init__(self):
-        self._held = b""
+    def __init__(self) -> None:
+        self._incomplete = b""
 
-    def feed(self, data: bytes) -> list[Word]:
-        *lines, self._held = (self._held + data).split(b"\n")
-        if len(self._held) > LONGEST:
+    def feed(self, data: bytes) -> list[Message]:
+        """The messages that these bytes complete; UpgradeError where one can't be read."""
+        *lines, self._incomplete = (self._incomplete + data).split(b"\n")
+        if len(self._incomplete) > MAX_LINE_BYTES:
             raise UpgradeError("a line without end")
         try:
             return [_decoder.decode(line) for line in lines]
--- a/rookbend/service.py
+++ b/rookbend/service.py
@@ -113,7 +113,7 @@
         built = self.site.built
         self.dns, self.health, self.admin = built.get("dns"), built.get("health"), built.get("admin")
         self.balancer: list[Component] = built.get("balancer", [])
-        self.daily, self.upgrade = built.get("daily"), built.get("upgrade")
+        self.operations, self.upgrade = built.get("operations"), built.get("upgrade")
         if self.upgrade is not None:
             self.upgrade.changed = self._share
         self.drain = Drain(self)
@@ -202,7 +202,7 @@
             return
         handover = self.upgrade.handover
         self.pool.most_connections = self._most_connections(handover.processes)
-        self.engine.set_active_processes(handover.senders)
+        self.engine.set_active_processes(handover.active_processes)
         self.front.most_unsent = (self.config.limits.memory_mb << 20) // UNSENT_SHARE // handover.processes
         if self.peers is not None:
             self.peers.listen(not handover.taken_over)
