--- a/rookbend/core/clock.py
+++ b/rookbend/core/clock.py
@@ -9,25 +9,26 @@
 class Clock:
     """Microseconds that start at the Unix time of the anchoring and go on with the monotonic clock.
 
-    Every time inside the program is one of these. The rules are judged by the system's Unix clock, so
-    the anchor is renewed (`anchor`) as the coordinator's events come in; it only ever moves forward.
+    All times inside the program are on this clock. Purges and deadlines of other processes are on the system's Unix
+    clock, so the anchor is renewed (`anchor`) with the coordinator's events; it only ever moves forward.
     """
 
-    def __init__(self, monotonic: Callable[[], float], unix: Callable[[], float] = time.time):
-        self._monotonic, self._unix = monotonic, unix
-        self._offset = self._read_offset()
+    def __init__(self, monotonic: Callable[[], float], unix: Callable[[], float] = time.time) -> None:
+        self._monotonic = monotonic
+        self._unix = unix
+        self._offset_us = self._read_offset_us()
 
-    def _read_offset(self) -> int:
+    def _read_offset_us(self) -> int:
         return int(self._unix() * 1e6) - int(self._monotonic() * 1e6)
 
     def anchor(self) -> None:
         """Reads the system's Unix clock again."""
-        # Guards against a stepped-back system clock: deadlines already given out must not move away.
-        self._offset = max(self._offset, self._read_offset())
+        # Guards against a system clock that is stepped back: deadlines already passed on must not move away.
+        self._offset_us = max(self._offset_us, self._read_offset_us())
 
     def now(self) -> int:
         """This moment, in microseconds."""
-        return int(self._monotonic() * 1e6) + self._offset
+        return int(self._monotonic() * 1e6) + self._offset_us
 
     def monotonic_us(self) -> int:
         """Microseconds that no step of the system's clock moves."""
@@ -35,6 +36,6 @@
 
     def monotonic_at(self, now_us: int) -> float:
         """The monotonic reading, in seconds, at which this clock shows `now_us`."""
-        # Half a microsecond more: rounded down, who slept until then would find that it is not yet time, and
-        # sleep again until then, without end where the clock moves only while everybody sleeps.
-        return (now_us - self._offset + 0.5) / 1e6
+        # Half a microsecond more: rounded down, a sleeper would wake before its time and sleep again, without end
+        # where the clock moves only while every task sleeps.
+        return (now_us - self._offset_us + 0.5) / 1e6
--- a/rookbend/core/token_bucket.py
+++ b/rookbend/core/token_bucket.py
@@ -1,42 +1,47 @@
-"""A token bucket: the one way to say `so many a second`. Pure; times are microseconds."""
+"""A token bucket: the one way to state a rate limit. Pure; times are microseconds."""
 
 from __future__ import annotations
 
-SECOND = 1_000_000
+US_PER_S = 1_000_000
+UNITS_PER_TOKEN = US_PER_S  # a rate of one token a second adds one unit a microsecond
 
 
-class Bucket:
-    """`most` tokens at first and at most, `rate` more a second; counted in millionths, none lost."""
+class TokenBucket:
+    """`capacity` tokens at first and at most, `rate` more a second. Counted in units, so that none are lost."""
 
-    __slots__ = ("at", "most", "rate", "tokens")
+    __slots__ = ("capacity_units", "filled_us", "rate", "units")
 
-    def __init__(self, rate: float, most: int):
-        self.rate, self.most = rate, most * SECOND
-        self.tokens, self.at = self.most, 0
+    def __init__(self, rate: float, capacity: int) -> None:
+        self.rate = rate
+        self.capacity_units = capacity * UNITS_PER_TOKEN
+        self.units = self.capacity_units
+        self.filled_us = 0
 
-    def fill(self, now: int) -> None:
+    def fill(self, now_us: int) -> None:
         """Adds what has come since the last time."""
-        if now > self.at:
-            self.tokens = min(self.most, self.tokens + int((now - self.at) * self.rate))
-            self.at = now
+        if now_us > self.filled_us:
+            self.units = min(self.capacity_units, self.units + int((now_us - self.filled_us) * self.rate))
+            self.filled_us = now_us
 
     @property
     def has_one(self) -> bool:
-        """Whether a whole token is there."""
-        return self.tokens >= SECOND
+        """Whether there is a whole token."""
+        return self.units >= UNITS_PER_TOKEN
 
     def spend(self) -> None:
-        """Takes one that `has_one` has shown."""
-        self.tokens -= SECOND
+        """Removes a token; `has_one` must have been true."""
+        self.units -= UNITS_PER_TOKEN
 
-    def take(self, now: int) -> bool:
-        """Takes one if there is one now; tells whether it did."""
-        self.fill(now)
+    def take(self, now_us: int) -> bool:
+        """Removes a token if there is one now; returns whether there was."""
+        self.fill(now_us)
         if not self.has_one:
             return False
         self.spend()
         return True
 
     def next_us(self) -> int:
-        """When there is one, if none is taken before."""
-        return self.at + max(0, -(-(SECOND - self.tokens) // max(1, int(self.rate))))
+        """When there is a token, if none is removed before."""
+        missing_units = UNITS_PER_TOKEN - self.units
+        wait_us = -(-missing_units // max(1, int(self.rate)))
+        return self.filled_us + max(0, wait_us)
--- a/rookbend/interface/actions.py
+++ b/rookbend/interface/actions.py
@@ -7,7 +7,10 @@
 
 @dataclass(slots=True)
 class FetchCached:
-    """Attempt: answer from the server's own fresh copy, or miss; the origin holds everything."""
+    """Starts an attempt that is answered from the server's own fresh copy, or is a miss. The origin has every object.
+
+    `timeout_us` 0: until the request's deadline.
+    """
 
     request: int
     server: int
@@ -16,7 +19,10 @@
 
 @dataclass(slots=True)
 class Fetch:
-    """Attempt that may fill from `source`. keep: rank 0 to 3; max_age_us 0: the class's fresh time."""
+    """Starts an attempt that may fill from `source`.
+
+    `retention_rank` is 0 to 3. `max_age_us` 0: the class's freshness lifetime.
+    """
 
     request: int
     server: int
@@ -32,50 +38,64 @@
 
 @dataclass(slots=True)
 class Fail:
+    """Answers the request as failed."""
+
     request: int
 
 
 @dataclass(slots=True)
 class Reject:
+    """Answers the request as rejected: a repeat does no harm, after `retry_after_us` where that is not 0."""
+
     request: int
     retry_after_us: int = 0
 
 
 @dataclass(slots=True)
 class CancelAttempt:
+    """Gives up an attempt in flight, by its number within the request."""
+
     request: int
     attempt: int
 
 
 @dataclass(slots=True)
 class SetTimer:
+    """Has a `TimerFired` with this token come after the delay."""
+
     delay_us: int
     token: int
 
 
 @dataclass(slots=True)
 class StartHealthCheck:
+    """Probes a member; a `HealthCheckFinished` follows."""
+
     server: int
 
 
 @dataclass(slots=True)
 class CloseIdleConnections:
+    """Closes the connections to a member that carry no attempt."""
+
     server: int
 
 
 @dataclass(slots=True)
 class ReloadMembership:
-    pass
+    """Requests the whole membership anew."""
 
 
 @dataclass(slots=True)
 class SubscribeMembership:
+    """Turns on or off that changes of the membership are pushed."""
+
     on: bool = True
 
 
 @dataclass(slots=True)
 class SendPeerMessage:
-    """A message to one router, or to all where `peer` is None."""
+    """Sends a message to one router, or to all where `peer` is None."""
 
     peer: int | None
     data: bytes
@@ -83,11 +103,15 @@
 
 @dataclass(slots=True)
 class WriteLog:
+    """Writes a line to the log."""
+
     text: str
 
 
 @dataclass(slots=True)
 class InternalError:
+    """Reports a fault of the router's own."""
+
     text: str
 
 
--- a/rookbend/interface/events.py
+++ b/rookbend/interface/events.py
@@ -11,6 +11,8 @@
 
 @dataclass(slots=True)
 class MembershipUpdated:
+    """The members: all of them, or with `MembershipUpdateKind.DELTA` those that changed."""
+
     kind: MembershipUpdateKind
     version: int = 0
     members: tuple[Member, ...] = ()
@@ -18,6 +20,8 @@
 
 @dataclass(slots=True)
 class RequestArrived:
+    """A request to decide on. `deadline_us` is absolute; `is_retry` marks the repeat of an earlier request."""
+
     request: int
     traffic_class: int
     object_id: int
@@ -32,6 +36,8 @@
 
 @dataclass(slots=True)
 class AttemptFinished:
+    """An attempt has ended. `final`: its request is closed, nothing more may be decided for it."""
+
     request: int
     attempt: int
     server: int
@@ -45,6 +51,8 @@
 
 @dataclass(slots=True)
 class ResponseStarted:
+    """The first bytes of an attempt's answer are there."""
+
     request: int
     attempt: int
     server: int
@@ -53,11 +61,15 @@
 
 @dataclass(slots=True)
 class RequestCancelled:
+    """The request is closed, since its client has left or its time is over."""
+
     request: int
 
 
 @dataclass(slots=True)
 class HealthCheckFinished:
+    """A check that was started by `StartHealthCheck` has ended."""
+
     server: int
     status: AttemptStatus
     elapsed_us: int = 0
@@ -66,12 +78,16 @@
 
 @dataclass(slots=True)
 class PeerMessageReceived:
+    """A message from another router."""
+
     sender: int
     data: bytes
 
 
 @dataclass(slots=True)
 class TimerFired:
+    """The delay of a `SetTimer` is over."""
+
     token: int
 
 
@@ -86,8 +102,10 @@
 
 @dataclass(slots=True)
 class AdmissionLimitsChanged:
-    """Limits from outside, until the next: classes that are refused at once; fills and direct requests a
-    second, None: any."""
+    """Limits from outside, until the next such event.
+
+    `rejected_classes` are rejected at once. `fills_per_second` bounds fills and direct requests; None: no bound.
+    """
 
     rejected_classes: frozenset[int] = frozenset()
     fills_per_second: float | None = None
@@ -95,15 +113,18 @@
 
 @dataclass(slots=True)
 class SettingsChanged:
-    """Other settings from now on. A class keeps its place in `classes`, whatever changes of it; what has
-    vanished stays there, and requests that came before go on under what they came with."""
+    """Other settings from now on.
+
+    A class keeps its place in `classes`, whatever changes of it. A retired one stays there, and requests that
+    came before go on under the settings they came with.
+    """
 
     settings: Settings
 
 
 @dataclass(slots=True)
 class ActiveProcessesChanged:
-    """So many processes of this router send, this one with them: budgets that bind all are parted."""
+    """How many processes of this router send, this one included: budgets that bind all are divided by it."""
 
     processes: int = 1
 
--- a/rookbend/interface/settings.py
+++ b/rookbend/interface/settings.py
@@ -1,4 +1,4 @@
-"""What a router is told when it starts, and the words of both directions."""
+"""The settings of a router, and the types that events and actions share."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Idempotency(Enum):
-    """What repeating a request may do."""
+    """Whether requests of a class may be repeated: always, under their idempotency key, or never."""
 
     IDEMPOTENT = "safe"
     IDEMPOTENCY_KEY = "keyed"
@@ -48,12 +48,16 @@
 
 
 class MemberState(IntEnum):
+    """Whether a member takes requests: it has left, is in service, or finishes what it has."""
+
     GONE = 0
     READY = 1
     DRAINING = 2
 
 
 class MembershipUpdateKind(IntEnum):
+    """What an update holds: all members, a cached state of them, nothing since it failed, or changes."""
+
     FULL = 0
     CACHED = 1
     FAILED = 2
@@ -62,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TrafficClass:
-    """A request class. Times in microseconds; `group` is all, zone or cell."""
+    """A request class. Times in microseconds; `retry_scope` is all, zone or cell."""
 
     name: str
     latency_objective_us: int
@@ -79,12 +83,12 @@
     freshness_lifetime_us: int = 0
     stale_grace_us: int = 0
     stale_priority_weight: float = 0.0
-    is_retired: bool = False  # named no more by the settings: only requests that came before are of it
+    is_retired: bool = False  # no longer in the settings: only requests that came before are of it
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What a router is told when it starts; every field but the classes has a plain default."""
+    """The settings of a router; every field but the classes has a default. Times in microseconds."""
 
     classes: tuple[TrafficClass, ...]
     zone: int = 0
@@ -128,7 +132,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """A list entry. `weight` is the link out, in transfers at full pace, where weights are nominal."""
+    """A member. `weight` is the link out, in transfers at full pace, where weights are nominal."""
 
     server: int
     weight: float = 1.0
--- a/rookbend/leases/coordinator.py
+++ b/rookbend/leases/coordinator.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from rookbend.core.token_bucket import Bucket
+from rookbend.core.token_bucket import TokenBucket
 from rookbend.leases import leader_tasks, order_replication, ramp_allocation
 from rookbend.leases import sharded_checks as checks
 from rookbend.leases.fencing import Receiver
@@ -303,7 +303,7 @@
         self.began_us = now
         self.figures: tuple[int, ...] = ()
         self.stopping = False
-        self.budget = Bucket(BUDGET, BURST)
+        self.budget = TokenBucket(BUDGET, BURST)
         self.unreadable = self.silenced = self.changes = self.turned_away = 0
         self.sent = 0
         self.due_us = now
--- a/rookbend/logs.py
+++ b/rookbend/logs.py
@@ -14,7 +14,7 @@
 import msgspec
 import structlog
 
-from rookbend.core.token_bucket import SECOND, Bucket
+from rookbend.core.token_bucket import US_PER_S, TokenBucket
 
 LEVELS = {"debug": 10, "info": 20, "warning": 30, "error": 40}
 NEVER_DROPPED = frozenset({"starting", "ready", "draining", "stopped", "counters"})
@@ -24,14 +24,14 @@
     """How many lines of each event may go out. One row an event name, and these are fixed."""
 
     def __init__(self, burst: int, per_us: int):
-        self.burst, self.rate = burst, burst * SECOND / per_us
-        self.rows: dict[str, tuple[Bucket, int]] = {}
+        self.burst, self.rate = burst, burst * US_PER_S / per_us
+        self.rows: dict[str, tuple[TokenBucket, int]] = {}
 
     def admit(self, now_us: int, event: str) -> int:
         """How many were dropped since the last line of this event, or -1 where this one is, too."""
         if event in NEVER_DROPPED:
             return 0
-        bucket, dropped = self.rows.get(event) or (Bucket(self.rate, self.burst), 0)
+        bucket, dropped = self.rows.get(event) or (TokenBucket(self.rate, self.burst), 0)
         admitted = bucket.take(now_us)
         self.rows[event] = bucket, 0 if admitted else dropped + 1
         return dropped if admitted else -1
@@ -46,7 +46,7 @@
         format: str = "text",
         level: str = "info",
         burst: int = 20,
-        per_us: int = 10 * SECOND,
+        per_us: int = 10 * US_PER_S,
         file=None,
     ):
         self._now, self._least = now, LEVELS[level]
--- a/rookbend/net/member_pool.py
+++ b/rookbend/net/member_pool.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from rookbend.core.model import Attempt, AttemptResult, Endpoint
-from rookbend.core.restart_detection import RestartEvidence
+from rookbend.core.restart_detection import RestartDetector
 from rookbend.interface import AttemptStatus
 from rookbend.net.member_connection import GONE_US, MemberConnection, Reading, Span, keep_bounded
 from rookbend.protocol import cache_lines
@@ -31,7 +31,7 @@
         self.connecting = 0
         self.share_until_us = 0  # until then no further connection is tried
         self.retired = False
-        self.restart = RestartEvidence()
+        self.restart = RestartDetector()
 
     @property
     def out_whole(self) -> int:
--- a/rookbend/recovery/coordinator.py
+++ b/rookbend/recovery/coordinator.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field, replace
 
 from rookbend.core.model import Endpoint, MembershipChange, Purge
-from rookbend.core.token_bucket import Bucket
+from rookbend.core.token_bucket import TokenBucket
 from rookbend.interface import MemberState
 from rookbend.protocol import gossip as wire
 from rookbend.recovery import replicated_rows as kept
@@ -210,7 +210,7 @@
         self.drained_at: dict[str, int] = {}  # kept drains: since when, for their bound
         self.opened, self.opened_us = 0, now
         self.beat, self.due_us = 0, now
-        self.budget = Bucket(BUDGET, BURST)
+        self.budget = TokenBucket(BUDGET, BURST)
         self.silenced = 0  # datagrams that the budget kept back
         self.unreadable = 0
         self.sequence_of_orders = 0
--- a/rookbend/scheduling/scheduler.py
+++ b/rookbend/scheduling/scheduler.py
@@ -20,7 +20,7 @@
 from dataclasses import dataclass
 from hashlib import blake2b
 
-from rookbend.core.token_bucket import Bucket
+from rookbend.core.token_bucket import TokenBucket
 
 URGENT, NORMAL, IDLE = range(3)
 PATIENCE_US = 2_000_000  # a job overdue by this much goes ahead of one of the next higher priority
@@ -78,7 +78,7 @@
     """What runs in the background, within budgets; fed the time, it says what starts."""
 
     def __init__(self, rate: int, room: Room, own: dict[str, Room] | None = None, seed: int = 0):
-        self.bucket = Bucket(rate, max(1, rate // BUCKET_SHARE))
+        self.bucket = TokenBucket(rate, max(1, rate // BUCKET_SHARE))
         self.shared = Held(room)
         self.own = {kind: Held(r) for kind, r in (own or {}).items()}
         self.jobs: dict[Key, Job] = {}
--- a/tests/test_member_restart.py
+++ b/tests/test_member_restart.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from rookbend.core.restart_detection import RestartEvidence
+from rookbend.core.restart_detection import RestartDetector
 from rookbend.protocol.coordinator_stream import server_number
 from tests.director_scenario import on_stage
 
@@ -89,7 +89,7 @@
     ],
 )
 def test_only_a_reset_and_then_a_refusal_with_nothing_open_is_a_restart(steps, restarted):
-    evidence = RestartEvidence()
+    evidence = RestartDetector()
     for what, *args in steps:
         (evidence.connection_lost if what == "lost" else evidence.connect_failed)(*args)
     assert evidence.connected() is restarted
