--- /dev/null
+++ b/rookbend/components/admin.py
@@ -0,0 +1,103 @@
+"""The admin listener: tables of what runs, orders, and metrics, over HTTP on the loopback."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any
+
+from rookbend.health.model import Order, Ordered
+from rookbend.net.component import Component, ComponentContext
+from rookbend.net.http_server import SmallServer, serve_http
+from rookbend.protocol.admin import AdminDesk
+
+OK = 200
+NOT_FOUND = 404
+CONFLICT = 409
+SERVICE_UNAVAILABLE = 503
+
+
+def build_admin(context: ComponentContext) -> Component:
+    """The HTTP server; also in `context.built` as "admin"."""
+    settings = context.operators.admin
+    assert settings is not None
+    health = context.built.get("health")
+    recovery = context.built.get("recovery")
+    ownership = context.built.get("ownership")
+    desk = AdminDesk(
+        _tables(context),
+        MemberOrders(health, recovery, ownership).give if health is not None else None,
+        _metrics(context) if settings.metrics else None,
+        recovery.command if recovery is not None else None,
+        ownership,
+    )
+    server = SmallServer(
+        settings.listen, context.clock, context.outbox, lambda channel: serve_http(channel, desk.answer)
+    )
+    context.built["admin"] = server
+    return server
+
+
+class MemberOrders:
+    """Carries out operators' orders on members, here or in the whole fleet."""
+
+    def __init__(self, health: Any, recovery: Any, ownership: Any) -> None:
+        """`recovery` and `ownership` are None where they are off."""
+        self._health = health
+        self._recovery = recovery
+        self._ownership = ownership
+
+    async def give(self, member: str, order: Order, by: str, fleet: bool) -> tuple[int, str]:
+        """Returns the HTTP status and, unless that is 200, the fault."""
+        if fleet:
+            return await self._give_to_fleet(member, order, by)
+        server = self._health.desk.find(member)
+        if server is None:
+            return NOT_FOUND, f"no member {member}"
+        # Persisted first: an order that was acknowledged is not undone by a power loss.
+        if self._recovery is not None:
+            fault = await self._recovery.order(member, order.value, by)
+            if fault:
+                return SERVICE_UNAVAILABLE, f"the order on {member} is {fault}"
+        self._health.desk.feed(Ordered(server, order, by))
+        return OK, ""
+
+    async def _give_to_fleet(self, member: str, order: Order, by: str) -> tuple[int, str]:
+        if self._ownership is None:
+            return CONFLICT, "[ownership] is off: no orders for the whole fleet"
+        fault = await self._ownership.order(member, order.value, by)
+        if fault:
+            return SERVICE_UNAVAILABLE, f"the order on {member}: {fault}"
+        return OK, ""
+
+
+def _tables(context: ComponentContext) -> dict[str, Callable[[], object]]:
+    """The tables by their path."""
+    tables: dict[str, Callable[[], object]] = {}
+    health = context.built.get("health")
+    recovery = context.built.get("recovery")
+    ownership = context.built.get("ownership")
+    if ownership is not None:
+        tables["/owners"] = ownership.describe
+    if recovery is not None:
+        tables["/fleet"] = recovery.fleet
+        tables["/recovery"] = recovery.explain
+    if health is not None:
+        tables["/members"] = lambda: {"director": context.config.name, "members": health.desk.table()}
+        tables["/background"] = lambda: {
+            "jobs": len(health.runner.plan.jobs),
+            "running": health.runner.plan.running,
+            "started": health.runner.plan.started,
+            "overtaken": health.desk.board.overtaken,
+        }
+    return tables
+
+
+def _metrics(context: ComponentContext) -> Callable[[], bytes]:
+    """What renders the metrics. Imported here, since they need an optional package."""
+    from rookbend.net.metrics import Figures
+
+    def gauges() -> dict[str, float]:
+        return {name: value for gauge in context.gauges for name, value in gauge().items()}
+
+    health = context.built.get("health")
+    return Figures(context.counters, health.desk.table if health is not None else None, gauges).text
--- /dev/null
+++ b/rookbend/components/dns.py
@@ -0,0 +1,49 @@
+"""The DNS front and its server."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Any
+
+from rookbend.fronts.dns import DnsFront
+from rookbend.net.component import Component, ComponentContext
+from rookbend.net.dns import DnsServer, ResolverClient
+
+if TYPE_CHECKING:
+    from rookbend.recovery.issued_names import Names
+
+
+def build_dns(context: ComponentContext) -> Component:
+    """The server; also in `context.built` as "dns"."""
+    settings = context.operators.dns
+    assert settings is not None
+    seed = int(context.config.seed, 16)
+    resolver = ResolverClient(settings.resolver, context.clock, seed)
+    front = DnsFront(
+        context.engine,
+        resolver,
+        settings.zone,
+        settings.box_name,
+        settings.budget_us,
+        seed,
+        names=_issued_names(context),
+    )
+    server = DnsServer(front, context.clock, settings.listen, context.outbox)
+    context.built["dns"] = server
+    return server
+
+
+def _issued_names(context: ComponentContext) -> Names | None:
+    """What persists the names that the DNS front issues for writes; None where there is no state on disk."""
+    state: Any = context.built.get("state")
+    if state is None:
+        return None
+    from rookbend.recovery.issued_names import KIND, Names
+
+    names = Names(
+        context.clock.now(),
+        lambda request_id, value, by_us, done: state.put_by(KIND, request_id, value, by_us, done),
+        lambda request_id: state.drop(KIND, request_id),
+        {request_id: (row.value, row.at_us) for request_id, row in state.ledger.all(KIND).items()},
+    )
+    context.gauges.append(lambda: {"dns_names_not_kept": names.unsafe, "dns_names_unreadable": names.unreadable})
+    return names
--- /dev/null
+++ b/rookbend/components/health.py
@@ -0,0 +1,65 @@
+"""Members' health: the registry of members, the service that applies its verdicts, and the checks."""
+
+from __future__ import annotations
+
+import trio
+
+from rookbend.components.health_policy import health_policy
+from rookbend.health.model import PolicyChanged
+from rookbend.health.registry import Board
+from rookbend.health.service import Desk, role_namer
+from rookbend.net.checks import WATCH, CheckDriver
+from rookbend.net.component import Component, ComponentContext
+from rookbend.net.scheduling import Runner
+from rookbend.scheduling.scheduler import Plan, Room
+from rookbend.settings import Settings
+
+
+class HealthComponent(Component):
+    """Stands between the coordinator's watch and the engine, and runs the checks that the settings name."""
+
+    def __init__(self, context: ComponentContext) -> None:
+        settings = context.operators
+        engine = context.engine
+        background = settings.background
+        assert settings.health is not None
+        self.clock = context.clock
+        self.rules = engine.settings  # those of the start: the policy keeps to them over a reload
+        self.desk = Desk(engine, Board(health_policy(settings, self.rules), role_namer(self.rules)), context.log)
+        has_watches = any(check.type == "grpc-watch" for check in settings.checks)
+        self.descriptors = background.descriptors + (background.watches if has_watches else 0)
+        plan = Plan(
+            background.rate,
+            Room(background.running, background.descriptors),
+            {WATCH: Room(background.watches, background.watches)},
+            int(context.config.seed, 16),
+        )
+        self.runner = Runner(plan, self.clock)
+        self.driver = CheckDriver(self.desk, self.runner, self.clock, settings.checks)
+        self._due_earlier = trio.Event()
+        self.desk.on_due = lambda due_us: self._due_earlier.set()
+        context.watch.membership_changed = self.desk.membership_changed
+        context.gauges.append(lambda: {"background_jobs": len(plan.jobs), "background_running": plan.running})
+        if settings.health.passive_fall:
+            engine.attempts.on_attempt_end = self.desk.attempt_ended
+
+    def start(self, nursery: trio.Nursery) -> None:
+        """Starts the timer of the registry and the runner of the checks."""
+        nursery.start_soon(self._run_timer)
+        nursery.start_soon(self.runner.run)
+
+    async def _run_timer(self) -> None:
+        while True:
+            self.desk.tick()
+            self._due_earlier = trio.Event()
+            with trio.CancelScope() as scope:
+                if self.desk.due_us:
+                    scope.deadline = self.clock.monotonic_at(self.desk.due_us)
+                await self._due_earlier.wait()
+
+    def reload(self, settings: Settings) -> None:
+        """Applies another policy and other checks; health itself is not turned off while it runs."""
+        if settings.health is None:
+            return
+        self.desk.feed(PolicyChanged(health_policy(settings, self.rules)))
+        self.driver.replace(settings.checks)
--- /dev/null
+++ b/rookbend/components/own_status.py
@@ -0,0 +1,31 @@
+"""The director's own health and weight, as balancers in front of it read them by agent line, HTTP or gRPC."""
+
+from __future__ import annotations
+
+from rookbend.health.own_status import Standing, standing
+from rookbend.health.spare_capacity import Headroom
+from rookbend.net.component import Component, ComponentContext
+from rookbend.net.health import GrpcServer, Measuring, agent_server, http_server
+
+
+def build_own_status(context: ComponentContext) -> list[Component]:
+    """The measuring and the servers that are enabled; the servers also in `context.built` as "balancer"."""
+    settings = context.operators
+    headroom = Headroom(settings.headroom.step, settings.headroom.rise_us, settings.headroom.least)
+    context.gauges.append(lambda: {"headroom_percent": headroom.weight})
+
+    def own_status() -> Standing:
+        return standing(context.phase(), headroom, context.most_clients)
+
+    measuring = Measuring(headroom, context.sample, context.clock)
+    servers: list[Component] = []
+    if settings.agent_server is not None:
+        servers.append(agent_server(settings.agent_server.listen, context.clock, context.outbox, own_status))
+    if settings.http_server is not None:
+        servers.append(http_server(settings.http_server.listen, context.clock, context.outbox, own_status))
+    if settings.grpc_server is not None:
+        grpc_server = GrpcServer(settings.grpc_server.listen, context.clock, context.outbox, own_status)
+        measuring.on_change.append(grpc_server.changed)
+        servers.append(grpc_server)
+    context.built["balancer"] = servers
+    return [measuring, *servers]
--- a/rookbend/net/component.py
+++ b/rookbend/net/component.py
@@ -5,7 +5,7 @@
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, Any
 
 import trio
 
@@ -43,7 +43,7 @@
     # Figures that go up and down, by name; a part adds its own.
     gauges: list[Callable[[], dict[str, float]]] = field(default_factory=list)
     # What parts built before offer to those built after, by name.
-    built: dict[str, object] = field(default_factory=dict)
+    built: dict[str, Any] = field(default_factory=dict)
 
 
 class Component:
--- a/rookbend/service.py
+++ b/rookbend/service.py
@@ -109,7 +109,7 @@
             self.listeners,
             gauges=[self.vitals.gauges],
         )
-        self.parts: list[Component] = components.optional(self.site)
+        self.parts: list[Component] = components.build_components(self.site)
         built = self.site.built
         self.dns, self.health, self.admin = built.get("dns"), built.get("health"), built.get("admin")
         self.balancer: list[Component] = built.get("balancer", [])
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -18,7 +18,6 @@
     "rookbend/net/recovery.py": 254,
     "rookbend/leases/coordinator.py": 1153,
     "rookbend/leases/lease.py": 263,
-    "rookbend/components.py": 258,
     "rookbend/protocol/grpc_health.py": 297,
     "rookbend/recovery/coordinator.py": 738,
     "rookbend/settings/schema.py": 461,
