--- a/rookbend/core/check_result.py
+++ b/rookbend/core/check_result.py
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AgentReport:
-    """What an agent said in one line; None where it said nothing on that matter.
+    """The parsed line of a health agent; None where the line leaves a matter open.
 
     `weight` is percent, 0 to 100; `admin` is ready, drain or maint; `up` whether it says up or down.
     """
