--- a/rookbend/net/operations.py
+++ b/rookbend/net/operations.py
@@ -134,7 +134,8 @@
         engine = self.site.engine
         s, now = engine.settings, engine.clock.now()
         caches = [e.member for e in engine.endpoints.values() if e.member.kind not in (s.parent_kind, s.origin_kind)]
-        seen = engine.router.health.servers
+        seen = engine.router.servers
         return len(caches), sum(
-            m.state is not MemberState.READY or (m.server in seen and seen[m.server].until > now) for m in caches
+            m.state is not MemberState.READY or (m.server in seen and seen[m.server].ejected_until_us > now)
+            for m in caches
         )
--- /dev/null
+++ b/rookbend/routing/admission.py
@@ -0,0 +1,46 @@
+"""Which requests are admitted, and the answer to those that are not."""
+
+from __future__ import annotations
+
+from rookbend.interface import Fail, Idempotency, Reject, Settings
+from rookbend.routing.fill_concurrency import FillRateLimiter
+from rookbend.routing.rendezvous_hash import uniform_draw
+from rookbend.routing.request_state import Request
+
+MIN_SPREAD_RETRY_AFTER_RATIO = 0.5  # least share of the longest Retry-After, where it is spread
+
+
+class AdmissionControl:
+    """Rejects the classes that are limited from outside, and answers what can't be served."""
+
+    def __init__(self, settings: Settings, rate: FillRateLimiter, seed: int) -> None:
+        self.settings = settings
+        self.rate = rate
+        self.seed = seed
+        self.rejected_classes: frozenset[int] = frozenset()
+
+    def admits(self, class_index: int) -> bool:
+        """Whether requests of the class, by its place in the settings, are taken at all."""
+        return class_index not in self.rejected_classes
+
+    def refusal(self, request: Request) -> Reject | Fail:
+        """The final answer to a request that gets no attempt: a rejection where the client may repeat it."""
+        if not (self.settings.allows_retry_after and is_repeatable(request)):
+            return Fail(request.id)
+        return Reject(request.id, self._retry_after_us(request.id))
+
+    def _retry_after_us(self, request_id: int) -> int:
+        """Spread while limits from outside reject many at once: they are not to come back together."""
+        longest_us = self.settings.max_retry_after_us
+        if not self.rejected_classes and self.rate.per_second is None:
+            return longest_us
+        draw = uniform_draw(self.seed, request_id)
+        return int(longest_us * (MIN_SPREAD_RETRY_AFTER_RATIO + (1 - MIN_SPREAD_RETRY_AFTER_RATIO) * draw))
+
+
+def is_repeatable(request: Request) -> bool:
+    """Whether the client does no harm by sending the request again."""
+    traffic_class = request.traffic_class
+    if traffic_class.idempotency is Idempotency.IDEMPOTENT or request.possibly_executed_us is None:
+        return True
+    return traffic_class.idempotency is Idempotency.IDEMPOTENCY_KEY and traffic_class.retry_scope == "all"
--- a/rookbend/routing/fill_concurrency.py
+++ b/rookbend/routing/fill_concurrency.py
@@ -1,105 +1,131 @@
-"""What may be sent at most: to cold servers, and as fills over the location's link."""
+"""How many fills this router has in flight: a limit that falls when they come late, and a rate from outside."""
+
+from __future__ import annotations
 
 import math
-from collections import deque
-
-from rookbend.interface import AttemptDetail
-from rookbend.routing.membership import mix
-
-COLD_MARGIN, COLD_CAP = 0.7, 1.7  # share of the cold budget used; at most, in the present capacity
-RESTART_SHARE = 0.5  # of those budgets while this router does not know what its past life sent
-LATE_SHARE = 0.06  # of fills may come late before fewer are let out at once
-LIMIT_STEP = 0.05  # share by which it falls with a late one, times the root of the location's routers
-LIMIT_GAIN = 0.06  # fills it gains for each timely one while it is low
-# Fills a router may always have out, at first, and at most, in transfers of its share of the caches.
-LIMIT_LEAST, LIMIT_START, LIMIT_MOST = 0.08, 1.0, 4.0
-PACE_BURST = 0.5  # under a limit from outside: seconds of fills at once
-
-
-class ColdBudget:
-    """Work sent to each server over the fall window. A cold one gets no more than its share allows."""
-
-    def __init__(self, settings, members):
-        self.s, self.members, self.sent, self.born, self.senders = settings, members, {}, None, 1
-
-    def charge(self, server, now, work):
-        log = self.sent.setdefault(server, deque())
-        log.append((now, work))
-        while log[0][0] < now - self.s.overload_window_us:
-            log.popleft()
-
-    def spent(self, server, now):
-        return sum(work for at, work in self.sent.get(server, ()) if at >= now - self.s.overload_window_us)
-
-    def warmth(self, m, now):
-        """Share of its capacity that a server is sure to have, the slowest stated ramp assumed."""
-        least, whole = self.s.cold_capacity_ratio, self.s.warm_up_us
-        if m.kind == self.s.parent_kind:
-            least, whole = self.s.parent_cold_capacity_ratio, self.s.parent_warm_up_us
-        age = now - m.started_us
-        if not m.started_us or m.kind == self.s.origin_kind or age >= whole:
-            return 1.0
-        return least + (1 - least) * max(age, 0) / whole
-
-    def allows(self, m, now, work):
-        if not m.started_us or self.warmth(m, now) >= 1.0:
-            return True
-        multiple, sharing = self.s.overload_multiple, self.location_routers()
-        if m.kind == self.s.parent_kind:
-            multiple, sharing = self.s.parent_overload_multiple, self.s.router_count
-        # The oldest moment of the window counts: what it could do then, not what it can do now.
-        share = self.warmth(m, max(now - self.s.overload_window_us, m.started_us))
-        share *= self.members.weight(m) / (sharing * self.senders)
-        budget = min(multiple * COLD_MARGIN, COLD_CAP) * share * self.s.overload_window_us
-        budget *= RESTART_SHARE if now - self.born < self.s.overload_window_us else 1.0
-        if m.kind == self.s.parent_kind and budget < work:
-            # Less than one fill for each router: those whose turn it is hold whole ones, more as it warms.
-            turn = (self.s.router_index + mix(m.server)) % sharing + 1
-            budget = work if turn * work <= budget * sharing else 0.0
-        return self.spent(m.server, now) + work <= budget
-
-    def location_routers(self):
-        seats = self.s.routers_by_zone
-        return max(1, seats[self.s.zone] if self.s.zone < len(seats) else self.s.router_count)
-
-
-class FillLimit:
-    """How many fills this router lets out at once: fewer when they come late. The others look, then wait."""
-
-    def __init__(self):
-        self.late = {
-            AttemptDetail.FILLED: 0.0,
-            AttemptDetail.ORIGIN_ASKED: 0.0,
-        }  # share late: held there, and asked for
-        self.out, self.limit, self.whole, self.step = 0, None, 1.0, LIMIT_STEP
-        self.per_s, self.tokens, self.at = None, 0.0, 0  # from outside: how many a second
-        self.failed = -math.inf  # when the origin last failed an attempt of this router
-
-    def resize(self, transfers, routers):  # what the location's caches carry, and how many routers share it
-        whole = transfers / routers
-        self.whole, self.step = max(whole, 1.0), min(LIMIT_STEP * math.sqrt(routers), 0.5)
-        self.limit = LIMIT_START * whole if self.limit is None else self.limit
-        self.limit = min(max(self.limit, LIMIT_LEAST * self.whole), LIMIT_MOST * self.whole)
-
-    def has_place(self, now):
-        return self.out < self.limit and (self.per_s is None or self.filled(now) >= 1)
-
-    def filled(self, now):
-        most = max(1.0, PACE_BURST * self.per_s)
-        self.tokens = min(most, self.tokens + (now - self.at) * self.per_s / 1e6)
-        self.at = now
-        return self.tokens
 
-    def pace(self, now, per_s, first):
-        if self.per_s is None:
-            self.tokens, self.at = first, now  # a draw: routers limited together don't begin in step
-        elif per_s is not None:
-            self.filled(now)
-        self.per_s = per_s
+from rookbend.interface import AttemptDetail, AttemptFinished, AttemptStatus
+from rookbend.routing.request_state import Attempt, Request
+
+TARGET_LATE_RATIO = 0.06  # share of fills that may come late before the limit falls
+DECREASE_RATIO = 0.05  # of the limit with each late fill, times the root of the location's routers
+MAX_DECREASE_RATIO = 0.5
+MIN_INCREASE_FILLS = 0.06  # with each timely fill
+MIN_LIMIT_CAPACITY_RATIO = 0.08  # of this router's share of what the caches carry
+INITIAL_LIMIT_CAPACITY_RATIO = 1.0
+MAX_LIMIT_CAPACITY_RATIO = 4.0
+MIN_CAPACITY_TRANSFERS = 1.0
+BURST_S = 0.5  # fills at once, in seconds of the rate
+MIN_BURST_FILLS = 1.0
+US_PER_S = 1e6
+LATE_OBJECTIVE_RATIO = 0.8  # a fill is late from this share of its stretched latency objective
+LATE_RATIO_SPAN_FILLS = 24  # fills over which the late ratios are averaged
+ORIGIN_SLOW_MAX_PARENT_LATE_RATIO = 0.05
+ORIGIN_SLOW_MIN_ORIGIN_LATE_RATIO = 0.25
+
+
+class FillRateLimiter:
+    """A token bucket under the rate set from outside; None: any rate."""
+
+    def __init__(self) -> None:
+        self.per_second: float | None = None
+        self.tokens = 0.0
+        self.refilled_us = 0
+
+    def set_rate(self, now_us: int, per_second: float | None, initial_tokens: float) -> None:
+        """Change the rate. A bucket that had none starts with `initial_tokens`."""
+        if self.per_second is None:
+            self.tokens = initial_tokens
+            self.refilled_us = now_us
+        elif per_second is not None:
+            self.refill(now_us, self.per_second)
+        self.per_second = per_second
+
+    def refill(self, now_us: int, per_second: float) -> float:
+        """Add what has come in since the last refill; returns the tokens."""
+        burst = max(MIN_BURST_FILLS, BURST_S * per_second)
+        self.tokens = min(burst, self.tokens + (now_us - self.refilled_us) * per_second / US_PER_S)
+        self.refilled_us = now_us
+        return self.tokens
 
-    def observe(self, late):
+    def has_token(self, now_us: int) -> bool:
+        """Whether a fill may start under the rate."""
+        return self.per_second is None or self.refill(now_us, self.per_second) >= 1
+
+
+class FillConcurrencyLimit:
+    """Fills in flight and their limit: additive increase with timely fills, multiplicative decrease with late ones.
+
+    `capacity` is this router's share of what the location's caches carry, in transfers.
+    """
+
+    def __init__(self, rate: FillRateLimiter) -> None:
+        self.rate = rate
+        self.in_flight = 0
+        self.limit = 0.0
+        self.is_sized = False  # until the first membership there is no limit to speak of
+        self.capacity = MIN_CAPACITY_TRANSFERS
+        self.decrease_ratio = DECREASE_RATIO
+
+    def resize(self, cache_capacity: float, router_count: int) -> None:
+        """Fit the limit to the location: what its caches carry in transfers, shared by so many routers."""
+        share = cache_capacity / router_count
+        self.capacity = max(share, MIN_CAPACITY_TRANSFERS)
+        self.decrease_ratio = min(DECREASE_RATIO * math.sqrt(router_count), MAX_DECREASE_RATIO)
+        if not self.is_sized:
+            self.limit = INITIAL_LIMIT_CAPACITY_RATIO * share
+            self.is_sized = True
+        least = MIN_LIMIT_CAPACITY_RATIO * self.capacity
+        self.limit = min(max(self.limit, least), MAX_LIMIT_CAPACITY_RATIO * self.capacity)
+
+    def has_capacity(self, now_us: int) -> bool:
+        """Whether another fill may start now."""
+        return self.in_flight < self.limit and self.rate.has_token(now_us)
+
+    def observe(self, late: bool) -> None:
+        """Take in how a fill ended."""
         if late:
-            self.limit = max(LIMIT_LEAST * self.whole, self.limit * (1 - self.step))
-        elif self.out + 1 > self.limit / 2:
-            gain = max(LIMIT_GAIN, self.limit * self.step * LATE_SHARE / (1 - LATE_SHARE))
-            self.limit = min(LIMIT_MOST * self.whole, self.limit + gain)
+            least = MIN_LIMIT_CAPACITY_RATIO * self.capacity
+            self.limit = max(least, self.limit * (1 - self.decrease_ratio))
+        elif self.in_flight + 1 > self.limit / 2:
+            balanced = self.limit * self.decrease_ratio * TARGET_LATE_RATIO / (1 - TARGET_LATE_RATIO)
+            increase = max(MIN_INCREASE_FILLS, balanced)
+            self.limit = min(MAX_LIMIT_CAPACITY_RATIO * self.capacity, self.limit + increase)
+
+
+class FillMonitor:
+    """Tells from the end of an attempt whether its fill was late: by the limit, and by who held the object."""
+
+    def __init__(self, limit: FillConcurrencyLimit) -> None:
+        self.limit = limit
+        self.parent_late_ratio = 0.0  # of what a parent held
+        self.origin_late_ratio = 0.0  # of what the origin was called for
+
+    def origin_is_slow(self) -> bool:
+        """Whether fills from the origin come late while those that parents hold are timely."""
+        return (
+            self.parent_late_ratio < ORIGIN_SLOW_MAX_PARENT_LATE_RATIO
+            and self.origin_late_ratio > ORIGIN_SLOW_MIN_ORIGIN_LATE_RATIO
+        )
+
+    def attempt_finished(self, attempt: Attempt, event: AttemptFinished) -> None:
+        """Take in the end of a read. A time-out counts for nothing: the answer may be lost, and the fill timely."""
+        late_after_us = self._late_after_us(attempt.request)
+        if event.detail is AttemptDetail.FILLED:
+            late = event.elapsed_us > late_after_us
+            self.parent_late_ratio += (late - self.parent_late_ratio) / LATE_RATIO_SPAN_FILLS
+        elif event.detail is AttemptDetail.ORIGIN_ASKED:
+            late = event.elapsed_us > late_after_us
+            self.origin_late_ratio += (late - self.origin_late_ratio) / LATE_RATIO_SPAN_FILLS
+        if not attempt.may_fill:
+            return
+        if event.status is AttemptStatus.OK:
+            if event.detail is not AttemptDetail.HIT:
+                self.limit.observe(event.elapsed_us - event.fill_queue_us > late_after_us)  # the queue is the source's
+        elif event.status is AttemptStatus.FULL and event.detail in (AttemptDetail.NONE, AttemptDetail.NO_FILL_PLACE):
+            self.limit.observe(True)  # what fails behind the cache says nothing of the location's link
+
+    def _late_after_us(self, request: Request) -> float:
+        traffic_class = request.traffic_class
+        stretch_us = traffic_class.latency_objective_stretch * request.expected_transfer_us
+        return LATE_OBJECTIVE_RATIO * (traffic_class.latency_objective_us + stretch_us)
--- /dev/null
+++ b/rookbend/routing/fill_queue.py
@@ -0,0 +1,49 @@
+"""Requests that wait until a fill may start."""
+
+from __future__ import annotations
+
+from rookbend.routing.request_state import Request
+
+FILL_TRANSFER_RATIO = 2.5  # what a fill takes, in the request's transfer times
+MIN_TRANSFER_US = 1.0
+
+
+def can_be_on_time(request: Request, now_us: int) -> bool:
+    """Whether a fill that starts now meets the request's objective."""
+    return now_us + FILL_TRANSFER_RATIO * request.expected_transfer_us <= request.objective_deadline_us
+
+
+def latest_start_us(request: Request) -> float:
+    """When a fill has to start at the latest to meet the request's objective."""
+    return request.objective_deadline_us - FILL_TRANSFER_RATIO * request.expected_transfer_us
+
+
+class FillQueue:
+    """Waiting requests, oldest first; `open_requests` are all that have no final answer yet."""
+
+    def __init__(self, open_requests: dict[int, Request]) -> None:
+        self.open_requests = open_requests
+        self.waiting: list[Request] = []
+
+    def admits(self, request: Request, now_us: int) -> bool:
+        """Whether waiting makes sense: the request is open, has no attempt in flight, and can be on time."""
+        return request.id in self.open_requests and request.attempt is None and can_be_on_time(request, now_us)
+
+    def take_best(self, now_us: int) -> Request | None:
+        """Remove the request of the highest priority for its transfer among those that can be on time."""
+        candidates = [request for request in self.waiting if self.admits(request, now_us)]
+        if not candidates:
+            return None
+        best = max(candidates, key=priority)
+        self.waiting.remove(best)
+        return best
+
+    def discard(self, request: Request) -> None:
+        """Remove a request if it waits."""
+        if request in self.waiting:
+            self.waiting.remove(request)
+
+
+def priority(request: Request) -> float:
+    """Priority weight per microsecond of transfer."""
+    return request.traffic_class.priority_weight / max(request.expected_transfer_us, MIN_TRANSFER_US)
--- a/rookbend/routing/membership.py
+++ b/rookbend/routing/membership.py
@@ -1,107 +1,114 @@
-"""What the router keeps by name: members and their order, purges, what a class takes to send."""
+"""The current membership: which members are ready, their role, and the hash order of an object over them."""
 
-import math
-from collections import OrderedDict
+from __future__ import annotations
 
-from rookbend.interface import MembershipUpdateKind, MemberState
+from typing import NamedTuple
 
-PRIOR_SAMPLES, PRIOR_AIM = 10, 1.5  # weight of the guess in a class's mean; its share of the aim
-PURGE_MARGIN = 1.15  # purges are kept in mind this multiple of their stated time
-MASK = (1 << 64) - 1
+from rookbend.interface import Member, MembershipUpdated, MembershipUpdateKind, MemberState, Settings
+from rookbend.routing.bounded_table import BoundedTable
+from rookbend.routing.rendezvous_hash import WeightedMember, mix, preference_order
+from rookbend.routing.request_state import ObjectKey
 
+MIN_WEIGHT_TRANSFERS = 1e-3
+UNIFORM_WEIGHT_TRANSFERS = 1.0  # of every member where weights say nothing of capacity
+INCREMENTAL_UPDATES = (MembershipUpdateKind.DELTA, MembershipUpdateKind.FAILED)
 
-def mix(value: int) -> int:
-    """A fixed 64-bit mixer: the same at every router and in every process."""
-    value = (value + 0x9E3779B97F4A7C15) & MASK
-    value = ((value ^ value >> 30) * 0xBF58476D1CE4E5B9) & MASK
-    value = ((value ^ value >> 27) * 0x94D049BB133111EB) & MASK
-    return value ^ value >> 31
 
+class PreferenceOrder(NamedTuple):
+    """The members that an object hashes to, best first. Draining ones stay in, so that the order is stable."""
 
-class Bounded(OrderedDict):  # a table that forgets its oldest rows beyond a limit
-    def __init__(self, limit):
-        super().__init__()
-        self.limit = max(1, int(limit))
-
-    def put(self, key, row):
-        self[key] = row
-        self.move_to_end(key)
-        if len(self) > self.limit:
-            self.popitem(last=False)
+    caches: list[Member]
+    parents: list[Member]
 
 
 class Membership:
-    """The last list: who is ready, in what role, and the rendezvous order of an object over them."""
-
-    def __init__(self, settings):
-        self.s, self.all, self.orders = settings, {}, Bounded(settings.max_requests_in_flight)
-        self.caches, self.parents, self.origins = [], [], []
-        self.rows = [], []  # caches, parents: each with what its place in an order rests on
-
-    def apply(self, event):
-        """Takes a list or a change; returns the servers that are new or restarted."""
-        old = self.all
-        new = dict(old) if event.kind in (MembershipUpdateKind.DELTA, MembershipUpdateKind.FAILED) else {}
-        for m in event.members:
-            new[m.server] = m
-        self.all = new = {k: m for k, m in new.items() if m.state is not MemberState.GONE}
-        zone, parent, origin = self.s.zone, self.s.parent_kind, self.s.origin_kind
-        rows = sorted(new.values(), key=lambda m: m.server)
-        self.caches = [m for m in rows if m.kind not in (parent, origin) and m.zone == zone]
-        self.parents = [m for m in rows if m.kind == parent]
-        self.origins = [m for m in rows if m.kind == origin]
-        self.rows = tuple([(mix(m.server), self.weight(m), m) for m in role] for role in (self.caches, self.parents))
+    """The members by id and by role, with hash orders per object."""
+
+    def __init__(self, settings: Settings) -> None:
+        self.settings = settings
+        self.all: dict[int, Member] = {}
+        self.caches: list[Member] = []
+        self.parents: list[Member] = []
+        self.origins: list[Member] = []
+        self.orders: BoundedTable[ObjectKey, PreferenceOrder] = BoundedTable(settings.max_requests_in_flight)
+        self._hashed_caches: list[WeightedMember] = []
+        self._hashed_parents: list[WeightedMember] = []
+
+    def apply(self, event: MembershipUpdated) -> list[int]:
+        """Take over a full list or a change; returns the servers that are new or restarted."""
+        previous = self.all
+        current = dict(previous) if event.kind in INCREMENTAL_UPDATES else {}
+        for member in event.members:
+            current[member.server] = member
+        self.all = {server: member for server, member in current.items() if member.state is not MemberState.GONE}
+        self._assign_roles()
+        return [
+            server
+            for server, member in self.all.items()
+            if server not in previous or member.started_us > previous[server].started_us
+        ]
+
+    def _assign_roles(self) -> None:
+        parent_kind = self.settings.parent_kind
+        origin_kind = self.settings.origin_kind
+        members = sorted(self.all.values(), key=lambda member: member.server)
+        self.caches = [
+            member
+            for member in members
+            if member.kind not in (parent_kind, origin_kind) and member.zone == self.settings.zone
+        ]
+        self.parents = [member for member in members if member.kind == parent_kind]
+        self.origins = [member for member in members if member.kind == origin_kind]
+        self._hashed_caches = [self._hashed(member) for member in self.caches]
+        self._hashed_parents = [self._hashed(member) for member in self.parents]
         self.orders.clear()
-        return [k for k, m in new.items() if k not in old or m.started_us > old[k].started_us]
-
-    def ready(self, server):
-        """Checked at every send, for sources, retries and released waiters too: drains bind all."""
-        m = self.all.get(server)
-        return m is not None and m.state is MemberState.READY
-
-    def weight(self, m):
-        return max(m.weight, 1e-3) if self.s.weights in ("nominal", "rough") else 1.0
-
-    def order(self, key):
-        """(caches, parents) of an (object, part), best first; draining ones stay in: the hash is stable.
-        Parts are kept each by itself and spread over the caches; an object's fills meet at one parent."""
-        if key not in self.orders:
-            at = key[0] ^ mix(key[1])
-            self.orders.put(key, (self.rank(self.rows[0], at), self.rank(self.rows[1], key[0])))
-        return self.orders[key]
-
-    def rank(self, rows, object_id):
-        def score(row):
-            return -math.log(((mix(object_id ^ row[0]) >> 11) + 0.5) / (1 << 53)) / row[1]
-
-        return [row[2] for row in sorted(rows, key=score)]
-
-
-class PurgeLedger:
-    """Purges by object and by group, until every older copy is gone."""
-
-    def __init__(self, settings):
-        self.s, self.made = settings, Bounded(settings.max_requests_in_flight)
-
-    def note(self, now, event):
-        name = ("object", event.object_id) if event.object_id else ("group", event.group)
-        self.made.put(name, max(now - event.age_us, self.made.get(name, 0)))
-
-    def latest(self, object_id, group, now):
-        """Time of the newest purge that still matters to this object, or None."""
-        made = max(self.made.get(("object", object_id), -1), self.made.get(("group", group), -1))
-        return made if made >= 0 and now - made <= PURGE_MARGIN * self.s.purge_propagation_us else None
-
-
-class ClassStats:
-    """Mean sending time of a class, guessed high until enough was seen."""
-
-    def __init__(self, cls):
-        self.count, self.sum = PRIOR_SAMPLES, PRIOR_SAMPLES * PRIOR_AIM * cls.latency_objective_us
-
-    def add(self, work):
-        self.count, self.sum = self.count + 1, self.sum + work
 
-    @property
-    def mean(self):
-        return self.sum / self.count
+    def _hashed(self, member: Member) -> WeightedMember:
+        return WeightedMember(mix(member.server), self.weight(member), member)
+
+    def is_ready(self, server: int) -> bool:
+        """Whether a server may get new attempts: it is listed and not draining."""
+        member = self.all.get(server)
+        return member is not None and member.state is MemberState.READY
+
+    def ready_origin(self) -> Member | None:
+        """The first origin that is ready."""
+        for origin in self.origins:
+            if self.is_ready(origin.server):
+                return origin
+        return None
+
+    def is_origin(self, server: int | None) -> bool:
+        """Whether the server is a listed origin, ready or not."""
+        return any(origin.server == server for origin in self.origins)
+
+    def weight(self, member: Member) -> float:
+        """Capacity of a member in transfers at full pace."""
+        if self.settings.weights in ("nominal", "rough"):
+            return max(member.weight, MIN_WEIGHT_TRANSFERS)
+        return UNIFORM_WEIGHT_TRANSFERS
+
+    def cache_capacity(self) -> float:
+        """Transfers that the caches of this location carry together."""
+        return sum(map(self.weight, self.caches))
+
+    def location_router_count(self) -> int:
+        """Routers at this router's location, at least 1; all routers where that is not known."""
+        by_zone = self.settings.routers_by_zone
+        zone = self.settings.zone
+        return max(1, by_zone[zone] if zone < len(by_zone) else self.settings.router_count)
+
+    def order(self, key: ObjectKey) -> PreferenceOrder:
+        """The order for an (object id, part).
+
+        Parts are spread over the caches, each cached by itself; all fills of an object meet at one parent.
+        """
+        order = self.orders.get(key)
+        if order is None:
+            object_id, part = key
+            order = PreferenceOrder(
+                preference_order(object_id ^ mix(part), self._hashed_caches),
+                preference_order(object_id, self._hashed_parents),
+            )
+            self.orders.put(key, order)
+        return order
--- a/rookbend/routing/outlier_detection.py
+++ b/rookbend/routing/outlier_detection.py
@@ -1,66 +1,64 @@
-"""Ejection by failures, readmission by a trickle, and how slow each server is."""
+"""Ejection of servers that fail, and their return by one attempt at a time."""
 
-SLOWEST = 4.0  # a slow server stretches time-outs and shrinks its share by this at most
-FAILS_TO_EJECT = 3  # failures in a row
-ERROR_RATE = 0.45  # or this failure rate over about ERROR_SPAN attempts
-ERROR_SPAN = 8
-HOLD_OFF = 3.0  # first ejection, in connect time-outs; doubles
-HOLD_OFF_MOST = 0.5  # longest ejection, share of the warm-up time
+from __future__ import annotations
 
+from rookbend.interface import Settings
+from rookbend.routing.server_stats import ServerStats, ServerTable
 
-class Server:
-    """What this router has seen of one cache, parent or origin."""
+MAX_CONSECUTIVE_FAILURES = 3
+MAX_ERROR_RATIO = 0.45
+ERROR_SPAN_ATTEMPTS = 8  # attempts over which ratios of a server are averaged
+FIRST_EJECTION_CONNECT_TIMEOUTS = 3.0  # each further one without a success in between takes twice as long
+MAX_EJECTION_WARM_UP_RATIO = 0.5
 
-    def __init__(self):
-        self.out = self.filling = 0  # attempts out at it; attempts that may fill from it
-        self.full_until = self.last_ok = 0  # passed over until, last served
-        self.report = None  # (time, requests it held, ours then)
-        self.reset()
 
-    def reset(self):
-        self.fails = self.silent = 0  # failures in a row; overdue attempts since it last answered
-        self.error, self.slow = 0.0, 1.0  # failure rate; how much slower than its pace it sends hits
-        self.until = self.hold = 0  # ejected until, for how long
-        self.trial = False  # after that: one attempt at a time until the first success
+class OutlierDetector:
+    """Ejects a server on failures in a row or on its failure rate; a success ends the ejection."""
 
-    def slowness(self):
-        return min(max(1.0, self.slow), SLOWEST)
+    def __init__(self, settings: Settings, servers: ServerTable) -> None:
+        self.settings = settings
+        self.servers = servers
 
+    def record_answer(self, server: int, now_us: int) -> ServerStats:
+        """The server answers, whatever it says: it is not silent."""
+        stats = self.servers[server]
+        stats.overdue_unanswered = 0
+        stats.last_answer_us = now_us
+        return stats
 
-class Health:
-    def __init__(self, settings):
-        self.s, self.servers = settings, {}
+    def record_success(self, server: int, now_us: int) -> None:
+        """The server has served an attempt, or filled one."""
+        stats = self.record_answer(server, now_us)
+        stats.consecutive_failures = 0
+        stats.ejected_until_us = 0.0
+        stats.error_ratio = stats.error_ratio * (1 - 1 / ERROR_SPAN_ATTEMPTS)
+        stats.on_trial = False
+        stats.ejection_us = 0.0
 
-    def get(self, server):
-        if server not in self.servers:
-            self.servers[server] = Server()
-        return self.servers[server]
+    def record_failure(self, server: int, now_us: int) -> None:
+        """The server has failed an attempt."""
+        stats = self.servers[server]
+        stats.consecutive_failures += 1
+        stats.error_ratio += (1 - stats.error_ratio) / ERROR_SPAN_ATTEMPTS
+        if (
+            stats.on_trial
+            or stats.consecutive_failures >= MAX_CONSECUTIVE_FAILURES
+            or stats.error_ratio > MAX_ERROR_RATIO
+        ):
+            self.eject(server, now_us)
 
-    def alive(self, server, now):
-        h = self.get(server)
-        h.silent, h.last_ok = 0, now
-        return h
-
-    def success(self, server, now):
-        h = self.alive(server, now)
-        h.fails = h.until = 0
-        h.error, h.trial, h.hold = h.error * (1 - 1 / ERROR_SPAN), False, 0
-
-    def failure(self, server, now):
-        h = self.get(server)
-        h.fails += 1
-        h.error += (1 - h.error) / ERROR_SPAN
-        if h.trial or h.fails >= FAILS_TO_EJECT or h.error > ERROR_RATE:
-            self.eject(server, now)
-
-    def eject(self, server, now):
-        h = self.get(server)
-        if now < h.until:
+    def eject(self, server: int, now_us: int) -> None:
+        """Eject a server that is not ejected already."""
+        stats = self.servers[server]
+        if now_us < stats.ejected_until_us:
             return
-        first = HOLD_OFF * self.s.connect_timeout_us
-        h.hold = min(max(first, h.hold * 2), max(first, HOLD_OFF_MOST * self.s.warm_up_us))
-        h.until, h.trial = now + h.hold, True
+        first_us = FIRST_EJECTION_CONNECT_TIMEOUTS * self.settings.connect_timeout_us
+        longest_us = max(first_us, MAX_EJECTION_WARM_UP_RATIO * self.settings.warm_up_us)
+        stats.ejection_us = min(max(first_us, stats.ejection_us * 2), longest_us)
+        stats.ejected_until_us = now_us + stats.ejection_us
+        stats.on_trial = True
 
-    def open(self, server, now, using=0):
-        h = self.get(server)
-        return now >= h.until and not (h.trial and using)
+    def admits(self, server: int, now_us: int, in_use: int = 0) -> bool:
+        """Whether the server may get an attempt, with `in_use` of them at it: ejected none, on trial one."""
+        stats = self.servers[server]
+        return now_us >= stats.ejected_until_us and not (stats.on_trial and in_use)
--- /dev/null
+++ b/rookbend/routing/request_lifecycle.py
@@ -0,0 +1,208 @@
+"""The way of a request from its arrival to its final answer.
+
+A read waits for the fill of its object that is under way, or leads one, at the cache and the parent that it
+hashes to. A write goes to the origin.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+
+from rookbend.interface import Action, AttemptFinished, AttemptStatus, Fail
+from rookbend.routing.admission import AdmissionControl
+from rookbend.routing.attempt_sending import AttemptSender
+from rookbend.routing.cached_copies import CachedCopies
+from rookbend.routing.fill_concurrency import FillConcurrencyLimit
+from rookbend.routing.fill_queue import FillQueue, latest_start_us
+from rookbend.routing.purge_log import PurgeLog
+from rookbend.routing.request_collapsing import RequestCollapser, max_wait_us
+from rookbend.routing.request_state import Attempt, CollapsedFill, Request
+from rookbend.routing.retry_policy import Denial, NextStep, RetryPolicy
+from rookbend.routing.timers import TimerTable
+
+ROUND_UP_US = 1
+
+
+class RequestLifecycle:
+    """Takes requests from step to step. `now_us` and `actions` belong to the event that is being handled."""
+
+    def __init__(
+        self,
+        open_requests: dict[int, Request],
+        admission: AdmissionControl,
+        collapser: RequestCollapser,
+        copies: CachedCopies,
+        purges: PurgeLog,
+        sender: AttemptSender,
+        retry_policy: RetryPolicy,
+        fill_queue: FillQueue,
+        fill_limit: FillConcurrencyLimit,
+        timers: TimerTable,
+    ) -> None:
+        self.open_requests = open_requests
+        self.admission = admission
+        self.collapser = collapser
+        self.copies = copies
+        self.purges = purges
+        self.sender = sender
+        self.retry_policy = retry_policy
+        self.fill_queue = fill_queue
+        self.fill_limit = fill_limit
+        self.timers = timers
+        self.now_us = 0
+        self.actions: list[Action] = []
+
+    def start(self, request: Request) -> None:
+        """Open a request that has arrived."""
+        self.open_requests[request.id] = request
+        if not self.admission.admits(request.class_index):
+            self.reject(request)
+        elif request.is_write:
+            self.send_write(request)
+        else:
+            self.enter(request)
+
+    def enter(self, request: Request) -> None:
+        """Wait for a fill of the object, or lead one."""
+        purged_us = self.purges.latest(request.object_id, request.group, self.now_us)
+        fill = self.collapser.fills.get(request.key)
+        if fill is None:
+            if self.copies.location(request, purged_us, self.now_us) is not None:
+                self.send(request)  # the copy is there: no fill to wait for
+            else:
+                self.lead(request)
+        elif purged_us is not None and fill.started_us <= purged_us:
+            self.collapser.discard(request.key)  # it may bring the purged copy: never wait for it
+            self.lead(request, fill.waiters)
+        else:
+            self._wait(request, fill)
+
+    def _wait(self, request: Request, fill: CollapsedFill) -> None:
+        self.collapser.wait(request, fill)
+        wait_us = max_wait_us(request, self.now_us)
+        if wait_us > 0:
+            self.actions.append(self.timers.start(wait_us, request))
+        else:
+            self._stop_waiting(request, fill)
+
+    def _stop_waiting(self, request: Request, fill: CollapsedFill) -> None:
+        """Send a waiter after the fill, to join it at the cache."""
+        self.detach(request)
+        self.send(request, fill.server, fill.source)
+
+    def lead(self, request: Request, waiters: Iterable[Request] = ()) -> None:
+        """Lead a fill; where the table is full the request goes on all the same, and may join at the cache."""
+        self.collapser.start(request, waiters, self.now_us)
+        self.send(request)
+
+    def send(self, request: Request, server: int | None = None, source: int | None = None) -> None:
+        """Send a read, to `server` and from `source` where these are given and can take it."""
+        denial = self.sender.send_read(request, server, source, self.now_us, self.actions)
+        if denial is None:
+            return
+        if denial is Denial.NO_FILL_CAPACITY and self.fill_queue.admits(request, self.now_us):
+            self._queue(request)
+        else:
+            self.reject(request)
+
+    def _queue(self, request: Request) -> None:
+        """Wait until a fill may start, as long as that can be on time."""
+        self.fill_queue.waiting.append(request)
+        wait_us = latest_start_us(request) - self.now_us + ROUND_UP_US
+        self.actions.append(self.timers.start(wait_us, request))
+
+    def send_write(self, request: Request) -> None:
+        """Send a write."""
+        if self.sender.send_write(request, self.now_us, self.actions) is not None:
+            self.reject(request)
+
+    def start_queued_fill(self) -> bool:
+        """Send the best of the requests that wait for a fill; False where none can be on time."""
+        request = self.fill_queue.take_best(self.now_us)
+        if request is None:
+            return False
+        self.send(request)
+        return True
+
+    def timer_fired(self, request: Request, token: int) -> None:
+        """A timer of a request is due."""
+        if request.id not in self.open_requests or request.attempt is not None or request.timer_token != token:
+            return
+        if request.collapsed_fill is not None and not request.is_leader:
+            self._stop_waiting(request, request.collapsed_fill)
+        elif request in self.fill_queue.waiting:
+            self.reject(request)
+        elif request.is_write:
+            self.send_write(request)
+
+    def attempt_finished(self, attempt: Attempt, event: AttemptFinished) -> None:
+        """Take the step that follows the end of an attempt, and let a fill start where its place is free."""
+        request = attempt.request
+        if request.id in self.open_requests and (request.attempt is None or event.final):
+            self._take(self.retry_policy.next_step(request, attempt, event, self.now_us), request, attempt)
+        has_capacity = self.fill_limit.has_capacity(self.now_us)
+        if has_capacity and event.status is not AttemptStatus.FULL:  # a refused fill leaves no place to another
+            self.start_queued_fill()
+
+    def _take(self, step: NextStep, request: Request, attempt: Attempt) -> None:
+        if step is NextStep.SERVED:
+            del self.open_requests[request.id]
+            self._release_waiters(request, attempt)
+        elif step is NextStep.FAILED:
+            del self.open_requests[request.id]
+            self.hand_over(request)
+        elif step is NextStep.BACK_OFF:
+            self.actions.append(self.timers.start(self.retry_policy.write_backoff_us(request), request))
+        elif step is NextStep.REJECT:
+            self.reject(request)
+        elif step is NextStep.FAIL:
+            self.fail(request)
+        elif step is NextStep.RETRY_WRITE:
+            self.send_write(request)
+        elif step is NextStep.FILL_AFTER_MISS:
+            request.cache_missed = True
+            self.send(request, attempt.server)
+        elif step is NextStep.RETRY_AS_NEWCOMER:
+            self.hand_over(request)
+            self.enter(request)
+        else:
+            self.send(request)
+
+    def _release_waiters(self, leader: Request, attempt: Attempt) -> None:
+        """The leader was served: its waiters go to the same cache and source, and may join there."""
+        fill = self.collapser.end(leader)
+        for waiter in fill.waiters if fill is not None else ():
+            waiter.collapsed_fill = None
+            self.send(waiter, attempt.server, attempt.source)
+
+    def hand_over(self, leader: Request) -> None:
+        """A leader goes without having been served: the oldest waiter leads, and chooses for itself."""
+        fill = self.collapser.end(leader)
+        if fill is not None and fill.waiters:
+            self.lead(fill.waiters.popleft(), fill.waiters)
+
+    def detach(self, request: Request) -> None:
+        """Take a request out of the queue and away from the fill that it leads or waits for."""
+        self.fill_queue.discard(request)
+        if request.is_leader:
+            self.hand_over(request)
+        else:
+            self.collapser.stop_waiting(request)
+
+    def cancel(self, request_id: int) -> None:
+        """The client has gone."""
+        request = self.open_requests.pop(request_id, None)
+        if request is not None:
+            self.detach(request)
+
+    def fail(self, request: Request) -> None:
+        """The final answer where a repeat by the client would end no better."""
+        self.open_requests.pop(request.id, None)
+        self.actions.append(Fail(request.id))
+        self.detach(request)
+
+    def reject(self, request: Request) -> None:
+        """The final answer at once, where no attempt can be made."""
+        self.open_requests.pop(request.id, None)
+        self.actions.append(self.admission.refusal(request))
+        self.detach(request)
--- a/rookbend/routing/request_state.py
+++ b/rookbend/routing/request_state.py
@@ -1,34 +1,90 @@
-"""A request, its attempts, and the mark of a lead."""
+"""The state of a request, of an attempt, and of a fill that requests wait for."""
+
+from __future__ import annotations
 
 from collections import deque
+from dataclasses import dataclass, field
+
+from rookbend.interface import Member, RequestArrived, TrafficClass
 
-WORK_MARGIN = 1.25  # over the observed mean sending time
+ObjectKey = tuple[int, int]  # object id, part
+AttemptKey = tuple[int, int]  # request id, attempt number
 
 
-class Mark:
-    """A lead under way for an (object, part), and those who wait for it."""
+@dataclass(slots=True, eq=False)
+class Request:
+    """An open request and what was tried for it. Times are absolute, in microseconds."""
 
-    def __init__(self, leader, now):
-        self.leader, self.began, self.waiters = leader, now, deque()
-        self.server = self.source = None
+    id: int
+    traffic_class: TrafficClass  # as it was when the request came
+    class_index: int
+    object_id: int
+    group: int
+    key: ObjectKey
+    deadline_us: int
+    is_write: bool
 
+    # Expectations, set on arrival
+    size_is_known: bool = False
+    expected_transfer_us: float = 0.0
+    least_transfer_us: float = 0.0  # what it surely takes: less than expected where the size is a guess
+    slow_start_charge_us: float = 0.0
+    objective_deadline_us: float = 0.0
+    cannot_meet_objective: bool = False
 
-class Request:
-    """A request and all that was tried for it."""
-
-    def __init__(self, event, cls, stats, now):
-        self.id, self.cls = event.request, cls
-        self.object, self.group, self.key = event.object_id, event.group, (event.object_id, event.part)
-        self.arrived, self.deadline, self.stats = now, event.deadline_us, stats
-        self.write = cls.is_write or event.is_write
-        self.charged = WORK_MARGIN * stats.mean
-        self.tried, self.bad_sources, self.erred = set(), set(), []
-        self.number = self.timeouts = self.resets = 0
-        self.timer = self.flight = self.mark = self.ran_at = self.ran_on = None
-        self.leading = self.missed = self.sized = self.hopeless = False
-
-
-class Flight:  # one attempt that is out; `fills`: it may start a fill at its source
-    def __init__(self, request, server, source, now, fills):
-        self.request, self.server, self.source, self.sent, self.fills = request, server, source, now, fills
-        self.number, self.look, self.blamed = request.number, False, None
+    # Attempts so far
+    attempt_count: int = 0
+    timeout_count: int = 0
+    had_reset: bool = False
+    cache_missed: bool = False
+    tried_servers: set[int] = field(default_factory=set)
+    failed_sources: set[int | None] = field(default_factory=set)
+    erring_servers: list[int] = field(default_factory=list)
+    possibly_executed_us: int | None = None  # start of the first attempt that may have been executed
+    possibly_executed_at: Member | None = None
+
+    # What it waits for
+    attempt: Attempt | None = None
+    timer_token: int | None = None  # only the newest timer of a request counts
+    collapsed_fill: CollapsedFill | None = None
+    is_leader: bool = False
+
+
+@dataclass(slots=True, eq=False)
+class Attempt:
+    """One attempt in flight."""
+
+    request: Request
+    number: int
+    server: int
+    source: int | None
+    sent_us: int
+    timeout_us: int
+    may_fill: bool  # it may start a fill at its source
+    is_cache_only: bool = False  # for want of fill capacity, it takes only what is cached
+    cancelled_for: int | None = None  # the silent server that it was cancelled for
+
+
+@dataclass(slots=True, eq=False)
+class CollapsedFill:
+    """A fill under way for an (object id, part): its leader, where it goes, and the requests that wait for it."""
+
+    leader: Request
+    started_us: int
+    waiters: deque[Request] = field(default_factory=deque)
+    server: int | None = None
+    source: int | None = None
+
+
+def new_request(event: RequestArrived, traffic_class: TrafficClass) -> Request:
+    """The state of a request that has just arrived, without its expectations."""
+    return Request(
+        event.request,
+        traffic_class,
+        event.traffic_class,
+        event.object_id,
+        event.group,
+        (event.object_id, event.part),
+        event.deadline_us,
+        traffic_class.is_write or event.is_write,
+    )
--- /dev/null
+++ b/rookbend/routing/slow_start.py
@@ -0,0 +1,87 @@
+"""Slow start: how much work a server that has just started may be sent while its cache warms up."""
+
+from __future__ import annotations
+
+from collections import deque
+
+from rookbend.interface import Member, Settings
+from rookbend.routing.membership import Membership
+from rookbend.routing.rendezvous_hash import mix
+
+BUDGET_USE_RATIO = 0.7  # share of the stated overload multiple that is used
+MAX_BUDGET_CAPACITY_RATIO = 1.7  # most that the budget is, in the present capacity
+RESTART_BUDGET_RATIO = 0.5  # of the budget while it is not known what this router sent before it restarted
+
+
+class SlowStart:
+    """Work sent to each server over the overload window, and the budget of those that warm up.
+
+    Work is the expected transfer time, in microseconds. `router_started_us` is when this router saw its first
+    event; `sender_count` how many processes of this router send.
+    """
+
+    def __init__(self, settings: Settings, membership: Membership) -> None:
+        self.settings = settings
+        self.membership = membership
+        self.sent: dict[int, deque[tuple[int, float]]] = {}  # by server: (when, work)
+        self.router_started_us = 0
+        self.sender_count = 1
+
+    def charge(self, server: int, now_us: int, work_us: float) -> None:
+        """Book work that is sent to a server."""
+        log = self.sent.setdefault(server, deque())
+        log.append((now_us, work_us))
+        oldest_us = now_us - self.settings.overload_window_us
+        while log[0][0] < oldest_us:
+            log.popleft()
+
+    def work_in_window(self, server: int, now_us: int) -> float:
+        """Work sent to a server over the last window."""
+        oldest_us = now_us - self.settings.overload_window_us
+        return sum(work_us for sent_us, work_us in self.sent.get(server, ()) if sent_us >= oldest_us)
+
+    def capacity_ratio(self, member: Member, now_us: int) -> float:
+        """Share of its full capacity that a server has for sure: it grows evenly over the warm-up time."""
+        if not member.started_us or member.kind == self.settings.origin_kind:
+            return 1.0
+        if member.kind == self.settings.parent_kind:
+            cold_ratio = self.settings.parent_cold_capacity_ratio
+            warm_up_us = self.settings.parent_warm_up_us
+        else:
+            cold_ratio = self.settings.cold_capacity_ratio
+            warm_up_us = self.settings.warm_up_us
+        age_us = now_us - member.started_us
+        if age_us >= warm_up_us:
+            return 1.0
+        return cold_ratio + (1 - cold_ratio) * max(age_us, 0) / warm_up_us
+
+    def admits(self, member: Member, now_us: int, work_us: float) -> bool:
+        """Whether a server may get this much work now. One that has warmed up may get any."""
+        if not member.started_us or self.capacity_ratio(member, now_us) >= 1.0:
+            return True
+        budget_us = self._budget_us(member, now_us, work_us)
+        return self.work_in_window(member.server, now_us) + work_us <= budget_us
+
+    def _budget_us(self, member: Member, now_us: int, work_us: float) -> float:
+        """This router's share of what the server may get over a window."""
+        window_us = self.settings.overload_window_us
+        is_parent = member.kind == self.settings.parent_kind
+        if is_parent:
+            multiple = self.settings.parent_overload_multiple
+            router_count = self.settings.router_count
+        else:
+            multiple = self.settings.overload_multiple
+            router_count = self.membership.location_router_count()
+        # The capacity at the start of the window counts: what was sent then is in the sum.
+        share = self.capacity_ratio(member, max(now_us - window_us, member.started_us))
+        share *= self.membership.weight(member) / (router_count * self.sender_count)
+        budget_us = min(multiple * BUDGET_USE_RATIO, MAX_BUDGET_CAPACITY_RATIO) * share * window_us
+        budget_us *= RESTART_BUDGET_RATIO if now_us - self.router_started_us < window_us else 1.0
+        if is_parent and budget_us < work_us:
+            return self._budget_by_turns_us(member, budget_us, work_us, router_count)
+        return budget_us
+
+    def _budget_by_turns_us(self, member: Member, budget_us: float, work_us: float, router_count: int) -> float:
+        """Less than one fill for each router: as many routers as it suffices for have a whole one, by turns."""
+        turn = (self.settings.router_index + mix(member.server)) % router_count + 1
+        return work_us if turn * work_us <= budget_us * router_count else 0.0
--- a/rookbend/testing/simulation/fleet.py
+++ b/rookbend/testing/simulation/fleet.py
@@ -78,7 +78,7 @@
             kind = self.kinds[name]
             per_s = self.world.requests_per_s * kind.share / self.parts(kind)
             for zone in range(self.world.locations):
-                order = self.at_zone[zone][0].router.members.order
+                order = self.at_zone[zone][0].router.membership.order
                 for _ in range(int(per_s / self.world.locations * PARENT_KEEP_S)):
                     item = self._object(name, catalogue.draw(self.random.random()))
                     lately = self.random.random() < KEEP_S / PARENT_KEEP_S
--- a/rookbend/testing/simulation/planted_fault.py
+++ b/rookbend/testing/simulation/planted_fault.py
@@ -2,17 +2,42 @@
 
 from __future__ import annotations
 
-from rookbend.interface import AttemptStatus
+from rookbend.interface import AttemptFinished, AttemptStatus, Settings
 from rookbend.routing import Router
+from rookbend.routing.failure_attribution import is_origin_failure
+from rookbend.routing.fill_concurrency import FillConcurrencyLimit, FillMonitor
+from rookbend.routing.membership import Membership
+from rookbend.routing.origin_protection import OriginProtection
+from rookbend.routing.request_state import Attempt
 
 
-class Careless(Router):
-    """Goes on asking an origin that turns calls away, and takes its refusals for a full link."""
+class NoOriginProtection(OriginProtection):
+    """Goes on asking an origin that turns calls away."""
 
-    def spares_origin(self, r) -> bool:
+    def spares(self, request_id: int, now_us: int) -> bool:
         return False
 
-    def watch_fills(self, f, event) -> None:
-        super().watch_fills(f, event)
-        if f.fills and event.status is AttemptStatus.FULL and self.origin_failed(f, event):
+
+class OriginRefusalsAsLateFills(FillMonitor):
+    """Takes the refusals of an origin for a full link."""
+
+    def __init__(self, limit: FillConcurrencyLimit, membership: Membership) -> None:
+        super().__init__(limit)
+        self.membership = membership
+
+    def attempt_finished(self, attempt: Attempt, event: AttemptFinished) -> None:
+        super().attempt_finished(attempt, event)
+        refused = attempt.may_fill and event.status is AttemptStatus.FULL
+        if refused and is_origin_failure(attempt, event.detail, self.membership):
             self.limit.observe(True)
+
+
+class Careless(Router):
+    """A router with both rules in place of its own."""
+
+    def __init__(self, settings: Settings, seed: int = 0) -> None:
+        super().__init__(settings, seed)
+        self.origin_protection = NoOriginProtection(settings, seed)
+        self.sender.origin_protection = self.origin_protection
+        self.fill_monitor = OriginRefusalsAsLateFills(self.fill_limit, self.membership)
+        self.sender.fill_monitor = self.fill_monitor
--- a/tests/router_harness.py
+++ b/tests/router_harness.py
@@ -90,7 +90,7 @@
     def arrive(self, obj, cls=0, size=100.0, part=0, group=0, after=0, patience=None):
         self.now += after
         request, self.next_id = self.next_id, self.next_id + 1
-        patience = patience or self.router.s.classes[cls].deadline_us
+        patience = patience or self.router.settings.classes[cls].deadline_us
         return request, self.feed(api.RequestArrived(request, cls, obj, self.now + patience, size, group, part))
 
     def finish(
--- a/tests/test_attempt_crossings.py
+++ b/tests/test_attempt_crossings.py
@@ -60,12 +60,12 @@
     """A look that missed is followed by a fill at the same cache, under the same id."""
 
     async def check(stage):
-        stage.service.engine.router.limit.limit = 0.0  # no place for a fill: the cache is only looked at
+        stage.service.engine.router.fill_limit.limit = 0.0  # no place for a fill: the cache is only looked at
         await stage.play("""
             client send request 1 video budget=5000
             cache1 expect do rid=0000000000000001
         """)
-        stage.service.engine.router.limit.limit = 4.0
+        stage.service.engine.router.fill_limit.limit = 4.0
         cache = stage.actors["cache1"]
         first = cache.last["-"]
         await stage.play("""
--- a/tests/test_endpoint_selection.py
+++ b/tests/test_endpoint_selection.py
@@ -10,7 +10,7 @@
 
 
 def shut_limits(rig, limit=0.0):
-    rig.router.limit.limit = limit
+    rig.router.fill_limit.limit = limit
 
 
 def test_no_cache_at_all_goes_straight_to_a_parent_where_allowed():
@@ -36,7 +36,8 @@
     for held, asked, expected in ((0.0, 0.9, True), (0.9, 0.9, False), (0.0, 0.0, False)):
         rig = Rig()
         shut_limits(rig)
-        rig.router.limit.late = {api.AttemptDetail.FILLED: held, api.AttemptDetail.ORIGIN_ASKED: asked}
+        rig.router.fill_monitor.parent_late_ratio = held
+        rig.router.fill_monitor.origin_late_ratio = asked
         look = sends(rig.arrive(2)[1])[0]
         assert look.only_if_cached is expected and (look.source != look.server) is expected
 
@@ -53,7 +54,7 @@
     for a in by_parent[other] + by_parent[list(by_parent)[2]]:
         rig.finish(a, note=api.AttemptDetail.FILLED)
     rig.run_timers(rig.now + 600_000)
-    assert not rig.router.health.open(silent, rig.now) and rig.router.health.open(other, rig.now)
+    assert not rig.router.outliers.admits(silent, rig.now) and rig.router.outliers.admits(other, rig.now)
 
 
 def test_answer_that_has_started_is_a_sign_of_life():
@@ -63,7 +64,7 @@
         a = sends(rig.arrive(obj, after=1000)[1])[0]
         rig.feed(api.ResponseStarted(a.request, 0, a.server, 1000), after=1000)
     rig.run_timers(rig.now + 700_000)
-    assert all(rig.router.health.open(m.server, rig.now) for m in CACHES)
+    assert all(rig.router.outliers.admits(m.server, rig.now) for m in CACHES)
 
 
 def test_a_write_is_never_paused_past_its_aim():
@@ -79,8 +80,8 @@
         home = sends(rig.arrive(8, size=900.0)[1])[0]
         rig.finish(home, api.AttemptStatus.MISS, after=1000)
         for m in CACHES:
-            rig.router.read_report(m.server, (60.0 if m.server == home.server else load,))
-        rig.router.marks.clear()
+            rig.router.load.record_report(m.server, (60.0 if m.server == home.server else load,), rig.now)
+        rig.router.collapser.fills.clear()
         sent = sends(rig.arrive(8, size=900.0)[1])
         assert bool(sent) is steps and all(a.server != home.server for a in sent)
 
@@ -94,11 +95,13 @@
         for obj in range(3):
             rig.arrive(version * 10 + obj)
     rig.finish(out, note=api.AttemptDetail.FILLED)
-    waiting = {f.server for f in rig.router.flights.values()} | {f.source for f in rig.router.flights.values()}
-    for a in list(rig.router.flights.values()):
+    waiting = {f.server for f in rig.router.attempts.in_flight.values()} | {
+        f.source for f in rig.router.attempts.in_flight.values()
+    }
+    for a in list(rig.router.attempts.in_flight.values()):
         rig.feed(api.AttemptFinished(a.request.id, a.number, a.server, api.AttemptStatus.OK, 10, True))
     rig.feed(api.MembershipUpdated(api.MembershipUpdateKind.FULL, 400, (*CACHES, *PARENTS, ORIGIN)))
-    assert len(waiting) > 100 and len(rig.router.health.servers) < 10 and len(rig.router.cold.sent) < 10
+    assert len(waiting) > 100 and len(rig.router.servers) < 10 and len(rig.router.slow_start.sent) < 10
 
 
 def test_a_request_that_errs_everywhere_costs_no_server_its_place():
@@ -111,7 +114,7 @@
             servers.append(sends(out)[0].server)
             out = rig.finish(sends(out)[0], api.AttemptStatus.ERROR, after=1000)
         assert out == [api.Fail(request)] and len(set(servers)) == len(servers) == 3
-    assert all(rig.router.health.open(m.server, rig.now) for m in (*CACHES, *PARENTS))
+    assert all(rig.router.outliers.admits(m.server, rig.now) for m in (*CACHES, *PARENTS))
 
 
 def test_a_server_that_errs_on_what_others_answer_is_passed_over():
@@ -122,10 +125,10 @@
             attempt = sends(out)[0]
             status = api.AttemptStatus.ERROR if attempt.server == bad else api.AttemptStatus.OK
             out = rig.finish(attempt, status, after=1000)
-        if not rig.router.health.open(bad, rig.now):
+        if not rig.router.outliers.admits(bad, rig.now):
             break
-    assert not rig.router.health.open(bad, rig.now)
-    assert all(rig.router.health.open(m.server, rig.now) for m in CACHES[1:])
+    assert not rig.router.outliers.admits(bad, rig.now)
+    assert all(rig.router.outliers.admits(m.server, rig.now) for m in CACHES[1:])
 
 
 @pytest.mark.parametrize("rate, share", [(0, 1), (600, 1), (625, 2), (950, 15), (7000, 40)])
--- a/tests/test_member_restart.py
+++ b/tests/test_member_restart.py
@@ -16,7 +16,7 @@
 
 
 def started(stage):
-    return stage.service.engine.router.members.all[CACHE].started_us
+    return stage.service.engine.router.membership.all[CACHE].started_us
 
 
 async def seen_dead(stage):
--- a/tests/test_no_duplicate_execution.py
+++ b/tests/test_no_duplicate_execution.py
@@ -44,7 +44,7 @@
     rig = Rig(allows_retry_after=True)
     for i in range(30):
         through(rig, sends(rig.arrive(1000 + i)[1])[0], api.AttemptStatus.CONNECT_FAILED)
-    assert all(rig.router.health.get(m.server).until > rig.now for m in CACHES)
+    assert all(rig.router.servers[m.server].ejected_until_us > rig.now for m in CACHES)
     out = [sends(rig.arrive(2000 + i)[1]) for i in range(20)]
     assert sorted(s[0].server for s in out if s) == sorted(m.server for m in CACHES)
 
@@ -54,11 +54,11 @@
 )
 def test_what_fails_behind_a_cache_takes_no_place_for_fills_away(note):
     rig = Rig()
-    before = rig.router.limit.limit
+    before = rig.router.fill_limit.limit
     for i in range(10):
         rig.finish(sends(rig.arrive(1000 + i)[1])[0], api.AttemptStatus.FULL, note=note, after=1_000)
         rig.now += 10 * SECOND
-    assert rig.router.limit.limit == before
+    assert rig.router.fill_limit.limit == before
 
 
 def test_a_guessed_size_does_not_refuse_where_a_known_one_would():
@@ -84,7 +84,7 @@
     rig = Rig(allows_retry_after=True)
     for i in range(60):
         rig.arrive(100 + i, size=400.0)
-    held = [rig.router.health.get(m.server).out / m.weight for m in CACHES]
+    held = [rig.router.servers[m.server].in_flight / m.weight for m in CACHES]
     assert min(held) > 1.5
     out = rig.arrive(5, size=0.0, patience=700_000)[1]
     assert finals(out) and not sends(out)
--- a/tests/test_operations_settings.py
+++ b/tests/test_operations_settings.py
@@ -133,13 +133,15 @@
     first, actions = rig.arrive(5, cls=0)
     sent = sends(actions)[0]
     new = replace(
-        rig.router.s, max_attempts=1, classes=(*rig.router.s.classes, replace(rig.router.s.classes[0], name="fresh"))
+        rig.router.settings,
+        max_attempts=1,
+        classes=(*rig.router.settings.classes, replace(rig.router.settings.classes[0], name="fresh")),
     )
     rig.feed(api.SettingsChanged(new))
     assert not sends(rig.finish(sent, api.AttemptStatus.CONNECT_FAILED)), "one attempt is all there is now"
     _, actions = rig.arrive(6, cls=4)
     assert sends(actions), "the class that has come is routed"
-    assert rig.router.cold.s is new and rig.router.members.s is new
+    assert rig.router.slow_start.settings is new and rig.router.membership.settings is new
 
 
 def test_two_senders_share_the_budget_of_a_cold_cache():
--- a/tests/test_origin_protection.py
+++ b/tests/test_origin_protection.py
@@ -32,7 +32,7 @@
 
 def test_after_a_failure_reads_spare_the_origin_and_ever_fewer_do():
     rig = refused()
-    spared = 12.5 * rig.router.s.connect_timeout_us
+    spared = 12.5 * rig.router.settings.connect_timeout_us
     assert peeks(rig, 1000) > 0.97
     half = peeks(rig, 2000, after=int(spared / 2))
     assert 0.35 < half < 0.65
@@ -41,7 +41,7 @@
 
 def test_routers_draw_apart():
     rig = refused()
-    rig.router.seed = 8
+    rig.router.origin_protection.seed = 8
     rig.now += 2_500_000
     ours = [sends(rig.arrive(1000 + i)[1])[0].only_if_cached for i in range(50)]
     other = refused()
@@ -66,12 +66,12 @@
 
 def test_refusals_of_the_origin_take_no_place_for_fills_away():
     rig = Rig()
-    before = rig.router.limit.limit
+    before = rig.router.fill_limit.limit
     for i in range(20):
         lead = sends(rig.arrive(1000 + i)[1])[0]
         rig.finish(lead, api.AttemptStatus.FULL, note=api.AttemptDetail.ORIGIN_FAILED, after=1_000)
         rig.now += 10 * SECOND
-    assert rig.router.limit.limit == before
+    assert rig.router.fill_limit.limit == before
     lead = sends(rig.arrive(5000)[1])[0]
     rig.finish(lead, api.AttemptStatus.FULL, after=1_000)  # a cache's own refusal still does
-    assert rig.router.limit.limit < before
+    assert rig.router.fill_limit.limit < before
--- a/tests/test_request_collapsing.py
+++ b/tests/test_request_collapsing.py
@@ -72,7 +72,7 @@
     rig.arrive(1)
     out = sends(rig.arrive(2)[1])
     assert out and out[0].join_fill
-    assert len(rig.router.marks) == 1
+    assert len(rig.router.collapser.fills) == 1
 
 
 def test_all_routers_agree_on_cache_and_parent():
@@ -101,11 +101,11 @@
 def test_write_skips_the_table_and_goes_to_the_origin():
     rig = Rig(allows_direct_to_source=True)
     assert sends(rig.arrive(5, cls=2)[1])[0] == api.FetchCached(1, ORIGIN.server, sends_timeout(rig))
-    assert sends(rig.arrive(5, cls=2)[1]) and not rig.router.marks
+    assert sends(rig.arrive(5, cls=2)[1]) and not rig.router.collapser.fills
 
 
 def sends_timeout(rig):
-    return next(iter(rig.router.flights.values())).timeout
+    return next(iter(rig.router.attempts.in_flight.values())).timeout_us
 
 
 def test_write_without_direct_goes_through_a_cache():
--- a/tests/test_robust.py
+++ b/tests/test_robust.py
@@ -44,7 +44,7 @@
     while not cancelled:
         cancelled = [a for a in rig.run_timers(rig.now + 10_000) if isinstance(a, api.CancelAttempt)]
     attempt = next(a for a in first if a.request == cancelled[0].request)
-    assert not rig.router.health.open(attempt.server, rig.now)
+    assert not rig.router.outliers.admits(attempt.server, rig.now)
     moved = sends(rig.finish(attempt, api.AttemptStatus.CANCELLED, after=1000))
     assert moved and moved[0].server != attempt.server
 
@@ -52,16 +52,16 @@
 def test_failing_cache_is_ejected_and_comes_back_by_one_attempt_at_a_time():
     rig = Rig()
     lead = sends(rig.arrive(5)[1])[0]
-    health = rig.router.health
+    outliers = rig.router.outliers
     for _ in range(3):
-        health.failure(lead.server, rig.now)
-    assert not health.open(lead.server, rig.now)
-    later = health.get(lead.server).until
-    assert health.open(lead.server, later, using=0) and not health.open(lead.server, later, using=1)
+        outliers.record_failure(lead.server, rig.now)
+    assert not outliers.admits(lead.server, rig.now)
+    later = rig.router.servers[lead.server].ejected_until_us
+    assert outliers.admits(lead.server, later, in_use=0) and not outliers.admits(lead.server, later, in_use=1)
 
 
 def shut_limits(rig, limit=0.0):
-    rig.router.limit.limit = limit
+    rig.router.fill_limit.limit = limit
 
 
 def test_beyond_the_fill_limit_a_request_only_looks_and_is_answered_when_it_cant_be_on_time():
@@ -103,15 +103,15 @@
         rig.finish(a, note=api.AttemptDetail.FILLED, after=1000, load=(10.0,))
     assert sends(rig.arrive(7, size=900.0)[1])
     for m in CACHES:
-        rig.router.read_report(m.server, (60.0,))
+        rig.router.load.record_report(m.server, (60.0,), rig.now)
     request, out = rig.arrive(8, size=900.0)
     assert [a.request for a in finals(out)] == [request]
     assert sends(rig.arrive(9, size=10.0)[1])
 
 
 def test_late_fills_lower_the_limit_and_timely_ones_raise_it():
-    limit = Rig().router.limit
-    limit.out = 100
+    limit = Rig().router.fill_limit
+    limit.in_flight = 100
     start = limit.limit
     for _ in range(10):
         limit.observe(True)
@@ -142,7 +142,7 @@
                     api.AttemptStatus.CONNECT_FAILED,
                 ]
             )
-            if status is api.AttemptStatus.OK and attempt.request in rig.router.open:
+            if status is api.AttemptStatus.OK and attempt.request in rig.router.open_requests:
                 answered.append(attempt.request)
             out += rig.finish(attempt, status, number=number)
         out_now += [(a, rig.numbers[a.request]) for a in sends(out)]
@@ -155,7 +155,7 @@
     rig_out = rig.run_timers(rig.now + 20 * SECOND)
     answered += [a.request for a in finals(rig_out)]
     assert sorted(answered) == asked
-    assert not rig.router.open and not rig.router.marks
+    assert not rig.router.open_requests and not rig.router.collapser.fills
 
 
 def test_tables_are_bounded():
@@ -164,5 +164,5 @@
         rig.feed(api.PurgeReceived(obj, 0, 0))
         for a in sends(rig.arrive(obj)[1]):
             rig.finish(a, note=api.AttemptDetail.FILLED)
-    assert len(rig.router.memory) <= 10 and len(rig.router.purges.made) <= 10
-    assert len(rig.router.members.orders) <= 10 and not rig.router.flights
+    assert len(rig.router.copies.by_key) <= 10 and len(rig.router.purges.purged_us) <= 10
+    assert len(rig.router.membership.orders) <= 10 and not rig.router.attempts.in_flight
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -195,7 +195,7 @@
             parent_overload_multiple=2.0,
             overload_window_us=2 * SECOND,
         )
-        rig.router.cold.born = now - 20 * SECOND
+        rig.router.slow_start.router_started_us = now - 20 * SECOND
         sent.append(sum(a.source == 200 for obj in range(20) for a in sends(rig.arrive(obj + 1)[1])))
     assert 0 < sum(map(bool, sent)) < routers
     assert sum(sent) * 0.1 <= 2.0 * 30 * 2 * (0.06 + 0.94 * 4 / 22)
@@ -208,7 +208,7 @@
 
     def sources(**changes):
         rig = Rig(members=alone, **changes)
-        rig.router.limit.limit = 1000.0
+        rig.router.fill_limit.limit = 1000.0
         sent = [sends(rig.arrive(7000 + i, size=10.0)[1])[0].source for i in range(40)]
         return sent.count(PARENTS[0].server), sent.count(ORIGIN.server)
 
--- a/tests/test_slow_start_fleet.py
+++ b/tests/test_slow_start_fleet.py
@@ -91,7 +91,7 @@
                 self.sent.get(action.server, []).append(now)
                 if action.source != action.server:
                     self.sent.get(action.source, []).append(now)
-                number = next(n for r, n in reversed(router.flights) if r == action.request)
+                number = next(n for r, n in reversed(router.attempts.in_flight) if r == action.request)
                 self.at(now + TAKES_US, self.answer, index, router, action, number)
             elif isinstance(action, api.SetTimer):
                 self.at(now + action.delay_us, self.timer, index, router, action.token)
@@ -189,7 +189,7 @@
 
     def start(self, index):
         router = super().start(index)
-        router.cold.allows = lambda member, now, work: True
+        router.slow_start.admits = lambda member, now, work: True
         return router
 
 
