--- a/rookbend/fronts/platform.py
+++ b/rookbend/fronts/platform.py
@@ -126,7 +126,7 @@
             events, broken = error.events, True
         if events:
             self.asked, self.begun_us = True, 0
-        if self.parser.begun:
+        if self.parser.has_partial:
             self.begun_us = self.begun_us or now
         for event in events:
             kind = type(event)
--- a/rookbend/net/buffered_socket.py
+++ b/rookbend/net/buffered_socket.py
@@ -1,118 +1,126 @@
-"""A non-blocking TCP connection: what one turn of the loop writes goes out together, at its end."""
+"""A non-blocking TCP connection: what one turn of the event loop writes goes out together, at its end."""
 
 from __future__ import annotations
 
 import contextlib
 import socket
 from collections import deque
+from collections.abc import Callable
 
 import trio
 
-RECEIVE = 1 << 18
-GATHERED = 512  # parts that one call takes
+RECEIVE_BYTES = 1 << 18
+MAX_SEND_PARTS = 512  # buffers that one `sendmsg` takes
 
 
-class Outbox:
-    """The channels written to in this turn of the loop. One send for many answers saves most of the calls."""
+class WriteScheduler:
+    """The sockets written to in this turn of the event loop, sent at its end: one send for many answers."""
 
-    def __init__(self):
-        self.dirty: list[Channel] = []
-        self._woken = trio.Event()
+    def __init__(self) -> None:
+        self._pending: list[BufferedSocket] = []
+        self._wakeup = trio.Event()
 
-    def add(self, channel: Channel) -> None:
-        """The channel has something to send."""
-        if not self.dirty:
-            self._woken.set()
-        self.dirty.append(channel)
+    def add(self, buffered_socket: BufferedSocket) -> None:
+        """Has the socket sent at the end of this turn."""
+        if not self._pending:
+            self._wakeup.set()
+        self._pending.append(buffered_socket)
 
     def flush(self) -> None:
-        """Sends what all of them have."""
-        dirty, self.dirty = self.dirty, []
-        for channel in dirty:
-            channel.send()
+        """Sends what the scheduled sockets have buffered."""
+        pending, self._pending = self._pending, []
+        for buffered_socket in pending:
+            buffered_socket.send()
 
     async def run(self) -> None:
-        """Flushes at the end of each turn in which something was written."""
+        """Flushes at the end of each turn in which something was written; runs until cancelled."""
         while True:
-            await self._woken.wait()
-            self._woken = trio.Event()
+            await self._wakeup.wait()
+            self._wakeup = trio.Event()
             self.flush()
 
 
-class Channel:
-    """Takes bytes at any time; a backlog is what the socket has not taken at once."""
+class BufferedSocket:
+    """A socket that takes bytes at any time and keeps in a backlog what the kernel has not taken at once.
 
-    def __init__(self, sock: socket.socket, nursery: trio.Nursery, outbox: Outbox):
-        self.sock, self._nursery, self._outbox = sock, nursery, outbox
-        self._fresh: list[bytes] = []  # written in this turn
+    Errors of the socket are not raised: `broken` is set, and the reader sees the end of the connection.
+    Owns `sock`: `close` must be called.
+    """
+
+    def __init__(self, sock: socket.socket, nursery: trio.Nursery, scheduler: WriteScheduler) -> None:
+        self.sock = sock
+        self._nursery = nursery
+        self._scheduler = scheduler
+        self._buffered: list[bytes] = []  # written in this turn
         self._backlog: deque[memoryview] = deque()
-        self.queued = 0  # bytes in the backlog
-        self.accepted = 0  # bytes taken by `write`
-        self.written = 0  # bytes that the socket has taken
-        self.progress_at = 0.0  # when it last took some
-        self.closed = self.broken = False
-        self.at_end = False  # the other side's end was read, or its reset
+        self.backlog_bytes = 0
+        self.accepted_bytes = 0  # taken by `write`
+        self.sent_bytes = 0  # taken by the kernel
+        self.last_progress_s = 0.0  # trio's time of the last send with a backlog
+        self.closed = False
+        self.broken = False  # shut down both ways, by an error or by `abort`
+        self.eof_received = False  # the peer's end was read, or its reset
         self.reset = False  # that end was a reset
-        self._finishing = False  # our side is to be closed once the backlog has gone
-        self.on_drained = None  # called when a backlog has gone out, or never will
+        self._finishing = False  # the sending side is closed once the backlog has gone
+        self.on_drained: Callable[[], None] | None = None  # called when a backlog has gone out, or never will
 
     @property
-    def unsent(self) -> int:
-        """Bytes taken that the socket has not; none once the connection is at its end."""
-        return 0 if self.closed or self.broken else self.accepted - self.written
+    def unsent_bytes(self) -> int:
+        """Bytes accepted that the kernel has not taken; 0 once the connection is closed or broken."""
+        return 0 if self.closed or self.broken else self.accepted_bytes - self.sent_bytes
 
     def write(self, data: bytes) -> None:
-        """Takes the bytes whole; an error shows at the next read."""
+        """Buffers the bytes for the end of this turn; ignored once the connection is closed, broken or finishing."""
         if self.closed or self.broken or self._finishing:
             return
-        if not self._fresh:
-            self._outbox.add(self)
-        self._fresh.append(data)
-        self.accepted += len(data)
+        if not self._buffered:
+            self._scheduler.add(self)
+        self._buffered.append(data)
+        self.accepted_bytes += len(data)
 
     def withdraw(self, size: int) -> bool:
-        """Takes the last `size` bytes back if nothing of them is out; tells whether it did."""
-        if self.closed or self.broken or self.accepted - self.written < size:
+        """Takes the last `size` bytes back if none of them is sent; returns whether it did."""
+        if self.closed or self.broken or self.accepted_bytes - self.sent_bytes < size:
             return False
-        unsent = b"".join(self._fresh) if self._fresh else b""
+        unsent = b"".join(self._buffered) if self._buffered else b""
         if unsent:
             if len(unsent) < size:
                 return False
-            self._fresh = [unsent[:-size]] if len(unsent) > size else []
+            self._buffered = [unsent[:-size]] if len(unsent) > size else []
         elif self._backlog and len(self._backlog[-1]) >= size:
-            kept = self._backlog.pop()[:-size]
-            if kept:
-                self._backlog.append(kept)
-            self.queued -= size
+            remaining = self._backlog.pop()[:-size]
+            if remaining:
+                self._backlog.append(remaining)
+            self.backlog_bytes -= size
         else:
             return False
-        self.accepted -= size
+        self.accepted_bytes -= size
         return True
 
     def send(self) -> None:
-        """Hands what is fresh to the socket."""
-        fresh, self._fresh = self._fresh, []
-        if self.closed or self.broken or not fresh:
+        """Sends what is buffered; what the kernel does not take goes to the backlog."""
+        buffered, self._buffered = self._buffered, []
+        if self.closed or self.broken or not buffered:
             return
-        if len(fresh) > GATHERED:
-            fresh = [b"".join(fresh)]
-        size, sent = self.accepted - self.written - self.queued, 0
+        if len(buffered) > MAX_SEND_PARTS:
+            buffered = [b"".join(buffered)]
+        size, sent = self.accepted_bytes - self.sent_bytes - self.backlog_bytes, 0
         if not self._backlog:
             try:
                 # All parts in one call, with none of them copied together first.
-                sent = self.sock.send(fresh[0]) if len(fresh) == 1 else self.sock.sendmsg(fresh)
+                sent = self.sock.send(buffered[0]) if len(buffered) == 1 else self.sock.sendmsg(buffered)
             except BlockingIOError:
                 pass
             except OSError:
-                return self.shut()
-            self.written += sent
+                return self.abort()
+            self.sent_bytes += sent
             if sent == size:
                 return
-            self.progress_at = trio.current_time()
+            self.last_progress_s = trio.current_time()
             self._nursery.start_soon(self._flush)
-        data = fresh[0] if len(fresh) == 1 else b"".join(fresh)
+        data = buffered[0] if len(buffered) == 1 else b"".join(buffered)
         self._backlog.append(memoryview(data)[sent:])
-        self.queued += len(data) - sent
+        self.backlog_bytes += len(data) - sent
 
     async def _flush(self) -> None:
         backlog = self._backlog
@@ -122,15 +130,15 @@
                 if not backlog:
                     break  # broken, closed or withdrawn while this waited
                 sent = self.sock.send(backlog[0])
-                self.written += sent
-                self.queued -= sent
-                self.progress_at = trio.current_time()
+                self.sent_bytes += sent
+                self.backlog_bytes -= sent
+                self.last_progress_s = trio.current_time()
                 if sent == len(backlog[0]):
                     backlog.popleft()
                 else:
                     backlog[0] = backlog[0][sent:]
         except (OSError, trio.ClosedResourceError):
-            return self.shut()
+            return self.abort()
         if self.closed or self.broken:
             return
         if self._finishing:
@@ -139,8 +147,8 @@
             self.on_drained()
 
     async def receive(self) -> bytes:
-        """The next bytes; empty at the end of the connection, however it came."""
-        while not (self.closed or self.at_end):
+        """The next bytes; empty at the end of the connection, whatever ended it."""
+        while not (self.closed or self.eof_received):
             try:
                 await trio.lowlevel.wait_readable(self.sock)
             except trio.ClosedResourceError:
@@ -150,22 +158,22 @@
         return b""
 
     def receive_now(self) -> bytes:
-        """The bytes that are there already; empty where there are none, or at the end (`at_end`)."""
-        if self.closed or self.at_end:
+        """The bytes that can be read without waiting; empty where there are none, or at the end (`eof_received`)."""
+        if self.closed or self.eof_received:
             return b""
         try:
-            data = self.sock.recv(RECEIVE)
+            data = self.sock.recv(RECEIVE_BYTES)
         except BlockingIOError:
             return b""
         except OSError:
-            self.at_end = self.reset = True
+            self.eof_received = self.reset = True
             return b""
-        self.at_end = not data
+        self.eof_received = not data
         return data
 
     def peer_has_closed(self) -> bool:
-        """Whether the other side's end, or its reset, is the next thing to be read."""
-        if self.closed or self.at_end:
+        """Whether the peer's end, or its reset, is the next thing to be read."""
+        if self.closed or self.eof_received:
             return True
         try:
             return not self.sock.recv(1, socket.MSG_PEEK)
@@ -175,7 +183,7 @@
             return True
 
     def finish(self) -> None:
-        """Sends what was taken and closes the sending side; the reader goes on to the other side's end."""
+        """Sends what is buffered, then closes the sending side; the reader goes on to the peer's end."""
         self.send()
         self._finishing = True
         if not (self.closed or self.broken or self._backlog):
@@ -185,32 +193,32 @@
         try:
             self.sock.shutdown(socket.SHUT_WR)
         except OSError:
-            self.shut()
+            self.abort()
 
-    def shut(self) -> None:
-        """Breaks the connection both ways; the reader sees its end and closes it."""
+    def abort(self) -> None:
+        """Shuts the connection down both ways and drops the backlog; the reader sees its end and closes it."""
         if self.closed or self.broken:
             return
         self.broken = True
         self._backlog.clear()
-        self.queued = 0
+        self.backlog_bytes = 0
         with contextlib.suppress(OSError):
             self.sock.shutdown(socket.SHUT_RDWR)
         if self.on_drained is not None:
             self.on_drained()
 
     def close(self) -> None:
-        """Ends the connection at once; who waits on it hears of its end."""
+        """Closes the socket at once; tasks that wait on it are woken."""
         if not self.closed:
             self.closed = True
             self._backlog.clear()
-            self.queued = 0
+            self.backlog_bytes = 0
             trio.lowlevel.notify_closing(self.sock)
             self.sock.close()
 
 
 def prepare(sock: socket.socket) -> socket.socket:
-    """A socket as channels want it: without blocking, and without delay for small writes."""
+    """The same socket made non-blocking, and without delay for small writes (TCP_NODELAY)."""
     sock.setblocking(False)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     return sock
--- a/rookbend/net/checks.py
+++ b/rookbend/net/checks.py
@@ -14,7 +14,7 @@
 from rookbend.core.clock import Clock
 from rookbend.health.model import AgentHeard, CheckEnded
 from rookbend.health.service import Desk
-from rookbend.net.member_connection import open_socket
+from rookbend.net.connector import open_socket
 from rookbend.net.scheduling import Runner
 from rookbend.scheduling.scheduler import Plan
 from rookbend.settings import Check
--- a/rookbend/net/client_connection.py
+++ b/rookbend/net/client_connection.py
@@ -15,7 +15,7 @@
 import trio
 
 from rookbend.fronts.platform import PlatformSession
-from rookbend.net.buffered_socket import Channel, prepare
+from rookbend.net.buffered_socket import BufferedSocket, prepare
 
 if TYPE_CHECKING:
     from rookbend.net.client_listener import FrontServer
@@ -38,74 +38,74 @@
 
     def __init__(self, server: FrontServer, sock: socket.socket, nursery: trio.Nursery):
         self.server, self.phase = server, ClientPhase.OPEN
-        self.channel = Channel(prepare(sock), nursery, server.outbox)
-        self.channel.on_drained = self._drained
-        self.session = PlatformSession(server.front, self.channel.write)
+        self.socket = BufferedSocket(prepare(sock), nursery, server.outbox)
+        self.socket.on_drained = self._drained
+        self.session = PlatformSession(server.front, self.socket.write)
         self._reading = trio.CancelScope()
         self._dropped = 0  # bytes that came after our end
 
     @property
     def idle(self) -> bool:
         """Whether nothing is owed to this client, and its connection may be ended."""
-        return self.phase is ClientPhase.OPEN and not self.session.open_streams and not self.channel.unsent
+        return self.phase is ClientPhase.OPEN and not self.session.open_streams and not self.socket.unsent_bytes
 
     @property
     def held_bytes(self) -> int:
         """Memory that this client holds: answers that it has not taken, and requests that wait for that."""
-        return self.channel.queued + self.session.held_bytes
+        return self.socket.backlog_bytes + self.session.held_bytes
 
     async def run(self) -> None:
         """Serves the client until the connection has ended."""
         try:
             with self._reading:
                 await self._read()
-                if self.phase is ClientPhase.OPEN and not self.channel.reset:
+                if self.phase is ClientPhase.OPEN and not self.socket.reset:
                     await self._answer_what_is_owed()
         finally:
             self.session.gone()
             self.server.forget(self)
-            self.channel.on_drained = None
-            self.channel.send()
-            self.channel.close()
+            self.socket.on_drained = None
+            self.socket.send()
+            self.socket.close()
 
     async def _read(self) -> None:
-        while data := await self.channel.receive():
+        while data := await self.socket.receive():
             if self.phase is ClientPhase.OPEN:
-                self._take(data + self.channel.receive_now())
+                self._take(data + self.socket.receive_now())
             else:
                 self._dropped += len(data)
                 if self._dropped > DROPPED_MOST_BYTES:
                     return
-        if self.phase is ClientPhase.OPEN and not self.channel.reset:
+        if self.phase is ClientPhase.OPEN and not self.socket.reset:
             self.session.client_left()
 
     def _take(self, data: bytes) -> None:
-        if self.channel.at_end:
+        if self.socket.eof_received:
             # Guards a request whose client has left already: it may have waited unread behind a late loop or
             # in the listener's backlog, and no attempt begins for a client that has gone.
             self.session.client_left()
-        self.session.paused = self.channel.queued > PAUSE_ABOVE_BYTES
+        self.session.paused = self.socket.backlog_bytes > PAUSE_ABOVE_BYTES
         if not self.session.feed(data):
             self.server.counters.clients_dropped += 1
             self.finish()
 
     def _drained(self) -> None:
-        if not self.channel.broken:
+        if not self.socket.broken:
             self.session.resume()
 
     async def _answer_what_is_owed(self) -> None:
         """A client may close only its sending side: an answer that is on its way still goes out whole."""
-        channel = self.channel
-        while (self.session.open_streams or channel.unsent) and not (channel.closed or channel.broken):
+        sock = self.socket
+        while (self.session.open_streams or sock.unsent_bytes) and not (sock.closed or sock.broken):
             await trio.sleep(OWED_STEP_S)
 
     def let_go(self, wait_us: int = FINISH_US) -> bool:
         """Ends the connection of an idle client, unless something has come on it that was not read yet;
         tells whether it did."""
-        if data := self.channel.receive_now():
+        if data := self.socket.receive_now():
             self._take(data)
             return False
-        if not self.channel.at_end:
+        if not self.socket.eof_received:
             self.finish(wait_us)
         return True
 
@@ -115,6 +115,6 @@
             return
         self.phase = ClientPhase.FINISHING
         self.session.gone()
-        self.channel.finish()
+        self.socket.finish()
         clock = self.server.front.engine.clock
         self._reading.deadline = clock.monotonic_at(clock.now() + wait_us)
--- a/rookbend/net/client_listener.py
+++ b/rookbend/net/client_listener.py
@@ -9,7 +9,7 @@
 from rookbend.core.counters import Counters
 from rookbend.fronts.platform import PlatformFront
 from rookbend.net.acceptor import accept
-from rookbend.net.buffered_socket import Outbox
+from rookbend.net.buffered_socket import WriteScheduler
 from rookbend.net.client_connection import FINISH_US, ClientConnection, ClientPhase
 
 NEWCOMER_US = 250_000  # a client that says nothing may be let go this long after it connected
@@ -23,7 +23,9 @@
 class FrontServer:
     """Bounds what clients may hold: connections, and unsent bytes of one and of all together."""
 
-    def __init__(self, front: PlatformFront, most_clients: int, most_unsent: int, counters: Counters, outbox: Outbox):
+    def __init__(
+        self, front: PlatformFront, most_clients: int, most_unsent: int, counters: Counters, outbox: WriteScheduler
+    ):
         self.front, self.counters, self.outbox = front, counters, outbox
         self.most_clients, self.most_unsent = most_clients, most_unsent
         self.open: dict[ClientConnection, None] = {}  # in the order in which they came
@@ -87,7 +89,7 @@
             now, stale = clock.now(), trio.current_time() - STALLED_S
             for client in list(self.open):
                 due = client.session.due_us
-                if client.phase is ClientPhase.OPEN and not client.channel.unsent and due and due <= now:
+                if client.phase is ClientPhase.OPEN and not client.socket.unsent_bytes and due and due <= now:
                     if client.session.begun_us:
                         client.session.reject()
                         client.finish()
@@ -97,11 +99,11 @@
             full = sorted((c for c in self.open if c.held_bytes), key=lambda c: c.held_bytes)
             held = sum(c.held_bytes for c in full)
             for client in reversed(full):
-                stalled = client.channel.queued and client.channel.progress_at < stale
+                stalled = client.socket.backlog_bytes and client.socket.last_progress_s < stale
                 if stalled or held > self.most_unsent:
                     held -= client.held_bytes
                     self.counters.clients_dropped += 1
-                    client.channel.shut()
+                    client.socket.abort()
 
     def _let_go(self, client: ClientConnection, wait_us: int) -> bool:
         """Ends an idle client's connection; False where something has come on it just now."""
--- a/rookbend/net/component.py
+++ b/rookbend/net/component.py
@@ -16,7 +16,7 @@
     from rookbend.core.engine import Engine
     from rookbend.health.spare_capacity import Sample
     from rookbend.logs import Log
-    from rookbend.net.buffered_socket import Outbox
+    from rookbend.net.buffered_socket import WriteScheduler
     from rookbend.net.listeners import Listeners
     from rookbend.net.watch import Watch
     from rookbend.settings import Settings
@@ -33,7 +33,7 @@
     clock: Clock
     counters: Counters
     log: Log
-    outbox: Outbox
+    outbox: WriteScheduler
     most_clients: int
     phase: Callable[[], str]  # the lifecycle's, by name
     sample: Callable[[], Sample]  # what is measured of ourselves
--- a/rookbend/net/dns.py
+++ b/rookbend/net/dns.py
@@ -14,10 +14,10 @@
 from rookbend.core.clock import Clock
 from rookbend.fronts.dns import DnsFront
 from rookbend.net.acceptor import accept
-from rookbend.net.buffered_socket import Channel, Outbox, prepare
+from rookbend.net.buffered_socket import BufferedSocket, WriteScheduler, prepare
 from rookbend.net.component import Part
+from rookbend.net.connector import open_socket
 from rookbend.net.listeners import Listeners
-from rookbend.net.member_connection import open_socket
 from rookbend.protocol.dns import (
     LONGEST_MESSAGE,
     TcpMessages,
@@ -51,7 +51,7 @@
 
     descriptors = TCP_CLIENTS + 32  # its clients, and lookups at the resolver
 
-    def __init__(self, front: DnsFront, clock: Clock, address: tuple[str, int], outbox: Outbox):
+    def __init__(self, front: DnsFront, clock: Clock, address: tuple[str, int], outbox: WriteScheduler):
         self.front, self.clock, self.wanted, self.outbox = front, clock, address, outbox
         self.clients = 0
 
@@ -93,9 +93,9 @@
         if self.clients >= TCP_CLIENTS:
             return sock.close()
         self.clients += 1
-        nursery.start_soon(self._client, Channel(prepare(sock), nursery, self.outbox))
+        nursery.start_soon(self._client, BufferedSocket(prepare(sock), nursery, self.outbox))
 
-    async def _client(self, channel: Channel) -> None:
+    async def _client(self, channel: BufferedSocket) -> None:
         messages, owed, settled = TcpMessages(), 0, trio.Event()
 
         def respond(reply: dns.message.Message) -> None:
--- a/rookbend/net/health.py
+++ b/rookbend/net/health.py
@@ -10,7 +10,7 @@
 from rookbend.core.clock import Clock
 from rookbend.health.own_status import Standing
 from rookbend.health.spare_capacity import Headroom, Sample
-from rookbend.net.buffered_socket import Channel, Outbox
+from rookbend.net.buffered_socket import BufferedSocket, WriteScheduler
 from rookbend.net.component import Part
 from rookbend.net.http_server import IDLE_US, SmallServer, serve_http
 from rookbend.protocol import health as http_health
@@ -46,11 +46,11 @@
 
 
 def agent_server(
-    address: tuple[str, int], clock: Clock, outbox: Outbox, standing: Callable[[], Standing]
+    address: tuple[str, int], clock: Clock, outbox: WriteScheduler, standing: Callable[[], Standing]
 ) -> SmallServer:
     """Says one line to each who connects, and closes."""
 
-    async def client(channel: Channel) -> None:
+    async def client(channel: BufferedSocket) -> None:
         s = standing()
         channel.write(write_line(s.admin, s.up, s.weight, s.most_connections, s.reason))
 
@@ -58,13 +58,13 @@
 
 
 def http_server(
-    address: tuple[str, int], clock: Clock, outbox: Outbox, standing: Callable[[], Standing]
+    address: tuple[str, int], clock: Clock, outbox: WriteScheduler, standing: Callable[[], Standing]
 ) -> SmallServer:
     def handle(request) -> tuple[int, bytes, str]:
         s = standing()
         return (*http_health.answer(request, s.taking, s.state), "text/plain")
 
-    async def client(channel: Channel) -> None:
+    async def client(channel: BufferedSocket) -> None:
         await serve_http(channel, handle)
 
     return SmallServer(address, clock, outbox, client)
@@ -73,12 +73,14 @@
 class GrpcServer(SmallServer):
     """Check and Watch. Watchers stay, and hear of each change at once."""
 
-    def __init__(self, address: tuple[str, int], clock: Clock, outbox: Outbox, standing: Callable[[], Standing]):
+    def __init__(
+        self, address: tuple[str, int], clock: Clock, outbox: WriteScheduler, standing: Callable[[], Standing]
+    ):
         super().__init__(address, clock, outbox, self._grpc, lasting=True)
         self.standing = standing
-        self.open_now: dict[Channel, object] = {}
+        self.open_now: dict[BufferedSocket, object] = {}
 
-    async def _grpc(self, channel: Channel) -> None:
+    async def _grpc(self, channel: BufferedSocket) -> None:
         from rookbend.protocol.grpc_health import NOT_SERVING, SERVING, GrpcServe
 
         grpc = GrpcServe(lambda: SERVING if self.standing().taking else NOT_SERVING)
--- a/rookbend/net/http_server.py
+++ b/rookbend/net/http_server.py
@@ -10,7 +10,7 @@
 
 from rookbend.core.clock import Clock
 from rookbend.net.acceptor import accept
-from rookbend.net.buffered_socket import Channel, Outbox, prepare
+from rookbend.net.buffered_socket import BufferedSocket, WriteScheduler, prepare
 from rookbend.net.component import Part
 from rookbend.net.listeners import Listeners
 from rookbend.protocol.http_serve import HttpRequest, HttpServe
@@ -28,8 +28,8 @@
         self,
         address: tuple[str, int],
         clock: Clock,
-        outbox: Outbox,
-        client: Callable[[Channel], Awaitable[None]],
+        outbox: WriteScheduler,
+        client: Callable[[BufferedSocket], Awaitable[None]],
         lasting: bool = False,
     ):
         self.wanted, self.clock, self.outbox = address, clock, outbox
@@ -52,9 +52,9 @@
         if self.clients >= CLIENTS:
             return sock.close()
         self.clients += 1
-        nursery.start_soon(self._client, Channel(prepare(sock), nursery, self.outbox))
+        nursery.start_soon(self._client, BufferedSocket(prepare(sock), nursery, self.outbox))
 
-    async def _client(self, channel: Channel) -> None:
+    async def _client(self, channel: BufferedSocket) -> None:
         try:
             with trio.CancelScope() as scope:
                 if not self.lasting:
@@ -69,7 +69,7 @@
 Reply = tuple[int, bytes, str]
 
 
-async def serve_http(channel: Channel, handle: Callable[[HttpRequest], Reply | Awaitable[Reply]]) -> None:
+async def serve_http(channel: BufferedSocket, handle: Callable[[HttpRequest], Reply | Awaitable[Reply]]) -> None:
     """Answers each request of a connection by `handle`: (status, body, content type), or one to wait for."""
     http = HttpServe()
     while not http.ended:
--- a/rookbend/net/leases.py
+++ b/rookbend/net/leases.py
@@ -16,7 +16,7 @@
 from rookbend.leases import leader_tasks, sharded_checks
 from rookbend.leases.lease import Terms
 from rookbend.net.component import Part, Site
-from rookbend.net.member_connection import open_socket
+from rookbend.net.connector import open_socket
 from rookbend.net.recovery import LIFE_BITS
 from rookbend.protocol.leases import is_ours
 from rookbend.recovery.coordinator import OrderLearnt
--- a/rookbend/net/member_connection.py
+++ b/rookbend/net/member_connection.py
@@ -1,214 +1,225 @@
-"""One connection to a member, with what is out on it, and reading what comes on it."""
+"""One connection to a member: the attempts in flight on it, and the loop that reads their answers."""
 
 from __future__ import annotations
 
-import errno
 import math
-import socket
-from collections import deque
-from typing import TYPE_CHECKING, NamedTuple
+from dataclasses import dataclass
+from enum import Enum
+from typing import Protocol
 
 import trio
 
-from rookbend.core.model import Attempt, AttemptResult
+from rookbend.core.clock import Clock
+from rookbend.core.model import Attempt
 from rookbend.interface import AttemptStatus
-from rookbend.net.buffered_socket import Channel, prepare
+from rookbend.net.buffered_socket import BufferedSocket
 from rookbend.protocol import cache_lines
 
-if TYPE_CHECKING:
-    from rookbend.net.member_pool import MemberPool
+CLOSE_TIMEOUT_US = 500_000  # from the close of our side to dropping a connection that the member leaves open
+MAX_DISCARDED_BYTES = 1 << 20  # read and dropped on it in that time
+MAX_REMEMBERED_IDS = 512
+ANSWER_TIMEOUT_US = 500_000  # from the first byte of an answer to its last
 
-GONE_US = 500_000  # a connection closed on our side is dropped if the other has not by then
-UNREAD = 1 << 20  # bytes passed over on it in that time
-IDS_KEPT = 512  # ids of past requests that a connection remembers
-ANSWER_US = 500_000  # an answer that has begun is whole by then, or it never will be
 
+class ConnectionState(Enum):
+    """The life of a connection. Whether it is idle is no state of its own: see `MemberConnection.is_idle`."""
 
-class Span(NamedTuple):
-    """Where a request stands in the bytes written on a connection."""
+    NEW = "new"  # no attempt was written yet
+    ACTIVE = "active"
+    DRAINING = "draining"  # nothing new is written; what is in flight may still be answered
+    CLOSED = "closed"  # our side is closed, the member's end is awaited
 
-    start: int
-    end: int
+
+_NEW, _ACTIVE = ConnectionState.NEW, ConnectionState.ACTIVE  # read for each request: a module's name is cheaper
+
+
+@dataclass(slots=True)
+class InFlightAttempt:
+    """An attempt written to a connection, and where its bytes lie in all that was written there."""
+
+    attempt: Attempt
+    start_byte: int
+    end_byte: int
+
+
+class ConnectionOwner(Protocol):
+    """Who opened a connection: is told what happens on it, and settles its attempts."""
+
+    def answers_received(self, connection: MemberConnection, answers: list[cache_lines.CacheAnswer]) -> None:
+        """Whole answers were read; some may be to requests that are no longer in flight."""
+
+    def read_processed(self, connection: MemberConnection) -> None:
+        """All that came with one read was processed: there may be capacity for more."""
+
+    def protocol_violated(self, connection: MemberConnection, reason: str) -> None:
+        """The member sent what is no answer; the connection closes next."""
+
+    def connection_lost(self, connection: MemberConnection) -> None:
+        """The connection has ended: the owner calls `close`, and settles what was in flight."""
+
+    def cancel(self, connection: MemberConnection, attempt: Attempt) -> AttemptStatus:
+        """Gives up an attempt in flight on the connection; see `Backend.undo`."""
 
 
 class MemberConnection:
-    """One connection to a member, and the attempts that are out on it."""
-
-    def __init__(self, member_pool: MemberPool, channel: Channel, load_report_fields: tuple[str, ...]):
-        self.member_pool, self.channel, self.parser = member_pool, channel, cache_lines.AnswerParser(load_report_fields)
-        self.open: dict[str, Attempt] = {}
-        self.spans: dict[str, Span] = {}  # of the requests in `open`
-        self.undone: dict[str, None] = {}  # ids given up here; the member may not know it yet
-        self.answered: dict[str, None] = {}  # ids answered here; a second copy of it may still come
-        self.heard_us = self.used_us = 0
-        self.unused = True
-        self.suspect = False  # silent: nothing new goes out on it
-        self.ended = False  # closed on our side, the other side's end is awaited
-        self.reading = trio.CancelScope()
-
-    def takes(self, rid: str) -> bool:
-        """Whether a request may go out on it at all. An id given up here may still have an answer on its
-        way: it is not used here again."""
+    """One connection to a member, and the attempts in flight on it, by request id."""
+
+    def __init__(
+        self, owner: ConnectionOwner, sock: BufferedSocket, clock: Clock, load_report_fields: tuple[str, ...]
+    ) -> None:
+        self.owner = owner
+        self.socket = sock
+        self.clock = clock
+        self.parser = cache_lines.AnswerParser(load_report_fields)
+        self.state = ConnectionState.NEW
+        self.in_flight: dict[str, InFlightAttempt] = {}
+        self.cancelled_ids: dict[str, None] = {}  # cancelled here; the member may not know it yet
+        self.answered_ids: dict[str, None] = {}  # answered here; a second copy of the answer may still come
+        self.last_received_us = self.last_used_us = clock.now()
+        self._read_scope = trio.CancelScope()
+
+    def accepts(self, request_id: str) -> bool:
+        """Whether the request may be written here. An id cancelled here may still be answered: it is not
+        used here again."""
         return (
-            not self.suspect
-            and not self.channel.queued
-            and not self.channel.broken
-            and rid not in self.undone
-            and rid not in self.open
+            (self.state is _ACTIVE or self.state is _NEW)
+            and not self.socket.backlog_bytes
+            and not self.socket.broken
+            and request_id not in self.cancelled_ids
+            and request_id not in self.in_flight
         )
 
-    def ended_by_member(self) -> bool:
+    def closed_by_peer(self) -> bool:
         """Whether the member has closed this idle connection, though its reader has not got to it yet.
 
         Guards writes: written there, one would be reset, and a write that was reset may have run.
         """
-        if not self.open and self.channel.peer_has_closed():
-            self.suspect = True
-        return self.suspect
-
-    def whole(self, rid: str) -> bool:
-        """Whether the request's last byte has been written."""
-        return self.channel.written >= self.spans[rid].end
-
-
-class Reading:
-    """The part of `MemberPool` that opens connections and hears answers on them."""
-
-    async def _connect(self) -> None:
-        engine, sock, refused = self.pool.engine, None, False
-        began = engine.clock.now()
-        due = began + self.pool.connect_timeout_us
-        try:
-            with trio.CancelScope(deadline=engine.clock.monotonic_at(due)):
-                sock = await open_socket(self.entry.address)
-        except OSError as error:
-            refused = error.errno == errno.ECONNREFUSED
-        finally:
-            self.connecting -= 1
-            if sock is None:
-                self.pool.open_connections -= 1
-        if sock is None:
-            self.restart.connect_failed(refused, bool(self.connections))
-            return self._connect_failed(began)
-        self.pool.counters.connects += 1
-        connection = MemberConnection(
-            self, Channel(sock, self.pool.nursery, self.pool.outbox), self.pool.load_report_fields
-        )
-        connection.channel.on_drained = self.pump
-        connection.used_us = connection.heard_us = engine.clock.now()
-        self.connections.append(connection)
-        if self.restart.connected():
-            engine.member_restarted(self.entry.member.server)
-        self.pump()
-        await self._read(connection)
-
-    def _connect_failed(self, began_us: int) -> None:
-        engine = self.pool.engine
-        if any(connection.heard_us >= began_us and not connection.suspect for connection in self.connections):
-            # It answers, but takes no more connections: those there are get shared for a while.
-            self.share_until_us = engine.clock.now() + self.pool.connect_timeout_us
-            return self.pump()
-        waiting, self.waiting = self.waiting, deque()
-        for attempt in waiting:
-            engine.finished(attempt, AttemptResult(AttemptStatus.CONNECT_FAILED))
-
-    async def _read(self, connection: MemberConnection) -> None:
+        if not self.in_flight and self.socket.peer_has_closed():
+            self.stop_accepting()
+            return True
+        return False
+
+    def is_new(self, since_us: int) -> bool:
+        """Whether it was opened since then, and nothing was written on it yet."""
+        return self.state is _NEW and self.last_used_us >= since_us
+
+    def is_open(self) -> bool:
+        """Whether new attempts may be written on it at all."""
+        return self.state is _ACTIVE or self.state is _NEW
+
+    def is_idle(self) -> bool:
+        """Whether nothing is in flight."""
+        return not self.in_flight
+
+    def has_expired(self, before_us: int) -> bool:
+        """Whether it is idle, and nothing was written on it after `before_us`."""
+        return self.is_idle() and self.last_used_us <= before_us
+
+    def is_sent(self, entry: InFlightAttempt) -> bool:
+        """Whether the last byte of the attempt was taken by the kernel."""
+        return self.socket.sent_bytes >= entry.end_byte
+
+    def send(self, attempt: Attempt, data: bytes, now_us: int) -> None:
+        """Writes the attempt's command."""
+        start = self.socket.accepted_bytes
+        self.in_flight[attempt.request.request_id] = InFlightAttempt(attempt, start, start + len(data))
+        self.last_used_us, self.state = now_us, _ACTIVE
+        attempt.connection = self
+        self.socket.write(data)
+
+    def send_cancel(self, request_id: str) -> None:
+        """Tells the member that nobody waits for the request any more."""
+        remember(self.cancelled_ids, request_id)
+        self.socket.write(cache_lines.write_undo(request_id))
+
+    def withdraw(self, entry: InFlightAttempt) -> bool:
+        """Takes back an attempt of which no byte was sent; returns whether it did.
+
+        Guards those whose client has left, or whose time is over: sent on once the member reads again, the
+        request would begin long after that.
+        """
+        if self.socket.accepted_bytes != entry.end_byte:
+            return False
+        return self.socket.withdraw(entry.end_byte - entry.start_byte)
+
+    def abort_partly_sent(self, entry: InFlightAttempt) -> bool:
+        """Breaks the connection if the attempt was the last in flight, and is not sent whole: the member
+        never sees the rest. Returns whether it did."""
+        if self.is_sent(entry) or self.in_flight:
+            return False
+        self.abort()
+        return True
+
+    def stop_accepting(self) -> None:
+        """Nothing new is written here any more."""
+        if self.state is not ConnectionState.CLOSED:
+            self.state = ConnectionState.DRAINING
+
+    def abort(self) -> None:
+        """Breaks the connection both ways; `run` ends next."""
+        self.stop_accepting()
+        self.socket.abort()
+
+    def finish(self) -> None:
+        """Closes our side; `run` goes on to the member's end, for CLOSE_TIMEOUT_US at most."""
+        self.state = ConnectionState.CLOSED
+        if self.socket.backlog_bytes:
+            self.socket.abort()
+        else:
+            self.socket.finish()
+        self._read_scope.deadline = self.clock.monotonic_at(self.clock.now() + CLOSE_TIMEOUT_US)
+
+    def close(self) -> list[InFlightAttempt]:
+        """Closes the socket at once; returns what was in flight."""
+        lost = list(self.in_flight.values())
+        self.in_flight.clear()
+        self.socket.on_drained = None
+        self.socket.close()
+        return lost
+
+    async def run(self) -> None:
+        """Reads answers until the connection has ended."""
         try:
-            with connection.reading:
-                await self._read_answers(connection)
-            if connection.reading.cancelled_caught and not connection.ended:
-                await self._spoilt(connection, "an answer stopped short")
+            with self._read_scope:
+                await self._read_answers()
+            if self._read_scope.cancelled_caught and self.state is not ConnectionState.CLOSED:
+                await self._close_after_violation("an answer stopped short")
         except cache_lines.LineError as error:
-            self._take(connection, error.answers)
-            if not connection.ended:
-                await self._spoilt(connection, str(error))
+            self.owner.answers_received(self, error.answers)
+            if self.state is not ConnectionState.CLOSED:
+                await self._close_after_violation(str(error))
         finally:
-            self._lost(connection)
+            self.owner.connection_lost(self)
 
-    async def _read_answers(self, connection: MemberConnection) -> None:
+    async def _read_answers(self) -> None:
         """Reads until the connection ends, or until an answer has begun that is not whole in time. Guards
         against one that stops short: nothing else would come on that connection."""
-        clock = self.pool.engine.clock
-        while data := await connection.channel.receive():
-            connection.heard_us = now = clock.now()
-            self._take(connection, connection.parser.feed(data))
-            if connection.ended:
+        parser, clock = self.parser, self.clock
+        while data := await self.socket.receive():
+            self.last_received_us = now = clock.now()
+            self.owner.answers_received(self, parser.feed(data))
+            if self.state is ConnectionState.CLOSED:
                 continue
-            if not connection.parser.begun:
-                connection.reading.deadline = math.inf
-            elif connection.reading.deadline == math.inf:
-                connection.reading.deadline = clock.monotonic_at(now + ANSWER_US)
-            if self.waiting:
-                self.pump()
-            self.tidy(connection)
-
-    async def _spoilt(self, connection: MemberConnection, why: str) -> None:
-        """Ends a connection of no further use. What is out on it may go again once the member knows: it
-        may still be sending what we take no more of."""
-        self.pool.counters.garbage += 1
-        self.pool.engine.log("member_garbage", "warning", member=self.entry.name, reason=why)
-        connection.reading, unread = trio.CancelScope(), 0
-        self._end(connection)
-        with connection.reading:
-            while unread < UNREAD and (data := await connection.channel.receive()):
-                unread += len(data)
-
-    def _take(self, connection: MemberConnection, answers: list[cache_lines.CacheAnswer]) -> None:
-        for answer in answers:
-            attempt = connection.open.pop(answer.rid, None)
-            if attempt is not None:
-                del connection.spans[answer.rid]
-                keep_bounded(connection.answered, answer.rid)
-                self.pool.counters.written += 1
-                if not connection.open and self.connections[-1] is not connection and self.pool.share == 1:
-                    self.connections.remove(connection)
-                    self.connections.append(connection)
-                self.pool.engine.finished(attempt, answer.result_for(attempt.request.known_version))
-            # Else a second copy, an id that is none of ours, or one that its client withdrew: passed over.
-
-    def _lost(self, connection: MemberConnection) -> None:
-        self.connections.remove(connection)
-        self.restart.connection_lost(connection.channel.reset)
-        self.pool.open_connections -= 1
-        lost = [(attempt, connection.whole(rid)) for rid, attempt in connection.open.items()]
-        self.pool.counters.written += sum(whole for _, whole in lost)
-        connection.open.clear()
-        connection.channel.on_drained = None
-        connection.channel.close()
-        for attempt, whole in lost:
-            # Only a request that had not gone out whole is proven not to have run.
-            status = AttemptStatus.RESET if whole else AttemptStatus.CONNECT_FAILED
-            self.pool.engine.finished(attempt, AttemptResult(status))
-        self._release()
-        self.pump()
-
-    def _release(self) -> None:
-        held, self.held = self.held, []
-        for attempt in held:
-            if not attempt.is_finished:
-                (self.held if self._still_out(attempt.request.request_id) else self.waiting).append(attempt)
-
-
-def keep_bounded(ids: dict[str, None], rid: str) -> None:
-    """Keeps an id, and forgets the oldest beyond IDS_KEPT."""
-    ids[rid] = None
-    if len(ids) > IDS_KEPT:
+            if not parser.has_partial:
+                self._read_scope.deadline = math.inf
+            elif self._read_scope.deadline == math.inf:
+                self._read_scope.deadline = clock.monotonic_at(now + ANSWER_TIMEOUT_US)
+            self.owner.read_processed(self)
+
+    async def _close_after_violation(self, reason: str) -> None:
+        """Closes our side. What is in flight may go again once the member knows: it may still be sending
+        what is discarded here."""
+        self.owner.protocol_violated(self, reason)
+        self._read_scope = trio.CancelScope()
+        self.finish()
+        discarded = 0
+        with self._read_scope:
+            while discarded < MAX_DISCARDED_BYTES and (data := await self.socket.receive()):
+                discarded += len(data)
+
+
+def remember(ids: dict[str, None], request_id: str) -> None:
+    """Adds an id, and forgets the oldest beyond MAX_REMEMBERED_IDS."""
+    ids[request_id] = None
+    if len(ids) > MAX_REMEMBERED_IDS:
         del ids[next(iter(ids))]
-
-
-async def open_socket(address: tuple[str, int]) -> socket.socket:
-    """A connected non-blocking socket; an OSError says that the connect failed."""
-    family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
-    sock = prepare(socket.socket(family, socket.SOCK_STREAM))
-    try:
-        try:
-            sock.connect(address)
-        except BlockingIOError:
-            await trio.lowlevel.wait_writable(sock)
-            error = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-            if error:
-                raise OSError(error, "connect failed") from None
-        return sock
-    except BaseException:
-        sock.close()
-        raise
--- a/rookbend/net/member_pool.py
+++ b/rookbend/net/member_pool.py
@@ -2,114 +2,118 @@
 
 from __future__ import annotations
 
+import errno
 from collections import deque
-from typing import TYPE_CHECKING
+
+import trio
 
 from rookbend.core.model import Attempt, AttemptResult, Endpoint
 from rookbend.core.restart_detection import RestartEvidence
 from rookbend.interface import AttemptStatus
-from rookbend.net.member_connection import GONE_US, MemberConnection, Reading, Span, keep_bounded
+from rookbend.net.buffered_socket import BufferedSocket
+from rookbend.net.connection_set import ConnectionSet
+from rookbend.net.connector import open_socket
+from rookbend.net.member_connection import ConnectionState, MemberConnection, remember
+from rookbend.net.pool_context import PoolContext
 from rookbend.protocol import cache_lines
 
-if TYPE_CHECKING:
-    from rookbend.net.pool import Pool
-
-CONNECTING = 8  # connects under way to one member
-CONNECTIONS = 64  # connections to one member, where the budget of all together allows
-FRESH_MOST = 1500  # attempts a second up to which those that need it get a new connection
-FRESH_US = 100_000  # a connection not used yet is a new one for so long
+MAX_CONNECTING = 8  # connects under way to one member
 
 
-class MemberPool(Reading):
+class MemberPool:
     """One member: its connections, and the attempts that wait for one."""
 
-    def __init__(self, pool: Pool, entry: Endpoint):
-        self.pool, self.entry = pool, entry
-        self.connections: list[MemberConnection] = []
+    def __init__(self, context: PoolContext, endpoint: Endpoint) -> None:
+        self.context = context
+        self.endpoint = endpoint
+        self.connections = ConnectionSet(context)
         self.waiting: deque[Attempt] = deque()
-        self.held: list[Attempt] = []  # given up here before, and the member may not know it yet
-        self.connecting = 0
-        self.share_until_us = 0  # until then no further connection is tried
+        self.awaiting_cancel: list[Attempt] = []  # cancelled here before, and the member may not know it yet
         self.retired = False
         self.restart = RestartEvidence()
 
-    @property
-    def out_whole(self) -> int:
-        """Attempts that are out and whose last byte has gone."""
-        return sum(connection.whole(rid) for connection in self.connections for rid in connection.open)
-
     def send(self, attempt: Attempt) -> None:
-        """Writes the attempt on a connection that takes it, or has it wait for one."""
-        if attempt.number and self._still_out(attempt.request.request_id):
-            return self.held.append(attempt)
-        connection = self._connection_for(attempt)
+        """Writes the attempt on a connection that accepts it, or queues it for one."""
+        if attempt.number and self._cancel_unconfirmed(attempt.request.request_id):
+            return self.awaiting_cancel.append(attempt)
+        connection = self.connections.select(attempt)
         if connection is not None:
             return self._write(connection, attempt)
         self.waiting.append(attempt)
         self._connect_as_needed()
 
-    def _still_out(self, rid: str) -> bool:
+    def _cancel_unconfirmed(self, request_id: str) -> bool:
         """Whether the member may still be at work on an earlier attempt of this request.
 
-        Guards against a second copy: an `undo` on one connection and a `do` on the next have no order
-        between them, and the `do` came first in one case of three. The end of the old connection, seen
-        from the member's side, proves that it has read the `undo`.
+        Guards against a second copy: a cancel on one connection and a command on the next have no order
+        between them, and the command came first in one case of three. The end of the old connection, seen
+        from the member's side, proves that it has read the cancel.
         """
-        out = False
+        unconfirmed = False
         for connection in self.connections:
-            if rid in connection.undone:
-                out = connection.suspect = True
-                self.tidy(connection)
-        return out
-
-    def _connection_for(self, attempt: Attempt) -> MemberConnection | None:
-        """A connection with nothing out on it, while the director is not too busy to keep one for each.
-
-        Guards against a spoilt answer, or one that never comes: the connection is of no further use then,
-        and all that is out on it is lost with it. Shared, each took a dozen other attempts along.
-        """
-        pool, rid, least, answered = self.pool, attempt.request.request_id, None, None
-        share, fresh_since = pool.share, 0
-        if attempt.new_connection and pool.rate <= FRESH_MOST and self._may_connect():
-            fresh_since = pool.engine.clock.now() - FRESH_US
-        for connection in reversed(self.connections):  # the one used last comes first; what is spare ages and closes
-            if fresh_since and not (connection.unused and connection.used_us >= fresh_since):
-                continue
-            if connection.takes(rid) and not connection.ended_by_member():
-                if rid in connection.answered:
-                    answered = connection  # a second copy of that answer would be taken for this attempt's
-                    continue
-                if len(connection.open) < share:
-                    return connection
-                if least is None or len(connection.open) < len(least.open):
-                    least = connection
-        if self._may_connect():
-            return None
-        least = least or answered
-        return least if least is not None and len(least.open) < pool.max_streams else None
-
-    def _may_connect(self) -> bool:
-        pool = self.pool
-        return (
-            len(self.connections) + self.connecting < CONNECTIONS
-            and pool.open_connections < pool.most_connections
-            and pool.engine.clock.now() >= self.share_until_us
-        )
+            if request_id in connection.cancelled_ids:
+                unconfirmed = True
+                connection.stop_accepting()
+                self._finish_if_unused(connection)
+        return unconfirmed
 
     def _connect_as_needed(self) -> None:
-        while len(self.waiting) > self.connecting < CONNECTING and self._may_connect():
-            self.connecting += 1
-            self.pool.open_connections += 1
-            self.pool.nursery.start_soon(self._connect)
-
-    def pump(self) -> None:
-        """Gives waiting attempts the room there is now."""
+        connections = self.connections
+        while len(self.waiting) > connections.connecting < MAX_CONNECTING and connections.may_connect():
+            connections.connecting += 1
+            self.context.open_connections += 1
+            self.context.nursery.start_soon(self._connect)
+
+    async def _connect(self) -> None:
+        """Opens a connection and reads its answers until it ends."""
+        context, clock = self.context, self.context.engine.clock
+        began_us = clock.now()
+        sock = None
+        refused = False
+        try:
+            with trio.CancelScope(deadline=clock.monotonic_at(began_us + context.connect_timeout_us)):
+                sock = await open_socket(self.endpoint.address)
+        except OSError as error:
+            refused = error.errno == errno.ECONNREFUSED
+        finally:
+            self.connections.connecting -= 1
+            if sock is None:
+                context.open_connections -= 1
+        if sock is None:
+            self.restart.connect_failed(refused, bool(self.connections))
+            return self._connect_failed(began_us)
+        context.counters.connects += 1
+        with sock:
+            await self._run_connection(BufferedSocket(sock, context.nursery, context.scheduler))
+
+    async def _run_connection(self, buffered_socket: BufferedSocket) -> None:
+        context = self.context
+        buffered_socket.on_drained = self.dispatch_waiting
+        connection = MemberConnection(self, buffered_socket, context.engine.clock, context.load_report_fields)
+        self.connections.open.append(connection)
+        if self.restart.connected():
+            context.engine.member_restarted(self.endpoint.member.server)
+        self.dispatch_waiting()
+        await connection.run()
+
+    def _connect_failed(self, began_us: int) -> None:
+        engine = self.context.engine
+        if any(c.last_received_us >= began_us and c.is_open() for c in self.connections):
+            # It answers, but takes no more connections: those there are get shared for a while.
+            self.connections.backoff_until_us = engine.clock.now() + self.context.connect_timeout_us
+            return self.dispatch_waiting()
+        waiting, self.waiting = self.waiting, deque()
+        for attempt in waiting:
+            engine.finished(attempt, AttemptResult(AttemptStatus.CONNECT_FAILED))
+
+    def dispatch_waiting(self) -> None:
+        """Writes waiting attempts to the connections that accept them now, and opens more as needed."""
         waiting = self.waiting
         for _ in range(len(waiting)):
             attempt = waiting.popleft()
             if attempt.is_finished:
                 continue
-            connection = self._connection_for(attempt)
+            connection = self.connections.select(attempt)
             if connection is None:
                 waiting.append(attempt)
             else:
@@ -119,84 +123,107 @@
 
     def _write(self, connection: MemberConnection, attempt: Attempt) -> None:
         """The last check, then the bytes, with nothing in between."""
-        engine = self.pool.engine
+        engine = self.context.engine
         if not engine.may_write(attempt):
             engine.counters.withheld += 1
             return engine.finished(attempt, AttemptResult(AttemptStatus.MOOT))
         now = engine.clock.now()
         source = engine.endpoints[attempt.source].name if attempt.source else ""
-        data = cache_lines.write_do(attempt, now, source)
-        rid, channel = attempt.request.request_id, connection.channel
-        connection.open[rid] = attempt
-        connection.spans[rid] = Span(channel.accepted, channel.accepted + len(data))
-        connection.used_us, connection.unused = now, False
-        attempt.connection = connection
-        channel.write(data)
-
-    def undo(self, connection: MemberConnection, attempt: Attempt) -> AttemptStatus:
-        """Gives an attempt up that was written to this connection; see `Backend.undo`."""
-        rid, now = attempt.request.request_id, self.pool.engine.clock.now()
-        span = connection.spans.pop(rid)
-        del connection.open[rid]
-        if self._taken_back(connection, span):
+        connection.send(attempt, cache_lines.write_do(attempt, now, source), now)
+
+    def cancel(self, connection: MemberConnection, attempt: Attempt) -> AttemptStatus:
+        """Gives up an attempt in flight on this connection; see `Backend.undo`."""
+        request_id, now = attempt.request.request_id, self.context.engine.clock.now()
+        entry = connection.in_flight.pop(request_id)
+        if connection.withdraw(entry):
+            self._finish_if_unused(connection)
             return AttemptStatus.CONNECT_FAILED
-        keep_bounded(connection.undone, rid)
-        connection.channel.write(cache_lines.write_undo(rid))
-        self.pool.counters.undone += 1
-        self.pool.counters.written += 1  # before the `undo`, in any case
+        if connection.abort_partly_sent(entry):
+            return AttemptStatus.CONNECT_FAILED
+        connection.send_cancel(request_id)
+        self.context.counters.undone += 1
+        self.context.counters.written += 1  # before the cancel, in any case
         late = attempt.due_us <= now
-        silent = connection.heard_us < attempt.sent_us and now - attempt.sent_us > self.pool.connect_timeout_us
+        silent = (
+            connection.last_received_us < attempt.sent_us and now - attempt.sent_us > self.context.connect_timeout_us
+        )
         if late or silent:
             # A vanished machine leaves its connections open and silent, and an answer that did not come in
             # its time leaves one of no further use: what comes next takes another.
-            connection.suspect = True
-        self.tidy(connection)
-        # Guards a write: it is out, or shares a connection that goes on, and may have run.
+            connection.stop_accepting()
+        self._finish_if_unused(connection)
+        # Guards a write: it was sent, or shares a connection that goes on, and may have run.
         return AttemptStatus.TIMEOUT
 
-    def _taken_back(self, connection: MemberConnection, span: Span) -> bool:
-        """Whether the member will never see this request whole: its bytes wait here behind a full socket.
-
-        Guards those whose client has left, or whose time is over: sent on once the member reads again, the
-        request would begin long after that.
-        """
-        channel = connection.channel
-        if channel.accepted == span.end and channel.withdraw(span.end - span.start):
-            self.tidy(connection)
-            return True
-        if channel.written < span.end and not connection.open:
-            connection.suspect = True
-            channel.shut()  # a part is out, and the rest never follows
-            return True
-        return False
-
-    def tidy(self, connection: MemberConnection) -> None:
-        """Ends a connection that is of no further use, once nothing is out on it."""
-        if (connection.suspect or self.retired) and not connection.open and not connection.ended:
-            self._end(connection)
-
-    def _end(self, connection: MemberConnection) -> None:
-        """Closes our side; the reader waits a while for the member's."""
-        connection.suspect = connection.ended = True
-        if connection.channel.queued:
-            connection.channel.shut()
-        else:
-            connection.channel.finish()
-        clock = self.pool.engine.clock
-        connection.reading.deadline = clock.monotonic_at(clock.now() + GONE_US)
+    # What connections report: see `ConnectionOwner`.
+
+    def answers_received(self, connection: MemberConnection, answers: list[cache_lines.CacheAnswer]) -> None:
+        """Settles the attempts that were answered."""
+        connections, context = self.connections, self.context
+        for answer in answers:
+            entry = connection.in_flight.pop(answer.request_id, None)
+            if entry is not None:
+                remember(connection.answered_ids, answer.request_id)
+                context.counters.written += 1
+                if (
+                    not connection.in_flight
+                    and connections.open[-1] is not connection
+                    and context.streams_per_connection == 1
+                ):
+                    connections.used(connection)
+                attempt = entry.attempt
+                context.engine.finished(attempt, answer.result_for(attempt.request.known_version))
+            # Else a second copy, an unknown id, or one that was cancelled: ignored.
+
+    def read_processed(self, connection: MemberConnection) -> None:
+        """Writes what waits for capacity; closes the connection if it is of no further use."""
+        if self.waiting:
+            self.dispatch_waiting()
+        if self.retired or connection.state is not ConnectionState.ACTIVE:
+            self._finish_if_unused(connection)
+
+    def protocol_violated(self, connection: MemberConnection, reason: str) -> None:
+        """Counts and logs it."""
+        self.context.counters.garbage += 1
+        self.context.engine.log("member_garbage", "warning", member=self.endpoint.name, reason=reason)
+
+    def connection_lost(self, connection: MemberConnection) -> None:
+        """Settles what was in flight: only an attempt that was not sent whole is proven not to have run."""
+        self.connections.open.remove(connection)
+        self.restart.connection_lost(connection.socket.reset)
+        self.context.open_connections -= 1
+        lost = [(entry.attempt, connection.is_sent(entry)) for entry in connection.close()]
+        self.context.counters.written += sum(sent for _, sent in lost)
+        for attempt, sent in lost:
+            status = AttemptStatus.RESET if sent else AttemptStatus.CONNECT_FAILED
+            self.context.engine.finished(attempt, AttemptResult(status))
+        self._queue_confirmed()
+        self.dispatch_waiting()
+
+    def _queue_confirmed(self) -> None:
+        """Queues the attempts whose cancel the member is proven to have read."""
+        attempts, self.awaiting_cancel = self.awaiting_cancel, []
+        for attempt in attempts:
+            if not attempt.is_finished:
+                unconfirmed = self._cancel_unconfirmed(attempt.request.request_id)
+                (self.awaiting_cancel if unconfirmed else self.waiting).append(attempt)
+
+    def _finish_if_unused(self, connection: MemberConnection) -> None:
+        """Closes a connection of no further use, once nothing is in flight on it."""
+        state = connection.state
+        unused = state is ConnectionState.DRAINING or (self.retired and state is not ConnectionState.CLOSED)
+        if unused and not connection.in_flight:
+            connection.finish()
 
     def close_idle(self, before_us: int) -> None:
-        """Ends connections on which nothing was written since."""
-        for connection in self.connections:
-            if not connection.open and connection.used_us <= before_us:
-                connection.suspect = True  # nothing new on it while it closes
-                connection.channel.shut()
+        """Closes the connections on which nothing is in flight, nor was written after `before_us`."""
+        self.connections.close_idle(before_us)
 
     def retire(self) -> None:
-        """The member has gone or moved: its connections end with what is out on them."""
+        """The member has gone or moved: each connection closes once nothing is in flight on it."""
         self.retired = True
         for connection in list(self.connections):
-            self.tidy(connection)
-        self.waiting += self.held  # each finds that it may not be written, and is placed anew
-        self.held = []
-        self.pump()
+            self._finish_if_unused(connection)
+        self.waiting += self.awaiting_cancel  # each finds that it may not be written, and is placed anew
+        self.awaiting_cancel = []
+        self.dispatch_waiting()
--- a/rookbend/net/operator.py
+++ b/rookbend/net/operator.py
@@ -15,7 +15,7 @@
 
 from rookbend.core.clock import Clock
 from rookbend.net.acceptor import accept
-from rookbend.net.buffered_socket import Channel, Outbox, prepare
+from rookbend.net.buffered_socket import BufferedSocket, WriteScheduler, prepare
 from rookbend.net.component import Part
 from rookbend.protocol.http_serve import HttpServe
 from rookbend.protocol.operator import OperatorDesk
@@ -30,10 +30,10 @@
 
     descriptors = CALLERS + 2
 
-    def __init__(self, listener: socket.socket, desk: OperatorDesk, clock: Clock, outbox: Outbox):
+    def __init__(self, listener: socket.socket, desk: OperatorDesk, clock: Clock, outbox: WriteScheduler):
         self.listener, self.desk, self.clock, self.outbox = listener, desk, clock, outbox
         self.address = listener.getsockname()[:2]
-        self.callers: dict[Channel, trio.CancelScope] = {}
+        self.callers: dict[BufferedSocket, trio.CancelScope] = {}
         self.answered = self.let_go = 0
 
     def start(self, nursery: trio.Nursery) -> None:
@@ -48,11 +48,11 @@
             oldest = next(iter(self.callers))
             self.callers.pop(oldest).cancel()
             oldest.close()  # its descriptor at once: the newcomer's is there already
-        channel = Channel(prepare(sock), nursery, self.outbox)
+        channel = BufferedSocket(prepare(sock), nursery, self.outbox)
         scope = self.callers[channel] = trio.CancelScope(deadline=self.clock.monotonic_at(self.clock.now() + CALL_US))
         nursery.start_soon(self._caller, channel, scope)
 
-    async def _caller(self, channel: Channel, scope: trio.CancelScope) -> None:
+    async def _caller(self, channel: BufferedSocket, scope: trio.CancelScope) -> None:
         try:
             with scope:
                 await self._call(channel, scope)
@@ -60,7 +60,7 @@
             self.callers.pop(channel, None)
             channel.close()
 
-    async def _call(self, channel: Channel, scope: trio.CancelScope) -> None:
+    async def _call(self, channel: BufferedSocket, scope: trio.CancelScope) -> None:
         http, request = HttpServe(), None
         while request is None and not http.ended:
             request = http.feed(await channel.receive())
--- a/rookbend/net/pool.py
+++ b/rookbend/net/pool.py
@@ -8,78 +8,98 @@
 from rookbend.core.engine import Engine
 from rookbend.core.model import Attempt, Endpoint
 from rookbend.interface import AttemptStatus
-from rookbend.net.buffered_socket import Outbox
+from rookbend.net.buffered_socket import WriteScheduler
+from rookbend.net.member_connection import MemberConnection
 from rookbend.net.member_pool import MemberPool
 
-IDLE_SHARE = 0.8  # closed after this share of the idle time, before the other side does
-SPREAD_MOST = 600  # attempts a second up to which each has a connection of its own
-SHARE_STEP = 25  # so many more make one more attempt share a connection before another is opened
+IDLE_CLOSE_RATIO = 0.8  # of the idle time after which the other side closes
+MAX_UNSHARED_RATE_PER_S = 600  # attempts up to which each has a connection of its own
+RATE_PER_EXTRA_STREAM_PER_S = 25  # beyond it, one more attempt shares a connection for each of these
 
 
 class Pool:
-    """The engine's backend on sockets."""
+    """The engine's backend on sockets: see `rookbend.core.open_request.Backend`."""
 
     def __init__(
         self,
         engine: Engine,
         counters: Counters,
         nursery: trio.Nursery,
-        outbox: Outbox,
+        scheduler: WriteScheduler,
         max_streams: int,
         idle_close_us: int,
         most_connections: int,
-    ):
-        self.engine, self.counters, self.nursery, self.outbox = engine, counters, nursery, outbox
+    ) -> None:
+        """`max_streams` bounds the attempts on one connection, `most_connections` the connections to all members;
+        `idle_close_us` is the time after which members close idle connections."""
+        self.engine = engine
+        self.counters = counters
+        self.nursery = nursery
+        self.scheduler = scheduler
         self.adopt(max_streams, idle_close_us)
         self.members: dict[int, MemberPool] = {}
-        self.sent = self.sent_before = 0  # attempts of this second, and of the one before
-        self.open_connections, self.most_connections = 0, most_connections  # under way or open, to all members
+        self.sent_this_second = 0
+        self.sent_last_second = 0
+        self.open_connections = 0  # open or being opened, to all members
+        self.most_connections = most_connections
 
     def adopt(self, max_streams: int, idle_close_us: int) -> None:
-        """Other settings: connections opened before go on, bound by what holds now."""
+        """Applies other settings, also to connections that are open."""
         settings = self.engine.settings
         self.max_streams = max(1, max_streams)
-        self.idle_us = int(IDLE_SHARE * idle_close_us)
+        self.idle_close_us = int(IDLE_CLOSE_RATIO * idle_close_us)
         self.connect_timeout_us = settings.connect_timeout_us
         self.load_report_fields = settings.load_report_fields
 
     @property
     def written(self) -> int:
-        """Attempts written whole: those that have ended, and those still out whose last byte has gone."""
-        out = sum(pool.out_whole for pool in self.members.values())
-        return self.counters.written + out
+        """Attempts sent whole: those that have ended, and those in flight whose last byte was sent."""
+        in_flight = sum(member_pool.connections.sent_in_flight for member_pool in self.members.values())
+        return self.counters.written + in_flight
 
     @property
-    def rate(self) -> int:
-        """Attempts a second."""
-        return max(self.sent, self.sent_before)
+    def attempt_rate_per_s(self) -> int:
+        """Attempts to all members: the higher of this second and the one before."""
+        return max(self.sent_this_second, self.sent_last_second)
 
     @property
-    def share(self) -> int:
-        """How many attempts a connection takes before another is opened. Guards the CPU: each connection is
-        read by itself, and at thousands of attempts a second one to each made a director too slow for all
-        its requests."""
-        return min(1 + max(0, self.rate - SPREAD_MOST) // SHARE_STEP, self.max_streams)
+    def streams_per_connection(self) -> int:
+        """How many attempts share a connection before another is opened.
 
-    def send(self, attempt: Attempt, entry: Endpoint) -> None:
+        Guards the CPU: each connection is read by itself, and at thousands of attempts a second one connection
+        to each made a director too slow for all its requests.
+        """
+        excess_per_s = max(0, self.attempt_rate_per_s - MAX_UNSHARED_RATE_PER_S)
+        return min(1 + excess_per_s // RATE_PER_EXTRA_STREAM_PER_S, self.max_streams)
+
+    def send(self, attempt: Attempt, endpoint: Endpoint) -> None:
         """See `Backend.send`."""
-        self.sent += 1
+        self.sent_this_second += 1
         member_pool = self.members.get(attempt.server)
         if member_pool is None:
-            member_pool = self.members[attempt.server] = MemberPool(self, entry)
+            member_pool = self.members[attempt.server] = MemberPool(self, endpoint)
         member_pool.send(attempt)
 
     def undo(self, attempt: Attempt) -> AttemptStatus:
         """See `Backend.undo`."""
-        connection = attempt.connection
-        if connection is None or connection.open.get(attempt.request.request_id) is not attempt:
+        connection = self._connection_of(attempt)
+        if connection is None:
             return AttemptStatus.CONNECT_FAILED  # never written: it waits for a connection, or has none
-        return connection.member_pool.undo(connection, attempt)
+        return connection.owner.cancel(connection, attempt)
 
     def is_out(self, attempt: Attempt) -> bool:
         """See `Backend.is_out`."""
-        connection, rid = attempt.connection, attempt.request.request_id
-        return connection is not None and connection.open.get(rid) is attempt and connection.whole(rid)
+        connection = self._connection_of(attempt)
+        return connection is not None and connection.is_sent(connection.in_flight[attempt.request.request_id])
+
+    @staticmethod
+    def _connection_of(attempt: Attempt) -> MemberConnection | None:
+        """The connection on which the attempt is in flight."""
+        connection = attempt.connection
+        if not isinstance(connection, MemberConnection):
+            return None
+        entry = connection.in_flight.get(attempt.request.request_id)
+        return connection if entry is not None and entry.attempt is attempt else None
 
     def forget(self, server: int) -> None:
         """See `Backend.forget`."""
@@ -93,10 +113,10 @@
             self.members[server].close_idle(self.engine.clock.now())
 
     async def close_idle_connections(self) -> None:
-        """Ends, each second, what was idle for its share of the idle time."""
+        """Closes connections before their idle time is over, and rolls the rate; runs each second until cancelled."""
         while True:
             await trio.sleep(1)
-            self.sent_before, self.sent = self.sent, 0
-            before = self.engine.clock.now() - self.idle_us
+            self.sent_last_second, self.sent_this_second = self.sent_this_second, 0
+            before_us = self.engine.clock.now() - self.idle_close_us
             for member_pool in list(self.members.values()):
-                member_pool.close_idle(before)
+                member_pool.close_idle(before_us)
--- /dev/null
+++ b/rookbend/net/pool_context.py
@@ -0,0 +1,33 @@
+"""What the pool of one member needs of the pool of all members."""
+
+from __future__ import annotations
+
+from typing import Protocol
+
+import trio
+
+from rookbend.core.counters import Counters
+from rookbend.core.engine import Engine
+from rookbend.net.buffered_socket import WriteScheduler
+
+
+class PoolContext(Protocol):
+    """The limits and the load that all member connections share."""
+
+    engine: Engine
+    counters: Counters
+    nursery: trio.Nursery
+    scheduler: WriteScheduler
+    max_streams: int  # attempts in flight on one connection
+    connect_timeout_us: int
+    load_report_fields: tuple[str, ...]
+    open_connections: int  # open or being opened, to all members
+    most_connections: int  # their limit
+
+    @property
+    def attempt_rate_per_s(self) -> int:
+        """Attempts to all members."""
+
+    @property
+    def streams_per_connection(self) -> int:
+        """How many attempts share a connection before another is opened."""
--- a/rookbend/protocol/cache_lines.py
+++ b/rookbend/protocol/cache_lines.py
@@ -49,7 +49,7 @@
 class CacheAnswer:
     """An answer, the id it is for, and the tag of the copy that it brings or names."""
 
-    rid: str
+    request_id: str
     result: AttemptResult
     tag: str = ""
 
@@ -111,7 +111,7 @@
         self._head = None  # the answer whose body is awaited, and the body's length
 
     @property
-    def begun(self) -> bool:
+    def has_partial(self) -> bool:
         """Whether a part of an answer is held."""
         return bool(self._held) or self._head is not None
 
--- a/rookbend/protocol/client_frames.py
+++ b/rookbend/protocol/client_frames.py
@@ -65,7 +65,7 @@
         self._pass_over = 0  # bytes of a frame too long to hold that are still to come
 
     @property
-    def begun(self) -> bool:
+    def has_partial(self) -> bool:
         """Whether a frame has begun that is not complete."""
         return bool(self._held) or self._pass_over > 0
 
--- a/rookbend/service.py
+++ b/rookbend/service.py
@@ -24,7 +24,7 @@
 from rookbend.drain import Drain
 from rookbend.fronts.platform import PlatformFront
 from rookbend.logs import Log
-from rookbend.net.buffered_socket import Outbox
+from rookbend.net.buffered_socket import WriteScheduler
 from rookbend.net.client_listener import FrontServer
 from rookbend.net.component import Part, Site
 from rookbend.net.listeners import Listeners
@@ -67,7 +67,7 @@
         self.reload = Reload(self, read_config or (lambda before: (config, self.operators)))
         self.phase = Phase.STARTING
         self.counters = Counters()
-        self.outbox = Outbox()
+        self.outbox = WriteScheduler()
         settings = config.router_settings()
         self.clock = Clock(trio.lowlevel.current_clock().current_time, unix)
         self.log = Log(self.clock.now, **msgspec.structs.asdict(self.operators.log))
--- a/tests/interleaving.py
+++ b/tests/interleaving.py
@@ -2,18 +2,18 @@
 
 import trio
 
-import rookbend.net.member_connection
+import rookbend.net.member_pool
 
 
 def hold_connects(monkeypatch):
     """Connections to members come up only once the event that this gives is set."""
-    let_up, real = trio.Event(), rookbend.net.member_connection.open_socket
+    let_up, real = trio.Event(), rookbend.net.member_pool.open_socket
 
     async def late(address):
         await let_up.wait()
         return await real(address)
 
-    monkeypatch.setattr(rookbend.net.member_connection, "open_socket", late)
+    monkeypatch.setattr(rookbend.net.member_pool, "open_socket", late)
     return let_up
 
 
--- a/tests/test_attempt_crossings.py
+++ b/tests/test_attempt_crossings.py
@@ -27,14 +27,14 @@
     async def check(stage):
         await stage.play(WARM)
         (stream,) = stage.actors["records"].streams
-        (connection,) = next(u for u in stage.service.pool.members.values() if u.entry.name == "records").connections
-        held, real = trio.Event(), connection.channel.receive
+        (connection,) = next(u for u in stage.service.pool.members.values() if u.endpoint.name == "records").connections
+        held, real = trio.Event(), connection.socket.receive
 
         async def unread():
             await held.wait()
             return await real()
 
-        connection.channel.receive = unread  # from the next answer on its reader gets no further
+        connection.socket.receive = unread  # from the next answer on its reader gets no further
         await stage.play("""
             client send request 2 form
             records expect do rid=0000000000000002
@@ -125,10 +125,10 @@
 def test_a_write_that_was_reset_goes_again_only_if_its_last_byte_never_left(before_end):
     async def check(stage):
         await stage.play(WARM)
-        (connection,) = next(u for u in stage.service.pool.members.values() if u.entry.name == "records").connections
+        (connection,) = next(u for u in stage.service.pool.members.values() if u.endpoint.name == "records").connections
         if before_end:
             await stage.play("records send pause")
-            fill(connection.channel.sock)
+            fill(connection.socket.sock)
         await stage.play("client send request 2 form body=more\nclient send ready? 9\nclient expect ready")
         if not before_end:
             await stage.play("records expect do rid=0000000000000002")
--- a/tests/test_client_leaves.py
+++ b/tests/test_client_leaves.py
@@ -159,17 +159,17 @@
             client expect served 1
             records send pause
         """)
-        (connection,) = next(u for u in stage.service.pool.members.values() if u.entry.name == "records").connections
-        fill(connection.channel.sock)
+        (connection,) = next(u for u in stage.service.pool.members.values() if u.endpoint.name == "records").connections
+        fill(connection.socket.sock)
         if part:
-            real = connection.channel.sock
-            connection.channel.sock = FirstBytesOnly(real, 20)
+            real = connection.socket.sock
+            connection.socket.sock = FirstBytesOnly(real, 20)
         await stage.play("client send request 2 form body=form\nclient send ready? 9\nclient expect ready")
-        assert connection.channel.queued and "0000000000000002" in connection.open
+        assert connection.socket.backlog_bytes and "0000000000000002" in connection.in_flight
         if part:
-            connection.channel.sock = real
+            connection.socket.sock = real
         await leave(stage.actors["client"], way, 2)
-        assert not connection.open
+        assert not connection.in_flight
         await stage.play("records send resume\ndirector wait 0.3")
         assert not await stage.actors["records"].heard_of("do")
 
@@ -206,7 +206,7 @@
             await stage.play(f"cache1 send ok rid={i:016x} note=mem body={BIG}")
         await stage.play("director wait 0.1")
         (client,) = stage.service.front.open
-        assert client.channel.queued > PAUSE_ABOVE_BYTES
+        assert client.socket.backlog_bytes > PAUSE_ABOVE_BYTES
         await sock.send(request(count + 1))  # waits: its answer could not be taken
         await stage.play("cache1 expect nothing")
         if way == "cancel":
--- a/tests/test_client_port.py
+++ b/tests/test_client_port.py
@@ -6,7 +6,7 @@
 import trio
 import trio.testing
 
-from rookbend.net.buffered_socket import Channel
+from rookbend.net.buffered_socket import BufferedSocket
 from tests.director_scenario import on_stage, play
 
 
@@ -151,7 +151,7 @@
         theirs.shutdown(socket.SHUT_WR)  # the byte and the end are read in one turn of the loop
         front._take(ours, stage.nursery)
         client = next(reversed(front.open))
-        client.session.feed = lambda data: client.channel.write(bytes(size)) or True
+        client.session.feed = lambda data: client.socket.write(bytes(size)) or True
         async with trio.SocketStream(trio.socket.from_stdlib_socket(theirs)) as stream:
             assert sum([len(data) async for data in stream]) == size
 
@@ -163,7 +163,7 @@
     async def check(stage):
         ours, theirs = socket.socketpair()
         ours.setblocking(False)
-        channel = Channel(ours, stage.nursery, stage.service.outbox)
+        channel = BufferedSocket(ours, stage.nursery, stage.service.outbox)
         parts = [bytes([i % 256]) * size for i in range(count)]
         for part in parts:
             channel.write(part)
@@ -171,7 +171,7 @@
             data = b""
             while len(data) < count * size:
                 data += await stream.receive_some(1 << 20)
-        assert data == b"".join(parts) and not channel.unsent
+        assert data == b"".join(parts) and not channel.unsent_bytes
 
     on_stage(check)
 
--- a/tests/test_endpoint_selection.py
+++ b/tests/test_endpoint_selection.py
@@ -132,4 +132,4 @@
 def test_connections_are_shared_by_rate(rate, share):
     """Guards the CPU at thousands of attempts a second, and at a few hundred over the bound the others on a
     connection that breaks: one step from a connection each to forty on one lost them."""
-    assert Pool.share.fget(SimpleNamespace(rate=rate, max_streams=40)) == share
+    assert Pool.streams_per_connection.fget(SimpleNamespace(attempt_rate_per_s=rate, max_streams=40)) == share
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -210,7 +210,7 @@
         await stage.play(f"{agent} send drain\n {waiting[0]} wait draining")
         stage.service.pool.most_connections = 8
         member_pool = stage.service.pool.members[stage.service.health.desk.find(waiting[0])]
-        member_pool.pump()
+        member_pool.dispatch_waiting()
         await stage.play(f"""
             {other} expect do rid=0000000000000001
             {other} send ok note=mem body=x
--- a/tests/test_member_connections.py
+++ b/tests/test_member_connections.py
@@ -100,7 +100,7 @@
 
     async def check(stage):
         await stage.play("director wait 0.1")
-        stage.service.engine.backend.sent = 1000
+        stage.service.engine.backend.sent_this_second = 1000
         await stage.play("""
             client send request 1 video chunk=1 budget=5000
             cache1 expect do rid=0000000000000001
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -113,14 +113,14 @@
     parser = cache_lines.AnswerParser()
     with pytest.raises(cache_lines.LineError) as error:
         parser.feed(CACHE + b"%%\r\n")
-    assert [a.rid for a in error.value.answers] == ["a1", "a2", "a3", "a4"]
+    assert [a.request_id for a in error.value.answers] == ["a1", "a2", "a3", "a4"]
 
 
 def test_a_part_of_an_answer_shows_as_begun():
     parser = cache_lines.AnswerParser()
     for data, begun in ((b"a1 ok - 5", True), (b"\r\n", True), (b"hello", True), (b"\r\n", False)):
         parser.feed(data)
-        assert parser.begun is begun
+        assert parser.has_partial is begun
 
 
 def test_a_command_says_what_the_attempt_says():
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -44,7 +44,7 @@
             return await real()
 
         (connection,) = stage.service.front.open
-        real, connection.channel.receive = connection.channel.receive, paused
+        real, connection.socket.receive = connection.socket.receive, paused
         await client.send(request(1))  # read by the receive under way
         await client.send(request(2, chunk=1))  # lies unread from here on
         stage.service.stop()
@@ -116,10 +116,10 @@
             await stage.play(f"cache1 send ok rid={stream:016x} note=mem body={'x' * 200_000}")
         await trio.testing.wait_all_tasks_blocked()
         (connection,) = stage.service.front.open
-        assert connection.channel.queued
+        assert connection.socket.backlog_bytes
         stage.service.stop()
         await trio.sleep(LATECOMERS_S + 0.1)
-        assert connection.channel.queued
+        assert connection.socket.backlog_bytes
         frames = await client.read_to_end()
         assert frames.count((CLOSING, 0, None)) == 1
         assert sorted(frames)[1:] == [(ANSWERED, stream, SERVED) for stream in range(1, count + 1)]
@@ -138,13 +138,13 @@
         await stage.play("cache1 expect do rid=0000000000000001\ncache1 send ok note=mem body=hello")
         stage.service.stop()
         (connection,) = stage.service.front.open
-        real = connection.channel.finish
+        real = connection.socket.finish
 
         def crossed():
             real()
             client.sock._sock.send(request(2, chunk=2))  # arrives right behind the director's end
 
-        connection.channel.finish = crossed
+        connection.socket.finish = crossed
         assert await client.read_to_end() == [(ANSWERED, 1, SERVED), (CLOSING, 0, None)]
         client.sock.close()
         await stopped(stage)
