--- a/rookbend/cli/check_config.py
+++ b/rookbend/cli/check_config.py
@@ -16,7 +16,7 @@
 
 def run(args: argparse.Namespace) -> int:
     config, operators = load()
-    members = sum(len(u.endpoints.members) for u in config.known.updates if u.endpoints)
+    members = sum(len(u.membership.members) for u in config.known.updates if u.membership)
     print(
         f"{config.name} would listen on {config.listen}: {len(config.settings.lanes)} classes, "
         f"{members} members told, {config.limits.memory_mb} MB, {config.limits.sockets} descriptors"
--- a/rookbend/net/acceptor.py
+++ b/rookbend/net/acceptor.py
@@ -1,4 +1,4 @@
-"""Accepting connections, and what every small TCP server here has in common."""
+"""Listening and accepting, as every TCP server here does it."""
 
 from __future__ import annotations
 
@@ -8,15 +8,20 @@
 
 import trio
 
-EXHAUSTED = {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM}
-PAUSE_S = 0.05
-ROOM_S = 0.01
+DESCRIPTORS_EXHAUSTED = {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM}
+EXHAUSTED_PAUSE_S = 0.05
+CAPACITY_POLL_S = 0.01
+BACKLOG = 1024
 
 
 def listen(address: tuple[str, int], shared: bool = False) -> socket.socket:
-    """A listener; `shared` lets another process of this user listen there too (SO_REUSEPORT)."""
+    """A non-blocking listener at (host, port); `shared` lets another process of this user listen there too
+    (SO_REUSEPORT).
+
+    Raises OSError where the address can't be had.
+    """
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
-    listener = socket.create_server(address, family=family, backlog=1024, reuse_port=shared)
+    listener = socket.create_server(address, family=family, backlog=BACKLOG, reuse_port=shared)
     listener.setblocking(False)
     return listener
 
@@ -24,22 +29,22 @@
 async def accept(
     listener: socket.socket,
     scope: trio.CancelScope,
-    take: Callable[[socket.socket], None],
-    has_room: Callable[[], bool] = lambda: True,
+    on_accept: Callable[[socket.socket], None],
+    has_capacity: Callable[[], bool] = lambda: True,
 ) -> None:
-    """Hands each connection to `take`, until `scope` is cancelled; then the listener is closed. While there
-    is no room they wait in the listener's backlog.
+    """Hands each connection to `on_accept`, which owns it then, until `scope` is cancelled; then the listener is
+    closed. While there is no capacity connections wait in the listener's backlog.
 
-    What waits there at the end is taken all the same: closed with the listener, it would be reset, and with
+    What waits there at the end is accepted all the same: closed with the listener, it would be reset, and with
     it requests that its client has already sent.
     """
     with listener:
         with scope:
-            await _accept_until_cancelled(listener, take, has_room)
-        _accept_waiting(listener, take)
+            await _accept_until_cancelled(listener, on_accept, has_capacity)
+        _accept_backlog(listener, on_accept)
 
 
-def _accept_waiting(listener: socket.socket, take: Callable[[socket.socket], None]) -> None:
+def _accept_backlog(listener: socket.socket, on_accept: Callable[[socket.socket], None]) -> None:
     while True:
         try:
             sock, _ = listener.accept()
@@ -47,22 +52,30 @@
             continue
         except OSError:
             return  # none is left, or no descriptor for one
-        take(sock)
+        _hand_over(sock, on_accept)
 
 
 async def _accept_until_cancelled(
-    listener: socket.socket, take: Callable[[socket.socket], None], has_room: Callable[[], bool]
+    listener: socket.socket, on_accept: Callable[[socket.socket], None], has_capacity: Callable[[], bool]
 ) -> None:
     while True:
         await trio.lowlevel.wait_readable(listener)
-        if not has_room():
-            await trio.sleep(ROOM_S)
+        if not has_capacity():
+            await trio.sleep(CAPACITY_POLL_S)
             continue
         try:
             sock, _ = listener.accept()
         except OSError as error:
             # Else the client left between its connect and our accept.
-            if error.errno in EXHAUSTED:
-                await trio.sleep(PAUSE_S)
+            if error.errno in DESCRIPTORS_EXHAUSTED:
+                await trio.sleep(EXHAUSTED_PAUSE_S)
             continue
-        take(sock)
+        _hand_over(sock, on_accept)
+
+
+def _hand_over(sock: socket.socket, on_accept: Callable[[socket.socket], None]) -> None:
+    try:
+        on_accept(sock)
+    except BaseException:
+        sock.close()
+        raise
--- a/rookbend/net/client_connection.py
+++ b/rookbend/net/client_connection.py
@@ -10,60 +10,76 @@
 
 import socket
 from enum import Enum
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 import trio
 
-from rookbend.fronts.platform import PlatformSession
-from rookbend.net.buffered_socket import BufferedSocket, prepare
-
-if TYPE_CHECKING:
-    from rookbend.net.client_listener import FrontServer
+from rookbend.core.counters import Counters
+from rookbend.fronts.platform import PlatformFront, PlatformSession
+from rookbend.net.buffered_socket import BufferedSocket, WriteScheduler, prepare
 
 PAUSE_ABOVE_BYTES = 1 << 20  # unsent bytes above which the client's new requests wait until they are gone
-FINISH_US = 250_000  # a client that has not closed so long after our end is closed on
-DROPPED_MOST_BYTES = 1 << 20  # and one that still sends so much
-OWED_STEP_S = 0.01
+FINISH_TIMEOUT_US = 250_000  # from the close of our side to dropping a connection that the client leaves open
+MAX_DISCARDED_BYTES = 1 << 20  # received and dropped in that time
+FLUSH_POLL_S = 0.01
 
 
 class ClientPhase(Enum):
     """What the director still does with a connection."""
 
     OPEN = "open"  # its requests are taken
-    FINISHING = "finishing"  # our side is closed; what still comes is dropped, until the client's end
+    FINISHING = "finishing"  # our side is closed; what still comes is discarded, until the client's end
+
+
+class ClientConnectionOwner(Protocol):
+    """Who accepted a connection: what all of them share, and who is told of their end."""
+
+    front: PlatformFront
+    counters: Counters
+    scheduler: WriteScheduler
+
+    def connection_closed(self, client: ClientConnection) -> None:
+        """The connection has ended."""
 
 
 class ClientConnection:
-    """A client's channel and session, and the way both end."""
+    """A client's socket and session, and the way both end. Owns the socket once `run` is started."""
 
-    def __init__(self, server: FrontServer, sock: socket.socket, nursery: trio.Nursery):
-        self.server, self.phase = server, ClientPhase.OPEN
-        self.socket = BufferedSocket(prepare(sock), nursery, server.outbox)
+    def __init__(self, owner: ClientConnectionOwner, sock: socket.socket, nursery: trio.Nursery) -> None:
+        self.owner = owner
+        self.phase = ClientPhase.OPEN
+        self.socket = BufferedSocket(prepare(sock), nursery, owner.scheduler)
         self.socket.on_drained = self._drained
-        self.session = PlatformSession(server.front, self.socket.write)
-        self._reading = trio.CancelScope()
-        self._dropped = 0  # bytes that came after our end
+        self.session = PlatformSession(owner.front, self.socket.write)
+        self._read_scope = trio.CancelScope()
+        self._discarded_bytes = 0
 
-    @property
-    def idle(self) -> bool:
-        """Whether nothing is owed to this client, and its connection may be ended."""
+    def is_idle(self) -> bool:
+        """Whether no answer is owed to this client, and its connection may be ended."""
         return self.phase is ClientPhase.OPEN and not self.session.open_streams and not self.socket.unsent_bytes
 
+    def has_expired(self, now_us: int) -> bool:
+        """Whether the client has sent nothing, or only a part of a frame, for too long."""
+        if self.phase is not ClientPhase.OPEN or self.socket.unsent_bytes:
+            return False
+        deadline_us = self.session.idle_deadline_us
+        return deadline_us is not None and deadline_us <= now_us
+
     @property
-    def held_bytes(self) -> int:
-        """Memory that this client holds: answers that it has not taken, and requests that wait for that."""
-        return self.socket.backlog_bytes + self.session.held_bytes
+    def buffered_bytes(self) -> int:
+        """Memory of this client: answers that it has not read, and requests that are queued for that."""
+        return self.socket.backlog_bytes + self.session.queued_bytes
 
     async def run(self) -> None:
         """Serves the client until the connection has ended."""
         try:
-            with self._reading:
+            with self._read_scope:
                 await self._read()
                 if self.phase is ClientPhase.OPEN and not self.socket.reset:
-                    await self._answer_what_is_owed()
+                    await self._send_owed_answers()
         finally:
-            self.session.gone()
-            self.server.forget(self)
+            self.session.connection_lost()
+            self.owner.connection_closed(self)
             self.socket.on_drained = None
             self.socket.send()
             self.socket.close()
@@ -71,50 +87,50 @@
     async def _read(self) -> None:
         while data := await self.socket.receive():
             if self.phase is ClientPhase.OPEN:
-                self._take(data + self.socket.receive_now())
+                self._process(data + self.socket.receive_now())
             else:
-                self._dropped += len(data)
-                if self._dropped > DROPPED_MOST_BYTES:
+                self._discarded_bytes += len(data)
+                if self._discarded_bytes > MAX_DISCARDED_BYTES:
                     return
         if self.phase is ClientPhase.OPEN and not self.socket.reset:
-            self.session.client_left()
+            self.session.client_closed()
 
-    def _take(self, data: bytes) -> None:
+    def _process(self, data: bytes) -> None:
         if self.socket.eof_received:
             # Guards a request whose client has left already: it may have waited unread behind a late loop or
             # in the listener's backlog, and no attempt begins for a client that has gone.
-            self.session.client_left()
+            self.session.client_closed()
         self.session.paused = self.socket.backlog_bytes > PAUSE_ABOVE_BYTES
         if not self.session.feed(data):
-            self.server.counters.clients_dropped += 1
+            self.owner.counters.clients_dropped += 1
             self.finish()
 
     def _drained(self) -> None:
         if not self.socket.broken:
             self.session.resume()
 
-    async def _answer_what_is_owed(self) -> None:
-        """A client may close only its sending side: an answer that is on its way still goes out whole."""
+    async def _send_owed_answers(self) -> None:
+        """A client may close only its sending side: an answer that is on its way is still sent whole."""
         sock = self.socket
         while (self.session.open_streams or sock.unsent_bytes) and not (sock.closed or sock.broken):
-            await trio.sleep(OWED_STEP_S)
+            await trio.sleep(FLUSH_POLL_S)
 
-    def let_go(self, wait_us: int = FINISH_US) -> bool:
+    def finish_if_idle(self, timeout_us: int = FINISH_TIMEOUT_US) -> bool:
         """Ends the connection of an idle client, unless something has come on it that was not read yet;
-        tells whether it did."""
+        returns whether it did."""
         if data := self.socket.receive_now():
-            self._take(data)
+            self._process(data)
             return False
         if not self.socket.eof_received:
-            self.finish(wait_us)
+            self.finish(timeout_us)
         return True
 
-    def finish(self, wait_us: int = FINISH_US) -> None:
-        """Closes our side; `run` goes on to the client's end, but no longer than `wait_us`."""
+    def finish(self, timeout_us: int = FINISH_TIMEOUT_US) -> None:
+        """Closes our side; `run` goes on to the client's end, but no longer than `timeout_us`."""
         if self.phase is ClientPhase.FINISHING:
             return
         self.phase = ClientPhase.FINISHING
-        self.session.gone()
+        self.session.connection_lost()
         self.socket.finish()
-        clock = self.server.front.engine.clock
-        self._reading.deadline = clock.monotonic_at(clock.now() + wait_us)
+        clock = self.owner.front.engine.clock
+        self._read_scope.deadline = clock.monotonic_at(clock.now() + timeout_us)
--- a/rookbend/net/member_connection.py
+++ b/rookbend/net/member_connection.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import math
+from collections.abc import Sequence
 from dataclasses import dataclass
 from enum import Enum
 from typing import Protocol
@@ -45,7 +46,7 @@
 class ConnectionOwner(Protocol):
     """Who opened a connection: is told what happens on it, and settles its attempts."""
 
-    def answers_received(self, connection: MemberConnection, answers: list[cache_lines.CacheAnswer]) -> None:
+    def answers_received(self, connection: MemberConnection, answers: Sequence[cache_lines.CacheAnswer]) -> None:
         """Whole answers were read; some may be to requests that are no longer in flight."""
 
     def read_processed(self, connection: MemberConnection) -> None:
@@ -130,7 +131,7 @@
     def send_cancel(self, request_id: str) -> None:
         """Tells the member that nobody waits for the request any more."""
         remember(self.cancelled_ids, request_id)
-        self.socket.write(cache_lines.write_undo(request_id))
+        self.socket.write(cache_lines.write_cancel(request_id))
 
     def withdraw(self, entry: InFlightAttempt) -> bool:
         """Takes back an attempt of which no byte was sent; returns whether it did.
--- a/rookbend/net/member_pool.py
+++ b/rookbend/net/member_pool.py
@@ -4,6 +4,7 @@
 
 import errno
 from collections import deque
+from collections.abc import Sequence
 
 import trio
 
@@ -129,7 +130,7 @@
             return engine.finished(attempt, AttemptResult(AttemptStatus.MOOT))
         now = engine.clock.now()
         source = engine.endpoints[attempt.source].name if attempt.source else ""
-        connection.send(attempt, cache_lines.write_do(attempt, now, source), now)
+        connection.send(attempt, cache_lines.write_command(attempt, now, source), now)
 
     def cancel(self, connection: MemberConnection, attempt: Attempt) -> AttemptStatus:
         """Gives up an attempt in flight on this connection; see `Backend.undo`."""
@@ -157,7 +158,7 @@
 
     # What connections report: see `ConnectionOwner`.
 
-    def answers_received(self, connection: MemberConnection, answers: list[cache_lines.CacheAnswer]) -> None:
+    def answers_received(self, connection: MemberConnection, answers: Sequence[cache_lines.CacheAnswer]) -> None:
         """Settles the attempts that were answered."""
         connections, context = self.connections, self.context
         for answer in answers:
--- a/rookbend/net/recovery.py
+++ b/rookbend/net/recovery.py
@@ -77,7 +77,7 @@
         site.admits = lambda: self.limits is not None and self.limits.ready
         self._pass_on, site.watch.membership_changed = site.watch.membership_changed, self._roster_changed
         site.watch.purged = self._purged
-        site.watch.heard = lambda: self.feed(machine.StreamHeard())
+        site.watch.stream_received = lambda: self.feed(machine.StreamHeard())
         site.engine.on_attempt = self._attempt
         site.engine.on_peer = self._datagram
         site.gauges.append(self.gauges)
--- a/rookbend/process_metrics.py
+++ b/rookbend/process_metrics.py
@@ -9,7 +9,7 @@
 
 from rookbend.config import Limits
 from rookbend.core.engine import Engine
-from rookbend.net.client_listener import FrontServer
+from rookbend.net.client_listener import ClientListener
 from rookbend.net.pool import Pool
 
 if TYPE_CHECKING:
@@ -24,7 +24,7 @@
 class Vitals:
     """`pool` is there once the director runs; `lag_us` is the lateness that counts as full load."""
 
-    def __init__(self, engine: Engine, front: FrontServer, limits: Limits, lag_us: int):
+    def __init__(self, engine: Engine, front: ClientListener, limits: Limits, lag_us: int):
         self.engine, self.front, self.limits, self.lag_us = engine, front, limits, lag_us
         self.pool: Pool | None = None
         self._timer_due_earlier = trio.Event()
--- a/rookbend/protocol/cache_lines.py
+++ b/rookbend/protocol/cache_lines.py
@@ -1,202 +1,241 @@
-"""The caches' lines, seen from the director: `do` and `undo` out, answers in."""
+"""The line protocol of the platform's caches (docs of the platform), seen from the director.
+
+    command   do ID PARAMETERS SIZE CRLF BODY CRLF
+    cancel    undo ID CRLF
+    answer    ID STATUS FIELDS SIZE CRLF BODY CRLF
+
+Parameters and fields are NAME=VALUE with commas between them, or `-` for none. Of a command:
+
+    c, k, p   class, key and part of the object
+    w         time left, milliseconds
+    next      the member that a miss is filled from
+    admit     retention rank
+    agelim    greatest age of a copy, milliseconds
+    ways      flags, with `+` between them
+    cached    version of the client's copy
+    i         idempotency key
+
+Of an answer: `note` how it was made, `slow` time in the fill queue in milliseconds, `sum` the version of the copy,
+`load` the load report.
+"""
 
 from __future__ import annotations
 
+from collections.abc import Sequence
 from dataclasses import dataclass
 from functools import lru_cache
 
 from rookbend.core.model import Attempt, AttemptResult
 from rookbend.interface import AttemptDetail, AttemptStatus
+from rookbend.protocol.errors import ProtocolError
 
-LONGEST_LINE = 4096
-LONGEST_BODY = 240_000
+MAX_LINE_BYTES = 4096
+MAX_BODY_BYTES = 240_000
+SHOWN_BYTES = 80
 
+# The caches' statuses, by what they mean here.
+OK_STATUS = b"ok"
+NOT_MODIFIED_STATUS = b"current"
 STATUSES = {
-    b"ok": AttemptStatus.OK,
-    b"current": AttemptStatus.OK,
+    OK_STATUS: AttemptStatus.OK,
+    NOT_MODIFIED_STATUS: AttemptStatus.OK,
     b"nothing": AttemptStatus.MISS,
     b"refused": AttemptStatus.FULL,
     b"error": AttemptStatus.ERROR,
     b"stale": AttemptStatus.MOOT,
 }
-NOTES = {
-    word: AttemptDetail(i + 1)
-    for i, word in enumerate(
-        (
-            b"mem",
-            b"parent",
-            b"origin",
-            b"shared",
-            b"old",
-            b"denied",
-            b"unreached",
-            b"absent",
-            b"crowded",
-            b"behind",
-        )
-    )
+DETAILS = {
+    b"mem": AttemptDetail.HIT,
+    b"parent": AttemptDetail.FILLED,
+    b"origin": AttemptDetail.ORIGIN_ASKED,
+    b"shared": AttemptDetail.JOINED,
+    b"old": AttemptDetail.STALE,
+    b"denied": AttemptDetail.SOURCE_REFUSED,
+    b"unreached": AttemptDetail.SOURCE_UNREACHABLE,
+    b"absent": AttemptDetail.SOURCE_LACKS,
+    b"crowded": AttemptDetail.NO_FILL_PLACE,
+    b"behind": AttemptDetail.ORIGIN_FAILED,
 }
-ALIASES = {b"utilization": b"util", b"outstanding": b"inflight"}
+# Figures of a load report that have a second name.
+FIGURE_ALIASES = {b"utilization": b"util", b"outstanding": b"inflight"}
+# Flags of a command.
+JOIN_FILL = "wait-for"
+ONLY_IF_CACHED = "no-fetch"
+PARENT_NO_STORE = "no-keep"
+REFRESH_IN_BACKGROUND = "background"
 
 
-class LineError(Exception):
+class LineError(ProtocolError):
     """Bytes that are no answers of a cache: the connection can't go on. `answers` came whole before them."""
 
-    answers: list[CacheAnswer] = []
+    answers: Sequence[CacheAnswer] = ()
 
 
 @dataclass(slots=True)
 class CacheAnswer:
-    """An answer, the id it is for, and the tag of the copy that it brings or names."""
+    """An answer, the id of its request, and the version of the copy that it brings or names."""
 
     request_id: str
     result: AttemptResult
-    tag: str = ""
+    version: str = ""
+
+    def result_for(self, known_version: str) -> AttemptResult:
+        """The result for a request whose client has the copy `known_version`.
 
-    def result_for(self, known: str) -> AttemptResult:
-        """The result for a request whose client holds the copy `known`. An answer that calls another copy
-        current, or one that the client does not hold, is an error: passed on, it would confirm bytes that no
-        cache has named."""
-        if self.result.unchanged and (not known or _bare(self.tag) != _bare(known)):
+        A not-modified answer that names another copy, or to a client that has none, is an error: passed on, it
+        would confirm bytes that no cache has named.
+        """
+        if self.result.unchanged and (not known_version or _comparable(self.version) != _comparable(known_version)):
             return AttemptResult(AttemptStatus.ERROR)
         return self.result
 
 
-def _bare(tag: str) -> str:
-    """A tag as it is compared: without quotes, leading zeros and case."""
-    return tag.strip('"').lstrip("0").lower()
+def _comparable(version: str) -> str:
+    """Without quotes, leading zeros and case."""
+    return version.strip('"').lstrip("0").lower()
 
 
-def write_do(attempt: Attempt, now_us: int, source: str) -> bytes:
+def write_command(attempt: Attempt, now_us: int, source: str) -> bytes:
     """The command for an attempt; `source` is the name of the member a miss is filled from, or empty."""
-    r = attempt.request
-    words = [f"c={r.class_name},k={r.key},p={r.part},w={max(1, (attempt.due_us - now_us) // 1000)}"]
+    request = attempt.request
+    timeout_ms = max(1, (attempt.due_us - now_us) // 1000)
+    parameters = [f"c={request.class_name},k={request.key},p={request.part},w={timeout_ms}"]
     if source:
-        words.append(f"next={source}")
+        parameters.append(f"next={source}")
     if attempt.retention_rank:
-        words.append(f"admit={attempt.retention_rank}")
+        parameters.append(f"admit={attempt.retention_rank}")
     if attempt.max_age_us:
         # An age under a millisecond must not become 0, which would mean the class's fresh time.
-        words.append(f"agelim={max(1, attempt.max_age_us // 1000)}")
-    ways = [
+        parameters.append(f"agelim={max(1, attempt.max_age_us // 1000)}")
+    flags = [
         name
-        for name, on in (
-            ("wait-for", attempt.join_fill),
-            ("no-fetch", attempt.only_if_cached),
-            ("no-keep", attempt.parent_no_store),
-            ("background", attempt.refresh_in_background),
+        for name, is_set in (
+            (JOIN_FILL, attempt.join_fill),
+            (ONLY_IF_CACHED, attempt.only_if_cached),
+            (PARENT_NO_STORE, attempt.parent_no_store),
+            (REFRESH_IN_BACKGROUND, attempt.refresh_in_background),
         )
-        if on
+        if is_set
     ]
-    if ways:
-        words.append("ways=" + "+".join(ways))
-    if r.known_version:
-        words.append(f"cached={r.known_version}")
-    if r.idempotency_key:
-        words.append(f"i={r.idempotency_key}")
-    return b"do %b %b %d\r\n%b\r\n" % (r.request_id.encode(), ",".join(words).encode(), len(r.body), r.body)
+    if flags:
+        parameters.append("ways=" + "+".join(flags))
+    if request.known_version:
+        parameters.append(f"cached={request.known_version}")
+    if request.idempotency_key:
+        parameters.append(f"i={request.idempotency_key}")
+    body = request.body
+    return b"do %b %b %d\r\n%b\r\n" % (request.request_id.encode(), ",".join(parameters).encode(), len(body), body)
 
 
-def write_undo(rid: str) -> bytes:
-    return b"undo %b\r\n" % rid.encode()
+def write_cancel(request_id: str) -> bytes:
+    """Tells the cache that nobody waits for the request any more."""
+    return b"undo %b\r\n" % request_id.encode()
 
 
 class AnswerParser:
-    """Fed a cache's bytes, gives its answers. `report_fields` is the order of the load report's values."""
+    """Fed a cache's bytes, returns its answers. `load_report_fields` is the order of a load report's values."""
 
-    def __init__(self, load_report_fields: tuple[str, ...] = ()):
+    def __init__(self, load_report_fields: tuple[str, ...] = ()) -> None:
         names = (name.encode() for name in load_report_fields)
-        self._fields = tuple(ALIASES.get(name, name) for name in names)
-        self._held = bytearray()
-        self._head = None  # the answer whose body is awaited, and the body's length
+        self._load_report_fields = tuple(FIGURE_ALIASES.get(name, name) for name in names)
+        self._buffer = bytearray()
+        self._partial: CacheAnswer | None = None  # its line was read, its body is awaited
+        self._body_size = 0  # of that body
 
     @property
     def has_partial(self) -> bool:
-        """Whether a part of an answer is held."""
-        return bool(self._held) or self._head is not None
+        """Whether an answer has begun that is not complete."""
+        return bool(self._buffer) or self._partial is not None
 
     def feed(self, data: bytes) -> list[CacheAnswer]:
+        """The answers that are complete now. Raises LineError, whose `answers` are still good."""
         answers: list[CacheAnswer] = []
         try:
             self._feed(data, answers)
         except LineError as error:
-            # Guards those who were answered in time by bytes that came before the spoilt ones.
+            # Guards those who were answered in time by bytes that came before the malformed ones.
             error.answers = answers
             raise
         return answers
 
-    def _feed(self, data: bytes, answers: list[CacheAnswer]) -> None:
-        # What is whole is taken from `data` itself: only a part of an answer is ever held, and copied.
-        if self._held:
-            self._held += data
-            data = self._held
+    def _feed(self, received: bytes, answers: list[CacheAnswer]) -> None:
+        # What is whole is taken from the received bytes: only a part of an answer is ever buffered, and copied.
+        data: bytes | bytearray = received
+        if self._buffer:
+            self._buffer += received
+            data = self._buffer
         at, size = 0, len(data)
         while True:
-            if self._head is None:
-                end = data.find(b"\r\n", at)
-                if end < 0:
-                    if size - at > LONGEST_LINE:
-                        raise LineError("an answer's line is too long")
+            if self._partial is None:
+                line_end = data.find(b"\r\n", at)
+                if line_end < 0:
+                    if size - at > MAX_LINE_BYTES:
+                        raise LineError(f"an answer's line is over {MAX_LINE_BYTES} bytes long")
                     break
-                self._head = self._read_line(bytes(data[at:end]))
-                at = end + 2
-            answer, length = self._head
-            if size - at < length + 2:
+                self._partial = self._read_line(bytes(data[at:line_end]))
+                at = line_end + 2
+            body_size = self._body_size
+            if size - at < body_size + 2:
                 break
-            answer.result.body = self._read_body(data, at, length)
-            at += length + 2
-            self._head = None
-            answers.append(answer)
-        if data is not self._held:
-            self._held += data[at:]
+            self._partial.result.body = self._read_body(data, at, body_size)
+            at += body_size + 2
+            answers.append(self._partial)
+            self._partial = None
+        if data is not self._buffer:
+            self._buffer += data[at:]
         elif at:
-            del self._held[:at]
+            del self._buffer[:at]
 
     @staticmethod
-    def _read_body(data: bytes, at: int, length: int) -> bytes:
-        if data[at + length : at + length + 2] != b"\r\n":
-            raise LineError("an answer's body does not end where it should")
-        if not length:
+    def _read_body(data: bytes | bytearray, at: int, size: int) -> bytes:
+        if data[at + size : at + size + 2] != b"\r\n":
+            raise LineError(f"an answer's body does not end after {size} bytes")
+        if not size:
             return b""
         with memoryview(data) as view:
-            return bytes(view[at : at + length])
+            return bytes(view[at : at + size])
 
-    def _read_line(self, line: bytes) -> tuple[CacheAnswer, int]:
+    def _read_line(self, line: bytes) -> CacheAnswer:
+        """The answer that the line begins; the size of its body goes to `_body_size`."""
         try:
-            rid, word, fields, size = line.split(b" ")
-            length = int(size)
-            result, tag = AttemptResult(STATUSES[word]), ""
-            if not 0 <= length <= LONGEST_BODY or (length and word != b"ok"):
-                raise LineError("an answer's body cannot be that long")
-            result.unchanged = word == b"current"
+            request_id, status, fields, size = line.split(b" ")
+            body_size = self._body_size = int(size)
+            result, version = AttemptResult(STATUSES[status]), ""
+            if not 0 <= body_size <= MAX_BODY_BYTES or (body_size and status != OK_STATUS):
+                raise LineError(f"an answer's body cannot be {body_size} bytes long: {line[:SHOWN_BYTES]!r}")
+            result.unchanged = status == NOT_MODIFIED_STATUS
             if fields != b"-":
                 for pair in fields.split(b","):
                     name, _, value = pair.partition(b"=")
                     if name == b"note":
-                        result.detail = NOTES.get(value, AttemptDetail.NONE)
+                        result.detail = DETAILS.get(value, AttemptDetail.NONE)
                     elif name == b"slow":
                         result.fill_queue_us = int(float(value) * 1000)
                     elif name == b"sum":
-                        tag = value.decode("ascii")
+                        version = value.decode("ascii")
                     elif name == b"load":
-                        result.load_report = read_load(value, self._fields)
-            return CacheAnswer(rid.decode("ascii"), result, tag), length
+                        result.load_report = read_load_report(value, self._load_report_fields)
+            return CacheAnswer(request_id.decode("ascii"), result, version)
         except (ValueError, KeyError, OverflowError):
-            raise LineError(f"no answer: {line[:80]!r}") from None
+            raise LineError(f"no answer: {line[:SHOWN_BYTES]!r}") from None
 
 
 @lru_cache(maxsize=256)
-def read_load(value: bytes, fields: tuple[bytes, ...]) -> tuple[float, ...]:
-    """The report in the order of the settings; cut off before the first value that is missing. A member's
-    report stays the same for many answers."""
-    named, out = {}, []
+def read_load_report(value: bytes, fields: tuple[bytes, ...]) -> tuple[float, ...]:
+    """The report's values in the order of `fields`, cut off before the first that is missing. Cached: a member's
+    report stays the same for many answers.
+
+    Raises ValueError on a value that is no number.
+    """
+    figures: dict[bytes, bytes] = {}
     for pair in value.split(b";"):
         name, figure = pair.split(b":", 1)
         # Guards against two names for one figure: the settings' own and the short one. Unknown to each
         # other, they had every report of every member thrown away.
-        named[ALIASES.get(name, name)] = figure
+        figures[FIGURE_ALIASES.get(name, name)] = figure
+    values: list[float] = []
     for name in fields:
-        if name not in named:
+        if name not in figures:
             break
-        out.append(float(named[name]))
-    return tuple(out)
+        values.append(float(figures[name]))
+    return tuple(values)
--- a/rookbend/protocol/coordinator_stream.py
+++ b/rookbend/protocol/coordinator_stream.py
@@ -1,188 +1,118 @@
-"""The coordinator's stream: HTTP by h11, server-sent events, and what their data tells."""
+"""The events in the stream of the platform's coordinator (docs of the platform), and what they mean to the core."""
 
 from __future__ import annotations
 
-from dataclasses import dataclass
 from hashlib import blake2b
 
-import h11
 import msgspec
 
 from rookbend.core.model import Endpoint, MembershipChange, Purge
 from rookbend.interface import Member, MemberState
+from rookbend.protocol.errors import ProtocolError
 
-LONGEST_EVENT = 4 << 20
-STATES = {"SERVING": MemberState.READY, "DRAINING": MemberState.DRAINING, "DELETED": MemberState.GONE}
-UNKNOWN_KIND = 0xFFFF
+# The coordinator's phases of a member, by what they mean here.
+MEMBER_STATES = {"SERVING": MemberState.READY, "DRAINING": MemberState.DRAINING, "DELETED": MemberState.GONE}
+UNKNOWN_KIND = 0xFFFF  # of a member: none that the settings name
+UNKNOWN_ZONE = 0xFF
+SERVER_NUMBER_BYTES = 6
+ZERO_OBJECT_NUMBER = 1 << 64  # stands for 0, which would mean a whole group to the module
 
 
-class StreamError(Exception):
-    """What came is no stream of events."""
+class StreamError(ProtocolError):
+    """What came is no stream of events, or an event that can't be used."""
 
 
-class _Line(msgspec.Struct):
-    id: str
-    host_port: str = ""
-    locality: str = ""
-    flavor: str = ""
+class EndpointRow(msgspec.Struct):
+    """A member as the coordinator describes it; the names on the wire stand in the fields."""
+
+    name: str = msgspec.field(name="id")
+    address: str = msgspec.field(name="host_port", default="")
+    zone: str = msgspec.field(name="locality", default="")
+    kind: str = msgspec.field(name="flavor", default="")
     cell: int = 0
     phase: str = "SERVING"
-    size: float = 1.0
-    up_since_ms: int = 0
+    weight: float = msgspec.field(name="size", default=1.0)
+    started_ms: int = msgspec.field(name="up_since_ms", default=0)
+
 
+class MembershipEvent(msgspec.Struct):
+    """The whole membership (`complete`), or the members that changed."""
 
-class _Endpoints(msgspec.Struct):
-    revision: int = 0
+    version: int = msgspec.field(name="revision", default=0)
     complete: bool = False
-    members: list[_Line] = []
+    members: list[EndpointRow] = []
+
 
+class PurgeEvent(msgspec.Struct):
+    """A purge of one object, or of a group where `key` is None. Unix milliseconds."""
 
-class _Evict(msgspec.Struct):
-    ref: str | None = None
-    shard: int | None = None
+    key: str | None = msgspec.field(name="ref", default=None)
+    group: int | None = msgspec.field(name="shard", default=None)
     unix_ms: int = 0
 
 
 class Update(msgspec.Struct):
-    """An event as the coordinator words it."""
+    """An event of the coordinator, by its number in the stream; of a kind unknown here, both are None."""
 
     index: int = 0
-    endpoints: _Endpoints | None = None
-    evict: _Evict | None = None
+    membership: MembershipEvent | None = msgspec.field(name="endpoints", default=None)
+    purge: PurgeEvent | None = msgspec.field(name="evict", default=None)
 
 
 class Known(msgspec.Struct):
+    """The events that the configuration brings along, up to `index`."""
+
     index: int = 0
     updates: list[Update] = []
 
 
-_update = msgspec.json.Decoder(Update)
-
-
 def object_number(name: str) -> int:
-    """The number of an object's name. 0 would mean a whole group to the module, so no object has it."""
-    return int(name, 16) or 1 << 64
+    """The number of an object by its name, hex digits. Raises ValueError on others."""
+    return int(name, 16) or ZERO_OBJECT_NUMBER
 
 
 def server_number(name: str) -> int:
     """The same number for a member's name at every director: the module's shared hash rests on it."""
-    return int.from_bytes(blake2b(name.encode(), digest_size=6).digest(), "big") or 1
+    return int.from_bytes(blake2b(name.encode(), digest_size=SERVER_NUMBER_BYTES).digest(), "big") or 1
 
 
 def split_address(text: str) -> tuple[str, int]:
+    """Host and port of `host:port` or `[host]:port`. Raises ValueError where there is no port."""
     host, _, port = text.rpartition(":")
     return host.strip("[]"), int(port)
 
 
 class Translator:
-    """Turns the coordinator's events into the core's; zones and kinds are named in the settings' order."""
+    """Turns the coordinator's events into the core's; `zones` and `kinds` are named in the settings' order."""
 
-    def __init__(self, zones: tuple[str, ...], kinds: tuple[str, ...]):
-        self._zones = {name: i for i, name in enumerate(zones)}
-        self._kinds = {name: i for i, name in enumerate(kinds)}
+    def __init__(self, zones: tuple[str, ...], kinds: tuple[str, ...]) -> None:
+        self._zones = {name: index for index, name in enumerate(zones)}
+        self._kinds = {name: index for index, name in enumerate(kinds)}
 
     def translate(self, update: Update) -> MembershipChange | Purge | None:
+        """The event for the core; None for a kind unknown here. Raises StreamError where it can't be used."""
         try:
-            if update.endpoints is not None:
-                e = update.endpoints
-                return MembershipChange(e.complete, e.revision, [self._entry(line) for line in e.members])
-            if update.evict is not None:
-                e = update.evict
-                number = None if e.ref is None else object_number(e.ref)
-                return Purge(number, e.shard or 0, e.unix_ms * 1000)
+            if (membership := update.membership) is not None:
+                endpoints = [self._endpoint(row) for row in membership.members]
+                return MembershipChange(membership.complete, membership.version, endpoints)
+            if (purge := update.purge) is not None:
+                object_id = None if purge.key is None else object_number(purge.key)
+                return Purge(object_id, purge.group or 0, purge.unix_ms * 1000)
         except (ValueError, KeyError) as error:
             raise StreamError(f"an event can't be used: {error}") from None
         return None
 
-    def _entry(self, line: _Line) -> Endpoint:
-        state = STATES[line.phase]
+    def _endpoint(self, row: EndpointRow) -> Endpoint:
+        state = MEMBER_STATES[row.phase]
         # What is gone needs no address, and a zone or kind that the settings don't name takes no part.
-        address = split_address(line.host_port) if state is not MemberState.GONE else ("", 0)
+        address = split_address(row.address) if state is not MemberState.GONE else ("", 0)
         member = Member(
-            server_number(line.id),
-            line.size,
-            line.cell,
-            self._zones.get(line.locality, 0xFF),
-            line.up_since_ms * 1000,
-            state,
-            self._kinds.get(line.flavor, UNKNOWN_KIND),
+            server=server_number(row.name),
+            weight=row.weight,
+            cell=row.cell,
+            zone=self._zones.get(row.zone, UNKNOWN_ZONE),
+            started_us=row.started_ms * 1000,
+            state=state,
+            kind=self._kinds.get(row.kind, UNKNOWN_KIND),
         )
-        return Endpoint(member, line.id, address)
-
-
-@dataclass(slots=True)
-class StreamEnd:
-    """The coordinator has ended the stream."""
-
-
-@dataclass(slots=True)
-class UnreadableEvent:
-    """An event whose data can't be read; those that follow it can. `index` is 0 where it has no number."""
-
-    index: int
-    reason: str
-
-
-StreamItem = Update | UnreadableEvent | StreamEnd
-
-
-class EventStream:
-    """One call of the stream: gives the request's bytes, is fed the answer's, gives updates."""
-
-    def __init__(self, host: str, path: str, last_index: int):
-        self._http = h11.Connection(h11.CLIENT)
-        self._request = h11.Request(
-            method="GET",
-            target=path,
-            headers=[("Host", host), ("Accept", "text/event-stream"), ("Last-Event-ID", str(last_index))],
-        )
-        self._text = b""
-        self._data: list[bytes] = []  # of the event that is not whole
-        self._id = 0  # its number
-
-    def start(self) -> bytes:
-        return self._http.send(self._request) + self._http.send(h11.EndOfMessage())
-
-    def feed(self, data: bytes) -> list[StreamItem]:
-        """What has come whole. Empty `data` means the end of the connection."""
-        try:
-            self._http.receive_data(data)
-            out: list[StreamItem] = []
-            while True:
-                event = self._http.next_event()
-                if event is h11.NEED_DATA or event is h11.PAUSED:
-                    return out
-                if isinstance(event, h11.Response) and event.status_code != 200:
-                    raise StreamError(f"the coordinator answered {event.status_code}")
-                if isinstance(event, h11.Data):
-                    out += self._read(bytes(event.data))
-                elif isinstance(event, (h11.EndOfMessage, h11.ConnectionClosed)):
-                    return [*out, StreamEnd()]
-        except h11.RemoteProtocolError as error:
-            raise StreamError(f"no HTTP: {error}") from None
-
-    def _read(self, data: bytes) -> list[StreamItem]:
-        self._text += data
-        if len(self._text) > LONGEST_EVENT:
-            raise StreamError("an event is too long")
-        lines = self._text.replace(b"\r\n", b"\n").split(b"\n")
-        self._text = lines.pop()
-        out: list[StreamItem] = []
-        for line in lines:
-            if line.startswith(b"data:"):
-                self._data.append(line[5:].removeprefix(b" "))
-            elif line.startswith(b"id:") and line[3:].strip().isdigit():
-                self._id = int(line[3:])
-            elif not line and self._data:
-                out.append(self._event())
-        return out
-
-    def _event(self) -> Update | UnreadableEvent:
-        text, self._data = b"\n".join(self._data), []
-        index, self._id = self._id, 0
-        try:
-            update = _update.decode(text)
-        except (msgspec.MsgspecError, UnicodeDecodeError) as error:
-            return UnreadableEvent(index, str(error))
-        update.index = update.index or index
-        return update
+        return Endpoint(member, row.name, address)
--- /dev/null
+++ b/rookbend/protocol/event_stream.py
@@ -0,0 +1,98 @@
+"""Server-sent events over HTTP, as the platform's coordinator streams them (docs of the platform)."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+import h11
+import msgspec
+
+from rookbend.protocol.coordinator_stream import StreamError, Update
+
+MAX_EVENT_BYTES = 4 << 20
+DATA_FIELD, ID_FIELD = b"data:", b"id:"
+
+_update_decoder = msgspec.json.Decoder(Update)
+
+
+@dataclass(slots=True)
+class StreamEnd:
+    """The coordinator has ended the stream."""
+
+
+@dataclass(slots=True)
+class UnreadableEvent:
+    """An event whose data can't be read; those that follow it can. `index` is 0 where it has no number."""
+
+    index: int
+    reason: str
+
+
+StreamItem = Update | UnreadableEvent | StreamEnd
+
+
+class EventStream:
+    """One request of the stream: returns the request's bytes, is fed the response's, returns updates."""
+
+    def __init__(self, host: str, path: str, last_index: int) -> None:
+        """`last_index` is the number of the last event known: the stream begins after it."""
+        self._http = h11.Connection(h11.CLIENT)
+        self._request = h11.Request(
+            method="GET",
+            target=path,
+            headers=[("Host", host), ("Accept", "text/event-stream"), ("Last-Event-ID", str(last_index))],
+        )
+        self._line_buffer = b""
+        self._event_data: list[bytes] = []  # of the event that is not complete
+        self._event_index = 0
+
+    def start(self) -> bytes:
+        """The request's bytes."""
+        return (self._http.send(self._request) or b"") + (self._http.send(h11.EndOfMessage()) or b"")
+
+    def feed(self, data: bytes) -> list[StreamItem]:
+        """The items that are complete now. Empty `data` means the end of the connection.
+
+        Raises StreamError on what is no stream of events.
+        """
+        try:
+            self._http.receive_data(data)
+            items: list[StreamItem] = []
+            while True:
+                event = self._http.next_event()
+                if event is h11.NEED_DATA or event is h11.PAUSED:
+                    return items
+                if isinstance(event, h11.Response) and event.status_code != 200:
+                    raise StreamError(f"the coordinator answered {event.status_code}")
+                if isinstance(event, h11.Data):
+                    items += self._read_events(bytes(event.data))
+                elif isinstance(event, (h11.EndOfMessage, h11.ConnectionClosed)):
+                    return [*items, StreamEnd()]
+        except h11.RemoteProtocolError as error:
+            raise StreamError(f"no HTTP: {error}") from None
+
+    def _read_events(self, data: bytes) -> list[StreamItem]:
+        self._line_buffer += data
+        if len(self._line_buffer) > MAX_EVENT_BYTES:
+            raise StreamError(f"an event is over {MAX_EVENT_BYTES} bytes long")
+        lines = self._line_buffer.replace(b"\r\n", b"\n").split(b"\n")
+        self._line_buffer = lines.pop()
+        items: list[StreamItem] = []
+        for line in lines:
+            if line.startswith(DATA_FIELD):
+                self._event_data.append(line[len(DATA_FIELD) :].removeprefix(b" "))
+            elif line.startswith(ID_FIELD) and line[len(ID_FIELD) :].strip().isdigit():
+                self._event_index = int(line[len(ID_FIELD) :])
+            elif not line and self._event_data:
+                items.append(self._end_event())
+        return items
+
+    def _end_event(self) -> Update | UnreadableEvent:
+        text, self._event_data = b"\n".join(self._event_data), []
+        index, self._event_index = self._event_index, 0
+        try:
+            update = _update_decoder.decode(text)
+        except (msgspec.MsgspecError, UnicodeDecodeError) as error:
+            return UnreadableEvent(index, str(error))
+        update.index = update.index or index
+        return update
--- a/rookbend/service.py
+++ b/rookbend/service.py
@@ -25,7 +25,7 @@
 from rookbend.fronts.platform import PlatformFront
 from rookbend.logs import Log
 from rookbend.net.buffered_socket import WriteScheduler
-from rookbend.net.client_listener import FrontServer
+from rookbend.net.client_listener import ClientListener
 from rookbend.net.component import Part, Site
 from rookbend.net.listeners import Listeners
 from rookbend.net.peers import PeerSocket
@@ -81,7 +81,7 @@
         )
         platform = PlatformFront(self.engine, self.is_ready, self.is_closed)
         limits = config.limits
-        self.front = FrontServer(
+        self.front = ClientListener(
             platform,
             limits.sockets // CLIENT_SHARE,
             (limits.memory_mb << 20) // UNSENT_SHARE,
--- a/tests/test_client_port.py
+++ b/tests/test_client_port.py
@@ -149,7 +149,7 @@
         theirs.setblocking(False)
         theirs.send(b"x")
         theirs.shutdown(socket.SHUT_WR)  # the byte and the end are read in one turn of the loop
-        front._take(ours, stage.nursery)
+        front._accepted(ours, stage.nursery)
         client = next(reversed(front.open))
         client.session.feed = lambda data: client.socket.write(bytes(size)) or True
         async with trio.SocketStream(trio.socket.from_stdlib_socket(theirs)) as stream:
--- a/tests/test_coordinator_watch.py
+++ b/tests/test_coordinator_watch.py
@@ -1,6 +1,6 @@
 """The fleet's calls to its coordinator: spread, and no later for anybody than the bound says."""
 
-from rookbend.net.watch import PAUSE_S, SPREAD_S, ReconnectBackoff
+from rookbend.net.watch import MAX_SPREAD_S, MIN_PAUSE_S, ReconnectBackoff
 
 
 def calls(count, rounds, seed):
@@ -31,7 +31,7 @@
         firsts = []
         for _ in range(8):
             pauses = [backoff.next() for _ in range(6)]
-            assert PAUSE_S <= pauses[0] <= PAUSE_S + SPREAD_S
+            assert MIN_PAUSE_S <= pauses[0] <= MIN_PAUSE_S + MAX_SPREAD_S
             assert pauses[1:] == [1.0] * 5
             backoff.reset()
             firsts.append(pauses[0])
--- a/tests/test_membership_stream.py
+++ b/tests/test_membership_stream.py
@@ -4,7 +4,7 @@
 import pytest
 import trio
 
-from rookbend.net.watch import PAUSE_S, SILENCE_US, ReconnectBackoff
+from rookbend.net.watch import MIN_PAUSE_S, SILENCE_TIMEOUT_US, ReconnectBackoff
 from tests.director_scenario import OBJ, UNIX, on_stage
 from tests.interleaving import hold_connects
 from tests.scripted_coordinator import HEAD, ScriptedCoordinator, change, chunk, event, whole
@@ -37,7 +37,7 @@
             await stream.send_all(said)
         again, last_again, stream = await coordinator.called()
         span_s = ReconnectBackoff(0, 1, 0).span_s
-        assert again - at <= SILENCE_US / 1e6 + PAUSE_S + span_s + 0.05
+        assert again - at <= SILENCE_TIMEOUT_US / 1e6 + MIN_PAUSE_S + span_s + 0.05
         assert (last, last_again) == (1, 1)
         await stream.send_all(HEAD + chunk(told))  # and the drain binds as soon as it is told
         await stage.play("""
@@ -55,7 +55,7 @@
     """A purge binds half a second after it was told, and it counts as told to a director without a stream."""
     for number in range(count):
         for seed in range(20):
-            assert ReconnectBackoff(number, count, seed).next() <= PAUSE_S + 0.08 * count < 0.55
+            assert ReconnectBackoff(number, count, seed).next() <= MIN_PAUSE_S + 0.08 * count < 0.55
 
 
 def test_events_told_between_an_end_and_the_next_call_are_asked_for_and_taken_once():
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -8,16 +8,9 @@
 from rookbend.core.model import Attempt, MembershipChange, Purge, Request
 from rookbend.interface import AttemptDetail, AttemptStatus, MemberState
 from rookbend.protocol import cache_lines, client_frames
-from rookbend.protocol.coordinator_stream import (
-    EventStream,
-    StreamEnd,
-    StreamError,
-    Translator,
-    UnreadableEvent,
-    Update,
-    server_number,
-)
+from rookbend.protocol.coordinator_stream import StreamError, Translator, Update, server_number
 from rookbend.protocol.dns import TcpMessages, frame_tcp
+from rookbend.protocol.event_stream import EventStream, StreamEnd, UnreadableEvent
 from tests.director_scenario import frame
 
 CLIENT = frame(7, 1, {"method": "m", "rid": "0" * 16}, b"body") + frame(9, 1) + frame(1, 0, {})
@@ -138,7 +131,7 @@
         join_fill=True,
         refresh_in_background=True,
     )
-    assert cache_lines.write_do(attempt, 1_000, "p1") == (
+    assert cache_lines.write_command(attempt, 1_000, "p1") == (
         b"do 9999999999999999 c=video,k=7f,p=3,w=1499,next=p1,admit=1,agelim=1,"
         b"ways=wait-for+background,cached=ab 2\r\nxy\r\n"
     )
