--- a/rookbend/service.py
+++ b/rookbend/service.py
@@ -24,8 +24,8 @@
 from rookbend.drain import Drain
 from rookbend.fronts.platform import PlatformFront
 from rookbend.logs import Log
-from rookbend.net.buffered_socket import Outbox
-from rookbend.net.client_listener import FrontServer
+from rookbend.net.buffered_socket import WriteScheduler
+from rookbend.net.client_listener import ClientListener
 from rookbend.net.component import Component, ComponentContext
 from rookbend.net.listeners import Listeners
 from rookbend.net.peers import PeerSocket
@@ -67,7 +67,7 @@
         self.reload = Reload(self, read_config or (lambda before: (config, self.operators)))
         self.phase = Phase.STARTING
         self.counters = Counters()
-        self.outbox = Outbox()
+        self.outbox = WriteScheduler()
         settings = config.router_settings()
         self.clock = Clock(trio.lowlevel.current_clock().current_time, unix)
         self.log = Log(self.clock.now, **msgspec.structs.asdict(self.operators.log))
@@ -81,7 +81,7 @@
         )
         platform = PlatformFront(self.engine, self.is_ready, self.is_closed)
         limits = config.limits
-        self.front = FrontServer(
+        self.front = ClientListener(
             platform,
             limits.sockets // CLIENT_SHARE,
             (limits.memory_mb << 20) // UNSENT_SHARE,
