--- a/rookbend/net/component.py
+++ b/rookbend/net/component.py
@@ -5,7 +5,7 @@
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, Any
 
 import trio
 
@@ -23,7 +23,7 @@
 
 
 @dataclass
-class Site:
+class ComponentContext:
     """What a part may see of its director. The lifecycle is not in it: a part is told of the drain."""
 
     config: Config
@@ -43,10 +43,10 @@
     # Figures that go up and down, by name; a part adds its own.
     gauges: list[Callable[[], dict[str, float]]] = field(default_factory=list)
     # What parts built before offer to those built after, by name.
-    built: dict[str, object] = field(default_factory=dict)
+    built: dict[str, Any] = field(default_factory=dict)
 
 
-class Part:
+class Component:
     """`descriptors` are kept back for it. All methods but `open` must not fail."""
 
     descriptors = 0
--- a/rookbend/net/member_pool.py
+++ b/rookbend/net/member_pool.py
@@ -9,7 +9,7 @@
 import trio
 
 from rookbend.core.model import Attempt, AttemptResult, Endpoint
-from rookbend.core.restart_detection import RestartEvidence
+from rookbend.core.restart_detection import RestartDetector
 from rookbend.interface import AttemptStatus
 from rookbend.net.buffered_socket import BufferedSocket
 from rookbend.net.connection_set import ConnectionSet
@@ -31,7 +31,7 @@
         self.waiting: deque[Attempt] = deque()
         self.awaiting_cancel: list[Attempt] = []  # cancelled here before, and the member may not know it yet
         self.retired = False
-        self.restart = RestartEvidence()
+        self.restart = RestartDetector()
 
     def send(self, attempt: Attempt) -> None:
         """Writes the attempt on a connection that accepts it, or queues it for one."""
--- a/rookbend/net/recovery.py
+++ b/rookbend/net/recovery.py
@@ -1,7 +1,6 @@
 """The driver of recovery: feeds the machine (`recovery.coordinator`) what comes in, carries its actions out.
 
-The machine's clock is monotonic from the Unix time of the start, so that a stepped system clock changes no age.
-"""
+The machine's clock is monotonic from the Unix time of the start, so that a stepped system clock changes no age."""
 
 from __future__ import annotations
 
@@ -11,7 +10,7 @@
 
 from rookbend.core.model import Attempt, AttemptResult, MembershipChange, Purge
 from rookbend.interface import AttemptDetail, AttemptStatus
-from rookbend.net.component import Part, Site
+from rookbend.net.component import Component, ComponentContext
 from rookbend.protocol.gossip import is_ours
 from rookbend.recovery import coordinator as machine
 from rookbend.recovery.startup_stages import Plan
@@ -23,7 +22,7 @@
 COST_OF_PARTS = 4.0  # objects that come in parts are large: what one costs beside one that does not
 
 
-def config_of(site: Site) -> machine.Config:
+def config_of(site: ComponentContext) -> machine.Config:
     s, wanted, rules = site.operators, site.operators.recovery, site.engine.settings
     classes = tuple((c.is_write, c.priority_weight, COST_OF_PARTS if c.has_parts else 1.0) for c in rules.classes)
     return machine.Config(
@@ -50,8 +49,8 @@
         self.ended, self.safe = trio.Event(), False
 
 
-class RecoveryPart(Part):
-    def __init__(self, site: Site):
+class RecoveryPart(Component):
+    def __init__(self, site: ComponentContext):
         self.site, self.engine, self.log = site, site.engine, site.log
         self.state, self.health = site.built.get("state"), site.built.get("health")
         self._mono_us = site.clock.monotonic_us
@@ -78,7 +77,7 @@
         self._pass_on, site.watch.membership_changed = site.watch.membership_changed, self._roster_changed
         site.watch.purged = self._purged
         site.watch.stream_received = lambda: self.feed(machine.StreamHeard())
-        site.engine.on_attempt = self._attempt
+        site.engine.attempts.on_attempt = self._attempt
         site.engine.on_peer = self._datagram
         site.gauges.append(self.gauges)
         self._carry_out(self.machine.begin(self.now()))
@@ -118,7 +117,7 @@
         """Whether it is of this exchange, and not the module's."""
         if not is_ours(data):
             return False
-        self.feed(machine.Datagram(sender, data))
+        self.feed(machine.DatagramReceived(sender, data))
         return True
 
     def _attempt(self, attempt: Attempt, result: AttemptResult | None) -> None:
@@ -145,20 +144,20 @@
         for action in actions:
             CARRY[type(action)](self, action)
 
-    def _send(self, a: machine.Send) -> None:
+    def _send(self, a: machine.SendDatagram) -> None:
         if self.engine.peers is not None:
             self.sent += 1
             self.engine.peers.send(a.peer, a.data)
 
-    def _keep(self, a: machine.Keep) -> None:
+    def _keep(self, a: machine.PersistRow) -> None:
         if self.state is None:
-            if a.promised:
+            if a.awaited:
                 self._kept(a, True)  # no disk: the order lasts as long as somebody of the fleet does
             return
-        done = (lambda safe: self._kept(a, safe)) if a.promised else None
+        done = (lambda safe: self._kept(a, safe)) if a.awaited else None
         self.state.put(a.kind, a.key, a.value, done)
 
-    def _forget(self, a: machine.Forget) -> None:
+    def _forget(self, a: machine.DeleteRow) -> None:
         if self.state is not None:
             self.state.drop(a.kind, a.key)
 
@@ -169,12 +168,13 @@
 
     def _give(self, member: str) -> None:
         """An order from before, to health, once the member is there."""
-        from rookbend.health.model import Order, Ordered
+        from rookbend.health.events import OrderReceived
+        from rookbend.health.model import Order
 
-        server = self.health.desk.find(member) if self.health is not None else None
+        server = self.health.service.find(member) if self.health is not None else None
         if server is not None:
             order, by = self.orders.pop(member)
-            self.health.desk.feed(Ordered(server, Order(order), by))
+            self.health.service.feed(OrderReceived(server, Order(order), by))
 
     def _members(self, a: machine.Members) -> None:
         self._pass_on(a.change)
@@ -184,8 +184,8 @@
     def _limits(self, a: machine.LimitsSet) -> None:
         self.limits = a
         # The engine's clock is another: it may have been set forward since.
-        self.engine.oldest_us = a.oldest_us and self.site.clock.now() - (self.now() - a.oldest_us)
-        self.engine.limit(a.closed, a.rate)
+        self.engine.attempts.oldest_copy_us = a.oldest_us and self.site.clock.now() - (self.now() - a.oldest_us)
+        self.engine.set_admission_limits(a.closed, a.rate)
 
     def _boot(self, a: machine.BootRaised) -> None:
         if self.state is not None:
@@ -194,7 +194,7 @@
 
     # Operators
 
-    def _kept(self, a: machine.Keep, safe: bool) -> None:
+    def _kept(self, a: machine.PersistRow, safe: bool) -> None:
         if safe:
             self.feed(machine.OrderKept(a.key, a.value))
         promise = self._promises.pop(a.key, None)
@@ -232,23 +232,23 @@
         clock = self.site.clock
         while True:
             self._due_earlier = trio.Event()
-            self.feed(machine.Tick())
+            self.feed(machine.TimerExpired())
             if self.limits is not None and self.limits.rate is not None:
                 # What waits in the module for its turn hears of time by this alone.
-                self.engine.limit(self.limits.closed, self.limits.rate)
+                self.engine.set_admission_limits(self.limits.closed, self.limits.rate)
             wait_us = max(0, self.machine.due_us - self.now())
             with trio.move_on_at(clock.monotonic_at(clock.now() + wait_us)):
                 await self._due_earlier.wait()
 
 
 CARRY = {
-    machine.Send: RecoveryPart._send,
-    machine.Keep: RecoveryPart._keep,
-    machine.Forget: RecoveryPart._forget,
+    machine.SendDatagram: RecoveryPart._send,
+    machine.PersistRow: RecoveryPart._keep,
+    machine.DeleteRow: RecoveryPart._forget,
     machine.Members: RecoveryPart._members,
     machine.OrderLearnt: RecoveryPart.learn,
     machine.PurgeLearnt: lambda part, a: part.engine.purged(a.purge),
     machine.LimitsSet: RecoveryPart._limits,
     machine.BootRaised: RecoveryPart._boot,
-    machine.Say: lambda part, a: part.log(a.event, a.level, **a.fields),
+    machine.WriteLogLine: lambda part, a: part.log(a.event, a.level, **a.fields),
 }
