--- a/rookbend/fronts/platform.py
+++ b/rookbend/fronts/platform.py
@@ -71,15 +71,17 @@
         try:
             received = self.parser.feed(data)
         except frames.FrameError as error:
-            received, is_valid = list(error.frames), False
+            received = list(error.frames)
+            is_valid = False
         if received:
-            self.has_received_frame, self.partial_frame_since_us = True, 0
+            self.has_received_frame = True
+            self.partial_frame_since_us = 0
         if self.parser.has_partial:
             self.partial_frame_since_us = self.partial_frame_since_us or now_us
         for frame in received:
             if isinstance(frame, frames.RequestFrame):
                 if frame.stream in self.open_streams:
-                    is_valid = False  # two requests on one stream: no answer could be told from the other
+                    is_valid = False  # two requests on one stream: their answers could not be told apart
                     break
                 self._request(frame)
             elif isinstance(frame, frames.CancelFrame):
@@ -128,7 +130,8 @@
 
     def resume(self) -> None:
         """The client has read its answers: what was queued for that goes on, by the deadline it came with."""
-        self.paused, self._rejected_while_paused = False, 0
+        self.paused = False
+        self._rejected_while_paused = 0
         queued, self._queued = self._queued, {}
         for stream, request in queued.items():
             self._submit(stream, request)
@@ -169,7 +172,7 @@
             self.write(answer.body)
 
     def announce_closing(self) -> None:
-        """Tells the client to send no new request on this connection."""
+        """Notifies the client to send no new request on this connection."""
         self.write(frames.write_goaway())
 
     def connection_lost(self) -> None:
--- a/rookbend/net/buffered_socket.py
+++ b/rookbend/net/buffered_socket.py
@@ -1,4 +1,4 @@
-"""A non-blocking TCP connection: what one turn of the event loop writes goes out together, at its end."""
+"""A non-blocking TCP connection: what one turn of the event loop writes is sent together, at its end."""
 
 from __future__ import annotations
 
@@ -61,8 +61,8 @@
         self.broken = False  # shut down both ways, by an error or by `abort`
         self.eof_received = False  # the peer's end was read, or its reset
         self.reset = False  # that end was a reset
-        self._finishing = False  # the sending side is closed once the backlog has gone
-        self.on_drained: Callable[[], None] | None = None  # called when a backlog has gone out, or never will
+        self._finishing = False  # the sending side is closed once the backlog is sent
+        self.on_drained: Callable[[], None] | None = None  # called when a backlog is sent, or never will be
 
     @property
     def unsent_bytes(self) -> int:
--- a/rookbend/net/client_connection.py
+++ b/rookbend/net/client_connection.py
@@ -18,7 +18,7 @@
 from rookbend.fronts.platform import PlatformFront, PlatformSession
 from rookbend.net.buffered_socket import BufferedSocket, WriteScheduler, prepare
 
-PAUSE_ABOVE_BYTES = 1 << 20  # unsent bytes above which the client's new requests wait until they are gone
+PAUSE_ABOVE_BYTES = 1 << 20  # unsent bytes above which the client's new requests are queued until all are sent
 FINISH_TIMEOUT_US = 250_000  # from the close of our side to dropping a connection that the client leaves open
 MAX_DISCARDED_BYTES = 1 << 20  # received and dropped in that time
 FLUSH_POLL_S = 0.01
@@ -32,7 +32,7 @@
 
 
 class ClientConnectionOwner(Protocol):
-    """Who accepted a connection: what all of them share, and who is told of their end."""
+    """Who accepted a connection: what all of them share, and who is notified of their end."""
 
     front: PlatformFront
     counters: Counters
@@ -98,7 +98,7 @@
     def _process(self, data: bytes) -> None:
         if self.socket.eof_received:
             # Guards a request whose client has left already: it may have waited unread behind a late loop or
-            # in the listener's backlog, and no attempt begins for a client that has gone.
+            # in the listener's backlog, and no attempt begins for a client that has left.
             self.session.client_closed()
         self.session.paused = self.socket.backlog_bytes > PAUSE_ABOVE_BYTES
         if not self.session.feed(data):
--- a/rookbend/net/client_listener.py
+++ b/rookbend/net/client_listener.py
@@ -17,7 +17,7 @@
 STALLED_S = 6.0  # a client that reads nothing for so long is dropped
 CROSSING_US = 50_000  # a request that crosses a close within this time is sent again by its client
 EVICTED_AT_ONCE_DIVISOR = 32  # of all places: each eviction goes over all clients
-MAX_FINISHING = 16  # connections that are being ended at a time to make room
+MAX_FINISHING = 16  # connections that are being ended at a time to free places
 
 
 class ClientListener:
@@ -37,7 +37,7 @@
         self.accepted_all = trio.Event()  # the listener is closed, and what waited in its backlog was accepted
 
     async def serve(self, listener: socket.socket, accepting: trio.CancelScope) -> None:
-        """Accepts until `accepting` is cancelled, and serves until the last client has gone."""
+        """Accepts until `accepting` is cancelled, and serves until the last client has left."""
         async with trio.open_nursery() as nursery:
             await accept(listener, accepting, lambda sock: self._accepted(sock, nursery), self._has_capacity)
             self.accepted_all.set()
@@ -133,7 +133,7 @@
             client.finish_if_idle()
 
     def say_closing(self) -> None:
-        """Tells all clients, and those who come from now on, to send no new request."""
+        """Notifies all clients, and those who come from now on, to send no new request."""
         self.closing = True
         for client in self.open:
             if client.phase is ClientPhase.OPEN:
--- a/rookbend/net/connection_set.py
+++ b/rookbend/net/connection_set.py
@@ -9,7 +9,7 @@
 from rookbend.net.pool_context import PoolContext
 
 MAX_CONNECTIONS = 64  # to one member, where the budget of all together allows
-MAX_RATE_FOR_NEW_CONNECTIONS_PER_S = 1500  # attempts up to which those that ask for one get a new connection
+MAX_RATE_FOR_NEW_CONNECTIONS_PER_S = 1500  # attempts up to which those that need one get a new connection
 NEW_CONNECTION_AGE_US = 100_000  # a connection not used yet counts as new for so long
 
 
@@ -31,7 +31,7 @@
     @property
     def sent_in_flight(self) -> int:
         """Attempts in flight whose last byte was sent."""
-        return sum(connection.is_sent(entry) for connection in self.open for entry in connection.in_flight.values())
+        return sum(connection.is_sent(pending) for connection in self.open for pending in connection.in_flight.values())
 
     def may_connect(self) -> bool:
         """Whether another connection may be opened now."""
@@ -45,7 +45,7 @@
     def select(self, attempt: Attempt) -> MemberConnection | None:
         """The connection that the attempt is written to; None where it waits for one.
 
-        One with nothing in flight, while the load is low enough to hold one for each attempt. Guards against
+        One with nothing in flight, while the load is low enough for a connection to each attempt. Guards against
         a malformed answer, or one that never comes: the connection is of no further use then, and all that is
         in flight on it is lost with it.
         """
@@ -71,7 +71,7 @@
         return shared if shared is not None and len(shared.in_flight) < context.max_streams else None
 
     def _opened_since_us(self) -> int:
-        """When a connection must have been opened at the earliest, for an attempt that asks for a new one; 0
+        """When a connection must have been opened at the earliest, for an attempt that needs a new one; 0
         where it gets any."""
         context = self.context
         if context.attempt_rate_per_s > MAX_RATE_FOR_NEW_CONNECTIONS_PER_S or not self.may_connect():
--- a/rookbend/net/member_connection.py
+++ b/rookbend/net/member_connection.py
@@ -44,7 +44,7 @@
 
 
 class ConnectionOwner(Protocol):
-    """Who opened a connection: is told what happens on it, and settles its attempts."""
+    """Who opened a connection: notified of its events, and settles its attempts."""
 
     def answers_received(self, connection: MemberConnection, answers: Sequence[cache_lines.CacheAnswer]) -> None:
         """Whole answers were read; some may be to requests that are no longer in flight."""
@@ -76,7 +76,8 @@
         self.in_flight: dict[str, InFlightAttempt] = {}
         self.cancelled_ids: dict[str, None] = {}  # cancelled here; the member may not know it yet
         self.answered_ids: dict[str, None] = {}  # answered here; a second copy of the answer may still come
-        self.last_received_us = self.last_used_us = clock.now()
+        self.last_received_us = clock.now()
+        self.last_used_us = self.last_received_us
         self._read_scope = trio.CancelScope()
 
     def accepts(self, request_id: str) -> bool:
@@ -116,37 +117,38 @@
         """Whether it is idle, and nothing was written on it after `before_us`."""
         return self.is_idle() and self.last_used_us <= before_us
 
-    def is_sent(self, entry: InFlightAttempt) -> bool:
+    def is_sent(self, pending: InFlightAttempt) -> bool:
         """Whether the last byte of the attempt was taken by the kernel."""
-        return self.socket.sent_bytes >= entry.end_byte
+        return self.socket.sent_bytes >= pending.end_byte
 
     def send(self, attempt: Attempt, data: bytes, now_us: int) -> None:
         """Writes the attempt's command."""
         start = self.socket.accepted_bytes
         self.in_flight[attempt.request.request_id] = InFlightAttempt(attempt, start, start + len(data))
-        self.last_used_us, self.state = now_us, _ACTIVE
+        self.last_used_us = now_us
+        self.state = _ACTIVE
         attempt.connection = self
         self.socket.write(data)
 
     def send_cancel(self, request_id: str) -> None:
-        """Tells the member that nobody waits for the request any more."""
+        """Notifies the member that nobody waits for the request any more."""
         remember(self.cancelled_ids, request_id)
         self.socket.write(cache_lines.write_cancel(request_id))
 
-    def withdraw(self, entry: InFlightAttempt) -> bool:
+    def withdraw(self, pending: InFlightAttempt) -> bool:
         """Takes back an attempt of which no byte was sent; returns whether it did.
 
         Guards those whose client has left, or whose time is over: sent on once the member reads again, the
         request would begin long after that.
         """
-        if self.socket.accepted_bytes != entry.end_byte:
+        if self.socket.accepted_bytes != pending.end_byte:
             return False
-        return self.socket.withdraw(entry.end_byte - entry.start_byte)
+        return self.socket.withdraw(pending.end_byte - pending.start_byte)
 
-    def abort_partly_sent(self, entry: InFlightAttempt) -> bool:
+    def abort_partly_sent(self, pending: InFlightAttempt) -> bool:
         """Breaks the connection if the attempt was the last in flight, and is not sent whole: the member
         never sees the rest. Returns whether it did."""
-        if self.is_sent(entry) or self.in_flight:
+        if self.is_sent(pending) or self.in_flight:
             return False
         self.abort()
         return True
--- a/rookbend/net/member_pool.py
+++ b/rookbend/net/member_pool.py
@@ -135,11 +135,11 @@
     def cancel(self, connection: MemberConnection, attempt: Attempt) -> AttemptStatus:
         """Gives up an attempt in flight on this connection; see `Backend.undo`."""
         request_id, now = attempt.request.request_id, self.context.engine.clock.now()
-        entry = connection.in_flight.pop(request_id)
-        if connection.withdraw(entry):
+        pending = connection.in_flight.pop(request_id)
+        if connection.withdraw(pending):
             self._finish_if_unused(connection)
             return AttemptStatus.CONNECT_FAILED
-        if connection.abort_partly_sent(entry):
+        if connection.abort_partly_sent(pending):
             return AttemptStatus.CONNECT_FAILED
         connection.send_cancel(request_id)
         self.context.counters.undone += 1
@@ -162,8 +162,8 @@
         """Settles the attempts that were answered."""
         connections, context = self.connections, self.context
         for answer in answers:
-            entry = connection.in_flight.pop(answer.request_id, None)
-            if entry is not None:
+            pending = connection.in_flight.pop(answer.request_id, None)
+            if pending is not None:
                 remember(connection.answered_ids, answer.request_id)
                 context.counters.written += 1
                 if (
@@ -172,7 +172,7 @@
                     and context.streams_per_connection == 1
                 ):
                     connections.used(connection)
-                attempt = entry.attempt
+                attempt = pending.attempt
                 context.engine.finished(attempt, answer.result_for(attempt.request.known_version))
             # Else a second copy, an unknown id, or one that was cancelled: ignored.
 
@@ -193,7 +193,7 @@
         self.connections.open.remove(connection)
         self.restart.connection_lost(connection.socket.reset)
         self.context.open_connections -= 1
-        lost = [(entry.attempt, connection.is_sent(entry)) for entry in connection.close()]
+        lost = [(pending.attempt, connection.is_sent(pending)) for pending in connection.close()]
         self.context.counters.written += sum(sent for _, sent in lost)
         for attempt, sent in lost:
             status = AttemptStatus.RESET if sent else AttemptStatus.CONNECT_FAILED
--- a/rookbend/net/pool.py
+++ b/rookbend/net/pool.py
@@ -98,8 +98,8 @@
         connection = attempt.connection
         if not isinstance(connection, MemberConnection):
             return None
-        entry = connection.in_flight.get(attempt.request.request_id)
-        return connection if entry is not None and entry.attempt is attempt else None
+        pending = connection.in_flight.get(attempt.request.request_id)
+        return connection if pending is not None and pending.attempt is attempt else None
 
     def forget(self, server: int) -> None:
         """See `Backend.forget`."""
--- a/rookbend/protocol/cache_lines.py
+++ b/rookbend/protocol/cache_lines.py
@@ -128,7 +128,7 @@
 
 
 def write_cancel(request_id: str) -> bytes:
-    """Tells the cache that nobody waits for the request any more."""
+    """Notifies the cache that nobody waits for the request any more."""
     return b"undo %b\r\n" % request_id.encode()
 
 
--- a/rookbend/protocol/client_frames.py
+++ b/rookbend/protocol/client_frames.py
@@ -18,7 +18,8 @@
 HEADER = struct.Struct(">IBI")
 ANSWER_HEADER = struct.Struct(">IBIB")
 ANSWER_HEADER_BYTES = ANSWER_HEADER.size - LENGTH_BYTES  # as a frame's length counts them
-MIN_FRAME_BYTES, MAX_FRAME_BYTES = 5, 262_144  # of the length in a header: without its own four bytes
+MIN_FRAME_BYTES = 5  # of the length in a header: without its own four bytes
+MAX_FRAME_BYTES = 262_144
 MAX_BUFFERED_BYTES = 65_536  # no request of a client is longer: a longer frame is discarded as it comes
 
 # Frame types, as the platform numbers them.
@@ -66,7 +67,7 @@
 
 @dataclass(slots=True)
 class ReadinessFrame:
-    """The client asks whether the director is ready."""
+    """A query whether the director is ready."""
 
     stream: int
 
@@ -183,5 +184,5 @@
 
 
 def write_goaway() -> bytes:
-    """Tells the client to send no new request on this connection."""
+    """Notifies the client to send no new request on this connection."""
     return HEADER.pack(MIN_FRAME_BYTES, GOAWAY_TYPE, 0)
--- a/rookbend/protocol/coordinator_stream.py
+++ b/rookbend/protocol/coordinator_stream.py
@@ -22,7 +22,7 @@
     """What came is no stream of events, or an event that can't be used."""
 
 
-class EndpointRow(msgspec.Struct):
+class EndpointRecord(msgspec.Struct):
     """A member as the coordinator describes it; the names on the wire stand in the fields."""
 
     name: str = msgspec.field(name="id")
@@ -40,7 +40,7 @@
 
     version: int = msgspec.field(name="revision", default=0)
     complete: bool = False
-    members: list[EndpointRow] = []
+    members: list[EndpointRecord] = []
 
 
 class PurgeEvent(msgspec.Struct):
@@ -93,7 +93,7 @@
         """The event for the core; None for a kind unknown here. Raises StreamError where it can't be used."""
         try:
             if (membership := update.membership) is not None:
-                endpoints = [self._endpoint(row) for row in membership.members]
+                endpoints = [self._endpoint(record) for record in membership.members]
                 return MembershipChange(membership.complete, membership.version, endpoints)
             if (purge := update.purge) is not None:
                 object_id = None if purge.key is None else object_number(purge.key)
@@ -102,17 +102,17 @@
             raise StreamError(f"an event can't be used: {error}") from None
         return None
 
-    def _endpoint(self, row: EndpointRow) -> Endpoint:
-        state = MEMBER_STATES[row.phase]
+    def _endpoint(self, record: EndpointRecord) -> Endpoint:
+        state = MEMBER_STATES[record.phase]
         # What is gone needs no address, and a zone or kind that the settings don't name takes no part.
-        address = split_address(row.address) if state is not MemberState.GONE else ("", 0)
+        address = split_address(record.address) if state is not MemberState.GONE else ("", 0)
         member = Member(
-            server=server_number(row.name),
-            weight=row.weight,
-            cell=row.cell,
-            zone=self._zones.get(row.zone, UNKNOWN_ZONE),
-            started_us=row.started_ms * 1000,
+            server=server_number(record.name),
+            weight=record.weight,
+            cell=record.cell,
+            zone=self._zones.get(record.zone, UNKNOWN_ZONE),
+            started_us=record.started_ms * 1000,
             state=state,
-            kind=self._kinds.get(row.kind, UNKNOWN_KIND),
+            kind=self._kinds.get(record.kind, UNKNOWN_KIND),
         )
-        return Endpoint(member, row.name, address)
+        return Endpoint(member, record.name, address)
--- a/rookbend/protocol/dns.py
+++ b/rookbend/protocol/dns.py
@@ -22,6 +22,8 @@
 import dns.rdatatype
 import dns.rrset
 
+from rookbend.protocol.errors import ProtocolError
+
 UDP_LEAST = 512  # what every client takes
 UDP_MOST = 1232  # what passes every network whole
 LONGEST_MESSAGE = 65_535
@@ -33,7 +35,7 @@
 _RID = re.compile(r"r([0-9a-f]{16})")
 
 
-class NoAnswerError(Exception):
+class NoAnswerError(ProtocolError):
     """Bytes to which no reply may be sent: too short for an id, or themselves a reply."""
 
 
--- a/rookbend/protocol/event_stream.py
+++ b/rookbend/protocol/event_stream.py
@@ -10,7 +10,8 @@
 from rookbend.protocol.coordinator_stream import StreamError, Update
 
 MAX_EVENT_BYTES = 4 << 20
-DATA_FIELD, ID_FIELD = b"data:", b"id:"
+DATA_FIELD = b"data:"
+ID_FIELD = b"id:"
 
 _update_decoder = msgspec.json.Decoder(Update)
 
--- a/rookbend/protocol/upgrade.py
+++ b/rookbend/protocol/upgrade.py
@@ -12,11 +12,13 @@
 
 import msgspec
 
+from rookbend.protocol.errors import ProtocolError
+
 VERSION = 1
 MAX_LINE_BYTES = 1 << 16
 
 
-class UpgradeError(Exception):
+class UpgradeError(ProtocolError):
     """The other process sent what is no message, or is not one that may be served."""
 
 
