--- a/rookbend/components/admin.py
+++ b/rookbend/components/admin.py
@@ -5,7 +5,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from rookbend.health.model import Order, Ordered
+from rookbend.health.events import OrderReceived
+from rookbend.health.model import Order
 from rookbend.net.component import Component, ComponentContext
 from rookbend.net.http_server import SmallServer, serve_http
 from rookbend.protocol.admin import AdminDesk
@@ -50,7 +51,7 @@
         """Returns the HTTP status and, unless that is 200, the fault."""
         if fleet:
             return await self._give_to_fleet(member, order, by)
-        server = self._health.desk.find(member)
+        server = self._health.service.find(member)
         if server is None:
             return NOT_FOUND, f"no member {member}"
         # Persisted first: an order that was acknowledged is not undone by a power loss.
@@ -58,7 +59,7 @@
             fault = await self._recovery.order(member, order.value, by)
             if fault:
                 return SERVICE_UNAVAILABLE, f"the order on {member} is {fault}"
-        self._health.desk.feed(Ordered(server, order, by))
+        self._health.service.feed(OrderReceived(server, order, by))
         return OK, ""
 
     async def _give_to_fleet(self, member: str, order: Order, by: str) -> tuple[int, str]:
@@ -82,12 +83,12 @@
         tables["/fleet"] = recovery.fleet
         tables["/recovery"] = recovery.explain
     if health is not None:
-        tables["/members"] = lambda: {"director": context.config.name, "members": health.desk.table()}
+        tables["/members"] = lambda: {"director": context.config.name, "members": health.service.table()}
         tables["/background"] = lambda: {
             "jobs": len(health.runner.plan.jobs),
             "running": health.runner.plan.running,
             "started": health.runner.plan.started,
-            "overtaken": health.desk.board.overtaken,
+            "overtaken": health.service.registry.overtaken,
         }
     return tables
 
@@ -100,4 +101,4 @@
         return {name: value for gauge in context.gauges for name, value in gauge().items()}
 
     health = context.built.get("health")
-    return Figures(context.counters, health.desk.table if health is not None else None, gauges).text
+    return Figures(context.counters, health.service.table if health is not None else None, gauges).text
--- a/rookbend/components/health.py
+++ b/rookbend/components/health.py
@@ -5,9 +5,9 @@
 import trio
 
 from rookbend.components.health_policy import health_policy
-from rookbend.health.model import PolicyChanged
-from rookbend.health.registry import Board
-from rookbend.health.service import Desk, role_namer
+from rookbend.health.events import PolicyChanged
+from rookbend.health.registry import HealthRegistry
+from rookbend.health.service import HealthService, role_namer
 from rookbend.net.checks import WATCH, CheckDriver
 from rookbend.net.component import Component, ComponentContext
 from rookbend.net.scheduling import Runner
@@ -25,7 +25,8 @@
         assert settings.health is not None
         self.clock = context.clock
         self.rules = engine.settings  # those of the start: the policy keeps to them over a reload
-        self.desk = Desk(engine, Board(health_policy(settings, self.rules), role_namer(self.rules)), context.log)
+        registry = HealthRegistry(health_policy(settings, self.rules), role_namer(self.rules))
+        self.service = HealthService(engine, registry, context.log)
         has_watches = any(check.type == "grpc-watch" for check in settings.checks)
         self.descriptors = background.descriptors + (background.watches if has_watches else 0)
         plan = Plan(
@@ -35,13 +36,13 @@
             int(context.config.seed, 16),
         )
         self.runner = Runner(plan, self.clock)
-        self.driver = CheckDriver(self.desk, self.runner, self.clock, settings.checks)
+        self.driver = CheckDriver(self.service, self.runner, self.clock, settings.checks)
         self._due_earlier = trio.Event()
-        self.desk.on_due = lambda due_us: self._due_earlier.set()
-        context.watch.membership_changed = self.desk.membership_changed
+        self.service.on_due = lambda due_us: self._due_earlier.set()
+        context.watch.membership_changed = self.service.membership_changed
         context.gauges.append(lambda: {"background_jobs": len(plan.jobs), "background_running": plan.running})
         if settings.health.passive_fall:
-            engine.attempts.on_attempt_end = self.desk.attempt_ended
+            engine.attempts.on_attempt_end = self.service.attempt_ended
 
     def start(self, nursery: trio.Nursery) -> None:
         """Starts the timer of the registry and the runner of the checks."""
@@ -50,16 +51,16 @@
 
     async def _run_timer(self) -> None:
         while True:
-            self.desk.tick()
+            self.service.tick()
             self._due_earlier = trio.Event()
             with trio.CancelScope() as scope:
-                if self.desk.due_us:
-                    scope.deadline = self.clock.monotonic_at(self.desk.due_us)
+                if self.service.due_us:
+                    scope.deadline = self.clock.monotonic_at(self.service.due_us)
                 await self._due_earlier.wait()
 
     def reload(self, settings: Settings) -> None:
         """Applies another policy and other checks; health itself is not turned off while it runs."""
         if settings.health is None:
             return
-        self.desk.feed(PolicyChanged(health_policy(settings, self.rules)))
+        self.service.feed(PolicyChanged(health_policy(settings, self.rules)))
         self.driver.replace(settings.checks)
--- a/rookbend/components/health_policy.py
+++ b/rookbend/components/health_policy.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from rookbend import interface as api
-from rookbend.health.model import CheckPolicy, HealthPolicy, Ramp
+from rookbend.health.model import CheckPolicy, HealthPolicy, SlowStartPolicy
 from rookbend.settings import Check, Settings
 from rookbend.settings.schema import Health
 
@@ -36,14 +36,14 @@
     )
 
 
-def _slow_start(health: Health, cold_capacity_ratio: float, warm_up_us: int) -> Ramp:
+def _slow_start(health: Health, cold_capacity_ratio: float, warm_up_us: int) -> SlowStartPolicy:
     start_ratio = cold_capacity_ratio
     if health.start_at >= 0:
         start_ratio = min(start_ratio, health.start_at)
     elif health.slow_start_us > 0 and start_ratio >= 1:
         start_ratio = DEFAULT_START_RATIO
     start_percent = max(1, round(start_ratio * 100))
-    return Ramp(start_percent, max(warm_up_us, health.slow_start_us))
+    return SlowStartPolicy(start_percent, max(warm_up_us, health.slow_start_us))
 
 
 def _check_policy(check: Check) -> CheckPolicy:
--- a/rookbend/components/own_status.py
+++ b/rookbend/components/own_status.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from rookbend.health.own_status import Standing, standing
-from rookbend.health.spare_capacity import Headroom
+from rookbend.health.own_status import OwnStatus, own_status
+from rookbend.health.spare_capacity import SpareCapacity
 from rookbend.net.component import Component, ComponentContext
 from rookbend.net.health import GrpcServer, Measuring, agent_server, http_server
 
@@ -11,20 +11,20 @@
 def build_own_status(context: ComponentContext) -> list[Component]:
     """The measuring and the servers that are enabled; the servers also in `context.built` as "balancer"."""
     settings = context.operators
-    headroom = Headroom(settings.headroom.step, settings.headroom.rise_us, settings.headroom.least)
-    context.gauges.append(lambda: {"headroom_percent": headroom.weight})
+    spare_capacity = SpareCapacity(settings.headroom.step, settings.headroom.rise_us, settings.headroom.least)
+    context.gauges.append(lambda: {"headroom_percent": spare_capacity.weight})
 
-    def own_status() -> Standing:
-        return standing(context.phase(), headroom, context.most_clients)
+    def current_status() -> OwnStatus:
+        return own_status(context.phase(), spare_capacity, context.most_clients)
 
-    measuring = Measuring(headroom, context.sample, context.clock)
+    measuring = Measuring(spare_capacity, context.sample, context.clock)
     servers: list[Component] = []
     if settings.agent_server is not None:
-        servers.append(agent_server(settings.agent_server.listen, context.clock, context.outbox, own_status))
+        servers.append(agent_server(settings.agent_server.listen, context.clock, context.outbox, current_status))
     if settings.http_server is not None:
-        servers.append(http_server(settings.http_server.listen, context.clock, context.outbox, own_status))
+        servers.append(http_server(settings.http_server.listen, context.clock, context.outbox, current_status))
     if settings.grpc_server is not None:
-        grpc_server = GrpcServer(settings.grpc_server.listen, context.clock, context.outbox, own_status)
+        grpc_server = GrpcServer(settings.grpc_server.listen, context.clock, context.outbox, current_status)
         measuring.on_change.append(grpc_server.changed)
         servers.append(grpc_server)
     context.built["balancer"] = servers
