--- /dev/null
+++ b/rookbend/assembly.py
@@ -0,0 +1,80 @@
+"""Builds, from its configuration, what every director has."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Sequence
+from dataclasses import dataclass
+from socket import socket
+
+import trio
+
+from rookbend.config import Config
+from rookbend.core.clock import Clock
+from rookbend.core.counters import Counters
+from rookbend.core.engine import Engine
+from rookbend.net.buffered_socket import Outbox
+from rookbend.net.component import Component
+from rookbend.net.listeners import Listeners
+from rookbend.net.peers import PeerSocket
+from rookbend.net.pool import Pool
+from rookbend.net.watch import Watch
+from rookbend.protocol.coordinator_stream import Translator, split_address
+from rookbend.reload import coordinator_address
+from rookbend.resource_budget import ResourceBudget
+from rookbend.routing import Router
+
+
+class ListenError(Exception):
+    """The address to serve on, or that of a component or for the peers, can't be bound."""
+
+
+@dataclass(frozen=True, slots=True)
+class OpenSockets:
+    """The listener for clients, and the socket to the peers where there are any."""
+
+    listener: socket
+    peers: PeerSocket | None
+
+
+def build_engine(config: Config, clock: Clock, counters: Counters, log: Callable[..., None]) -> Engine:
+    """The engine with its router, whose random choices are seeded by the configuration."""
+    settings = config.router_settings()
+    router = Router(settings, int(config.seed, 16))
+    return Engine(settings, router, clock, counters, log)
+
+
+def build_watch(config: Config, engine: Engine) -> Watch:
+    """What follows the coordinator's events."""
+    translator = Translator(config.settings.zones, config.settings.kinds)
+    return Watch(engine, translator, coordinator_address(config), int(config.seed, 16))
+
+
+def build_pool(
+    config: Config, engine: Engine, counters: Counters, nursery: trio.Nursery, outbox: Outbox, budget: ResourceBudget
+) -> Pool:
+    """The connections to members; their tasks run in `nursery`."""
+    limits = config.settings.limits
+    max_connections = budget.max_member_connections()
+    return Pool(engine, counters, nursery, outbox, limits.max_streams, limits.idle_close_us, max_connections)
+
+
+def open_sockets(config: Config, engine: Engine, listeners: Listeners, components: Sequence[Component]) -> OpenSockets:
+    """Binds all addresses, those of the components as well. Raises ListenError."""
+    try:
+        listener = listeners.tcp(split_address(config.listen))
+        peers = _open_peers(config, engine, listeners) if config.peer_listen else None
+        for component in components:
+            component.open(listeners)
+    except OSError as error:
+        raise ListenError(f"cannot listen: {error}") from None
+    listeners.close_unused()
+    return OpenSockets(listener, peers)
+
+
+def _open_peers(config: Config, engine: Engine, listeners: Listeners) -> PeerSocket:
+    return PeerSocket(
+        engine,
+        listeners.udp(split_address(config.peer_listen)),
+        [split_address(peer) for peer in config.peers],
+        split_address(config.peers_all) if config.peers_all else None,
+    )
--- a/rookbend/drain.py
+++ b/rookbend/drain.py
@@ -1,69 +1,94 @@
-"""The end of a director: everything that it has taken is settled before it leaves.
+"""The end of a director: everything that it has accepted is answered before it leaves.
 
-Clients are told at once. Requests that still arrive in the latecomers' time are served, later ones refused with a
-time to come back. The listener closes after what waited in it was taken, and a client's connection once nothing
-is owed and nothing readable is left on it.
+Clients are notified at once. Requests that arrive within the grace time are served, later ones rejected with a
+Retry-After. The listener closes after what waited in it was accepted, and a client's connection once nothing is owed
+and nothing readable is left on it.
 """
 
 from __future__ import annotations
 
+from collections.abc import Sequence
+from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
 import trio
 
+from rookbend.core.clock import Clock
+from rookbend.core.engine import Engine
+from rookbend.net.client_listener import FrontServer
+from rookbend.net.component import Component
 from rookbend.process_metrics import TIMER_STEP_US
 
 if TYPE_CHECKING:
-    from rookbend.service import Service
+    from rookbend.net.upgrade import Upgrade
 
-LATECOMERS_US = 700_000  # after SIGTERM new requests still arrive for this long, and are served
-LONGEST_US = 3_000_000  # SIGKILL follows the longest deadline, or this if it is longer, and 0.7 s more
-KILL_MARGIN_US = 200_000  # everything has its answer so long before it
-SETTLE_STEP_S = 0.01  # so often it is looked whether everything is settled
+GRACE_US = 700_000  # after SIGTERM new requests still arrive for this long, and are served
+LONGEST_DEADLINE_US = 3_000_000  # SIGKILL follows after the longest deadline, at least this, and 0.7 s more
+KILL_MARGIN_US = 200_000  # everything is answered so long before SIGKILL
+POLL_INTERVAL_S = 0.01
+
+
+@dataclass(frozen=True, slots=True)
+class DrainContext:
+    """What the drain needs of a director. `upgrade` is None where no other process can take over."""
+
+    clock: Clock
+    engine: Engine
+    front: FrontServer
+    components: Sequence[Component]
+    upgrade: Upgrade | None
 
 
 class Drain:
-    """Settles what a service has taken."""
+    """Answers what a director has accepted, then ends its connections."""
 
-    def __init__(self, service: Service):
-        self.service = service
-        self.began_us = 0
+    def __init__(self, context: DrainContext) -> None:
+        self._context = context
+        self._began_us = 0  # 0: it has not begun
 
-    def latecomers_over(self) -> bool:
-        """Whether the drain has begun and the latecomers' time has passed."""
-        return bool(self.began_us) and self.service.clock.now() >= self.began_us + LATECOMERS_US
+    def is_grace_over(self) -> bool:
+        """Whether the drain has begun and new requests are rejected."""
+        return bool(self._began_us) and self._context.clock.now() >= self._began_us + GRACE_US
 
     async def run(self, accepting: trio.CancelScope) -> None:
-        """Returns once everything is settled, or must be since the process may be killed."""
-        service = self.service
-        now = self.began_us = service.clock.now()
-        if service.upgrade is not None:
-            service.upgrade.handover.told_to_leave()
-            if service.upgrade.handover.taken_over:
-                # The next process takes from the same queue: nothing that waits in it is lost by our leaving.
-                accepting.cancel()
-        service.front.say_closing()
-        settled = now + self._settled_us()
-        service.engine.finish_all_by(settled)
-        for part in service.parts:
-            part.drain(settled)
-        await trio.sleep_until(service.clock.monotonic_at(now + LATECOMERS_US))
-        await self._stop_taking(accepting)
-        while self._is_busy() and service.clock.now() < settled + TIMER_STEP_US:
-            service.front.end_idle()
-            await trio.sleep(SETTLE_STEP_S)
-
-    async def _stop_taking(self, accepting: trio.CancelScope) -> None:
+        """Returns once everything is answered, or has to be since the process may be killed."""
+        context = self._context
+        self._began_us = context.clock.now()
+        self._prepare_upgrade(accepting)
+        context.front.say_closing()
+        answered_by_us = self._began_us + self._time_to_answer_us()
+        context.engine.finish_all_by(answered_by_us)
+        for component in context.components:
+            component.drain(answered_by_us)
+        await trio.sleep_until(context.clock.monotonic_at(self._began_us + GRACE_US))
+        await self._stop_accepting(accepting)
+        while self._is_busy() and context.clock.now() < answered_by_us + TIMER_STEP_US:
+            context.front.end_idle()
+            await trio.sleep(POLL_INTERVAL_S)
+
+    def _prepare_upgrade(self, accepting: trio.CancelScope) -> None:
+        upgrade = self._context.upgrade
+        if upgrade is None:
+            return
+        upgrade.handover.told_to_leave()
+        if upgrade.handover.taken_over:
+            # The next process accepts from the same queue: nothing that waits in it is lost.
+            accepting.cancel()
+
+    async def _stop_accepting(self, accepting: trio.CancelScope) -> None:
         accepting.cancel()
-        await self.service.front.accepted_all.wait()
-        for part in self.service.parts:
-            part.stop_taking()
+        await self._context.front.accepted_all.wait()
+        for component in self._context.components:
+            component.stop_taking()
 
-    def _settled_us(self) -> int:
-        """How long after SIGTERM everything taken has its answer: before SIGKILL may come."""
-        longest = max(c.deadline_us for c in self.service.engine.settings.classes)
-        return min(longest, LONGEST_US) + LATECOMERS_US - KILL_MARGIN_US
+    def _time_to_answer_us(self) -> int:
+        """How long after SIGTERM everything accepted has its answer: before SIGKILL may come."""
+        classes = self._context.engine.settings.classes
+        longest_us = max(traffic_class.deadline_us for traffic_class in classes)
+        return min(longest_us, LONGEST_DEADLINE_US) + GRACE_US - KILL_MARGIN_US
 
     def _is_busy(self) -> bool:
-        service = self.service
-        return bool(service.engine.open_requests or service.front.open) or any(part.busy for part in service.parts)
+        context = self._context
+        if context.engine.open_requests or context.front.open:
+            return True
+        return any(component.busy for component in context.components)
--- a/rookbend/logs.py
+++ b/rookbend/logs.py
@@ -1,8 +1,8 @@
 """Structured logging: one function, `log(event, level, **fields)`, on structlog.
 
-An event has a fixed name (docs/ONCALL.md lists them) and fields. Text is `key=value` (logfmt); JSON is one
-object a line. Each event has a budget of its own: beyond it lines are dropped, and the next that goes out
-says how many in `dropped`. Nothing is logged per request.
+An event has a fixed name (docs/ONCALL.md lists them) and fields. Text is `key=value` (logfmt); JSON is one object a
+line. Each event has a budget of its own: beyond it lines are dropped, and the next that is written reports their
+number in `dropped`. Nothing is logged per request.
 """
 
 from __future__ import annotations
@@ -10,6 +10,7 @@
 import contextlib
 import sys
 from collections.abc import Callable
+from typing import Any, TextIO
 
 import msgspec
 import structlog
@@ -21,24 +22,28 @@
 
 
 class EventBudget:
-    """How many lines of each event may go out. One row an event name, and these are fixed."""
+    """How many lines of each event may be written: `burst` at once, and as many again in `per_us`."""
 
-    def __init__(self, burst: int, per_us: int):
-        self.burst, self.rate = burst, burst * US_PER_S / per_us
+    def __init__(self, burst: int, per_us: int) -> None:
+        self.burst = burst
+        self.rate = burst * US_PER_S / per_us
+        # By event, with the lines dropped since the last one written. Bounded: the names of events are fixed.
         self.rows: dict[str, tuple[TokenBucket, int]] = {}
 
     def admit(self, now_us: int, event: str) -> int:
-        """How many were dropped since the last line of this event, or -1 where this one is, too."""
+        """Returns how many lines of this event were dropped since the last one; -1 where this one is dropped too."""
         if event in NEVER_DROPPED:
             return 0
         bucket, dropped = self.rows.get(event) or (TokenBucket(self.rate, self.burst), 0)
-        admitted = bucket.take(now_us)
-        self.rows[event] = bucket, 0 if admitted else dropped + 1
-        return dropped if admitted else -1
+        if bucket.take(now_us):
+            self.rows[event] = (bucket, 0)
+            return dropped
+        self.rows[event] = (bucket, dropped + 1)
+        return -1
 
 
 class Log:
-    """The function that all parts are given. `now` is microseconds of the director's clock."""
+    """The function that all components are given. `now` is the time in microseconds of the director's clock."""
 
     def __init__(
         self,
@@ -47,29 +52,39 @@
         level: str = "info",
         burst: int = 20,
         per_us: int = 10 * US_PER_S,
-        file=None,
-    ):
-        self._now, self._least = now, LEVELS[level]
+        file: TextIO | None = None,
+    ) -> None:
+        """`format` is text or json; without a `file` lines go to standard error."""
+        self._now = now
+        self._lowest_level = LEVELS[level]
         self._budget = EventBudget(burst, per_us)
-        render = (
-            structlog.processors.JSONRenderer(serializer=lambda value, **_: msgspec.json.encode(value).decode())
-            if format == "json"
-            else structlog.processors.LogfmtRenderer(key_order=["timestamp", "level", "event"], drop_missing=True)
-        )
         self._logger = structlog.wrap_logger(
             structlog.PrintLogger(file or sys.stderr),
             cache_logger_on_first_use=True,
-            processors=[structlog.processors.add_log_level, structlog.processors.TimeStamper(fmt="iso"), render],
+            processors=[
+                structlog.processors.add_log_level,
+                structlog.processors.TimeStamper(fmt="iso"),
+                _json_renderer() if format == "json" else _text_renderer(),
+            ],
         )
 
-    def __call__(self, event: str, level: str = "info", **fields) -> None:
-        if LEVELS[level] < self._least:
+    def __call__(self, event: str, level: str = "info", **fields: Any) -> None:
+        """Writes one line, unless its level is too low or the budget of its event is used up."""
+        if LEVELS[level] < self._lowest_level:
             return
         dropped = self._budget.admit(self._now(), event)
         if dropped < 0:
             return
         if dropped:
             fields["dropped"] = dropped
-        # whoever read our standard error has left: no reason to stop serving
+        # The reader of standard error may have gone: no reason to stop serving.
         with contextlib.suppress(OSError):
             getattr(self._logger, level)(event, **fields)
+
+
+def _json_renderer() -> structlog.types.Processor:
+    return structlog.processors.JSONRenderer(serializer=lambda value, **_: msgspec.json.encode(value).decode())
+
+
+def _text_renderer() -> structlog.types.Processor:
+    return structlog.processors.LogfmtRenderer(key_order=["timestamp", "level", "event"], drop_missing=True)
--- a/rookbend/process_metrics.py
+++ b/rookbend/process_metrics.py
@@ -1,4 +1,4 @@
-"""What a director measures of itself, and the beat of its timers."""
+"""What a director measures of its own process, and the task that runs the engine's timers."""
 
 from __future__ import annotations
 
@@ -7,76 +7,97 @@
 
 import trio
 
-from rookbend.config import Limits
 from rookbend.core.engine import Engine
+from rookbend.core.model import Endpoint
 from rookbend.net.client_listener import FrontServer
 from rookbend.net.pool import Pool
+from rookbend.resource_budget import OWN_DESCRIPTORS, ResourceBudget
 
 if TYPE_CHECKING:
     from rookbend.health.spare_capacity import Sample
 
-OWN_DESCRIPTORS = 40  # listeners, the coordinator, the loop's own
 TIMER_STEP_US = 2_000  # timers within one step run together
-LAG_BEAT_US = 50_000  # the loop's lateness is measured so often
-PAGE = os.sysconf("SC_PAGE_SIZE")
+LAG_INTERVAL_US = 50_000
+PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
+STATM_RESIDENT_FIELD = 1  # of /proc/self/statm, see proc(5)
 
 
 class ProcessMetrics:
-    """`pool` is there once the director runs; `lag_us` is the lateness that counts as full load."""
+    """`pool` is there once the director serves. `full_lag_us` is the loop lag that counts as full load."""
 
-    def __init__(self, engine: Engine, front: FrontServer, limits: Limits, lag_us: int):
-        self.engine, self.front, self.limits, self.lag_us = engine, front, limits, lag_us
+    def __init__(self, engine: Engine, front: FrontServer, budget: ResourceBudget, full_lag_us: int) -> None:
+        self.engine = engine
+        self.front = front
+        self.budget = budget
+        self.full_lag_us = full_lag_us
         self.pool: Pool | None = None
         self._timer_due_earlier = trio.Event()
-        engine.timers.on_earlier_due = lambda due: self._timer_due_earlier.set()
+        engine.timers.on_earlier_due = self._wake_timers
+
+    def _wake_timers(self, due_us: int) -> None:
+        self._timer_due_earlier.set()
 
     async def run_timers(self) -> None:
-        clock, engine = self.engine.clock, self.engine
+        """Runs the engine's timers as they are due."""
+        engine = self.engine
+        clock = engine.clock
         while True:
-            due = engine.run_due()
+            due_us = engine.run_due()
             self._timer_due_earlier = trio.Event()
-            if due:
+            if due_us:
                 # Guards the CPU: without a least step, each timer would cost a turn of the loop.
                 await trio.sleep_until(clock.monotonic_at(clock.now() + TIMER_STEP_US))
-                with trio.move_on_at(clock.monotonic_at(due)):
+                with trio.move_on_at(clock.monotonic_at(due_us)):
                     await self._timer_due_earlier.wait()
             else:
                 await self._timer_due_earlier.wait()
 
     async def measure_lag(self) -> None:
-        """How late the loop runs. On a beat of its own: with no request open there is no timer to tell it,
-        and a lag that nobody measured again would have everything refused for good."""
+        """Measures how late the loop runs.
+
+        At an interval of its own: with no request open there is no timer to show it, and a lag that is not
+        measured again would have every request rejected for good.
+        """
         clock = self.engine.clock
         while True:
-            wake = clock.now() + LAG_BEAT_US
-            await trio.sleep_until(clock.monotonic_at(wake))
-            self.engine.lag_us = max(0, clock.now() - wake)
+            wake_us = clock.now() + LAG_INTERVAL_US
+            await trio.sleep_until(clock.monotonic_at(wake_us))
+            self.engine.lag_us = max(0, clock.now() - wake_us)
 
     def sample(self) -> Sample:
+        """The load now, each figure as a share of what is full load."""
         from rookbend.health.spare_capacity import Sample
 
-        limits, engine = self.limits, self.engine
-        members = [e for e in engine.endpoints.values() if self._is_ours(e)]
-        with open("/proc/self/statm", "rb") as f:
-            resident = int(f.read().split()[1]) * PAGE
+        engine = self.engine
+        local_caches = [endpoint for endpoint in engine.endpoints.values() if self._is_local_cache(endpoint)]
+        descriptors = self._open_member_connections() + len(self.front.open) + OWN_DESCRIPTORS
         return Sample(
-            engine.lag_us / self.lag_us,
+            engine.lag_us / self.full_lag_us,
             engine.open_requests / engine.settings.max_requests_in_flight,
-            (self.pool.open_connections + len(self.front.open) + OWN_DESCRIPTORS) / limits.sockets,
-            resident / (limits.memory_mb << 20),
-            len(members),
-            sum(engine.is_in_service(e.member.server) for e in members),
+            descriptors / self.budget.limits.sockets,
+            _resident_bytes() / self.budget.memory_bytes,
+            len(local_caches),
+            sum(engine.is_in_service(endpoint.member.server) for endpoint in local_caches),
         )
 
-    def _is_ours(self, entry) -> bool:
-        s, member = self.engine.settings, entry.member
-        return member.zone == s.zone and member.kind not in (s.parent_kind, s.origin_kind)
+    def _is_local_cache(self, endpoint: Endpoint) -> bool:
+        settings = self.engine.settings
+        member = endpoint.member
+        return member.zone == settings.zone and member.kind not in (settings.parent_kind, settings.origin_kind)
+
+    def _open_member_connections(self) -> int:
+        return self.pool.open_connections if self.pool is not None else 0
 
     def gauges(self) -> dict[str, float]:
-        """Figures that go up and down, for the operators' listener."""
+        """Gauges for the metrics, by name."""
         return {
             "loop_lag_seconds": self.engine.lag_us / 1e6,
             "open_requests": self.engine.open_requests,
-            "member_connections": self.pool.open_connections if self.pool else 0,
+            "member_connections": self._open_member_connections(),
             "clients_open": len(self.front.open),
         }
+
+
+def _resident_bytes() -> int:
+    with open("/proc/self/statm", "rb") as file:
+        return int(file.read().split()[STATM_RESIDENT_FIELD]) * PAGE_BYTES
--- a/rookbend/service.py
+++ b/rookbend/service.py
@@ -1,7 +1,7 @@
 """The lifecycle of a director: one object, whose phases are named states.
 
-What every director has is built here; what the operators' settings ask for comes from `parts`, behind the one
-interface of `net/part.py`.
+What every director has is built here; what the operators' settings enable comes from `rookbend.components`, behind
+the one interface of `net/component.py`.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 import msgspec
 import trio
 
-from rookbend import components
+from rookbend.assembly import ListenError, build_engine, build_pool, build_watch, open_sockets
+from rookbend.components import build_components
 from rookbend.config import Config
 from rookbend.core.clock import Clock
 from rookbend.core.counters import Counters
-from rookbend.core.engine import Engine
-from rookbend.drain import Drain
+from rookbend.drain import Drain, DrainContext
 from rookbend.fronts.platform import PlatformFront
 from rookbend.logs import Log
 from rookbend.net.buffered_socket import Outbox
@@ -30,72 +30,71 @@
 from rookbend.net.listeners import Listeners
 from rookbend.net.peers import PeerSocket
 from rookbend.net.pool import Pool
-from rookbend.net.watch import Watch
-from rookbend.process_metrics import OWN_DESCRIPTORS, ProcessMetrics
-from rookbend.protocol.coordinator_stream import Translator, split_address
-from rookbend.reload import Reload, coordinator_address
-from rookbend.routing import Router
+from rookbend.process_metrics import ProcessMetrics
+from rookbend.reload import ReadConfig, Reload, ReloadContext
+from rookbend.resource_budget import ResourceBudget
 from rookbend.settings import Settings
 
-CLIENT_SHARE = 3  # clients may hold one descriptor in so many
-LEAST_CONNECTIONS = 16
-UNSENT_SHARE = 4  # bytes not yet taken by clients may fill one byte of memory in so many
+__all__ = ["ListenError", "Phase", "Service", "serve"]
 
-SIGNALS = signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGUSR1
+SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGUSR1)
 
 
 class Phase(Enum):
-    STARTING = "starting"  # reading the membership, opening its sockets
-    READY = "ready"  # taking requests
-    DRAINING = "draining"  # told to stop: settling what it has taken
-    STOPPED = "stopped"  # everything settled, nothing taken any more
+    """The phases of a director, in their order."""
 
-
-class ListenError(Exception):
-    """The address to serve on, or the peers' one, can't be had."""
+    STARTING = "starting"  # reads the membership, opens its sockets
+    READY = "ready"  # accepts requests
+    DRAINING = "draining"  # was requested to stop: answers what it has accepted
+    STOPPED = "stopped"  # everything is answered, nothing is accepted any more
 
 
 class Service:
+    """A director. `run` serves until `stop` is called; `ready` is set and `address` known once it listens."""
+
     def __init__(
         self,
         config: Config,
         operators: Settings | None = None,
         unix: Callable[[], float] = time.time,
-        read_config: Callable[[Config], tuple[Config, Settings]] | None = None,
-    ):
-        self.config, self.operators = config, operators or Settings()
-        self.reload = Reload(self, read_config or (lambda before: (config, self.operators)))
+        read_config: ReadConfig | None = None,
+    ) -> None:
+        """`unix` is the system clock; `read_config` reads the files again at a reload."""
+        self.config = config
+        self.operators = operators or Settings()
         self.phase = Phase.STARTING
+        self.ready = trio.Event()
+        self.address: tuple[str, int] | None = None  # where clients connect
+        self.pool: Pool | None = None
+        self.peers: PeerSocket | None = None
+        self._stopping = trio.Event()
         self.counters = Counters()
         self.outbox = Outbox()
-        settings = config.router_settings()
+        self.listeners = Listeners()
+        self.budget = ResourceBudget(config.limits)
         self.clock = Clock(trio.lowlevel.current_clock().current_time, unix)
         self.log = Log(self.clock.now, **msgspec.structs.asdict(self.operators.log))
-        router = Router(settings, int(config.seed, 16))
-        self.engine = Engine(settings, router, self.clock, self.counters, self.log)
-        self.watch = Watch(
-            self.engine,
-            Translator(config.settings.zones, config.settings.kinds),
-            coordinator_address(config),
-            int(config.seed, 16),
-        )
-        platform = PlatformFront(self.engine, self.is_ready, self.is_closed)
-        limits = config.limits
+        self._build_core()
+        self._build_components()
+        self._build_lifecycle(read_config or (lambda before: (config, self.operators)))
+
+    def _build_core(self) -> None:
+        """The engine, and what stands between it and the coordinator and the clients."""
+        self.engine = build_engine(self.config, self.clock, self.counters, self.log)
+        self.watch = build_watch(self.config, self.engine)
         self.front = FrontServer(
-            platform,
-            limits.sockets // CLIENT_SHARE,
-            (limits.memory_mb << 20) // UNSENT_SHARE,
+            PlatformFront(self.engine, self.is_ready, self.is_closed),
+            self.budget.max_clients,
+            self.budget.max_unsent_bytes(),
             self.counters,
             self.outbox,
         )
-        self.address: tuple[str, int] | None = None  # where clients connect, once it listens
-        self.ready = trio.Event()
-        self.pool: Pool | None = None
-        self.peers: PeerSocket | None = None
-        self.vitals = ProcessMetrics(self.engine, self.front, limits, self.operators.headroom.lag_us)
-        self.listeners = Listeners()
-        self.site = ComponentContext(
-            config,
+        self.metrics = ProcessMetrics(self.engine, self.front, self.budget, self.operators.headroom.lag_us)
+
+    def _build_components(self) -> None:
+        """What the operators' settings enable; what is off is None."""
+        self.context = ComponentContext(
+            self.config,
             self.operators,
             self.engine,
             self.watch,
@@ -104,132 +103,133 @@
             self.log,
             self.outbox,
             self.front.most_clients,
-            self.standing,
-            self.vitals.sample,
+            self.reported_phase,
+            self.metrics.sample,
             self.listeners,
-            gauges=[self.vitals.gauges],
+            gauges=[self.metrics.gauges],
         )
-        self.parts: list[Component] = components.build_components(self.site)
-        built = self.site.built
-        self.dns, self.health, self.admin = built.get("dns"), built.get("health"), built.get("admin")
+        self.components: list[Component] = build_components(self.context)
+        self.budget.component_descriptors = sum(component.descriptors for component in self.components)
+        built = self.context.built
+        self.dns = built.get("dns")
+        self.health = built.get("health")
+        self.admin = built.get("admin")
         self.balancer: list[Component] = built.get("balancer", [])
-        self.daily, self.upgrade = built.get("daily"), built.get("upgrade")
+        self.daily = built.get("daily")
+        self.upgrade = built.get("upgrade")
         if self.upgrade is not None:
-            self.upgrade.changed = self._share
-        self.drain = Drain(self)
-        self._stopping = trio.Event()
+            self.upgrade.changed = self._divide_budget
+
+    def _build_lifecycle(self, read_config: ReadConfig) -> None:
+        """What SIGHUP and SIGTERM set off."""
+        self.reload = Reload(
+            ReloadContext(
+                self.config,
+                self.operators,
+                self.engine,
+                self.watch,
+                self.components,
+                self.counters,
+                self.log,
+                self._apply_connection_limits,
+                self.health is not None,
+            ),
+            read_config,
+        )
+        self.drain = Drain(DrainContext(self.clock, self.engine, self.front, self.components, self.upgrade))
 
     def is_ready(self) -> bool:
-        """Ready means that requests can be served: not before one member is known to be in service."""
-        return self.phase is Phase.READY and self.engine.has_member_in_service() and self.site.admits()
+        """Whether requests can be served: not before one member is known to be in service."""
+        return self.phase is Phase.READY and self.engine.has_member_in_service() and self.context.admits()
 
-    def standing(self) -> str:
-        """The phase as balancers in front are told it: not ready while a part holds it back."""
-        held = self.phase is Phase.READY and not self.site.admits()
-        return (Phase.STARTING if held else self.phase).value
+    def reported_phase(self) -> str:
+        """The phase as balancers in front read it: not ready while a component holds it back."""
+        is_held_back = self.phase is Phase.READY and not self.context.admits()
+        return (Phase.STARTING if is_held_back else self.phase).value
 
     def is_closed(self) -> bool:
-        """Whether even the latecomers' time after SIGTERM is over."""
-        return self.drain.latecomers_over()
-
-    def enter(self, phase: Phase) -> None:
-        self.phase = phase
-        self.log(phase.value, director=self.config.name)
-
-    def tell_counters(self) -> None:
-        self.log("counters", **self.counters.fields())
+        """Whether new requests are rejected, since the drain's grace time is over."""
+        return self.drain.is_grace_over()
 
     def stop(self) -> None:
         """Begins the drain. A second call changes nothing."""
         self._stopping.set()
 
     async def run(self, signals: AsyncIterator[int] | None = None) -> None:
-        """Serves until `stop` is called, or a signal says so, and everything taken is settled."""
-        config, engine = self.config, self.engine
+        """Serves until `stop` is called, or a signal requests it, and everything accepted is answered."""
         if self.upgrade is not None:
             await self.upgrade.inherit()
-        listener = self._open_sockets()
-        engine.peers = self.peers
+        sockets = open_sockets(self.config, self.engine, self.listeners, self.components)
+        self.address = sockets.listener.getsockname()[:2]
+        self.peers = sockets.peers
+        self.engine.peers = sockets.peers
         async with trio.open_nursery() as nursery:
-            pool = self.pool = self.vitals.pool = Pool(
-                engine,
-                self.counters,
-                nursery,
-                self.outbox,
-                config.settings.limits.max_streams,
-                config.settings.limits.idle_close_us,
-                self._most_connections(),
-            )
-            engine.backend = pool
-            self._share()
-            self.watch.take_known(config.known)
-            if signals is not None:
-                nursery.start_soon(self._signals, signals)
-            if self.peers is not None:
-                nursery.start_soon(self.peers.run)
-            vitals, front = self.vitals, self.front
-            for task in (self.outbox.run, vitals.run_timers, vitals.measure_lag, front.watch_clients, self.watch.run):
-                nursery.start_soon(task)
-            nursery.start_soon(pool.close_idle_connections)
-            accepting = trio.CancelScope()
-            nursery.start_soon(self.front.serve, listener, accepting)
-            for part in self.parts:
-                part.start(nursery)
+            accepting = self._start_tasks(nursery, sockets.listener, signals)
+            for component in self.components:
+                component.start(nursery)
             # What is built by now stays: a collection of it would stall every request for nothing.
             gc.freeze()
-            self.enter(Phase.READY)
+            self._enter(Phase.READY)
             self.ready.set()
             await self._stopping.wait()
-            self.enter(Phase.DRAINING)
+            self._enter(Phase.DRAINING)
             await self.drain.run(accepting)
-            for part in self.parts:
-                part.leave()
+            for component in self.components:
+                component.leave()
             nursery.cancel_scope.cancel()
-        self.enter(Phase.STOPPED)
-        self.tell_counters()
-
-    def _most_connections(self, processes: int = 1) -> int:
-        """To members: what clients and the other parts leave of the descriptors, each process its part of it.
-        Clients hold a third at most with all processes of this director together."""
-        sockets = self.config.limits.sockets
-        kept = OWN_DESCRIPTORS + sum(part.descriptors for part in self.parts)
-        return max(LEAST_CONNECTIONS, (sockets - sockets // CLIENT_SHARE) // processes - kept)
-
-    def _share(self) -> None:
-        """Another process of this director has come, serves, or has gone: for the limits and the rules all
-        are one, and each keeps to its part."""
+        self._enter(Phase.STOPPED)
+        self._log_counters()
+
+    def _start_tasks(
+        self, nursery: trio.Nursery, listener: socket, signals: AsyncIterator[int] | None
+    ) -> trio.CancelScope:
+        """Starts what every director runs; returns the scope that accepts clients."""
+        pool = build_pool(self.config, self.engine, self.counters, nursery, self.outbox, self.budget)
+        self.pool = pool
+        self.metrics.pool = pool
+        self.engine.backend = pool
+        self._divide_budget()
+        self.watch.take_known(self.config.known)
+        if signals is not None:
+            nursery.start_soon(self._handle_signals, signals)
+        if self.peers is not None:
+            nursery.start_soon(self.peers.run)
+        nursery.start_soon(self.outbox.run)
+        nursery.start_soon(self.metrics.run_timers)
+        nursery.start_soon(self.metrics.measure_lag)
+        nursery.start_soon(self.front.watch_clients)
+        nursery.start_soon(self.watch.run)
+        nursery.start_soon(pool.close_idle_connections)
+        accepting = trio.CancelScope()
+        nursery.start_soon(self.front.serve, listener, accepting)
+        return accepting
+
+    def _enter(self, phase: Phase) -> None:
+        self.phase = phase
+        self.log(phase.value, director=self.config.name)
+
+    def _log_counters(self) -> None:
+        self.log("counters", "info", **self.counters.fields())
+
+    def _apply_connection_limits(self, max_streams: int, idle_close_us: int) -> None:
+        if self.pool is not None:
+            self.pool.adopt(max_streams, idle_close_us)
+
+    def _divide_budget(self) -> None:
+        """Another process of this director has come, serves, or has gone: each keeps to its part of the limits."""
         if self.upgrade is None or self.pool is None:
             return
         handover = self.upgrade.handover
-        self.pool.most_connections = self._most_connections(handover.processes)
+        self.pool.most_connections = self.budget.max_member_connections(handover.processes)
         self.engine.set_active_processes(handover.senders)
-        self.front.most_unsent = (self.config.limits.memory_mb << 20) // UNSENT_SHARE // handover.processes
+        self.front.most_unsent = self.budget.max_unsent_bytes(handover.processes)
         if self.peers is not None:
             self.peers.listen(not handover.taken_over)
 
-    def _open_sockets(self) -> socket:
-        config, listeners = self.config, self.listeners
-        try:
-            listener = listeners.tcp(split_address(config.listen))
-            if config.peer_listen:
-                self.peers = PeerSocket(
-                    self.engine,
-                    listeners.udp(split_address(config.peer_listen)),
-                    [split_address(p) for p in config.peers],
-                    split_address(config.peers_all) if config.peers_all else None,
-                )
-            for part in self.parts:
-                part.open(listeners)
-        except OSError as error:
-            raise ListenError(f"cannot listen: {error}") from None
-        listeners.close_unused()
-        self.address = listener.getsockname()[:2]
-        return listener
-
-    async def _signals(self, signals: AsyncIterator[int]) -> None:
+    async def _handle_signals(self, signals: AsyncIterator[int]) -> None:
         async for number in signals:
             if number == signal.SIGUSR1:
-                self.tell_counters()
+                self._log_counters()
             elif number == signal.SIGHUP:
                 self.reload()
             else:
@@ -239,11 +239,11 @@
 async def serve(
     config: Config,
     operators: Settings,
-    read_config: Callable[[Config], tuple[Config, Settings]],
-    receiving: Callable[[], None] = lambda: None,
+    read_config: ReadConfig,
+    on_signals_received: Callable[[], None] = lambda: None,
 ) -> None:
-    """Runs a director until SIGTERM or SIGINT. SIGHUP reads configuration and settings again, SIGUSR1 prints
-    the counters. `receiving` is called once signals are received here."""
+    """Runs a director until SIGTERM or SIGINT. SIGHUP reads configuration and settings again, SIGUSR1 logs the
+    counters. `on_signals_received` is called once signals are received here."""
     with trio.open_signal_receiver(*SIGNALS) as signals:
-        receiving()
+        on_signals_received()
         await Service(config, operators, read_config=read_config).run(signals)
--- a/tests/director_scenario.py
+++ b/tests/director_scenario.py
@@ -104,7 +104,7 @@
         )
         self.service = Service(config, self.operators, self.unix, lambda before: (self.config, self.operators))
         if most_connections is not None:
-            self.service._most_connections = lambda processes=1: most_connections
+            self.service.budget.max_member_connections = lambda processes=1: most_connections
         self.done = trio.Event()
         self.nursery.start_soon(self.run)
         await self.service.ready.wait()
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -5,11 +5,11 @@
 import trio
 import trio.testing
 
-from rookbend.drain import LATECOMERS_US
+from rookbend.drain import GRACE_US
 from tests.director_scenario import frame, on_stage
 from tests.raw_client import ANSWERED, CLOSING, REFUSED, SERVED, RawClient, request
 
-LATECOMERS_S = LATECOMERS_US / 1e6
+LATECOMERS_S = GRACE_US / 1e6
 
 
 async def stopped(stage):
