--- a/rookbend/components/__init__.py
+++ b/rookbend/components/__init__.py
@@ -72,10 +72,10 @@
 
 
 def _build_operations(context: ComponentContext) -> list[Component]:
-    from rookbend.net.operations import DailyPart
+    from rookbend.net.operations import OperationsComponent
 
-    operations = DailyPart(context)
-    context.built["daily"] = operations
+    operations = OperationsComponent(context)
+    context.built["operations"] = operations
     if operations.upgrade is not None:
         context.built["upgrade"] = operations.upgrade
     return [operations]
--- a/rookbend/drain.py
+++ b/rookbend/drain.py
@@ -70,7 +70,7 @@
         upgrade = self._context.upgrade
         if upgrade is None:
             return
-        upgrade.handover.told_to_leave()
+        upgrade.handover.shutdown_requested()
         if upgrade.handover.taken_over:
             # The next process accepts from the same queue: nothing that waits in it is lost.
             accepting.cancel()
--- a/rookbend/service.py
+++ b/rookbend/service.py
@@ -115,7 +115,7 @@
         self.health = built.get("health")
         self.admin = built.get("admin")
         self.balancer: list[Component] = built.get("balancer", [])
-        self.daily = built.get("daily")
+        self.operations = built.get("operations")
         self.upgrade = built.get("upgrade")
         if self.upgrade is not None:
             self.upgrade.changed = self._divide_budget
@@ -221,7 +221,7 @@
             return
         handover = self.upgrade.handover
         self.pool.most_connections = self.budget.max_member_connections(handover.processes)
-        self.engine.set_active_processes(handover.senders)
+        self.engine.set_active_processes(handover.active_processes)
         self.front.most_unsent = self.budget.max_unsent_bytes(handover.processes)
         if self.peers is not None:
             self.peers.listen(not handover.taken_over)
