--- a/rookbend/components/own_status.py
+++ b/rookbend/components/own_status.py
@@ -11,13 +11,13 @@
 def build_own_status(context: ComponentContext) -> list[Component]:
     """The measuring and the servers that are enabled; the servers also in `context.built` as "balancer"."""
     settings = context.operators
-    capacity = SpareCapacity(settings.headroom.step, settings.headroom.rise_us, settings.headroom.least)
-    context.gauges.append(lambda: {"headroom_percent": capacity.weight})
+    spare_capacity = SpareCapacity(settings.headroom.step, settings.headroom.rise_us, settings.headroom.least)
+    context.gauges.append(lambda: {"headroom_percent": spare_capacity.weight})
 
     def current_status() -> OwnStatus:
-        return own_status(context.phase(), capacity, context.most_clients)
+        return own_status(context.phase(), spare_capacity, context.most_clients)
 
-    measuring = Measuring(capacity, context.sample, context.clock)
+    measuring = Measuring(spare_capacity, context.sample, context.clock)
     servers: list[Component] = []
     if settings.agent_server is not None:
         servers.append(agent_server(settings.agent_server.listen, context.clock, context.outbox, current_status))
--- a/rookbend/net/upgrade.py
+++ b/rookbend/net/upgrade.py
@@ -156,6 +156,7 @@
             return True
 
     def close(self) -> None:
+        """Stops listening; a next process can no longer ask."""
         if self._listener is not None:
             trio.lowlevel.notify_closing(self._listener)
             self._listener.close()
