--- a/rookbend/net/leases.py
+++ b/rookbend/net/leases.py
@@ -16,8 +16,8 @@
 from rookbend.leases import leader_tasks, sharded_checks
 from rookbend.leases.lease import Terms
 from rookbend.net.component import Part, Site
+from rookbend.net.machine_driver import INCARNATION_BITS
 from rookbend.net.member_connection import open_socket
-from rookbend.net.recovery import LIFE_BITS
 from rookbend.protocol.leases import is_ours
 from rookbend.recovery.coordinator import OrderLearnt
 from rookbend.recovery.origin_ramp import HEARD_US
@@ -60,7 +60,7 @@
             else tuple((kind, key, row.value) for kind in KINDS for key, row in self.state.ledger.all(kind).items())
         )
         self.now = self.recovery.now
-        self.machine = machine.Director(config, self.now(), secrets.randbits(LIFE_BITS) + 1, kept)
+        self.machine = machine.Director(config, self.now(), secrets.randbits(INCARNATION_BITS) + 1, kept)
         self.check_names = [c.name for c in s.checks]
         self.tasks: dict[int, trio.CancelScope] = {}  # work under a lease, by scope
         self._ids = itertools.count(1)
--- a/rookbend/net/recovery.py
+++ b/rookbend/net/recovery.py
@@ -9,14 +9,15 @@
 
 import trio
 
+from rookbend.coordination.actions import PersistRow
 from rookbend.core.model import Attempt, AttemptResult, MembershipChange, Purge
 from rookbend.interface import AttemptDetail, AttemptStatus
-from rookbend.net.component import Part, Site
+from rookbend.net.component import Site
+from rookbend.net.machine_driver import INCARNATION_BITS, ActionHandlers, MachineDriver
 from rookbend.protocol.gossip import is_ours
 from rookbend.recovery import coordinator as machine
 from rookbend.recovery.startup_stages import Plan
 
-LIFE_BITS = 40
 UNWELL_NOTES = (AttemptDetail.SOURCE_REFUSED, AttemptDetail.SOURCE_UNREACHABLE, AttemptDetail.ORIGIN_FAILED)
 HARMLESS = {AttemptStatus.OK, AttemptStatus.CANCELLED, AttemptStatus.MOOT, AttemptStatus.MISS}
 UNWELL = frozenset(AttemptStatus) - HARMLESS
@@ -50,10 +51,10 @@
         self.ended, self.safe = trio.Event(), False
 
 
-class RecoveryPart(Part):
+class RecoveryPart(MachineDriver[machine.Event]):
     def __init__(self, site: Site):
-        self.site, self.engine, self.log = site, site.engine, site.log
-        self.state, self.health = site.built.get("state"), site.built.get("health")
+        super().__init__(site)
+        self.health = site.built.get("health")
         self._mono_us = site.clock.monotonic_us
         self._offset = site.clock.now() - self._mono_us()
         before = (
@@ -67,12 +68,10 @@
         )
         boot = self.state.boot if self.state is not None else 1
         self.rules = config_of(site)
-        self.machine = machine.Director(self.rules, self.now(), boot, secrets.randbits(LIFE_BITS) + 1, before)
+        self.machine = machine.Director(self.rules, self.now(), boot, secrets.randbits(INCARNATION_BITS) + 1, before)
         self.limits: machine.LimitsSet | None = None
         self.orders: dict[str, tuple[str, str]] = {}  # member: (order, by), for members to come
         self.on_boot_raised = lambda: None  # others knew a later life: an older disk is under us
-        self.sent = 0
-        self._due_earlier = trio.Event()
         self._promises: dict[str, Promise] = {}
         site.admits = lambda: self.limits is not None and self.limits.ready
         self._pass_on, site.watch.membership_changed = site.watch.membership_changed, self._roster_changed
@@ -81,7 +80,7 @@
         site.engine.on_attempt = self._attempt
         site.engine.on_peer = self._datagram
         site.gauges.append(self.gauges)
-        self._carry_out(self.machine.begin(self.now()))
+        self.begin()
 
     def now(self) -> int:
         return self._mono_us() + self._offset
@@ -92,19 +91,13 @@
             "recovery_stage": int(m.sequence.stage),
             "recovery_up": m.peers.up(self.now()),
             "recovery_gap_open": not m.gap.covered,
-            "recovery_datagrams_sent": self.sent,
+            "recovery_datagrams_sent": self.datagrams_sent,
             "recovery_datagrams_unreadable": m.unreadable,
             "recovery_datagrams_silenced": m.silenced,
             "recovery_peers_doubted": sum(bool(p.doubted) for p in m.peers.rows.values()),
             "recovery_origin_halved": m.share.halved,
         }
 
-    def feed(self, event: machine.Event) -> None:
-        due = self.machine.due_us
-        self._carry_out(self.machine.feed(self.now(), event))
-        if self.machine.due_us < due:
-            self._due_earlier.set()
-
     # What comes in
 
     def _roster_changed(self, change: MembershipChange) -> None:
@@ -141,26 +134,18 @@
 
     # What goes out
 
-    def _carry_out(self, actions: list[machine.Action]) -> None:
-        for action in actions:
-            CARRY[type(action)](self, action)
-
-    def _send(self, a: machine.SendDatagram) -> None:
-        if self.engine.peers is not None:
-            self.sent += 1
-            self.engine.peers.send(a.peer, a.data)
-
-    def _keep(self, a: machine.PersistRow) -> None:
-        if self.state is None:
-            if a.awaited:
-                self._kept(a, True)  # no disk: the order lasts as long as somebody of the fleet does
-            return
-        done = (lambda safe: self._kept(a, safe)) if a.awaited else None
-        self.state.put(a.kind, a.key, a.value, done)
+    def action_handlers(self) -> ActionHandlers:
+        """What recovery's own actions do to the director."""
+        return {
+            machine.Members: self._members,
+            machine.OrderLearnt: self.learn,
+            machine.PurgeLearnt: self._purge_learnt,
+            machine.LimitsSet: self._limits,
+            machine.BootRaised: self._boot,
+        }
 
-    def _forget(self, a: machine.DeleteRow) -> None:
-        if self.state is not None:
-            self.state.drop(a.kind, a.key)
+    def _purge_learnt(self, a: machine.PurgeLearnt) -> None:
+        self.engine.purged(a.purge)
 
     def learn(self, a: machine.OrderLearnt) -> None:
         """An order that stands, for a member that may come only later."""
@@ -194,12 +179,13 @@
 
     # Operators
 
-    def _kept(self, a: machine.PersistRow, safe: bool) -> None:
-        if safe:
-            self.feed(machine.OrderKept(a.key, a.value))
-        promise = self._promises.pop(a.key, None)
+    def row_persisted(self, row: PersistRow, durable: bool) -> None:
+        """An order is durable, or refused by the disk; without a disk it lasts as long as a director of the fleet."""
+        if durable:
+            self.feed(machine.OrderKept(row.key, row.value))
+        promise = self._promises.pop(row.key, None)
         if promise is not None:
-            promise.safe = safe
+            promise.safe = durable
             promise.ended.set()
 
     async def order(self, member: str, order: str, by: str) -> str:
@@ -223,32 +209,15 @@
     def explain(self) -> dict:
         return {"director": self.site.config.name, **self.machine.explain(self.now())}
 
-    # Its task
+    # The timer
 
-    def start(self, nursery: trio.Nursery) -> None:
-        nursery.start_soon(self._run)
+    def timer_handled(self) -> None:
+        """Refreshes the rate: requests that wait in the engine for their turn see time pass by this alone."""
+        if self.limits is not None and self.limits.rate is not None:
+            self.engine.limit(self.limits.closed, self.limits.rate)
 
-    async def _run(self) -> None:
+    def timer_deadline(self) -> float:
+        """The machine's due time on the director's clock, never in the past."""
         clock = self.site.clock
-        while True:
-            self._due_earlier = trio.Event()
-            self.feed(machine.TimerExpired())
-            if self.limits is not None and self.limits.rate is not None:
-                # What waits in the module for its turn hears of time by this alone.
-                self.engine.limit(self.limits.closed, self.limits.rate)
-            wait_us = max(0, self.machine.due_us - self.now())
-            with trio.move_on_at(clock.monotonic_at(clock.now() + wait_us)):
-                await self._due_earlier.wait()
-
-
-CARRY = {
-    machine.SendDatagram: RecoveryPart._send,
-    machine.PersistRow: RecoveryPart._keep,
-    machine.DeleteRow: RecoveryPart._forget,
-    machine.Members: RecoveryPart._members,
-    machine.OrderLearnt: RecoveryPart.learn,
-    machine.PurgeLearnt: lambda part, a: part.engine.purged(a.purge),
-    machine.LimitsSet: RecoveryPart._limits,
-    machine.BootRaised: RecoveryPart._boot,
-    machine.WriteLogLine: lambda part, a: part.log(a.event, a.level, **a.fields),
-}
+        wait_us = max(0, self.machine.due_us - self.now())
+        return clock.monotonic_at(clock.now() + wait_us)
