--- a/rookbend/components.py
+++ b/rookbend/components.py
@@ -28,15 +28,15 @@
     state = site.built.get("state")
     if state is None:
         return None
-    from rookbend.recovery.issued_names import KIND, Names
+    from rookbend.recovery.issued_names import KIND, IssuedNames
 
-    names = Names(
+    names = IssuedNames(
         site.clock.now(),
         lambda rid, value, by_us, done: state.put_by(KIND, rid, value, by_us, done),
         lambda rid: state.drop(KIND, rid),
         {rid: (row.value, row.at_us) for rid, row in state.ledger.all(KIND).items()},
     )
-    site.gauges.append(lambda: {"dns_names_not_kept": names.unsafe, "dns_names_unreadable": names.unreadable})
+    site.gauges.append(lambda: {"dns_names_not_kept": names.not_durable, "dns_names_unreadable": names.unreadable})
     return names
 
 
--- a/rookbend/fronts/dns.py
+++ b/rookbend/fronts/dns.py
@@ -22,7 +22,7 @@
 from rookbend.protocol.dns import ADDRESSES, Lookup, NoAnswerError, Outcome, read_query, reply_to
 
 if TYPE_CHECKING:
-    from rookbend.recovery.issued_names import Given, Names
+    from rookbend.recovery.issued_names import IssuedName, IssuedNames
 
 ASKERS = 32  # who may wait for one try
 REMEMBERED = 4096  # tries known at once, those under way among them
@@ -62,7 +62,7 @@
         budget_us: int,
         seed: int,
         remembered: int = REMEMBERED,
-        names: Names | None = None,
+        names: IssuedNames | None = None,
     ):
         self.engine, self.resolver = engine, resolver
         self.zone, self.box_name, self.budget_us = dns.name.from_text(zone), box_name, budget_us
@@ -170,10 +170,12 @@
                 self.names.drop(key[0])
 
     @staticmethod
-    def _given_before(given: Given) -> Try:
+    def _given_before(given: IssuedName) -> Try:
         """A try of a life before: whoever repeats it gets what it got."""
         t = Try(given.lookup, "before", 0, 0)
-        t.outcome = Outcome(dns.rcode.Rcode(given.rcode), given.server, given.box, given.address, given.note)
+        t.outcome = Outcome(
+            dns.rcode.Rcode(given.rcode), given.member_number, given.issued_name, given.address, given.note
+        )
         return t
 
     def _answered(self, t: Try, answer: Answer) -> None:
@@ -205,12 +207,12 @@
     def _settle(self, t: Try, outcome: Outcome) -> None:
         if not t.write or self.names is None:
             return self._reply(t, outcome)
-        from rookbend.recovery.issued_names import Given
+        from rookbend.recovery.issued_names import IssuedName
 
         # Kept before it is given out: what nobody has heard may be forgotten, what somebody has may not.
-        self.names.keep(
+        self.names.persist(
             t.write,
-            Given(t.name, int(outcome.rcode), outcome.server, outcome.box, outcome.address, outcome.note),
+            IssuedName(t.name, int(outcome.rcode), outcome.server, outcome.box, outcome.address, outcome.note),
             t.deadline,
             lambda: self._reply(t, outcome),
         )
--- a/rookbend/net/leases.py
+++ b/rookbend/net/leases.py
@@ -19,8 +19,8 @@
 from rookbend.net.machine_driver import INCARNATION_BITS
 from rookbend.net.member_connection import open_socket
 from rookbend.protocol.leases import is_ours
-from rookbend.recovery.coordinator import OrderLearnt
-from rookbend.recovery.origin_ramp import HEARD_US
+from rookbend.recovery.actions import ApplyOrder
+from rookbend.recovery.origin_ramp import SAMPLE_VALID_US
 from rookbend.settings.schema import default_voters
 
 LOOK_US = 250_000  # between two looks at who is living, what is found, and what the ramp needs
@@ -70,7 +70,7 @@
         self._due_earlier = trio.Event()
         self._passed_on, site.engine.on_peer = site.engine.on_peer, self._datagram
         self.recovery.on_boot_raised = lambda: self.feed(machine.OldDisk())
-        self.recovery.machine.conducted = self.machine.conducted.part
+        self.recovery.machine.admission.assigned_quota = self.machine.conducted.part
         if "checks" in names:
             self.health.driver.rests = self.rests
             self.health.driver.on_result = self._result
@@ -131,7 +131,7 @@
             scope.cancel()
 
     def _order_stands(self, a: machine.OrderStands) -> None:
-        self.recovery.learn(OrderLearnt(a.member, a.order, a.by))
+        self.recovery.apply_order(ApplyOrder(a.member, a.order, a.by))
 
     def _order_done(self, a: machine.OrderDone) -> None:
         if (answer := self._answers.get(a.id)) is not None:
@@ -298,11 +298,11 @@
     async def _looks(self) -> None:
         while True:
             now, recovery = self.now(), self.recovery.machine
-            self.feed(machine.Living(recovery.peers.living(now)))
-            share = recovery.share
-            fresh = {n: o for n, o in share.others.items() if now - o.at_us <= 2 * HEARD_US}
-            ramp = share.rate is not None or any(o.rate for o in fresh.values())
-            calls = {n: o.calls for n, o in fresh.items()} | {self.machine.config.me: len(share.seen)}
+            self.feed(machine.Living(recovery.peers.live_members(now)))
+            origin_ramp = recovery.ramp
+            fresh = {n: o for n, o in origin_ramp.peer_samples.items() if now - o.at_us <= 2 * SAMPLE_VALID_US}
+            ramp = origin_ramp.fleet_rate is not None or any(o.fleet_rate for o in fresh.values())
+            calls = {n: o.calls for n, o in fresh.items()} | {self.machine.config.me: len(origin_ramp.completed)}
             self.feed(machine.Asked(calls if ramp else {}))
             for scope in self.machine.owned(now):
                 if scope >= leader_tasks.FIRST_SHARD:
--- a/rookbend/net/recovery.py
+++ b/rookbend/net/recovery.py
@@ -1,4 +1,4 @@
-"""The driver of recovery: feeds the machine (`recovery.coordinator`) what comes in, carries its actions out.
+"""The driver of recovery: feeds the coordinator (recovery/coordinator.py) what comes in, carries out its actions.
 
 The machine's clock is monotonic from the Unix time of the start, so that a stepped system clock changes no age.
 """
@@ -6,175 +6,180 @@
 from __future__ import annotations
 
 import secrets
+from collections.abc import Callable
+from typing import Any
 
 import trio
 
 from rookbend.coordination.actions import PersistRow
+from rookbend.coordination.events import DatagramReceived
 from rookbend.core.model import Attempt, AttemptResult, MembershipChange, Purge
 from rookbend.interface import AttemptDetail, AttemptStatus
 from rookbend.net.component import Site
 from rookbend.net.machine_driver import INCARNATION_BITS, ActionHandlers, MachineDriver
+from rookbend.net.recovery_setup import persisted_rows, recovery_config
 from rookbend.protocol.gossip import is_ours
-from rookbend.recovery import coordinator as machine
-from rookbend.recovery.startup_stages import Plan
-
-UNWELL_NOTES = (AttemptDetail.SOURCE_REFUSED, AttemptDetail.SOURCE_UNREACHABLE, AttemptDetail.ORIGIN_FAILED)
-HARMLESS = {AttemptStatus.OK, AttemptStatus.CANCELLED, AttemptStatus.MOOT, AttemptStatus.MISS}
-UNWELL = frozenset(AttemptStatus) - HARMLESS
-COST_OF_PARTS = 4.0  # objects that come in parts are large: what one costs beside one that does not
-
-
-def config_of(site: Site) -> machine.Config:
-    s, wanted, rules = site.operators, site.operators.recovery, site.engine.settings
-    classes = tuple((c.is_write, c.priority_weight, COST_OF_PARTS if c.has_parts else 1.0) for c in rules.classes)
-    return machine.Config(
-        rules.router_index,
-        rules.router_count,
-        s.state.fleet if s.state is not None else wanted.fleet,
-        int(site.config.seed, 16),
-        classes,
-        rules.zone,
-        rules.parent_kind,
-        rules.origin_kind,
-        rules.purge_propagation_us or 6_000_000,
-        Plan(wanted.ready_share, wanted.ready_by_us, wanted.full_by_us),
-        wanted.first_rate,
-        wanted.full_rate,
-        wanted.peers,
-    )
-
-
-class Promise:
-    """An order on its way to the disk."""
-
-    def __init__(self):
-        self.ended, self.safe = trio.Event(), False
-
-
-class RecoveryPart(MachineDriver[machine.Event]):
+from rookbend.recovery.actions import (
+    ApplyOrder,
+    ApplyPurge,
+    ForwardMembership,
+    RaiseBootNumber,
+    SetAdmissionLimits,
+)
+from rookbend.recovery.coordinator import RecoveryCoordinator
+from rookbend.recovery.events import (
+    Event,
+    MembershipReceived,
+    OperatorCommand,
+    OrderPersisted,
+    OrderRequested,
+    OriginCallEnded,
+    OriginCallStarted,
+    PurgeReceived,
+    RecoveryCommand,
+    StreamActive,
+)
+
+ORIGIN_FAILURE_DETAILS = frozenset(
+    (AttemptDetail.SOURCE_REFUSED, AttemptDetail.SOURCE_UNREACHABLE, AttemptDetail.ORIGIN_FAILED)
+)
+NO_FAILURE_STATUSES = frozenset((AttemptStatus.OK, AttemptStatus.CANCELLED, AttemptStatus.MOOT, AttemptStatus.MISS))
+COPY_DETAILS = frozenset((AttemptDetail.HIT, AttemptDetail.STALE))
+
+
+class PendingOrder:
+    """An order on its way to the disk; `durable` is what came of it, once `ended`."""
+
+    def __init__(self) -> None:
+        self.ended = trio.Event()
+        self.durable = False
+
+
+class RecoveryPart(MachineDriver[Event]):
+    """`limits` are those in force; `on_boot_raised` is called when peers knew a later incarnation than the disk."""
+
+    machine: RecoveryCoordinator
+
     def __init__(self, site: Site):
         super().__init__(site)
-        self.health = site.built.get("health")
-        self._mono_us = site.clock.monotonic_us
-        self._offset = site.clock.now() - self._mono_us()
-        before = (
-            ()
-            if self.state is None
-            else tuple(
-                (kind, key, row.value, row.at_us)
-                for kind, rows in self.state.ledger.rows.items()
-                for key, row in rows.items()
-            )
+        self.health: Any = site.built.get("health")
+        self._monotonic_us = site.clock.monotonic_us
+        self._offset_us = site.clock.now() - self._monotonic_us()
+        boot_number = self.state.boot if self.state is not None else 1
+        self.config = recovery_config(site)
+        incarnation = secrets.randbits(INCARNATION_BITS) + 1
+        self.machine = RecoveryCoordinator(
+            self.config, self.now(), boot_number, incarnation, persisted_rows(self.state)
         )
-        boot = self.state.boot if self.state is not None else 1
-        self.rules = config_of(site)
-        self.machine = machine.Director(self.rules, self.now(), boot, secrets.randbits(INCARNATION_BITS) + 1, before)
-        self.limits: machine.LimitsSet | None = None
-        self.orders: dict[str, tuple[str, str]] = {}  # member: (order, by), for members to come
-        self.on_boot_raised = lambda: None  # others knew a later life: an older disk is under us
-        self._promises: dict[str, Promise] = {}
+        self.limits: SetAdmissionLimits | None = None
+        self.on_boot_raised: Callable[[], None] = lambda: None
+        self._orders_to_apply: dict[str, ApplyOrder] = {}  # by member; it may be added to the membership later
+        self._pending_orders: dict[str, PendingOrder] = {}
+        self._forward_membership = site.watch.membership_changed
         site.admits = lambda: self.limits is not None and self.limits.ready
-        self._pass_on, site.watch.membership_changed = site.watch.membership_changed, self._roster_changed
-        site.watch.purged = self._purged
-        site.watch.heard = lambda: self.feed(machine.StreamHeard())
-        site.engine.on_attempt = self._attempt
-        site.engine.on_peer = self._datagram
+        site.watch.membership_changed = self._membership_received
+        site.watch.purged = self._purge_received
+        site.watch.heard = lambda: self.feed(StreamActive())
+        site.engine.on_attempt = self._attempt_changed
+        site.engine.on_peer = self._datagram_received
         site.gauges.append(self.gauges)
         self.begin()
 
     def now(self) -> int:
-        return self._mono_us() + self._offset
+        """Microseconds from the Unix time of the start, on the monotonic clock."""
+        return self._monotonic_us() + self._offset_us
 
     def gauges(self) -> dict[str, float]:
-        m = self.machine
+        """Figures for metrics."""
+        coordinator = self.machine
         return {
-            "recovery_stage": int(m.sequence.stage),
-            "recovery_up": m.peers.up(self.now()),
-            "recovery_gap_open": not m.gap.covered,
+            "recovery_stage": int(coordinator.sequence.stage),
+            "recovery_up": coordinator.peers.live_count(self.now()),
+            "recovery_gap_open": not coordinator.missed_purges.covered,
             "recovery_datagrams_sent": self.datagrams_sent,
-            "recovery_datagrams_unreadable": m.unreadable,
-            "recovery_datagrams_silenced": m.silenced,
-            "recovery_peers_doubted": sum(bool(p.doubted) for p in m.peers.rows.values()),
-            "recovery_origin_halved": m.share.halved,
+            "recovery_datagrams_unreadable": coordinator.receiver.unreadable,
+            "recovery_datagrams_silenced": coordinator.actions.suppressed,
+            "recovery_peers_doubted": sum(peer.rejection is not None for peer in coordinator.peers.rows.values()),
+            "recovery_origin_halved": coordinator.ramp.halvings,
         }
 
-    # What comes in
+    # Events
 
-    def _roster_changed(self, change: MembershipChange) -> None:
-        self.feed(machine.MembershipTold(change))
+    def _membership_received(self, change: MembershipChange) -> None:
+        self.feed(MembershipReceived(change))
 
-    def _purged(self, purge: Purge) -> None:
+    def _purge_received(self, purge: Purge) -> None:
         self.engine.purged(purge)
-        self.feed(machine.PurgeTold(purge))
+        self.feed(PurgeReceived(purge))
 
-    def _datagram(self, sender: int, data: bytes) -> bool:
-        """Whether it is of this exchange, and not the module's."""
+    def _datagram_received(self, sender: int, data: bytes) -> bool:
+        """Whether it belongs to this exchange, and not to the router's."""
         if not is_ours(data):
             return False
-        self.feed(machine.DatagramReceived(sender, data))
+        self.feed(DatagramReceived(sender, data))
         return True
 
-    def _attempt(self, attempt: Attempt, result: AttemptResult | None) -> None:
-        """What reaches the origin: direct, or with a fill from it or a parent."""
-        if not self.machine.counts_calls:
+    def _attempt_changed(self, attempt: Attempt, result: AttemptResult | None) -> None:
+        """Counts attempts that may reach the origin: direct ones, and fills from it or a parent."""
+        if not self.machine.counts_origin_calls:
             return
-        entry = self.engine.endpoints.get(attempt.server)
-        kinds = (self.rules.parent_kind, self.rules.origin_kind)
-        direct = entry is not None and entry.member.kind in kinds
+        endpoint = self.engine.endpoints.get(attempt.server)
+        upper_tiers = (self.config.parent_kind, self.config.origin_kind)
+        direct = endpoint is not None and endpoint.member.kind in upper_tiers
         if not direct and not attempt.source:
             return
         if result is None:
-            return self.feed(machine.CallMade())
-        status, note = result.status, result.detail
-        took_us = self.site.clock.now() - attempt.sent_us
-        if status is AttemptStatus.OK and note not in (AttemptDetail.HIT, AttemptDetail.STALE):
-            self.feed(machine.CallEnded(True, took_us))
-        elif note in UNWELL_NOTES or (direct and status in UNWELL):
-            self.feed(machine.CallEnded(False, took_us))
+            self.feed(OriginCallStarted())
+            return
+        duration_us = self.site.clock.now() - attempt.sent_us
+        if result.status is AttemptStatus.OK and result.detail not in COPY_DETAILS:
+            self.feed(OriginCallEnded(True, duration_us))
+        elif result.detail in ORIGIN_FAILURE_DETAILS or (direct and result.status not in NO_FAILURE_STATUSES):
+            self.feed(OriginCallEnded(False, duration_us))
 
-    # What goes out
+    # Actions
 
     def action_handlers(self) -> ActionHandlers:
         """What recovery's own actions do to the director."""
         return {
-            machine.Members: self._members,
-            machine.OrderLearnt: self.learn,
-            machine.PurgeLearnt: self._purge_learnt,
-            machine.LimitsSet: self._limits,
-            machine.BootRaised: self._boot,
+            ForwardMembership: self._apply_membership,
+            ApplyOrder: self.apply_order,
+            ApplyPurge: self._apply_purge,
+            SetAdmissionLimits: self._set_limits,
+            RaiseBootNumber: self._raise_boot_number,
         }
 
-    def _purge_learnt(self, a: machine.PurgeLearnt) -> None:
-        self.engine.purged(a.purge)
+    def _apply_purge(self, action: ApplyPurge) -> None:
+        self.engine.purged(action.purge)
 
-    def learn(self, a: machine.OrderLearnt) -> None:
-        """An order that stands, for a member that may come only later."""
-        self.orders[a.member] = a.order, a.by
-        self._give(a.member)
+    def apply_order(self, action: ApplyOrder) -> None:
+        """Applies an order to a member, at once or when the member is added."""
+        self._orders_to_apply[action.member] = action
+        self._apply_pending_order(action.member)
 
-    def _give(self, member: str) -> None:
-        """An order from before, to health, once the member is there."""
+    def _apply_pending_order(self, member: str) -> None:
         from rookbend.health.model import Order, Ordered
 
         server = self.health.desk.find(member) if self.health is not None else None
         if server is not None:
-            order, by = self.orders.pop(member)
-            self.health.desk.feed(Ordered(server, Order(order), by))
+            action = self._orders_to_apply.pop(member)
+            self.health.desk.feed(Ordered(server, Order(action.order), action.requested_by))
 
-    def _members(self, a: machine.Members) -> None:
-        self._pass_on(a.change)
-        for member in list(self.orders):
-            self._give(member)
+    def _apply_membership(self, action: ForwardMembership) -> None:
+        self._forward_membership(action.change)
+        for member in list(self._orders_to_apply):
+            self._apply_pending_order(member)
 
-    def _limits(self, a: machine.LimitsSet) -> None:
-        self.limits = a
+    def _set_limits(self, action: SetAdmissionLimits) -> None:
+        self.limits = action
         # The engine's clock is another: it may have been set forward since.
-        self.engine.oldest_us = a.oldest_us and self.site.clock.now() - (self.now() - a.oldest_us)
-        self.engine.limit(a.closed, a.rate)
+        age_us = self.now() - action.oldest_copy_us
+        self.engine.oldest_us = action.oldest_copy_us and self.site.clock.now() - age_us
+        self.engine.limit(action.closed_classes, action.origin_rate)
 
-    def _boot(self, a: machine.BootRaised) -> None:
+    def _raise_boot_number(self, action: RaiseBootNumber) -> None:
         if self.state is not None:
-            self.state.raise_boot(a.boot)
+            self.state.raise_boot(action.boot_number)
         self.on_boot_raised()
 
     # Operators
@@ -182,39 +187,44 @@
     def row_persisted(self, row: PersistRow, durable: bool) -> None:
         """An order is durable, or refused by the disk; without a disk it lasts as long as a director of the fleet."""
         if durable:
-            self.feed(machine.OrderKept(row.key, row.value))
-        promise = self._promises.pop(row.key, None)
-        if promise is not None:
-            promise.safe = durable
-            promise.ended.set()
+            self.feed(OrderPersisted(row.key, row.value))
+        pending = self._pending_orders.pop(row.key, None)
+        if pending is not None:
+            pending.durable = durable
+            pending.ended.set()
 
     async def order(self, member: str, order: str, by: str) -> str:
-        """Gives an order that outlives the director; "" once it is safe, or why it is refused."""
-        key = f"{self.rules.me}/{member}"
-        while key in self._promises:
-            await self._promises[key].ended.wait()
-        promise = self._promises[key] = Promise()
-        self.feed(machine.OrderGiven(member, order, by))
-        await promise.ended.wait()
-        if not promise.safe:
-            return f"not durable: {self.state.ledger.fault or 'the disk refused'}"
-        return ""
+        """Requests an order that outlives the director; "" once it is durable, or why it is refused."""
+        key = f"{self.config.number}/{member}"
+        while key in self._pending_orders:
+            await self._pending_orders[key].ended.wait()
+        pending = PendingOrder()
+        self._pending_orders[key] = pending
+        self.feed(OrderRequested(member, order, by))
+        await pending.ended.wait()
+        if pending.durable:
+            return ""
+        fault = self.state.ledger.fault if self.state is not None else ""
+        return f"not durable: {fault or 'the disk refused'}"
 
     def command(self, word: str) -> None:
-        self.feed(machine.Command(word))
+        """An operator's command by its word: hold, resume, skip."""
+        self.feed(OperatorCommand(RecoveryCommand(word)))
 
-    def fleet(self) -> dict:
+    def fleet(self) -> dict[str, Any]:
+        """The fleet as this director knows it, for `rookbend fleet`."""
         return {"director": self.site.config.name, **self.machine.describe(self.now())}
 
-    def explain(self) -> dict:
+    def explain(self) -> dict[str, Any]:
+        """Why this director is in its stage, for `rookbend recovery`."""
         return {"director": self.site.config.name, **self.machine.explain(self.now())}
 
     # The timer
 
     def timer_handled(self) -> None:
         """Refreshes the rate: requests that wait in the engine for their turn see time pass by this alone."""
-        if self.limits is not None and self.limits.rate is not None:
-            self.engine.limit(self.limits.closed, self.limits.rate)
+        if self.limits is not None and self.limits.origin_rate is not None:
+            self.engine.limit(self.limits.closed_classes, self.limits.origin_rate)
 
     def timer_deadline(self) -> float:
         """The machine's due time on the director's clock, never in the past."""
--- /dev/null
+++ b/rookbend/net/recovery_setup.py
@@ -0,0 +1,54 @@
+"""What the recovery coordinator is built from: the director's settings and the rows found on disk."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from rookbend.net.component import Site
+from rookbend.recovery.config import RecoveryConfig, TrafficClassCost
+from rookbend.recovery.startup_stages import StartupPlan
+from rookbend.recovery.state_validity import PersistedRow
+
+if TYPE_CHECKING:
+    from rookbend.net.state import StatePart
+
+MULTIPART_CLASS_COST = 4.0  # objects that come in parts are large: relative to a class of small ones
+DEFAULT_PURGE_PROPAGATION_US = 6_000_000
+
+
+def recovery_config(site: Site) -> RecoveryConfig:
+    """What the settings say, for the coordinator."""
+    operators = site.operators
+    wanted = operators.recovery
+    assert wanted is not None, "recovery is built only where the settings ask for it"
+    router = site.engine.settings
+    classes = tuple(
+        TrafficClassCost(c.is_write, c.priority_weight, MULTIPART_CLASS_COST if c.has_parts else 1.0)
+        for c in router.classes
+    )
+    return RecoveryConfig(
+        number=router.router_index,
+        director_count=router.router_count,
+        fleet=operators.state.fleet if operators.state is not None else wanted.fleet,
+        seed=int(site.config.seed, 16),
+        classes=classes,
+        zone=router.zone,
+        parent_kind=router.parent_kind,
+        origin_kind=router.origin_kind,
+        purge_propagation_us=router.purge_propagation_us or DEFAULT_PURGE_PROPAGATION_US,
+        plan=StartupPlan(wanted.ready_share, wanted.ready_by_us, wanted.full_by_us),
+        initial_origin_rate=wanted.first_rate,
+        full_origin_rate=wanted.full_rate,
+        gossip_enabled=wanted.peers,
+    )
+
+
+def persisted_rows(state: StatePart | None) -> tuple[PersistedRow, ...]:
+    """All rows found on disk; none without a disk."""
+    if state is None:
+        return ()
+    return tuple(
+        PersistedRow(kind, key, row.value, row.at_us)
+        for kind, rows in state.ledger.rows.items()
+        for key, row in rows.items()
+    )
--- a/rookbend/recovery/__init__.py
+++ b/rookbend/recovery/__init__.py
@@ -1,14 +1,21 @@
-"""Recovery of a director, and with it of the fleet, from a power loss. Pure: fed `(now, event)`, answers
-actions.
+"""Recovery of a director, and with it of the fleet, from a power loss; a state machine without I/O.
 
-    trust       what of the past is trusted, as one table
-    peers       what is known of the other directors, and whom to believe
-    happened    what happened: I alone restarted, a part of the fleet, all of it, or I am cut off
-    gap         purges that were told while this director was dark
-    rows        what is asked of others, and given: orders, purges, drains
-    share       how much all directors together may ask of the origin, and this one's part
-    sequence    in which order service returns: stages with conditions, floors and deadlines
-    director    the machine of one director, made of these; it runs in the program and in simulated time
+    coordinator             wires the parts; fed `(now, event)`, answers with actions
+    events, actions         what it is fed, and what it answers
+    config                  configuration and identity of one director
+    state_validity          what persisted state is good for after a power loss, as one table
+    peers                   what is known of the other directors, and which messages are believed
+    failure_classification  what failed: this director, a part of the fleet, all of it, or the network
+    missed_purges           purges of the outage that may be missing
+    replicated_rows         rows that directors replicate: orders, purges, drains
+    purge_replication, order_replication, membership   what each kind of rows means for this director
+    origin_ramp             slow start towards the origin, and this director's quota of it
+    startup_stages          the order in which service returns
+    admission_control       the limits that follow from stage, ramp and missed purges
+    gossip_sender, gossip_receiver   the exchange with the other directors
+    status                  what operators read
+    issued_names            names that the DNS front issued for writes
 
-docs/RECOVERY.md tells the promises in words. Nothing of this is imported where `[recovery]` is off.
+docs/RECOVERY.md has the promises in words. Nothing of this is imported where `[recovery]` is off, but `issued_names`
+and `state_validity` with `[state]`.
 """
--- a/rookbend/recovery/failure_classification.py
+++ b/rookbend/recovery/failure_classification.py
@@ -1,14 +1,14 @@
-"""What happened, told apart with evidence and hold times. Pure.
+"""Classifies a director's outage from what its peers say: this director alone, a part of the fleet, or all of it.
 
-    unsure      too few have spoken
-    alone       those who spoke were up while this director was dark: the fleet is well, join quickly
-    part        some were up, some began when we did: go slowly
-    whole       those who spoke began when we did: the fleet lost its power, go slowly
-    cut-off     nobody speaks: that is said so, and not taken for a power loss; go slowly
+    unsure      too few peers have been heard of
+    alone       the peers were up during this director's outage: the fleet is well, return quickly
+    part        some were up, some started when this director did: return slowly
+    whole       the peers started when this director did: the fleet lost power, return slowly
+    cut-off     no peer is heard: reported as isolation, not taken for a power loss; return slowly
 
-One liar moves nothing: `alone`, the only verdict that permits more, needs two thirds of those who spoke, and
-these are three, or all others where there are fewer. With two directors there is one other, and its word is
-all."""
+One faulty peer changes nothing: `alone`, the only class that permits more, needs two thirds of the active peers, and
+at least three of them, or all others in a smaller fleet. With two directors the one other decides.
+"""
 
 from __future__ import annotations
 
@@ -16,52 +16,58 @@
 
 from rookbend.recovery.peers import Peers
 
-SAMPLE = 3  # who have to have spoken, or all others
-SILENT_US = 2_000_000  # nobody spoke for so long: cut off
-OLDER_US = 4_000_000  # a life begun so much earlier than ours was up while we were dark
-HOLD_US = 1_000_000  # a later verdict has to hold so long; the first one counts at once
+MIN_ACTIVE_PEERS = 3  # or all others, where there are fewer
+ISOLATION_AFTER_US = 2_000_000
+UP_DURING_OUTAGE_US = 4_000_000  # a peer that started so much earlier was up during this director's outage
+HOLD_US = 1_000_000
 
 
-class Happened(Enum):
-    UNSURE = "unsure"
-    ALONE = "alone"
-    PART = "part"
-    WHOLE = "whole"
-    CUT_OFF = "cut-off"
+class FailureClass(Enum):
+    """What failed; the values appear in logs and JSON."""
 
+    UNDETERMINED = "unsure"
+    THIS_DIRECTOR = "alone"
+    PART_OF_FLEET = "part"
+    WHOLE_FLEET = "whole"
+    ISOLATED = "cut-off"
 
-def look(now: int, began_us: int, peers: Peers) -> Happened:
-    """What the evidence of this moment says."""
+
+def classify(now: int, began_us: int, peers: Peers) -> FailureClass:
+    """What the evidence of this moment says; `began_us` is the start of this director."""
     others = len(peers.rows)
     if not others:
-        return Happened.WHOLE  # nobody could know better
-    heard = peers.heard(now)
-    if not heard:
-        return Happened.CUT_OFF if now - began_us >= SILENT_US else Happened.UNSURE
-    if len(heard) < min(others, SAMPLE):
-        return Happened.UNSURE if now - began_us < SILENT_US else Happened.PART
-    older = sum(began_us - p.began_us >= OLDER_US for p in heard)
-    if 3 * older >= 2 * len(heard):
-        return Happened.ALONE
-    return Happened.WHOLE if 3 * older <= len(heard) else Happened.PART
+        return FailureClass.WHOLE_FLEET
+    active = peers.active(now)
+    waited = now - began_us >= ISOLATION_AFTER_US
+    if not active:
+        return FailureClass.ISOLATED if waited else FailureClass.UNDETERMINED
+    if len(active) < min(others, MIN_ACTIVE_PEERS):
+        return FailureClass.PART_OF_FLEET if waited else FailureClass.UNDETERMINED
+    older = sum(began_us - peer.began_us >= UP_DURING_OUTAGE_US for peer in active)
+    if 3 * older >= 2 * len(active):
+        return FailureClass.THIS_DIRECTOR
+    return FailureClass.WHOLE_FLEET if 3 * older <= len(active) else FailureClass.PART_OF_FLEET
 
 
-class Verdict:
-    """The verdict that counts: the first at once, each other once it has held."""
+class FailureClassifier:
+    """The class in force: the first determined one at once, each later one after it has held for `HOLD_US`."""
 
     def __init__(self, began_us: int):
-        self.began_us, self.now_is = began_us, Happened.UNSURE
-        self._other, self._since = Happened.UNSURE, 0
+        self.began_us = began_us
+        self.current = FailureClass.UNDETERMINED
+        self._candidate = FailureClass.UNDETERMINED
+        self._candidate_since_us = 0
 
-    def tick(self, now: int, peers: Peers) -> bool:
-        """Whether it has changed."""
-        seen = look(now, self.began_us, peers)
-        if seen is self.now_is:
-            self._other = seen
+    def update(self, now: int, peers: Peers) -> bool:
+        """Whether the class in force has changed."""
+        seen = classify(now, self.began_us, peers)
+        if seen is self.current:
+            self._candidate = seen
             return False
-        if seen is not self._other:
-            self._other, self._since = seen, now
-        if self.now_is is not Happened.UNSURE and now - self._since < HOLD_US:
+        if seen is not self._candidate:
+            self._candidate = seen
+            self._candidate_since_us = now
+        if self.current is not FailureClass.UNDETERMINED and now - self._candidate_since_us < HOLD_US:
             return False
-        self.now_is = seen
+        self.current = seen
         return True
--- /dev/null
+++ b/rookbend/recovery/gossip_receiver.py
@@ -0,0 +1,172 @@
+"""Receives gossip: decides what to believe, takes over rows, and requests those that are missing."""
+
+from __future__ import annotations
+
+from rookbend.coordination.action_queue import ActionQueue
+from rookbend.coordination.actions import PersistRow
+from rookbend.coordination.events import DatagramReceived
+from rookbend.protocol import gossip
+from rookbend.recovery.actions import Action, RaiseBootNumber
+from rookbend.recovery.admission_control import AdmissionControl
+from rookbend.recovery.config import LocalIdentity
+from rookbend.recovery.gossip_sender import GossipSender
+from rookbend.recovery.membership import MembershipFilter
+from rookbend.recovery.missed_purges import MissedPurgeWindow
+from rookbend.recovery.order_replication import MalformedOrderKeyError, OrderReplication
+from rookbend.recovery.origin_ramp import OriginRamp, OriginSample
+from rookbend.recovery.peers import Peers, Phase, Rejection
+from rookbend.recovery.purge_replication import MalformedPurgeKeyError, PurgeReplication
+from rookbend.recovery.replicated_rows import DRAIN, ORDER, PURGE, QuorumVotes, ReplicatedState, decode_value
+
+MAX_CALLS_OF_PEER = 200  # of one sample: a faulty one must not outweigh all others
+MAX_BOOT_NUMBER_STEP = 1_000_000
+PEER_KIND, BOOT_NUMBER_BYTES = "peer", 8
+
+
+class GossipReceiver:
+    """`unreadable` counts datagrams and rows that are malformed or of another fleet."""
+
+    def __init__(
+        self,
+        identity: LocalIdentity,
+        peers: Peers,
+        rows: ReplicatedState,
+        sender: GossipSender,
+        membership: MembershipFilter,
+        purges: PurgeReplication,
+        orders: OrderReplication,
+        missed_purges: MissedPurgeWindow,
+        ramp: OriginRamp,
+        admission: AdmissionControl,
+        actions: ActionQueue[Action],
+    ):
+        self.unreadable = 0
+        self._identity = identity
+        self._peers = peers
+        self._rows = rows
+        self._sender = sender
+        self._membership = membership
+        self._purges = purges
+        self._orders = orders
+        self._missed_purges = missed_purges
+        self._ramp = ramp
+        self._admission = admission
+        self._actions = actions
+        self._drain_votes = QuorumVotes()
+
+    def receive(self, now: int, event: DatagramReceived) -> bool:
+        """Takes a datagram; whether it was a Hello that is believed."""
+        try:
+            message = gossip.decode(event.data)
+        except gossip.GossipDecodeError:
+            self.unreadable += 1
+            return False
+        sender = event.sender
+        from_itself = sender == self._identity.number
+        if message.fleet != self._identity.fleet_hash or message.number != sender or from_itself:
+            self.unreadable += 1
+            return False
+        if isinstance(message, gossip.Hello):
+            return self._receive_hello(now, sender, message)
+        if isinstance(message, gossip.RowRequest):
+            self._sender.send_rows(now, sender, message.kind, message.after)
+        else:
+            self._receive_rows(now, sender, message)
+        return False
+
+    # Hello
+
+    def _receive_hello(self, now: int, sender: int, hello: gossip.Hello) -> bool:
+        self._raise_boot_number(sender, hello.known)
+        peer = self._peers.rows.get(sender)
+        known_boot_number = peer.boot_number if peer is not None else 0
+        if not self._peers.receive(now, sender, hello):
+            self._rejected(now, sender, hello)
+            return False
+        if hello.phase == Phase.DARK and self._admission.phase is not Phase.DARK:
+            self._sender.send_hello(now, sender)  # it waits for one: the next heartbeat may be a second away
+        self._add_origin_sample(now, sender, hello.origin)
+        if hello.boot_number > known_boot_number:
+            data = hello.boot_number.to_bytes(BOOT_NUMBER_BYTES, "big")
+            self._actions.append(PersistRow(PEER_KIND, str(sender), data))
+        self._compare_rows(now, sender, hello)
+        return True
+
+    def _raise_boot_number(self, sender: int, known: gossip.KnownIncarnation) -> None:
+        """Above the number of an earlier incarnation that a peer knows: an old disk, or none, was put in place."""
+        identity = self._identity
+        other_incarnation = known.incarnation not in (0, identity.incarnation)
+        is_outdated = known.boot_number > identity.boot_number or (
+            known.boot_number == identity.boot_number and other_incarnation
+        )
+        if is_outdated and known.boot_number - identity.boot_number < MAX_BOOT_NUMBER_STEP:
+            identity.boot_number = known.boot_number + 1
+            self._actions.append(RaiseBootNumber(identity.boot_number))
+            self._actions.log("boot_raised", "warning", boot=identity.boot_number, by=sender)
+
+    def _rejected(self, now: int, sender: int, hello: gossip.Hello) -> None:
+        peer = self._peers.rows.get(sender)
+        if peer is None or peer.rejection is None:
+            return
+        why = peer.rejection.value
+        self._actions.log(
+            "peer_doubted", "warning", peer=sender, why=why, boot=hello.boot_number, known=peer.boot_number
+        )
+        if peer.rejection is Rejection.OLD_BOOT_NUMBER:
+            self._sender.send_hello(now, sender)
+
+    def _add_origin_sample(self, now: int, sender: int, load: gossip.OriginLoad) -> None:
+        calls = min(load.calls, MAX_CALLS_OF_PEER)
+        failures = min(load.failures, calls)
+        slow_calls = min(load.slow_calls, calls)
+        sample = OriginSample(now, load.rate_tenths / 10, calls, failures, slow_calls, load.fastest_ms * 1000)
+        self._ramp.add_peer_sample(sender, sample)
+
+    def _compare_rows(self, now: int, sender: int, hello: gossip.Hello) -> None:
+        """Requests the rows of each kind that is wanted and differs."""
+        for kind, name in enumerate(gossip.ROW_KINDS):
+            if not self._wants_rows(name):
+                continue
+            if hello.digests[kind] != self._rows.by_name[name].digest:
+                self._sender.request_rows(now, sender, kind, "")
+            elif name == PURGE.name and hello.purges_covered:
+                self._purges_complete(now, sender)
+
+    def _wants_rows(self, name: str) -> bool:
+        if name == ORDER.name:
+            return True
+        if name == PURGE.name:
+            return not self._missed_purges.covered
+        return not self._membership.received
+
+    def _purges_complete(self, now: int, sender: int) -> None:
+        self._missed_purges.peer_complete(sender, self._peers)
+        self._admission.announce_coverage(now)
+
+    # Rows
+
+    def _receive_rows(self, now: int, sender: int, batch: gossip.RowBatch) -> None:
+        peer = self._peers.rows[sender]
+        if not peer.last_received_us or peer.incarnation != batch.incarnation or peer.rejection is not None:
+            return  # not believed: unknown yet, or an older incarnation
+        name = gossip.ROW_KINDS[batch.kind]
+        for key, data in batch.rows:
+            if decode_value(self._rows.by_name[name].kind, data) is None:
+                self.unreadable += 1
+            else:
+                self._receive_row(now, sender, name, key, data)
+        if batch.more and batch.rows:
+            self._sender.request_rows(now, sender, batch.kind, batch.rows[-1][0])
+        elif name == PURGE.name:
+            self._purges_complete(now, sender)
+
+    def _receive_row(self, now: int, sender: int, name: str, key: str, data: bytes) -> None:
+        try:
+            if name == PURGE.name:
+                self._purges.add_peers_purge(now, key, data)
+            elif name == ORDER.name:
+                self._orders.add_peers_order(key, data)
+            elif name == DRAIN.name and self._drain_votes.add(sender, key, data, len(self._peers.rows)):
+                self._membership.add_peers_drain(now, key, data)
+        except (MalformedPurgeKeyError, MalformedOrderKeyError):
+            self.unreadable += 1
--- a/rookbend/recovery/issued_names.py
+++ b/rookbend/recovery/issued_names.py
@@ -1,12 +1,13 @@
-"""Names given out for writes by the DNS front, and what of them is known after a loss. Pure.
+"""Names that the DNS front issued for writes, and what is known of them after a power loss.
 
-A row of the kind `write` is a request id with the lookup's name and its outcome: kept as in doubt before the
-write can run, and as what it came to before the reply goes out. After a start a repeat of a lookup that is
-known gets what it got before, or fails where it was under way. Of one that is not known the front can't say
-that it never ran (an old disk may be under it), and turns it away for as long as it may be a repeat.
+A row of the kind `write` is a request id with the lookup's name and its outcome: persisted as in doubt before the
+write can run, and with its outcome before the reply is sent. After a start a repeat of a known lookup gets what it
+got before, or fails where it was in progress. Of an unknown one the front can't say that it never ran (an old disk
+may have been restored), and rejects it for as long as it may be a repeat.
 
-Where the disk refuses or hangs the write goes on all the same, and is counted: a repeat of it after a loss is
-only turned away for a while."""
+Where the disk refuses or hangs, the write goes on and is counted (`not_durable`): a repeat of it after a power loss
+is only rejected for a while.
+"""
 
 from __future__ import annotations
 
@@ -18,61 +19,66 @@
 from rookbend.recovery import state_validity
 
 KIND = "write"
-DOUBT = "under way at a power loss: whether it ran can't be told"
+IN_DOUBT_NOTE = "under way at a power loss: whether it ran can't be told"
 
 
-class Given(msgspec.Struct, array_like=True, frozen=True):
-    """`lookup` is the name that was asked for. What a reply is made of: the DNS code, the member's number in
-    the program, the name and address given out, a note."""
+class IssuedName(msgspec.Struct, array_like=True, frozen=True):
+    """The outcome of a lookup: its name, the DNS code, the member's number, the issued name and address, a note.
+    Persisted as an array: the order of the fields is the format."""
 
     lookup: str
     rcode: int
-    server: int
-    box: str
+    member_number: int
+    issued_name: str
     address: str
     note: str
 
 
-_encoder, _decoder = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(Given)
-
-
-class Names:
-    """`put(id, value, by_us, done)` keeps a row and calls `done(safe)` once, by then; `drop(id)` ends it.
-    `rows` are those from before: id -> (value, Unix microsecond)."""
-
-    def __init__(
-        self,
-        now: int,
-        put: Callable[[str, bytes, int, Callable[[bool], None]], None],
-        drop: Callable[[str], None],
-        rows: Mapping[str, tuple[bytes, int]],
-    ):
-        self.put, self.drop = put, drop
-        self.before: dict[str, Given] = {}
-        self.unsafe = self.unreadable = 0
-        for rid, (value, at_us) in rows.items():
-            if not state_validity.stands(KIND, at_us, now):
-                drop(rid)
-                continue
-            try:
-                self.before[rid] = _decoder.decode(value)
-            except (msgspec.MsgspecError, UnicodeDecodeError):
-                self.unreadable += 1
-                drop(rid)
-
-    def find(self, rid: str) -> Given | None:
-        """What that write's lookup got in a life before."""
-        return self.before.get(rid)
-
-    def begin(self, rid: str, lookup: str, by_us: int, done: Callable[[], None]) -> None:
-        """The write is about to run."""
-        self.keep(rid, Given(lookup, int(dns.rcode.SERVFAIL), 0, "", "", DOUBT), by_us, done)
-
-    def keep(self, rid: str, given: Given, by_us: int, done: Callable[[], None]) -> None:
-        """`done` is called once the row is safe, or can't be, or at `by_us`."""
-
-        def ended(safe: bool) -> None:
-            self.unsafe += not safe
+_encoder, _decoder = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(IssuedName)
+
+PutRow = Callable[[str, bytes, int, Callable[[bool], None]], None]
+
+
+class IssuedNames:
+    """Persists issued names and finds those of earlier incarnations.
+
+    `put(id, value, by_us, done)` persists a row and calls `done(durable)` once, by `by_us`; `drop(id)` deletes it;
+    `rows` are those found on disk: id -> (value, Unix microsecond). `not_durable` and `unreadable` count.
+    """
+
+    def __init__(self, now: int, put: PutRow, drop: Callable[[str], None], rows: Mapping[str, tuple[bytes, int]]):
+        self._put = put
+        self.drop = drop
+        self.restored: dict[str, IssuedName] = {}
+        self.not_durable = 0
+        self.unreadable = 0
+        for request_id, (value, stored_us) in rows.items():
+            self._restore(now, request_id, value, stored_us)
+
+    def _restore(self, now: int, request_id: str, value: bytes, stored_us: int) -> None:
+        if not state_validity.is_valid(KIND, stored_us, now):
+            self.drop(request_id)
+            return
+        try:
+            self.restored[request_id] = _decoder.decode(value)
+        except (msgspec.MsgspecError, UnicodeDecodeError):
+            self.unreadable += 1
+            self.drop(request_id)
+
+    def find(self, request_id: str) -> IssuedName | None:
+        """What that write's lookup got from an earlier incarnation."""
+        return self.restored.get(request_id)
+
+    def begin(self, request_id: str, lookup: str, by_us: int, done: Callable[[], None]) -> None:
+        """Persists a write as in doubt before it runs."""
+        in_doubt = IssuedName(lookup, int(dns.rcode.SERVFAIL), 0, "", "", IN_DOUBT_NOTE)
+        self.persist(request_id, in_doubt, by_us, done)
+
+    def persist(self, request_id: str, issued: IssuedName, by_us: int, done: Callable[[], None]) -> None:
+        """Calls `done` once the row is durable, or can't be, or at `by_us`."""
+
+        def ended(durable: bool) -> None:
+            self.not_durable += not durable
             done()
 
-        self.put(rid, _encoder.encode(given), by_us, ended)
+        self._put(request_id, _encoder.encode(issued), by_us, ended)
--- a/rookbend/recovery/origin_ramp.py
+++ b/rookbend/recovery/origin_ramp.py
@@ -1,144 +1,186 @@
-"""How much all directors together may ask of the origin while it is cold, and this one's part. Pure.
+"""Slow start towards a cold origin: the rate that all directors together may use, and this director's quota of it.
 
-The fleet's rate begins low and grows by `GROW` each `STEP_US` while the origin answers well and as fast as it
-has shown it can; where it is slower the rate stands still, and it is halved as the origin refuses or does not
-answer. Past `full`, or once the fleet is well, nothing is limited. Every director grows and halves by what it
-sees itself, so the rates differ a little; the sum is held by the share: one part of those known to be up, of
-all that are configured while that is not known."""
+The fleet's rate starts low and grows by `GROWTH` each `STEP_US` while the origin answers well and about as fast as it
+has shown it can. It holds while the origin is slower, and is halved while calls are refused or unanswered. At the
+full rate, or once most peers are unlimited, nothing is limited any more. Each director adapts the rate by itself, so
+rates differ a little; the sum is bounded by the quota: an equal part among the live directors, or among all that are
+configured while it is uncertain who is live.
+"""
 
 from __future__ import annotations
 
 import statistics
 from collections import deque
 from dataclasses import dataclass
-
-GROW, STEP_US = 1.6, 500_000
-BACK, BACK_US = 0.5, 1_000_000  # not halved again within
-USED = 0.5  # a full step up only where so much of the rate was used
-SPAN_US = 1_000_000  # of the outcomes that count
-HEARD_US = 1_500_000  # another's word on its outcomes counts so long
-LEAST_SEEN, BAD_SHARE = 4, 0.3  # outcomes in it, and the share of bad ones that says the origin is unwell
-LEAST = 0.25  # of the first rate: never less
-SLOW, SLOW_US = 3.0, 60_000  # over this multiple of its fastest, and so much: calls queue there
-SLOW_SHARE = 0.5  # of the outcomes: then the rate stands still
-AHEAD = 1.25  # of the median of the others' rates: no further
-FREE, FREE_OF = 2 / 3, 3  # so many of those heard, and these so many, are free: the ramp is over
+from typing import NamedTuple
+
+GROWTH = 1.6
+STEP_US = 500_000
+BACKOFF = 0.5
+BACKOFF_US = 1_000_000
+USED_RATIO = 0.5  # a full step needs so much of the quota to have been used
+WINDOW_US = 1_000_000
+SAMPLE_VALID_US = 1_500_000
+MIN_CALLS = 4
+FAILING_RATIO = 0.3
+MIN_RATE_RATIO = 0.25  # of the initial rate
+SLOW_FACTOR = 3.0
+SLOW_EXTRA_US = 60_000  # a call is slow beyond SLOW_FACTOR times the fastest plus this: it queues at the origin
+SLOW_RATIO = 0.5
+MAX_AHEAD_OF_MEDIAN = 1.25
+UNLIMITED_RATIO = 2 / 3
+MIN_UNLIMITED_SAMPLES = 3
 
 
 @dataclass(slots=True)
-class Outcomes:
-    """What a director saw of the origin of late. `rate` is the fleet's as it holds it, 0: it is free."""
+class OriginSample:
+    """What a director saw of the origin lately. `fleet_rate` is the rate it holds for the fleet, 0: unlimited."""
 
     at_us: int
-    rate: float
+    fleet_rate: float
     calls: int
-    bad: int
-    slow: int
+    failures: int
+    slow_calls: int
     fastest_us: int
 
 
-class Share:
-    """Rates are calls a second. `rate` is the fleet's, None: no limit."""
-
-    def __init__(self, first: float, full: float, began_us: int):
-        self.first, self.full = first, full
-        self.rate: float | None = first
-        self.stepped_us, self.backed_us = began_us, began_us - BACK_US
-        self.calls = 0  # of ours, since the last step
-        self.seen: deque[tuple[int, bool, int]] = deque()  # (when, well, microseconds it took)
-        self.fastest_us = 0
-        self.others: dict[int, Outcomes] = {}  # one row a peer that is believed
-        self.halved = 0
-
-    # What is seen
+class SampleTotals(NamedTuple):
+    """Sums over the samples of several directors."""
 
-    def asked(self) -> None:
-        self.calls += 1
+    calls: int
+    failures: int
+    slow_calls: int
 
-    def ended(self, now: int, well: bool, took_us: int) -> None:
-        """A call of ours to the origin, direct or behind a fill, ended."""
-        self.seen.append((now, well, took_us))
-        if well:
-            self.fastest_us = min(self.fastest_us or took_us, took_us)
 
-    def heard(self, number: int, outcomes: Outcomes) -> None:
-        self.others[number] = outcomes
+class CompletedCall(NamedTuple):
+    """A call of this director to the origin that has ended."""
 
-    def ours(self, now: int) -> Outcomes:
-        """What goes to the others."""
-        while self.seen and self.seen[0][0] <= now - SPAN_US:
-            self.seen.popleft()
-        late = SLOW * self._fastest(now) + SLOW_US
-        return Outcomes(
+    at_us: int
+    succeeded: bool
+    duration_us: int
+
+
+class OriginRamp:
+    """Rates are calls a second. `fleet_rate` is the rate of all directors together, None: unlimited; `halvings`
+    counts how often it was halved."""
+
+    def __init__(self, initial_rate: float, full_rate: float, began_us: int):
+        self.initial_rate = initial_rate
+        self.full_rate = full_rate
+        self.fleet_rate: float | None = initial_rate
+        self.stepped_us = began_us
+        self.backed_off_us = began_us - BACKOFF_US
+        self.calls_since_step = 0
+        self.completed: deque[CompletedCall] = deque()
+        self.fastest_us = 0
+        self.peer_samples: dict[int, OriginSample] = {}
+        self.halvings = 0
+
+    # Observations
+
+    def call_started(self) -> None:
+        """A call of this director to the origin was sent."""
+        self.calls_since_step += 1
+
+    def call_ended(self, now: int, succeeded: bool, duration_us: int) -> None:
+        """A call of this director to the origin, direct or through a fill, ended."""
+        self.completed.append(CompletedCall(now, succeeded, duration_us))
+        if succeeded:
+            self.fastest_us = min(self.fastest_us or duration_us, duration_us)
+
+    def add_peer_sample(self, number: int, sample: OriginSample) -> None:
+        """Keeps the latest sample of a peer."""
+        self.peer_samples[number] = sample
+
+    def own_sample(self, now: int) -> OriginSample:
+        """This director's sample, as it is sent to the peers."""
+        while self.completed and self.completed[0].at_us <= now - WINDOW_US:
+            self.completed.popleft()
+        slow_us = SLOW_FACTOR * self._known_fastest_us(now) + SLOW_EXTRA_US
+        return OriginSample(
             now,
-            self.rate or 0.0,
-            len(self.seen),
-            sum(not well for _, well, _ in self.seen),
-            sum(well and took > late for _, well, took in self.seen),
+            self.fleet_rate or 0.0,
+            len(self.completed),
+            sum(not call.succeeded for call in self.completed),
+            sum(call.succeeded and call.duration_us > slow_us for call in self.completed),
             self.fastest_us,
         )
 
-    def _fresh(self, now: int) -> list[Outcomes]:
-        return [o for o in self.others.values() if now - o.at_us <= HEARD_US]
+    def _valid_samples(self, now: int) -> list[OriginSample]:
+        return [sample for sample in self.peer_samples.values() if now - sample.at_us <= SAMPLE_VALID_US]
 
-    def _fastest(self, now: int) -> int:
-        """The second least that is known: a single word does not make the origin look slow."""
-        known = sorted(f for f in (self.fastest_us, *(o.fastest_us for o in self._fresh(now))) if f)
+    def _known_fastest_us(self, now: int) -> int:
+        """The second fastest of all directors: one faulty sample does not make the origin look slow."""
+        fastest = [self.fastest_us, *(sample.fastest_us for sample in self._valid_samples(now))]
+        known = sorted(duration_us for duration_us in fastest if duration_us)
         return known[min(1, len(known) - 1)] if known else 0
 
-    def together(self, now: int) -> tuple[int, int, int]:
-        """Calls of late, bad, slow: ours and the others'."""
-        all_of = [self.ours(now), *self._fresh(now)]
-        return sum(o.calls for o in all_of), sum(o.bad for o in all_of), sum(o.slow for o in all_of)
+    def totals(self, now: int) -> SampleTotals:
+        """Recent calls of this director and its peers."""
+        samples = [self.own_sample(now), *self._valid_samples(now)]
+        return SampleTotals(
+            sum(sample.calls for sample in samples),
+            sum(sample.failures for sample in samples),
+            sum(sample.slow_calls for sample in samples),
+        )
 
-    def bad_share(self, now: int) -> float:
-        """Of the outcomes of late; 0 where too few are known."""
-        calls, bad, _ = self.together(now)
-        return bad / calls if calls >= LEAST_SEEN else 0.0
+    def failure_ratio(self, now: int) -> float:
+        """Failures among the recent calls; 0 where too few are known."""
+        totals = self.totals(now)
+        return totals.failures / totals.calls if totals.calls >= MIN_CALLS else 0.0
 
-    def unwell(self, now: int) -> bool:
-        return self.bad_share(now) >= BAD_SHARE
+    def is_origin_failing(self, now: int) -> bool:
+        """Whether so many calls fail that no more load may be added."""
+        return self.failure_ratio(now) >= FAILING_RATIO
 
-    # What follows
+    # Decisions
 
-    def part(self, up: int, count: int, sure: bool) -> float:
-        """One part of those that are up; of all while unsure. Never under 1/count."""
-        return 1 / max(1, min(up, count) if sure else count)
+    def quota(self, live: int, configured: int, live_is_certain: bool) -> float:
+        """This director's part of the fleet's rate, never under 1/configured."""
+        return 1 / max(1, min(live, configured) if live_is_certain else configured)
 
-    def lift(self) -> None:
-        self.rate = None
+    def remove_limit(self) -> None:
+        """Ends the ramp."""
+        self.fleet_rate = None
 
-    def tick(self, now: int, part: float) -> bool:
+    def update(self, now: int, quota: float) -> bool:
         """Whether the fleet's rate has changed."""
-        if self.rate is None:
+        if self.fleet_rate is None:
             return False
-        calls, bad, slow = self.together(now)
-        if calls >= LEAST_SEEN and bad >= BAD_SHARE * calls:
-            if now - self.backed_us < BACK_US:
-                return False
-            self.backed_us = self.stepped_us = now
-            self.rate, self.calls = max(self.first * LEAST, self.rate * BACK), 0
-            self.halved += 1
-            return True
-        if now - self.stepped_us < STEP_US or now - self.backed_us < BACK_US:
+        totals = self.totals(now)
+        if totals.calls >= MIN_CALLS and totals.failures >= FAILING_RATIO * totals.calls:
+            return self._back_off(now, self.fleet_rate)
+        if now - self.stepped_us < STEP_US or now - self.backed_off_us < BACKOFF_US:
+            return False
+        return self._step_up(now, self.fleet_rate, quota, totals)
+
+    def _back_off(self, now: int, rate: float) -> bool:
+        if now - self.backed_off_us < BACKOFF_US:
             return False
-        return self._step_up(now, part, calls, slow)
+        self.backed_off_us = now
+        self.stepped_us = now
+        self.fleet_rate = max(self.initial_rate * MIN_RATE_RATIO, rate * BACKOFF)
+        self.calls_since_step = 0
+        self.halvings += 1
+        return True
 
-    def _step_up(self, now: int, part: float, calls: int, slow: int) -> bool:
-        fresh = self._fresh(now)
-        rates = [o.rate for o in fresh if o.rate]
-        if len(fresh) >= FREE_OF and len(fresh) - len(rates) >= FREE * len(fresh):
-            self.rate = None
+    def _step_up(self, now: int, rate: float, quota: float, totals: SampleTotals) -> bool:
+        samples = self._valid_samples(now)
+        peer_rates = [sample.fleet_rate for sample in samples if sample.fleet_rate]
+        unlimited = len(samples) - len(peer_rates)
+        if len(samples) >= MIN_UNLIMITED_SAMPLES and unlimited >= UNLIMITED_RATIO * len(samples):
+            self.fleet_rate = None
             return True
-        used = self.calls >= USED * self.rate * part * (now - self.stepped_us) / 1e6
-        if (self.calls and not calls) or (calls and slow >= SLOW_SHARE * calls):
-            return False  # nothing is known of what was asked, or it queues: the step is not taken yet
-        self.stepped_us, self.calls = now, 0
-        # What was not used proves nothing, but holds nobody back either: a quiet director is not to be the
-        # last to be free.
-        self.rate *= GROW if used else 1 + (GROW - 1) / 2
-        if len(rates) >= 2:
-            self.rate = min(self.rate, AHEAD * statistics.median(rates))
-        if self.rate >= self.full:
-            self.rate = None
+        used = self.calls_since_step >= USED_RATIO * rate * quota * (now - self.stepped_us) / 1e6
+        no_outcome_yet = self.calls_since_step and not totals.calls
+        queueing = totals.calls and totals.slow_calls >= SLOW_RATIO * totals.calls
+        if no_outcome_yet or queueing:
+            return False
+        self.stepped_us = now
+        self.calls_since_step = 0
+        # An unused quota proves nothing, but a quiet director is not to be the last to be unlimited: half a step.
+        rate *= GROWTH if used else 1 + (GROWTH - 1) / 2
+        if len(peer_rates) >= 2:
+            rate = min(rate, MAX_AHEAD_OF_MEDIAN * statistics.median(peer_rates))
+        self.fleet_rate = None if rate >= self.full_rate else rate
         return True
--- a/rookbend/recovery/peers.py
+++ b/rookbend/recovery/peers.py
@@ -1,141 +1,180 @@
-"""What is known of the other directors. Pure; one row a configured peer, no others.
+"""What is known of the other directors: one row a configured peer, no others.
 
-A peer is believed by what it says itself (`heard`); what others pass on of it counts only as a sign of life,
-and moves no verdict. Not believed:
+A peer is believed by what it says itself (`receive`); what others relay of it counts only as a sign of life, and
+affects no classification. Rejected:
 
-    - a boot number lower than one known of it, or the same with another life: an old disk was put back, or
-      two claim one name. It is told (`yours`), takes a higher number, and is believed again;
-    - a Hello whose beat is not above the last of that life: late, or doubled;
-    - figures that can't be: an age that would have it start in the future of its own earlier word.
+    - a boot number lower than the one known, or the same with another incarnation: an old disk was restored, or two
+      directors claim one number. It is notified (`Hello.known`), takes a higher number, and is believed again;
+    - a Hello whose heartbeat is not above the last of that incarnation: late or duplicated;
+    - inconsistent figures: an age that would move its start by more than `DRIFT_US`.
 """
 
 from __future__ import annotations
 
 import random
 from dataclasses import dataclass
-from enum import IntEnum
+from enum import Enum, IntEnum
 
-from rookbend.protocol.gossip import Hello, Seen
+from rookbend.protocol.gossip import Hello, KnownIncarnation, PeerSummary
 
-UP_US = 4_000_000  # a sign of life counts for so long
-DRIFT_US = 5_000_000  # by so much a life's beginning may move between two of its words
+LIVE_US = 4_000_000
+DRIFT_US = 5_000_000
 
 
 class Phase(IntEnum):
+    """How far a director has returned to service."""
+
     DARK = 0
     RECOVERING = 1
     SERVING = 2
 
 
+class Rejection(Enum):
+    """Why a Hello was not believed; the values appear in logs and JSON."""
+
+    STRANGER = "stranger"
+    NUMBER_MISMATCH = "name of another"
+    INCONSISTENT = "figures"
+    OLD_BOOT_NUMBER = "old boot"
+    LATE = "late"
+
+
 @dataclass(slots=True)
 class Peer:
-    """`began_us` is its life's beginning on our clock, `heard_us` when it last spoke itself and was
-    believed."""
+    """`began_us`: the start of its incarnation on the local clock; `last_received_us`: its last accepted Hello;
+    `relayed_us`: when a peer last relayed a sign of life; `rejection`: why its last Hello was rejected."""
 
     number: int
-    boot: int = 0
-    life: int = 0
-    beat: int = 0
+    boot_number: int = 0
+    incarnation: int = 0
+    heartbeat: int = 0
     phase: Phase = Phase.DARK
     stage: int = 0
     began_us: int = 0
-    heard_us: int = 0
-    covered: bool = False
+    last_received_us: int = 0
+    purges_covered: bool = False
     revision: int = 0
     digests: tuple[int, ...] = ()
-    passed_beat: int = 0
-    passed_us: int = 0
-    doubted: str = ""  # why its last word was not believed
+    relayed_heartbeat: int = 0
+    relayed_us: int = 0
+    rejection: Rejection | None = None
 
 
 class Peers:
-    """`boots` are the numbers known from before, by place."""
+    """`boot_numbers` are the highest known from before, by the peer's number; `rejected` counts by reason."""
 
-    def __init__(self, me: int, count: int, seed: int, boots: dict[int, int] | None = None):
-        self.me, self.count = me, count
-        self.rows = {i: Peer(i, (boots or {}).get(i, 0)) for i in range(count) if i != me}
+    def __init__(self, number: int, count: int, seed: int, boot_numbers: dict[int, int] | None = None):
+        self.number = number
+        self.count = count
+        known = boot_numbers or {}
+        self.rows = {other: Peer(other, known.get(other, 0)) for other in range(count) if other != number}
         self.random = random.Random(f"{seed} peers")
-        self.refused: dict[str, int] = {}
-
-    def _refuse(self, peer: Peer | None, why: str) -> bool:
-        self.refused[why] = self.refused.get(why, 0) + 1
-        if peer is not None:
-            peer.doubted = why
-        return False
+        self.rejected: dict[str, int] = {}
 
-    def hear(self, now: int, sender: int, hello: Hello) -> bool:
-        """Takes a Hello; False where it is not believed."""
+    def receive(self, now: int, sender: int, hello: Hello) -> bool:
+        """Takes a Hello; False where it is rejected."""
         peer = self.rows.get(sender)
         if peer is None:
-            return self._refuse(None, "stranger")
-        if hello.number != sender:
-            return self._refuse(peer, "name of another")
-        if hello.phase > Phase.SERVING:
-            return self._refuse(peer, "figures")
-        if hello.boot < peer.boot or (hello.boot == peer.boot and peer.life and hello.life != peer.life):
-            return self._refuse(peer, "old boot")
-        began = now - hello.age_ms * 1000
-        if hello.life == peer.life and hello.boot == peer.boot:
-            if hello.beat <= peer.beat:
-                self.refused["late"] = self.refused.get("late", 0) + 1
-                return False  # late or doubled: nothing against the peer
-            if abs(began - peer.began_us) > DRIFT_US and not self._stood_still(now, peer, began):
-                return self._refuse(peer, "figures")
-        peer.boot, peer.life, peer.beat = hello.boot, hello.life, hello.beat
-        peer.phase, peer.stage, peer.began_us, peer.heard_us = Phase(hello.phase), hello.stage, began, now
-        peer.covered, peer.revision, peer.digests = hello.covered, hello.revision, hello.digests
-        peer.doubted = ""
-        for seen in hello.others:
-            self._passed(now, seen)
+            self._count(Rejection.STRANGER)
+            return False
+        rejection = self._check(now, peer, hello)
+        if rejection is not None:
+            self._count(rejection)
+            if rejection is not Rejection.LATE:
+                peer.rejection = rejection
+            return False
+        self._update(now, peer, hello)
+        for summary in hello.others:
+            self._relayed(now, summary)
         return True
 
+    def _count(self, rejection: Rejection) -> None:
+        self.rejected[rejection.value] = self.rejected.get(rejection.value, 0) + 1
+
+    def _check(self, now: int, peer: Peer, hello: Hello) -> Rejection | None:
+        if hello.number != peer.number:
+            return Rejection.NUMBER_MISMATCH
+        if hello.phase > Phase.SERVING:
+            return Rejection.INCONSISTENT
+        if hello.boot_number < peer.boot_number:
+            return Rejection.OLD_BOOT_NUMBER
+        if hello.boot_number > peer.boot_number:
+            return None
+        if hello.incarnation != peer.incarnation:
+            return Rejection.OLD_BOOT_NUMBER if peer.incarnation else None
+        if hello.heartbeat <= peer.heartbeat:
+            return Rejection.LATE
+        began_us = now - hello.age_ms * 1000
+        if abs(began_us - peer.began_us) > DRIFT_US and not self._was_suspended(now, peer, began_us):
+            return Rejection.INCONSISTENT
+        return None
+
     @staticmethod
-    def _stood_still(now: int, peer: Peer, began: int) -> bool:
-        """Whether a life that seems to have begun later was stopped for as long, or its clock stepped back:
-        it only looks younger, by no more than it was silent."""
-        return 0 <= began - peer.began_us <= now - peer.heard_us + DRIFT_US
-
-    def _passed(self, now: int, seen: Seen) -> None:
-        """A sign of life by hearsay: that a beat grows."""
-        peer = self.rows.get(seen.number)
-        if peer is not None and seen.boot >= peer.boot and seen.beat > peer.passed_beat:
-            peer.passed_beat, peer.passed_us = seen.beat, now
-
-    # What follows
-
-    def heard(self, now: int) -> list[Peer]:
-        """Those who spoke themselves of late."""
-        return [p for p in self.rows.values() if p.heard_us and now - p.heard_us <= UP_US]
-
-    def up(self, now: int) -> int:
-        """How many directors there is a sign of life of, ourselves among them."""
-        return len(self.living(now))
-
-    def living(self, now: int) -> frozenset[int]:
-        """Their places."""
-        return frozenset(
-            (
-                self.me,
-                *(
-                    p.number
-                    for p in self.rows.values()
-                    if (p.heard_us or p.passed_us) and now - max(p.heard_us, p.passed_us) <= UP_US
-                ),
-            )
-        )
+    def _was_suspended(now: int, peer: Peer, began_us: int) -> bool:
+        """Whether an incarnation that seems to have started later was suspended, or its clock stepped back: it looks
+        younger by no more than it was silent."""
+        return 0 <= began_us - peer.began_us <= now - peer.last_received_us + DRIFT_US
 
-    def known_of(self, number: int) -> tuple[int, int]:
-        """What goes into `yours`: the highest boot number and its life."""
+    @staticmethod
+    def _update(now: int, peer: Peer, hello: Hello) -> None:
+        peer.boot_number = hello.boot_number
+        peer.incarnation = hello.incarnation
+        peer.heartbeat = hello.heartbeat
+        peer.phase = Phase(hello.phase)
+        peer.stage = hello.stage
+        peer.began_us = now - hello.age_ms * 1000
+        peer.last_received_us = now
+        peer.purges_covered = hello.purges_covered
+        peer.revision = hello.revision
+        peer.digests = hello.digests
+        peer.rejection = None
+
+    def _relayed(self, now: int, summary: PeerSummary) -> None:
+        """A relayed sign of life: a heartbeat that grows."""
+        peer = self.rows.get(summary.number)
+        if peer is None or summary.boot_number < peer.boot_number:
+            return
+        if summary.heartbeat > peer.relayed_heartbeat:
+            peer.relayed_heartbeat = summary.heartbeat
+            peer.relayed_us = now
+
+    # Reading
+
+    def active(self, now: int) -> list[Peer]:
+        """Peers whose own Hello was accepted within `LIVE_US`."""
+        return [peer for peer in self.rows.values() if peer.last_received_us and now - peer.last_received_us <= LIVE_US]
+
+    def live_count(self, now: int) -> int:
+        """How many directors show a sign of life, this one included."""
+        return len(self.live_members(now))
+
+    def live_members(self, now: int) -> frozenset[int]:
+        """The numbers of the directors with a sign of life within `LIVE_US`, this one included."""
+        signs = ((peer.number, max(peer.last_received_us, peer.relayed_us)) for peer in self.rows.values())
+        live = (number for number, sign_us in signs if sign_us and now - sign_us <= LIVE_US)
+        return frozenset((self.number, *live))
+
+    def known_incarnation(self, number: int) -> KnownIncarnation:
+        """The highest boot number known of a peer, and its incarnation."""
         peer = self.rows.get(number)
-        return (peer.boot, peer.life) if peer is not None else (0, 0)
-
-    def some(self, count: int) -> list[int]:
-        """Places to speak to, drawn anew each time."""
-        places = list(self.rows)
-        return self.random.sample(places, min(count, len(places)))
-
-    def gossip(self, now: int) -> list[Seen]:
-        """Rows to pass on, of those who spoke to us, in drawn order."""
-        rows = self.heard(now)
-        self.random.shuffle(rows)
-        return [Seen(p.number, p.boot, p.beat, int(p.phase), max(0, now - p.began_us) // 1_000_000) for p in rows]
+        return KnownIncarnation(peer.boot_number, peer.incarnation) if peer is not None else KnownIncarnation()
+
+    def sample(self, count: int) -> list[int]:
+        """Numbers of peers to gossip with, drawn anew each time."""
+        numbers = list(self.rows)
+        return self.random.sample(numbers, min(count, len(numbers)))
+
+    def summaries(self, now: int) -> list[PeerSummary]:
+        """Rows to relay, of the active peers, in drawn order."""
+        peers = self.active(now)
+        self.random.shuffle(peers)
+        return [
+            PeerSummary(
+                peer.number,
+                peer.boot_number,
+                peer.heartbeat,
+                int(peer.phase),
+                max(0, now - peer.began_us) // 1_000_000,
+            )
+            for peer in peers
+        ]
--- a/rookbend/recovery/replicated_rows.py
+++ b/rookbend/recovery/replicated_rows.py
@@ -1,96 +1,141 @@
-"""What is asked of others, and given: orders, purges, drains. Pure; each kind is a bounded set of rows.
+"""Rows that directors replicate among one another: orders, purges, drains; each kind is a bounded set of rows.
 
-    order   "NUMBER/MEMBER" -> (order, by, sequence): every director keeps every other's, so that one whose
-    disk
-            is lost gets its own back. The higher sequence wins; it begins with the boot number of the giver's
-            life, so an old disk's orders never win against newer ones
-    purge   "o OBJECT" or "g GROUP" -> Unix millisecond: the later wins. Binds at once
-    drain   MEMBER -> (state, revision): the higher revision wins. From others only where two agree
+    order   "NUMBER/MEMBER" -> (order, requested by, sequence): every director keeps every other's, so that one whose
+            disk is lost gets its own back. The higher sequence wins; it begins with the boot number of the owner's
+            incarnation, so orders of an old disk never win against newer ones
+    purge   "o OBJECT" or "g GROUP" -> Unix millisecond: the later wins. Takes effect at once
+    drain   MEMBER -> (state, revision): the higher revision wins. From peers only where two agree
 
-A digest of a kind is the exclusive or of its rows' hashes: equal sets have equal ones, in any order.
+A digest of a kind is the exclusive or of its rows' hashes: equal sets have equal digests, in any order.
 """
 
 from __future__ import annotations
 
-from collections.abc import Iterable
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any, Generic, NamedTuple, TypeVar
 
 import msgspec
 import xxhash
 
-MOST = {"order": 4_000, "purge": 4_000, "drain": 10_000}
-AGREE = 2
+MIN_AGREEING = 2
 _encode, _decode = msgspec.msgpack.encode, msgspec.msgpack.decode
 
-Order = tuple[str, str, int]  # order, by, sequence
-Drain = tuple[int, int]  # state, revision
-TYPES = {"order": Order, "purge": int, "drain": Drain}
+Value = TypeVar("Value")
 
 
-def read(kind: str, value: bytes):
-    """The row's value, or None where it is none of that kind."""
-    try:
-        return _decode(value, type=TYPES[kind])
-    except (msgspec.MsgspecError, UnicodeDecodeError):
-        return None
+class OrderValue(NamedTuple):
+    """An operator's order for a member."""
+
+    order: str
+    requested_by: str
+    sequence: int
+
+
+class DrainValue(NamedTuple):
+    """The state of a member that is not ready, and the membership revision that says so."""
+
+    state: int
+    revision: int
+
+
+@dataclass(frozen=True, slots=True)
+class RowKind(Generic[Value]):
+    """A kind of rows. `value_type` is what the bytes are decoded to; of two rows of one key the higher `rank` wins."""
+
+    name: str
+    value_type: Any
+    max_rows: int
+    rank: Callable[[Value], int]
 
 
-def write(value) -> bytes:
+ORDER: RowKind[OrderValue] = RowKind("order", OrderValue, 4_000, lambda value: value.sequence)
+PURGE: RowKind[int] = RowKind("purge", int, 4_000, lambda unix_ms: unix_ms)
+DRAIN: RowKind[DrainValue] = RowKind("drain", DrainValue, 10_000, lambda value: value.revision)
+
+
+def encode_value(value: object) -> bytes:
+    """A row's value as bytes."""
     return _encode(value)
 
 
-def rank(kind: str, value) -> int:
-    """What decides between two rows of one key: the higher wins."""
-    return value if kind == "purge" else value[-1]
+def decode_value(kind: RowKind[Value], data: bytes) -> Value | None:
+    """The value that the bytes hold, or None where they are none of that kind."""
+    try:
+        value: Value = _decode(data, type=kind.value_type)
+    except (msgspec.MsgspecError, UnicodeDecodeError):
+        return None
+    return value
 
 
-class Rows:
-    """One kind's rows, by key."""
+class ReplicatedRows(Generic[Value]):
+    """The rows of one kind, by key."""
 
-    def __init__(self, kind: str):
-        self.kind, self.rows, self.digest = kind, {}, 0
+    def __init__(self, kind: RowKind[Value]):
+        self.kind = kind
+        self.rows: dict[str, bytes] = {}
+        self.digest = 0
 
-    def _mix(self, key: str, value: bytes) -> None:
-        self.digest ^= xxhash.xxh32_intdigest(key.encode() + b"\0" + value)
+    def _mix(self, key: str, data: bytes) -> None:
+        self.digest ^= xxhash.xxh32_intdigest(key.encode() + b"\0" + data)
 
-    def put(self, key: str, value: bytes) -> bool:
-        """Takes a row that can be read and outranks the one there; whether it did."""
-        new = read(self.kind, value)
-        old = self.rows.get(key)
-        if new is None or (old is not None and rank(self.kind, new) <= rank(self.kind, read(self.kind, old))):
+    def put(self, key: str, data: bytes) -> bool:
+        """Stores a row that is readable and outranks the present one; tells whether it did."""
+        value = decode_value(self.kind, data)
+        if value is None:
+            return False
+        present = self.get(key)
+        if present is not None and self.kind.rank(value) <= self.kind.rank(present):
             return False
         self.drop(key)
-        if len(self.rows) >= MOST[self.kind]:
+        if len(self.rows) >= self.kind.max_rows:
             self.drop(next(iter(self.rows)))
-        self.rows[key] = value
-        self._mix(key, value)
+        self.rows[key] = data
+        self._mix(key, data)
         return True
 
     def drop(self, key: str) -> bool:
-        old = self.rows.pop(key, None)
-        if old is not None:
-            self._mix(key, old)
-        return old is not None
+        """Removes a row; tells whether there was one."""
+        present = self.rows.pop(key, None)
+        if present is not None:
+            self._mix(key, present)
+        return present is not None
 
-    def get(self, key: str):
-        value = self.rows.get(key)
-        return None if value is None else read(self.kind, value)
+    def get(self, key: str) -> Value | None:
+        """The value of a row."""
+        data = self.rows.get(key)
+        return None if data is None else decode_value(self.kind, data)
 
     def after(self, key: str) -> list[tuple[str, bytes]]:
-        """The rows beyond a key, in order: what a reader resumes with."""
-        return sorted((k, v) for k, v in self.rows.items() if k > key)
+        """The rows beyond a key, in the order of their keys."""
+        return sorted((other, data) for other, data in self.rows.items() if other > key)
+
+
+class ReplicatedState:
+    """The rows of all kinds; `by_name` has them in the order in which digests travel."""
+
+    def __init__(self) -> None:
+        self.orders = ReplicatedRows(ORDER)
+        self.purges = ReplicatedRows(PURGE)
+        self.drains = ReplicatedRows(DRAIN)
+        self.by_name: dict[str, ReplicatedRows[Any]] = {
+            rows.kind.name: rows for rows in (self.orders, self.purges, self.drains)
+        }
 
-    def items(self) -> Iterable[tuple[str, object]]:
-        return [(key, read(self.kind, value)) for key, value in self.rows.items()]
+    def digests(self) -> tuple[int, ...]:
+        """The digests of all kinds."""
+        return tuple(rows.digest for rows in self.by_name.values())
 
 
-class Votes:
-    """Rows that count only where several peers say the same. One row a key and sender."""
+class QuorumVotes:
+    """Rows that count only where several peers report the same value; one vote a key and sender."""
 
-    def __init__(self, enough: int = AGREE):
-        self.enough, self.said = enough, {}
+    def __init__(self, min_agreeing: int = MIN_AGREEING):
+        self.min_agreeing = min_agreeing
+        self._votes: dict[str, dict[int, bytes]] = {}
 
-    def hear(self, sender: int, key: str, value: bytes, others: int) -> bool:
-        """Whether with this enough agree; `others` is how many there are that could."""
-        said = self.said.setdefault(key, {})
-        said[sender] = value
-        return sum(v == value for v in said.values()) >= min(self.enough, others)
+    def add(self, sender: int, key: str, data: bytes, peer_count: int) -> bool:
+        """Whether enough peers now agree; `peer_count` is how many could."""
+        votes = self._votes.setdefault(key, {})
+        votes[sender] = data
+        return sum(vote == data for vote in votes.values()) >= min(self.min_agreeing, peer_count)
--- a/rookbend/recovery/startup_stages.py
+++ b/rookbend/recovery/startup_stages.py
@@ -1,16 +1,16 @@
-"""In which order service returns: named stages, each with what it needs, what it wants, a floor and a
-deadline. Pure.
+"""The order in which a director returns to service: stages with conditions, minimum times and deadlines.
 
-    listening       sockets are open; not ready; every request is refused at once
-    writes          ready; writes go out, for they need only the origin
-    reads           one class of reads after the other, by worth for their cost
-    fills           all classes; what may be asked of the origin grows
-    background      nothing is limited any more; background work begins
-    serving         and this director takes on what the fleet asks of its members
+    listening       sockets are open; not ready; every request is rejected at once
+    writes          ready; writes are admitted, for they need only the origin
+    reads           read classes are admitted one after the other, by priority weight for their cost
+    fills           all classes; the rate towards the origin grows
+    background      nothing is limited any more; background work starts
+    serving         and this director takes its part in the work of the fleet
 
-A stage is entered when what it needs holds and what it wants does, or its deadline has passed; not before the
-floor of the one before. It is left backwards when what it needs no longer holds, or the origin falls over
-while others are asked for less. Where this director alone restarted, floors are none."""
+A stage is entered when its required conditions hold and its preferred ones do, or its deadline has passed; not before
+the minimum time in the one before. It is left backwards when a required condition no longer holds, or the origin
+fails while it is still protected. Where only this director restarted there are no minimum times.
+"""
 
 from __future__ import annotations
 
@@ -18,10 +18,16 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-from rookbend.recovery.failure_classification import Happened
+from rookbend.recovery.failure_classification import FailureClass
+
+FAILING_RATIO = 0.3
+COLLAPSED_RATIO = 0.7
+COLLAPSE_HOLD_US = 1_500_000
 
 
 class Stage(IntEnum):
+    """See the module's text; the names appear in logs and JSON."""
+
     LISTENING = 0
     WRITES = 1
     READS = 2
@@ -31,144 +37,156 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Facts:
-    """What the sequencer looks at. `up_share`: directors with a sign of life, of all; `opened`: read classes
-    that are open, of all."""
+class StartupConditions:
+    """What the stages depend on. `live_ratio`: live directors among all; `origin_failure_ratio`: failures among
+    recent calls; `open_class_ratio`: admitted read classes among all; `serving_peers_ratio`: active peers at or past
+    FILLS."""
 
-    happened: Happened
+    failure_class: FailureClass
     has_origin: bool
     has_caches: bool
-    up_share: float
-    origin_bad: float
-    opened: float
+    live_ratio: float
+    origin_failure_ratio: float
+    open_class_ratio: float
     unlimited: bool
-    covered: bool
-    serving_share: float  # of those that spoke: at or past FILLS
-
-
-@dataclass(frozen=True, slots=True)
-class Step:
-    """How a stage is entered: `needs` always, `wants` until `by_us` after the one before was entered, which
-    stays `floor_us` at least. Each gives "" or what is waited for."""
-
-    needs: Callable[[Facts, Plan], str]
-    wants: Callable[[Facts, Plan], str]
-    floor_us: int
-    by_us: int
+    purges_covered: bool
+    serving_peers_ratio: float
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
-    """The operators' figures."""
+class StartupPlan:
+    """The operators' settings: the live directors to wait for, and deadlines counted within a stage."""
 
     ready_share: float = 0.5
     ready_by_us: int = 5_000_000
     full_by_us: int = 30_000_000
 
 
-BAD, FALLEN = 0.3, 0.7
-FALLEN_HOLD_US = 1_500_000  # a stage left backwards is not entered again sooner
+Condition = Callable[[StartupConditions, StartupPlan], str]  # "" or what is waited for
 
 
-def _membership(f: Facts, plan: Plan) -> str:
-    return "" if f.has_origin else "a list that names the origin"
+@dataclass(frozen=True, slots=True)
+class StageRule:
+    """How a stage is entered: `required` always, `preferred` until `deadline_us` after the stage before was entered,
+    which lasts `minimum_us` at least."""
+
+    required: Condition
+    preferred: Condition
+    minimum_us: int
+    deadline_us: int
+
 
+def _origin_listed(conditions: StartupConditions, plan: StartupPlan) -> str:
+    return "" if conditions.has_origin else "a list that names the origin"
 
-def _fleet(f: Facts, plan: Plan) -> str:
-    if f.happened is Happened.ALONE or f.up_share >= plan.ready_share:
+
+def _enough_directors(conditions: StartupConditions, plan: StartupPlan) -> str:
+    if conditions.failure_class is FailureClass.THIS_DIRECTOR or conditions.live_ratio >= plan.ready_share:
         return ""
-    return f"{plan.ready_share:.0%} of the fleet, {f.up_share:.0%} there"
+    return f"{plan.ready_share:.0%} of the fleet, {conditions.live_ratio:.0%} there"
 
 
-def _origin(f: Facts, plan: Plan) -> str:
-    return "" if f.origin_bad < BAD else f"the origin to answer ({f.origin_bad:.0%} bad)"
+def _origin_answers(conditions: StartupConditions, plan: StartupPlan) -> str:
+    ratio = conditions.origin_failure_ratio
+    return "" if ratio < FAILING_RATIO else f"the origin to answer ({ratio:.0%} bad)"
 
 
-def _caches(f: Facts, plan: Plan) -> str:
-    return _membership(f, plan) or ("" if f.has_caches else "a list that names a cache")
+def _caches_listed(conditions: StartupConditions, plan: StartupPlan) -> str:
+    return _origin_listed(conditions, plan) or ("" if conditions.has_caches else "a list that names a cache")
 
 
-def _classes(f: Facts, plan: Plan) -> str:
-    return _origin(f, plan) or ("" if f.opened >= 1 else "all classes of reads to be open")
+def _classes_open(conditions: StartupConditions, plan: StartupPlan) -> str:
+    all_open = conditions.open_class_ratio >= 1
+    return _origin_answers(conditions, plan) or ("" if all_open else "all classes of reads to be open")
 
 
-def _free(f: Facts, plan: Plan) -> str:
-    if not f.unlimited:
+def _unlimited(conditions: StartupConditions, plan: StartupPlan) -> str:
+    if not conditions.unlimited:
         return "the origin's ramp to end"
-    return "" if f.covered else "purges of the dark time to be told"
+    return "" if conditions.purges_covered else "purges of the dark time to be told"
 
 
-def _others(f: Facts, plan: Plan) -> str:
-    if f.happened in (Happened.ALONE, Happened.CUT_OFF) or f.serving_share >= 0.5:
+def _peers_serving(conditions: StartupConditions, plan: StartupPlan) -> str:
+    ratio = conditions.serving_peers_ratio
+    if conditions.failure_class in (FailureClass.THIS_DIRECTOR, FailureClass.ISOLATED) or ratio >= 0.5:
         return ""
-    return f"others to serve ({f.serving_share:.0%})"
+    return f"others to serve ({ratio:.0%})"
 
 
-def steps(plan: Plan) -> dict[Stage, Step]:
+def stage_rules(plan: StartupPlan) -> dict[Stage, StageRule]:
+    """The rules of a plan, by the stage that is entered."""
     return {
-        Stage.WRITES: Step(_membership, _fleet, 0, plan.ready_by_us),
-        Stage.READS: Step(_caches, _origin, 300_000, 3_000_000),
-        Stage.FILLS: Step(_caches, _classes, 300_000, 6_000_000),
-        Stage.BACKGROUND: Step(_membership, _free, 500_000, plan.full_by_us),
-        Stage.SERVING: Step(_membership, _others, 500_000, plan.full_by_us),
+        Stage.WRITES: StageRule(_origin_listed, _enough_directors, 0, plan.ready_by_us),
+        Stage.READS: StageRule(_caches_listed, _origin_answers, 300_000, 3_000_000),
+        Stage.FILLS: StageRule(_caches_listed, _classes_open, 300_000, 6_000_000),
+        Stage.BACKGROUND: StageRule(_origin_listed, _unlimited, 500_000, plan.full_by_us),
+        Stage.SERVING: StageRule(_origin_listed, _peers_serving, 500_000, plan.full_by_us),
     }
 
 
-class Sequence:
-    """`held` by an operator: no further; `skip` moves one on whatever is wanted (not what is needed)."""
+class StartupSequence:
+    """The present stage. `held`: an operator lets no further stage be entered; `waits_for`: what the next stage waits
+    for; `entered_without`: preferred conditions that were missing when their deadline passed."""
 
-    def __init__(self, plan: Plan, began_us: int):
-        self.plan, self.steps = plan, steps(plan)
-        self.stage, self.entered_us = Stage.LISTENING, began_us
-        self.not_before_us = 0
+    def __init__(self, plan: StartupPlan, began_us: int):
+        self.plan = plan
+        self.rules = stage_rules(plan)
+        self.stage = Stage.LISTENING
+        self.entered_us = began_us
         self.held = False
-        self.waits = ""  # what the next stage waits for
-        self.late: list[str] = []  # entered with less: what was missing
+        self.waits_for = ""
+        self.entered_without: list[str] = []
+        self._not_before_us = 0
         self._skip = False
 
     def skip(self) -> None:
+        """Enters the next stage without its preferred conditions, minimum time and deadline."""
         self._skip = True
 
-    def tick(self, now: int, facts: Facts) -> bool:
+    def update(self, now: int, conditions: StartupConditions) -> bool:
         """Whether the stage has changed."""
-        if (back := self._back(facts)) is not None:
-            self.not_before_us = now + FALLEN_HOLD_US
-            return self._enter(now, back)
+        fallback = self._fallback(conditions)
+        if fallback is not None:
+            self._not_before_us = now + COLLAPSE_HOLD_US
+            return self._enter(now, fallback)
         if self.stage is Stage.SERVING:
-            self.waits = ""
-            return False
-        after = Stage(self.stage + 1)
-        step, alone = self.steps[after], facts.happened is Happened.ALONE
-        if missing := step.needs(facts, self.plan):
-            self.waits = missing
+            self.waits_for = ""
             return False
-        if self.held:
-            self.waits = "an operator's order"
+        following = Stage(self.stage + 1)
+        rule = self.rules[following]
+        blocked = rule.required(conditions, self.plan) or ("an operator's order" if self.held else "")
+        missing = ""
+        if not blocked:
+            missing = rule.preferred(conditions, self.plan)
+            blocked = "" if self._skip else self._too_early(now, conditions, rule, missing)
+        if blocked:
+            self.waits_for = blocked
             return False
-        since = now - self.entered_us
-        missing = step.wants(facts, self.plan)
-        if not self._skip:
-            if since < (0 if alone else step.floor_us) or now < self.not_before_us:
-                self.waits = missing or "its floor"
-                return False
-            if missing and since < step.by_us:
-                self.waits = missing
-                return False
         if missing:
-            self.late.append(f"{after.name.lower()} without {missing}")
+            self.entered_without.append(f"{following.name.lower()} without {missing}")
         self._skip = False
-        return self._enter(now, after)
-
-    def _back(self, f: Facts) -> Stage | None:
-        """Where this stage's evidence sends it back to."""
-        if self.stage > Stage.LISTENING and not f.has_origin:
+        return self._enter(now, following)
+
+    def _too_early(self, now: int, conditions: StartupConditions, rule: StageRule, missing: str) -> str:
+        """What is still waited for, or "" where the stage may be entered."""
+        since_us = now - self.entered_us
+        minimum_us = 0 if conditions.failure_class is FailureClass.THIS_DIRECTOR else rule.minimum_us
+        if since_us < minimum_us or now < self._not_before_us:
+            return missing or "its floor"
+        return missing if since_us < rule.deadline_us else ""
+
+    def _fallback(self, conditions: StartupConditions) -> Stage | None:
+        """The earlier stage that the conditions demand."""
+        if self.stage > Stage.LISTENING and not conditions.has_origin:
             return Stage.LISTENING
-        if self.stage > Stage.WRITES and not f.has_caches:
+        if self.stage > Stage.WRITES and not conditions.has_caches:
             return Stage.WRITES
-        if Stage.READS <= self.stage <= Stage.FILLS and f.origin_bad >= FALLEN:
+        if Stage.READS <= self.stage <= Stage.FILLS and conditions.origin_failure_ratio >= COLLAPSED_RATIO:
             return Stage.WRITES
         return None
 
     def _enter(self, now: int, stage: Stage) -> bool:
-        self.stage, self.entered_us, self.waits = stage, now, ""
+        self.stage = stage
+        self.entered_us = now
+        self.waits_for = ""
         return True
--- a/rookbend/recovery/state_validity.py
+++ b/rookbend/recovery/state_validity.py
@@ -1,23 +1,37 @@
-"""The table of trust: each piece of state from before, and what it is good for after a power loss. Pure.
+"""The table of validity: each piece of persisted state, and what it is good for after a power loss.
 
-    kept        own and monotone, or confirmed to somebody: it stands
-    limit       it binds at once; what it would permit opens only when confirmed
-    hint        a start for what is learnt anew; a wrong one costs time, nothing else
-    never       after a power loss it says nothing
+    kept        own and monotonic, or confirmed to somebody: it stays valid
+    limit       applies at once; what it would permit opens only when confirmed
+    hint        a starting value for what is learned anew; a wrong one costs time, nothing else
+    never       says nothing after a power loss
 
-Ages are of the Unix clock, which may have been stepped while the machine was dark. A hint from the future or
-older than its bound is dropped. A limit from the future binds, counted from now: dropping it could break a
-rule, keeping it costs a member for a while. A limit older than its bound has done its work."""
+Ages are of the Unix clock, which may have been stepped during the outage. A hint from the future or older than its
+bound is dropped. A limit from the future applies, counted from now: dropping it could break a rule, keeping it costs a
+member for a while. A limit older than its bound has served its purpose.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from enum import Enum
+from typing import NamedTuple
 
-SECOND, MINUTE, HOUR = 1_000_000, 60_000_000, 3_600_000_000
+MINUTE_US = 60_000_000
+HOUR_US = 3_600_000_000
 
 
-class Trust(Enum):
+class PersistedRow(NamedTuple):
+    """A row as it was found on disk; `stored_us` is the Unix microsecond at which it was put."""
+
+    kind: str
+    key: str
+    value: bytes
+    stored_us: int
+
+
+class ValidityClass(Enum):
+    """What a piece of state is good for; see the module's text."""
+
     KEPT = "kept"
     LIMIT = "limit"
     HINT = "hint"
@@ -25,50 +39,51 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Piece:
-    """`kind` is the rows' in rookbend.state.model, or empty where nothing is kept; `bound_us` 0: none."""
+class ValidityRule:
+    """`kind` is the rows' in rookbend.state.model, or empty where nothing is persisted; `bound_us` 0: none."""
 
     what: str
-    trust: Trust
+    validity: ValidityClass
     kind: str
     bound_us: int
-    why: str
+    reason: str
 
 
 TABLE = (
-    Piece("boot number", Trust.KEPT, "", 0, "only grows; raised above what any peer knows of us"),
-    Piece("operators' orders", Trust.KEPT, "order", 0, "acknowledged to a person"),
-    Piece("names given out for writes", Trust.KEPT, "write", HOUR, "a lookup repeated gets the same name"),
-    Piece("fencing tokens seen", Trust.KEPT, "token", 0, "an older one is never accepted after a newer"),
-    Piece("orders for the whole fleet", Trust.KEPT, "log", 0, 'at a majority of the voters before "done"'),
-    Piece("promises made", Trust.KEPT, "promise", 0, "a vote is not given twice"),
-    Piece("boot numbers of peers", Trust.KEPT, "peer", 0, "an older life of theirs is not believed"),
-    Piece(
-        "members told as draining or gone", Trust.LIMIT, "drain", 10 * MINUTE, "binds until a newer list says otherwise"
+    ValidityRule("boot number", ValidityClass.KEPT, "", 0, "only grows; raised above what any peer knows of us"),
+    ValidityRule("operators' orders", ValidityClass.KEPT, "order", 0, "acknowledged to a person"),
+    ValidityRule("names issued for writes", ValidityClass.KEPT, "write", HOUR_US, "a repeated lookup gets the same"),
+    ValidityRule("fencing tokens seen", ValidityClass.KEPT, "token", 0, "an older one is never accepted after a newer"),
+    ValidityRule("orders for the whole fleet", ValidityClass.KEPT, "log", 0, 'at a majority of voters before "done"'),
+    ValidityRule("votes", ValidityClass.KEPT, "promise", 0, "a vote is not cast twice"),
+    ValidityRule("boot numbers of peers", ValidityClass.KEPT, "peer", 0, "an older incarnation is not believed"),
+    ValidityRule(
+        "members draining or gone", ValidityClass.LIMIT, "drain", 10 * MINUTE_US, "applies until a newer list"
     ),
-    Piece("purges", Trust.LIMIT, "purge", 0, "bind while an older copy may be left: the settings' time"),
-    Piece("what the origin bore", Trust.HINT, "hint", HOUR, "the ramp's aim, not its start"),
-    Piece("members told as serving", Trust.NEVER, "", 0, "an old permission opens nothing"),
-    Piece("health verdicts", Trust.NEVER, "", 0, "of processes that have ended"),
-    Piece("connections", Trust.NEVER, "", 0, "of processes that have ended"),
-    Piece("load reports", Trust.NEVER, "", 0, "of a load that has gone"),
-    Piece("warmth of members", Trust.NEVER, "", 0, "each is cold until shown otherwise"),
+    ValidityRule("purges", ValidityClass.LIMIT, "purge", 0, "apply while an older copy may exist: the settings' time"),
+    ValidityRule("rate the origin sustained", ValidityClass.HINT, "hint", HOUR_US, "half of it starts the ramp"),
+    ValidityRule("members ready", ValidityClass.NEVER, "", 0, "an old permission opens nothing"),
+    ValidityRule("health check results", ValidityClass.NEVER, "", 0, "of processes that have ended"),
+    ValidityRule("connections", ValidityClass.NEVER, "", 0, "of processes that have ended"),
+    ValidityRule("load reports", ValidityClass.NEVER, "", 0, "of a load that has gone"),
+    ValidityRule("cache contents of members", ValidityClass.NEVER, "", 0, "each warms up until shown otherwise"),
 )
-BY_KIND = {piece.kind: piece for piece in TABLE if piece.kind}
+BY_KIND = {rule.kind: rule for rule in TABLE if rule.kind}
 
 
-def stands(kind: str, at_us: int, now_us: int, bound_us: int = 0) -> bool:
-    """Whether a row of that kind, put at that Unix microsecond, still counts. `bound_us` overrides the
-    table's, for bounds that the settings state."""
-    piece = BY_KIND.get(kind)
-    if piece is None:
+def is_valid(kind: str, stored_us: int, now_us: int, bound_us: int = 0) -> bool:
+    """Whether a row of that kind, stored at that Unix microsecond, still counts. `bound_us` overrides the table's,
+    for bounds that the settings state."""
+    rule = BY_KIND.get(kind)
+    if rule is None:
         return False
-    bound, age = bound_us or piece.bound_us, now_us - at_us
-    if piece.trust is Trust.HINT:
-        return 0 <= age <= bound
-    return not bound or age <= bound
+    bound_us = bound_us or rule.bound_us
+    age_us = now_us - stored_us
+    if rule.validity is ValidityClass.HINT:
+        return 0 <= age_us <= bound_us
+    return not bound_us or age_us <= bound_us
 
 
-def counted_from(at_us: int, now_us: int) -> int:
-    """From when a limit's bound runs: a row from the future is counted from now."""
-    return min(at_us, now_us)
+def counted_from(stored_us: int, now_us: int) -> int:
+    """When a limit's bound starts: a row from the future is counted from now."""
+    return min(stored_us, now_us)
--- /dev/null
+++ b/rookbend/recovery/status.py
@@ -0,0 +1,80 @@
+"""What operators read of recovery, as JSON fields (`rookbend fleet`, `rookbend recovery`)."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Any
+
+from rookbend.recovery.peers import Peer
+from rookbend.recovery.startup_stages import Stage
+
+if TYPE_CHECKING:
+    from rookbend.recovery.coordinator import RecoveryCoordinator
+
+
+def fleet_status(coordinator: RecoveryCoordinator, now: int) -> dict[str, Any]:
+    """This director and what it knows of the others; ages in milliseconds."""
+    identity = coordinator.identity
+    directors = [_own_row(coordinator, now)]
+    directors += [_peer_row(peer, now) for peer in coordinator.peers.rows.values()]
+    return {
+        "directors": sorted(directors, key=lambda row: int(row["number"])),
+        "me": identity.number,
+        "happened": coordinator.classifier.current.value,
+        "up": coordinator.peers.live_count(now),
+    }
+
+
+def _own_row(coordinator: RecoveryCoordinator, now: int) -> dict[str, Any]:
+    identity = coordinator.identity
+    return {
+        "number": identity.number,
+        "boot": identity.boot_number,
+        "phase": coordinator.admission.phase.name.lower(),
+        "stage": coordinator.sequence.stage.name.lower(),
+        "age_ms": (now - identity.began_us) // 1000,
+        "heard_ms": 0,
+        "missing": coordinator.sequence.waits_for,
+        "doubted": "",
+    }
+
+
+def _peer_row(peer: Peer, now: int) -> dict[str, Any]:
+    received = peer.last_received_us > 0
+    return {
+        "number": peer.number,
+        "boot": peer.boot_number,
+        "phase": peer.phase.name.lower() if received else "unheard",
+        "stage": Stage(min(peer.stage, Stage.SERVING)).name.lower() if received else "",
+        "age_ms": (now - peer.began_us) // 1000 if received else None,
+        "heard_ms": (now - peer.last_received_us) // 1000 if received else None,
+        "missing": "",
+        "doubted": peer.rejection.value if peer.rejection is not None else "",
+    }
+
+
+def recovery_status(coordinator: RecoveryCoordinator, now: int) -> dict[str, Any]:
+    """Why this director is in its stage, and what it waits for."""
+    conditions = coordinator.admission.conditions(now)
+    sequence = coordinator.sequence
+    fleet_rate = coordinator.ramp.fleet_rate
+    limits = coordinator.admission.limits
+    return {
+        "stage": sequence.stage.name.lower(),
+        "for_ms": (now - sequence.entered_us) // 1000,
+        "waits_for": sequence.waits_for,
+        "held": sequence.held,
+        "happened": conditions.failure_class.value,
+        "up_share": round(conditions.live_ratio, 3),
+        "origin_bad": round(conditions.origin_failure_ratio, 3),
+        "gap": coordinator.missed_purges.covered_by or "open",
+        "fleet_rate": None if fleet_rate is None else round(fleet_rate, 2),
+        "our_rate": limits.origin_rate if limits else None,
+        "closed": sorted(limits.closed_classes) if limits else [],
+        "drains": sorted(coordinator.membership.drained_since_us),
+        "digests": {name: rows.digest for name, rows in coordinator.rows.by_name.items()},
+        "boot": coordinator.identity.boot_number,
+        "revision": coordinator.membership.revision,
+        "refused": dict(coordinator.peers.rejected),
+        "unreadable": coordinator.receiver.unreadable,
+        "silenced": coordinator.actions.suppressed,
+    }
--- a/rookbend/testing/recovery_simulation.py
+++ b/rookbend/testing/recovery_simulation.py
@@ -11,86 +11,41 @@
 
 import heapq
 import random
-from collections import Counter, deque
+from collections import Counter
 from dataclasses import dataclass, field
 
+from rookbend.coordination.actions import DeleteRow, PersistRow, SendDatagram, WriteLogLine
+from rookbend.coordination.events import DatagramReceived, TimerExpired
 from rookbend.core.model import Endpoint, MembershipChange
 from rookbend.interface import Member, MemberState
-from rookbend.recovery import coordinator as machine
+from rookbend.recovery import events
+from rookbend.recovery.actions import ApplyOrder, ForwardMembership, RaiseBootNumber, SetAdmissionLimits
+from rookbend.recovery.config import RecoveryConfig, TrafficClassCost
+from rookbend.recovery.coordinator import RecoveryCoordinator
 from rookbend.recovery.startup_stages import Stage
+from rookbend.recovery.state_validity import PersistedRow
 from rookbend.state.ledger import Ledger
+from rookbend.testing.recovery_origin import SECOND, Origin, World
 
-SECOND = 1_000_000
 STEP_US = 50_000  # of demand
-CLASSES = ((True, 8.0, 1.0), (False, 1.0, 1.0), (False, 2.0, 4.0))
+CLASSES = (TrafficClassCost(True, 8.0, 1.0), TrafficClassCost(False, 1.0, 1.0), TrafficClassCost(False, 2.0, 4.0))
 PARENT, ORIGIN = 1, 2
 EPOCH = 1_764_576_000 * SECOND
 
 
-@dataclass
-class World:
-    """`capacity` calls a second of the origin, `demand` requests a second of all clients; of these writes,
-    and of the reads those that find no copy at first, at last, and the calls after which half the way is
-    gone."""
-
-    capacity: float = 140.0
-    demand: float = 400.0
-    writes: float = 0.1
-    miss_cold: float = 1.0
-    miss_warm: float = 0.1
-    fills_to_half: float = 300.0
-    multiple: float = 2.5
-    window_us: int = 1_500_000
-    queue_us: int = 1_000_000
-    down_us: int = 4_000_000
-    call_us: int = 40_000
-
-
-class Origin:
-    def __init__(self, world: World):
-        self.world = world
-        self.log: deque[int] = deque()
-        self.free_us = self.down_until = 0
-        self.falls = self.calls = 0
-        self.most = 0.0  # the fullest window, as a share of what pushes it over
-
-    def call(self, now: int) -> tuple[bool, int]:
-        """(answered, microseconds it takes)."""
-        w = self.world
-        self.calls += 1
-        if now < self.down_until:
-            return False, 1_000
-        self.log.append(now)
-        while self.log[0] <= now - w.window_us:
-            self.log.popleft()
-        full = len(self.log) / (w.multiple * w.capacity * w.window_us / SECOND)
-        self.most = max(self.most, full)
-        if full > 1:
-            self.falls += 1
-            self.down_until = now + w.down_us
-            self.log.clear()
-            self.free_us = 0
-            return False, 1_000
-        free = max(self.free_us, now)
-        if free - now > w.queue_us:
-            return False, 1_000
-        self.free_us = free + int(SECOND / w.capacity)
-        return True, free - now + w.call_us
-
-
 @dataclass
 class Node:
     number: int
     disk: Ledger = field(default_factory=lambda: Ledger(1 << 20))
     boot: int = 0  # on disk
-    machine: machine.Director | None = None
-    limits: machine.LimitsSet | None = None
+    machine: RecoveryCoordinator | None = None
+    limits: SetAdmissionLimits | None = None
     tokens: float = 0.0
     tokens_us: int = 0
     lives: list[tuple[int, int]] = field(default_factory=list)  # (boot, life) that it has told of
     members: dict[str, Endpoint] = field(default_factory=dict)  # what went on to the engine
     orders: dict[str, str] = field(default_factory=dict)  # what went on to health
-    said: list[machine.WriteLogLine] = field(default_factory=list)
+    said: list[WriteLogLine] = field(default_factory=list)
     frozen: list = field(default_factory=list)
     is_frozen: bool = False
     events: Counter = field(default_factory=Counter)
@@ -186,18 +141,20 @@
             self.lose_disk(number)
         node.boot += 1
         before = tuple(
-            (k, key, row.value, row.at_us) for k, rows in node.disk.rows.items() for key, row in rows.items()
+            PersistedRow(k, key, row.value, row.at_us)
+            for k, rows in node.disk.rows.items()
+            for key, row in rows.items()
         )
-        config = machine.Config(
-            number, self.count, "sim", self.seed, CLASSES, 0, PARENT, ORIGIN, 6 * SECOND, talk=self.talk
+        config = RecoveryConfig(
+            number, self.count, "sim", self.seed, CLASSES, 0, PARENT, ORIGIN, 6 * SECOND, gossip_enabled=self.talk
         )
         life = self.random.getrandbits(40) + 1
-        node.machine = machine.Director(config, self.now, node.boot, life, before)
+        node.machine = RecoveryCoordinator(config, self.now, node.boot, life, before)
         node.lives.append((node.boot, life))
         node.tokens, node.tokens_us = self.random.random(), self.now
         self._carry_out(node, node.machine.begin(self.now))
         if not self.recovery:
-            node.limits = machine.LimitsSet(True, frozenset(), None, 0)
+            node.limits = SetAdmissionLimits(True, frozenset(), None, 0)
         self._tell(number)
         if self.recovery:
             self._push(self.now, self._tick, number, node.machine)
@@ -209,8 +166,8 @@
             return
         if not self.coordinator:
             return self._push(self.now + SECOND, self._tell, number)
-        self._feed(number, machine.MembershipTold(MembershipChange(True, self.revision, list(self.membership))))
-        self._feed(number, machine.StreamHeard())
+        self._feed(number, events.MembershipReceived(MembershipChange(True, self.revision, list(self.membership))))
+        self._feed(number, events.StreamActive())
 
     def drain(self, name: str, state: MemberState = MemberState.DRAINING) -> None:
         """The coordinator tells it to all that are up."""
@@ -220,20 +177,20 @@
         for i, entry in enumerate(self.membership):
             if entry.name == name:
                 changed = self.membership[i] = Endpoint(replace(entry.member, state=state), name, entry.address)
-                told = machine.MembershipTold(MembershipChange(False, self.revision, [changed]))
+                told = events.MembershipReceived(MembershipChange(False, self.revision, [changed]))
                 for node in self.nodes:
                     if node.machine is not None and self.coordinator:
                         self._feed(node.number, told)
 
     def order(self, number: int, member: str, order: str) -> None:
-        self._feed(number, machine.OrderGiven(member, order, "kim"))
+        self._feed(number, events.OrderRequested(member, order, "kim"))
 
     def _tick(self, number: int, of) -> None:
         node = self.nodes[number]
         if node.machine is not of:
             return
         if not node.is_frozen:
-            self._feed(number, machine.TimerExpired())
+            self._feed(number, TimerExpired())
         self._push(max(of.due_us, self.now + 1_000), self._tick, number, of)
 
     def _feed(self, number: int, event) -> None:
@@ -249,26 +206,26 @@
         for a in actions:
             kind = type(a)
             node.events[kind.__name__] += 1
-            if kind is machine.SendDatagram:
+            if kind is SendDatagram:
                 self._send(node.number, a.peer, a.data)
-            elif kind is machine.PersistRow:
+            elif kind is PersistRow:
                 node.disk.put(self.now, a.kind, a.key, a.value)
                 if a.awaited:
-                    self._feed(node.number, machine.OrderKept(a.key, a.value))
-            elif kind is machine.DeleteRow:
+                    self._feed(node.number, events.OrderPersisted(a.key, a.value))
+            elif kind is DeleteRow:
                 node.disk.drop(a.kind, a.key)
-            elif kind is machine.LimitsSet and self.recovery:
+            elif kind is SetAdmissionLimits and self.recovery:
                 node.limits = a
-            elif kind is machine.BootRaised:
-                node.boot = a.boot
-                node.lives.append((a.boot, node.machine.life))
-            elif kind is machine.Members:
+            elif kind is RaiseBootNumber:
+                node.boot = a.boot_number
+                node.lives.append((a.boot_number, node.machine.identity.incarnation))
+            elif kind is ForwardMembership:
                 if a.change.complete:
                     node.members = {}
                 node.members.update({e.name: e for e in a.change.endpoints})
-            elif kind is machine.OrderLearnt:
+            elif kind is ApplyOrder:
                 node.orders[a.member] = a.order
-            elif kind is machine.WriteLogLine:
+            elif kind is WriteLogLine:
                 node.said.append(a)
 
     # Datagrams
@@ -279,7 +236,7 @@
         for _ in range(2 if self.random.random() < self.double else 1):
             if (source, target) not in self.cut and self.random.random() >= self.loss:
                 late = int(self.late_us * (1 + self.random.expovariate(1.0)))
-                self._push(self.now + late, self._feed, target, machine.DatagramReceived(source, data))
+                self._push(self.now + late, self._feed, target, DatagramReceived(source, data))
 
     # Demand
 
@@ -312,21 +269,21 @@
 
     def _serve(self, node: Node, cls: int, write: bool) -> bool:
         w, limits = self.world, node.limits
-        if cls in limits.closed:
+        if cls in limits.closed_classes:
             return False
         warmth = 0.5 ** (self.filled / w.fills_to_half)
         if not write and self.random.random() >= w.miss_warm + (w.miss_cold - w.miss_warm) * warmth:
             return True  # a copy was there
-        if limits.rate is not None:
-            most = max(1.0, 0.5 * limits.rate)
-            node.tokens = min(most, node.tokens + (self.now - node.tokens_us) * limits.rate / SECOND)
+        if limits.origin_rate is not None:
+            most = max(1.0, 0.5 * limits.origin_rate)
+            node.tokens = min(most, node.tokens + (self.now - node.tokens_us) * limits.origin_rate / SECOND)
             node.tokens_us = self.now
             if node.tokens < 1 and not write:
                 return False
             node.tokens -= 1
-        self._feed(node.number, machine.CallMade())
+        self._feed(node.number, events.OriginCallStarted())
         well, took = self.origin.call(self.now)
-        self._push(self.now + took, self._feed, node.number, machine.CallEnded(well, took))
+        self._push(self.now + took, self._feed, node.number, events.OriginCallEnded(well, took))
         if well and not write:
             self.filled += 1
         return well and took < SECOND
--- /dev/null
+++ b/tests/recovery_messages.py
@@ -0,0 +1,18 @@
+"""Messages that the tests of recovery feed."""
+
+from rookbend.protocol import gossip as wire
+from rookbend.testing.recovery_simulation import EPOCH
+
+NOW = EPOCH
+
+
+def hello(number, heartbeat=1, boot=1, life=5, age_s=100.0, phase=2, **more):
+    fields = {
+        "stage": 5,
+        "purges_covered": True,
+        "revision": 1,
+        "digests": (0, 0, 0),
+        "origin": (0, 0, 0, 0, 0),
+        **more,
+    }
+    return wire.Hello(wire.fleet_number("f"), number, life, boot, heartbeat, phase, age_ms=int(age_s * 1000), **fields)
