--- a/rookbend/drain.py
+++ b/rookbend/drain.py
@@ -38,13 +38,13 @@
         service = self.service
         now = self.began_us = service.clock.now()
         if service.upgrade is not None:
-            service.upgrade.handover.told_to_leave()
+            service.upgrade.handover.shutdown_requested()
             if service.upgrade.handover.taken_over:
                 # The next process takes from the same queue: nothing that waits in it is lost by our leaving.
                 accepting.cancel()
         service.front.say_closing()
         settled = now + self._settled_us()
-        service.engine.settle_by(settled)
+        service.engine.finish_all_by(settled)
         for part in service.parts:
             part.drain(settled)
         await trio.sleep_until(service.clock.monotonic_at(now + LATECOMERS_US))
--- a/rookbend/net/recovery.py
+++ b/rookbend/net/recovery.py
@@ -15,7 +15,7 @@
 from rookbend.coordination.events import DatagramReceived
 from rookbend.core.model import Attempt, AttemptResult, MembershipChange, Purge
 from rookbend.interface import AttemptDetail, AttemptStatus
-from rookbend.net.component import Site
+from rookbend.net.component import ComponentContext
 from rookbend.net.machine_driver import INCARNATION_BITS, ActionHandlers, MachineDriver
 from rookbend.net.recovery_setup import persisted_rows, recovery_config
 from rookbend.protocol.gossip import is_ours
@@ -60,7 +60,7 @@
 
     machine: RecoveryCoordinator
 
-    def __init__(self, site: Site):
+    def __init__(self, site: ComponentContext):
         super().__init__(site)
         self.health: Any = site.built.get("health")
         self._monotonic_us = site.clock.monotonic_us
@@ -80,7 +80,7 @@
         site.watch.membership_changed = self._membership_received
         site.watch.purged = self._purge_received
         site.watch.heard = lambda: self.feed(StreamActive())
-        site.engine.on_attempt = self._attempt_changed
+        site.engine.attempts.on_attempt = self._attempt_changed
         site.engine.on_peer = self._datagram_received
         site.gauges.append(self.gauges)
         self.begin()
@@ -158,12 +158,13 @@
         self._apply_pending_order(action.member)
 
     def _apply_pending_order(self, member: str) -> None:
-        from rookbend.health.model import Order, Ordered
+        from rookbend.health.events import OrderReceived
+        from rookbend.health.model import Order
 
-        server = self.health.desk.find(member) if self.health is not None else None
+        server = self.health.service.find(member) if self.health is not None else None
         if server is not None:
             action = self._orders_to_apply.pop(member)
-            self.health.desk.feed(Ordered(server, Order(action.order), action.requested_by))
+            self.health.service.feed(OrderReceived(server, Order(action.order), action.requested_by))
 
     def _apply_membership(self, action: ForwardMembership) -> None:
         self._forward_membership(action.change)
@@ -174,8 +175,8 @@
         self.limits = action
         # The engine's clock is another: it may have been set forward since.
         age_us = self.now() - action.oldest_copy_us
-        self.engine.oldest_us = action.oldest_copy_us and self.site.clock.now() - age_us
-        self.engine.limit(action.closed_classes, action.origin_rate)
+        self.engine.attempts.oldest_copy_us = action.oldest_copy_us and self.site.clock.now() - age_us
+        self.engine.set_admission_limits(action.closed_classes, action.origin_rate)
 
     def _raise_boot_number(self, action: RaiseBootNumber) -> None:
         if self.state is not None:
@@ -224,7 +225,7 @@
     def timer_handled(self) -> None:
         """Refreshes the rate: requests that wait in the engine for their turn see time pass by this alone."""
         if self.limits is not None and self.limits.origin_rate is not None:
-            self.engine.limit(self.limits.closed_classes, self.limits.origin_rate)
+            self.engine.set_admission_limits(self.limits.closed_classes, self.limits.origin_rate)
 
     def timer_deadline(self) -> float:
         """The machine's due time on the director's clock, never in the past."""
--- a/rookbend/net/recovery_setup.py
+++ b/rookbend/net/recovery_setup.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from rookbend.net.component import Site
+from rookbend.net.component import ComponentContext
 from rookbend.recovery.config import RecoveryConfig, TrafficClassCost
 from rookbend.recovery.startup_stages import StartupPlan
 from rookbend.recovery.state_validity import PersistedRow
@@ -16,7 +16,7 @@
 DEFAULT_PURGE_PROPAGATION_US = 6_000_000
 
 
-def recovery_config(site: Site) -> RecoveryConfig:
+def recovery_config(site: ComponentContext) -> RecoveryConfig:
     """What the settings say, for the coordinator."""
     operators = site.operators
     wanted = operators.recovery
--- a/rookbend/process_metrics.py
+++ b/rookbend/process_metrics.py
@@ -21,14 +21,14 @@
 PAGE = os.sysconf("SC_PAGE_SIZE")
 
 
-class Vitals:
+class ProcessMetrics:
     """`pool` is there once the director runs; `lag_us` is the lateness that counts as full load."""
 
     def __init__(self, engine: Engine, front: FrontServer, limits: Limits, lag_us: int):
         self.engine, self.front, self.limits, self.lag_us = engine, front, limits, lag_us
         self.pool: Pool | None = None
         self._timer_due_earlier = trio.Event()
-        engine.on_timer_change = lambda due: self._timer_due_earlier.set()
+        engine.timers.on_earlier_due = lambda due: self._timer_due_earlier.set()
 
     async def run_timers(self) -> None:
         clock, engine = self.engine.clock, self.engine
@@ -65,7 +65,7 @@
             (self.pool.open_connections + len(self.front.open) + OWN_DESCRIPTORS) / limits.sockets,
             resident / (limits.memory_mb << 20),
             len(members),
-            sum(engine.serving(e.member.server) for e in members),
+            sum(engine.is_in_service(e.member.server) for e in members),
         )
 
     def _is_ours(self, entry) -> bool:
