--- a/benchmarks/state.py
+++ b/benchmarks/state.py
@@ -113,9 +113,10 @@
 
 async def loop_delay(seconds: float, a_second: float, folder: Path) -> dict:
     """Lateness of a loop that wakes each 2 ms, while promises are kept, or none."""
-    from rookbend.state.disk import Disk, Writer
+    from rookbend.state.disk import Disk
     from rookbend.state.ledger import Ledger
     from rookbend.state.model import Identity
+    from rookbend.state.writer import Writer
 
     disk = Disk(folder, Identity("n0", "fleet"))
     ledger, kept, waits = Ledger(1 << 20, disk.rows), 0, []
--- a/rookbend/components.py
+++ b/rookbend/components.py
@@ -33,7 +33,7 @@
         site.clock.now(),
         lambda rid, value, by_us, done: state.put_by(KIND, rid, value, by_us, done),
         lambda rid: state.drop(KIND, rid),
-        {rid: (row.value, row.at_us) for rid, row in state.ledger.all(KIND).items()},
+        {rid: (row.value, row.stored_us) for rid, row in state.ledger.all(KIND).items()},
     )
     site.gauges.append(lambda: {"dns_names_not_kept": names.not_durable, "dns_names_unreadable": names.unreadable})
     return names
--- a/rookbend/net/recovery.py
+++ b/rookbend/net/recovery.py
@@ -65,7 +65,7 @@
         self.health: Any = site.built.get("health")
         self._monotonic_us = site.clock.monotonic_us
         self._offset_us = site.clock.now() - self._monotonic_us()
-        boot_number = self.state.boot if self.state is not None else 1
+        boot_number = self.state.boot_number if self.state is not None else 1
         self.config = recovery_config(site)
         incarnation = secrets.randbits(INCARNATION_BITS) + 1
         self.machine = RecoveryCoordinator(
@@ -180,7 +180,7 @@
 
     def _raise_boot_number(self, action: RaiseBootNumber) -> None:
         if self.state is not None:
-            self.state.raise_boot(action.boot_number)
+            self.state.raise_boot_number(action.boot_number)
         self.on_boot_raised()
 
     # Operators
--- a/rookbend/net/recovery_setup.py
+++ b/rookbend/net/recovery_setup.py
@@ -48,7 +48,7 @@
     if state is None:
         return ()
     return tuple(
-        PersistedRow(kind, key, row.value, row.at_us)
+        PersistedRow(kind, key, row.value, row.stored_us)
         for kind, rows in state.ledger.rows.items()
         for key, row in rows.items()
     )
--- a/rookbend/net/state.py
+++ b/rookbend/net/state.py
@@ -1,4 +1,4 @@
-"""The driver of durable state: hands batches to the writer thread, and their ends back to the loop."""
+"""The driver of durable state: hands batches to the writer thread, and their outcome back to the event loop."""
 
 from __future__ import annotations
 
@@ -9,34 +9,42 @@
 
 from rookbend.config import ConfigError
 from rookbend.net.component import Component, ComponentContext
-from rookbend.state.disk import Disk, Writer
+from rookbend.state.disk import Disk
 from rookbend.state.ledger import Done, Ledger
 from rookbend.state.model import Identity, StateError
+from rookbend.state.writer import Writer
 
 
 class StatePart(Component):
-    """`boot` is the number of this life. Raises ConfigError where the folder can't be used."""
+    """`ledger` holds the rows; `boot_number` is that of this start. Raises ConfigError where the folder can't be
+    used."""
 
     descriptors = 8
 
     def __init__(self, site: ComponentContext):
-        wanted, self.clock, self.log = site.operators.state, site.clock, site.log
+        wanted = site.operators.state
+        assert wanted is not None, "built only where the settings ask for it"
+        self.clock = site.clock
+        self.log = site.log
         try:
-            self.disk = Disk(Path(wanted.folder), Identity(site.config.name, wanted.fleet))
+            self._disk = Disk(Path(wanted.folder), Identity(site.config.name, wanted.fleet))
         except StateError as fault:
             raise ConfigError(str(fault)) from None
-        self.ledger = Ledger(wanted.most, self.disk.rows)
-        self.disk.rows = {}
-        self.boot = self.disk.boot
+        self.ledger = Ledger(wanted.most, self._disk.rows)
+        self._disk.rows = {}
+        self.boot_number = self._disk.boot_number
         self._changed = trio.Event()
         self._nursery: trio.Nursery | None = None
+        self._writer: Writer | None = None
         self._was_degraded = False
         site.gauges.append(self.gauges)
-        if self.disk.moved:
-            self.log("state_damaged", "error", moved=self.disk.moved)
-        self.log("state_open", folder=wanted.folder, boot=self.boot, rows=sum(map(len, self.ledger.rows.values())))
+        if self._disk.moved_aside:
+            self.log("state_damaged", "error", moved=self._disk.moved_aside)
+        row_count = sum(map(len, self.ledger.rows.values()))
+        self.log("state_open", folder=wanted.folder, boot=self.boot_number, rows=row_count)
 
     def gauges(self) -> dict[str, float]:
+        """Figures for metrics."""
         ledger = self.ledger
         return {
             "state_bytes": ledger.bytes,
@@ -45,52 +53,61 @@
             "state_batches_failed": ledger.failed,
             "state_refused": ledger.refused,
             "state_evicted": ledger.evicted,
-            "boot_number": self.boot,
+            "boot_number": self.boot_number,
         }
 
+    # Changes
+
     def put(self, kind: str, key: str, value: bytes, done: Done | None = None) -> None:
-        """See `Ledger.put`; the loop does not wait."""
+        """See `Ledger.put`; does not block."""
         self.ledger.put(self.clock.now(), kind, key, value, done)
         self._changed.set()
 
     def put_by(self, kind: str, key: str, value: bytes, by_us: int, done: Done) -> None:
-        """The same, but `done` hears by then: a disk that hangs keeps nobody waiting for longer."""
+        """As `put`, but `done` is called by `by_us` at the latest: a disk that hangs makes nobody wait longer."""
+        assert self._nursery is not None, "called before start"
         self._nursery.start_soon(self._put_by, kind, key, value, by_us, done)
 
     async def _put_by(self, kind: str, key: str, value: bytes, by_us: int, done: Done) -> None:
-        ended, found = trio.Event(), []
+        ended = trio.Event()
+        outcomes: list[bool] = []
 
-        def heard(safe: bool) -> None:
-            found.append(safe)
+        def on_outcome(durable: bool) -> None:
+            outcomes.append(durable)
             ended.set()
 
-        self.put(kind, key, value, heard)
+        self.put(kind, key, value, on_outcome)
         with trio.move_on_at(self.clock.monotonic_at(by_us)):
             await ended.wait()
-        done(found == [True])
+        done(outcomes == [True])
 
     def drop(self, kind: str, key: str, done: Done | None = None) -> None:
+        """See `Ledger.drop`; does not block."""
         self.ledger.drop(kind, key, done)
         self._changed.set()
 
-    def raise_boot(self, boot: int) -> None:
-        """Others knew of a life of ours with a number as high: this life takes a higher one."""
-        self.boot = boot
-        self.writer.raise_boot(boot)
+    def raise_boot_number(self, boot_number: int) -> None:
+        """Takes a higher number for this start: peers knew one as high."""
+        self.boot_number = boot_number
+        assert self._writer is not None, "called before start"
+        self._writer.raise_boot_number(boot_number)
+
+    # The writer
 
     def start(self, nursery: trio.Nursery) -> None:
+        """Starts the writer thread and the task that feeds it."""
         token = trio.lowlevel.current_trio_token()
         self._nursery = nursery
 
         def ended(number: int, fault: str) -> None:
-            # the loop has ended: nobody waits any more
+            # Where the loop has ended, nobody waits any more.
             with contextlib.suppress(trio.RunFinishedError):
-                token.run_sync_soon(self._ended, number, fault)
+                token.run_sync_soon(self._batch_ended, number, fault)
 
-        self.writer = Writer(self.disk, ended)
-        nursery.start_soon(self._run)
+        self._writer = Writer(self._disk, ended)
+        nursery.start_soon(self._run, self._writer)
 
-    def _ended(self, number: int, fault: str) -> None:
+    def _batch_ended(self, number: int, fault: str) -> None:
         self.ledger.ended(self.clock.now(), number, fault)
         if fault and not self._was_degraded:
             self.log("state_degraded", "error", reason=fault)
@@ -99,22 +116,22 @@
         self._was_degraded = bool(fault)
         self._changed.set()
 
-    async def _run(self) -> None:
+    async def _run(self, writer: Writer) -> None:
         try:
             while True:
                 self._changed = trio.Event()
                 batch = self.ledger.take(self.clock.now())
                 if batch is not None:
-                    self.writer.write(batch)
+                    writer.write(batch)
                 with trio.CancelScope() as scope:
-                    if due := self.ledger.due_us():
-                        scope.deadline = self.clock.monotonic_at(due)
+                    if due_us := self.ledger.due_us():
+                        scope.deadline = self.clock.monotonic_at(due_us)
                     await self._changed.wait()
         finally:
             # What was handed over is written before the process ends; what was not goes in one last batch.
             last = self.ledger.take(self.clock.now())
             if last is not None:
-                self.writer.write(last)
+                writer.write(last)
             with trio.CancelScope(shield=True):
-                await trio.to_thread.run_sync(self.writer.stop)
-            self.disk.close()
+                await trio.to_thread.run_sync(writer.stop)
+            self._disk.close()
--- a/rookbend/state/__init__.py
+++ b/rookbend/state/__init__.py
@@ -1,9 +1,10 @@
 """Durable state: what a director keeps on disk, where `[state]` names a folder.
 
-    model       what may be kept: kinds, bounds, identity
-    ledger      pure: the rows in memory, what waits to be written, what became of it
-    disk        the one place that touches a disk: SQLite by apsw, one writer thread
+    model       what may be persisted: kinds, bounds, identity, errors
+    ledger      the rows in memory, changes that wait to be written, and their outcome; does no I/O
+    disk        the one place that accesses a disk: SQLite by apsw
+    writer      the thread that writes batches
 
-A row is kept once `disk` has synced it; the ledger says so to whoever asked. The loop never waits for the
-disk. Nothing of this is imported where `[state]` is off.
+A row is durable once `disk` has synced it; the ledger notifies whoever asked for that. The event loop never waits for
+the disk. Nothing of this is imported where `[state]` is off.
 """
--- a/rookbend/state/ledger.py
+++ b/rookbend/state/ledger.py
@@ -1,32 +1,31 @@
-"""The rows in memory, what waits to be written, and what became of it. Pure: the disk is behind two calls.
+"""The rows in memory, the changes that wait to be written, and their outcome; does no I/O.
 
     put, drop       a change: in memory at once, on disk later
-    take            the next batch for the writer, or None while one is out or nothing waits
-    ended           what became of it; whoever asked for durability hears yes or no
+    take            the next batch for the writer, or None while one is in flight or nothing waits
+    ended           the outcome of the batch; whoever asked for durability is notified
 
-One batch is out at a time and takes all that has gathered meanwhile: group commit. Where the disk refuses a
-batch (full, read-only, broken), the ledger is `degraded`: what somebody waits for is undone in memory and
-refused, for it was promised to nobody; all else stays dirty and goes out with the next try. The first
-batch that succeeds makes it well again.
+One batch is in flight at a time and takes all changes that gathered meanwhile: group commit. Where the disk refuses a
+batch (full, read-only, broken), the ledger is `degraded`: awaited changes are undone in memory and their callers told
+that they are not durable; all others stay dirty and go out with the next try. The first batch that succeeds ends this.
 
-Bounds: rows by kind, bytes of all together; the oldest go, spare kinds first.
+Bounds: rows by kind, bytes of all together; the oldest are evicted, kinds marked `evict_first` first.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field
 
 from rookbend.state.model import KINDS, Row
 
 Key = tuple[str, str]  # kind, key
-Done = Callable[[bool], None]
-RETRY_US = 1_000_000  # between two tries of a disk that refused
+Done = Callable[[bool], None]  # whether the change is durable
+RETRY_US = 1_000_000
 
 
 @dataclass(slots=True)
-class Waiting:
-    """Somebody waits for a change to be safe: the row before it and after it, None where there is none."""
+class AwaitedChange:
+    """A change whose durability is awaited: the row before it and after it, None where there is none."""
 
     key: Key
     before: Row | None
@@ -36,66 +35,78 @@
 
 @dataclass(slots=True)
 class Batch:
-    """What the writer puts into one transaction: a row, or None where it is to go."""
+    """What the writer puts into one transaction: a row, or None where it is to be deleted."""
 
     number: int
     changes: dict[Key, Row | None]
-    waiting: list[Waiting] = field(default_factory=list)
+    awaited: list[AwaitedChange] = field(default_factory=list)
 
 
 class Ledger:
-    def __init__(self, most_bytes: int, rows: dict[Key, Row] | None = None):
-        self.most_bytes, self.bytes = most_bytes, 0
-        self.rows: dict[str, dict[str, Row]] = {name: {} for name in KINDS}  # oldest first
-        self.dirty: dict[Key, None] = {}
-        self.waiting: list[Waiting] = []
-        self.out: Batch | None = None
-        self.fault, self.retry_us = "", 0
-        self.batches = self.failed = self.refused = self.evicted = 0
-        for (kind, key), row in sorted((rows or {}).items(), key=lambda item: item[1].at_us):
+    """`rows` by kind and key, oldest first; `bytes` of all; `fault` is why the last batch was refused, "" if it was
+    not. `batches`, `failed`, `refused` (awaited changes) and `evicted` (rows) count."""
+
+    def __init__(self, max_bytes: int, rows: Mapping[Key, Row] | None = None):
+        self.max_bytes = max_bytes
+        self.bytes = 0
+        self.rows: dict[str, dict[str, Row]] = {name: {} for name in KINDS}
+        self.fault = ""
+        self.batches = 0
+        self.failed = 0
+        self.refused = 0
+        self.evicted = 0
+        self._dirty: dict[Key, None] = {}
+        self._awaited: list[AwaitedChange] = []
+        self._in_flight: Batch | None = None
+        self._retry_us = 0
+        for (kind, key), row in sorted((rows or {}).items(), key=lambda item: item[1].stored_us):
             if kind in self.rows:
                 self._set(kind, key, row)
 
     @property
     def degraded(self) -> bool:
+        """Whether the disk refused the last batch."""
         return bool(self.fault)
 
     # Reading
 
     def get(self, kind: str, key: str) -> Row | None:
+        """One row."""
         return self.rows[kind].get(key)
 
     def all(self, kind: str) -> dict[str, Row]:
-        """Oldest first; not to be changed."""
+        """The rows of a kind, oldest first; not to be changed."""
         return self.rows[kind]
 
     # Changes
 
     def put(self, now_us: int, kind: str, key: str, value: bytes, done: Done | None = None) -> None:
-        """Keeps a row. `done(True)` is called once it is safe, `done(False)` where it can't be made so, and
-        then it is not kept in memory either."""
+        """Stores a row. `done(True)` is called once it is durable, `done(False)` where it can't be made so, and then
+        it is not kept in memory either."""
         before = self.rows[kind].get(key)
-        if before is not None and before.value == value and (kind, key) not in self.dirty and done is None:
-            return  # nothing new: a disk is not written to for its own sake
+        unchanged = before is not None and before.value == value and (kind, key) not in self._dirty
+        if unchanged and done is None:
+            return
         self._set(kind, key, Row(value, now_us))
-        self._touched(kind, key, before, done)
-        self._bound(kind, key)
+        self._changed(kind, key, before, done)
+        self._enforce_bounds(kind)
 
     def drop(self, kind: str, key: str, done: Done | None = None) -> None:
+        """Deletes a row; `done` as for `put`."""
         before = self.rows[kind].get(key)
-        pending = (kind, key) in self.dirty or self.out is not None and (kind, key) in self.out.changes
-        if before is None and not pending:
+        in_flight = self._in_flight is not None and (kind, key) in self._in_flight.changes
+        if before is None and not in_flight and (kind, key) not in self._dirty:
             if done is not None:
                 done(True)
             return
-        # Gone in memory already, it may be on the disk still: that is waited for.
+        # Gone from memory, it may still be on the disk: its deletion is awaited.
         self._unset(kind, key)
-        self._touched(kind, key, before, done)
+        self._changed(kind, key, before, done)
 
-    def _touched(self, kind: str, key: str, before: Row | None, done: Done | None) -> None:
-        self.dirty[kind, key] = None
+    def _changed(self, kind: str, key: str, before: Row | None, done: Done | None) -> None:
+        self._dirty[kind, key] = None
         if done is not None:
-            self.waiting.append(Waiting((kind, key), before, self.rows[kind].get(key), done))
+            self._awaited.append(AwaitedChange((kind, key), before, self.rows[kind].get(key), done))
 
     def _set(self, kind: str, key: str, row: Row) -> None:
         self._unset(kind, key)
@@ -107,68 +118,75 @@
         if old is not None:
             self.bytes -= old.size + len(key)
 
-    def _bound(self, kind: str, kept: str) -> None:
+    def _enforce_bounds(self, kind: str) -> None:
         rows = self.rows[kind]
-        while len(rows) > KINDS[kind].most:
+        while len(rows) > KINDS[kind].max_rows:
             self._evict(kind)
-        if self.bytes <= self.most_bytes:
+        if self.bytes <= self.max_bytes:
             return
-        # Spare kinds first, then the kind that has grown; never the row that was just put.
-        for name in [*(k.name for k in KINDS.values() if k.spare), kind]:
+        # The kind that has grown comes last, and the row that was just put is never evicted.
+        evictable = [candidate.name for candidate in KINDS.values() if candidate.evict_first]
+        for name in [*evictable, kind]:
             others = len(self.rows[name]) - (name == kind)
-            while self.bytes > self.most_bytes and others > 0:
+            while self.bytes > self.max_bytes and others > 0:
                 self._evict(name)
                 others -= 1
 
     def _evict(self, kind: str) -> None:
         oldest = next(iter(self.rows[kind]))
         self._unset(kind, oldest)
-        self.dirty[kind, oldest] = None
+        self._dirty[kind, oldest] = None
         self.evicted += 1
 
     # The writer
 
     def due_us(self) -> int:
-        """When `take` should be asked again though nothing changes, or 0."""
-        return self.retry_us if self.fault and self.dirty and self.out is None else 0
+        """When `take` is to be called again though nothing changes, or 0."""
+        return self._retry_us if self.fault and self._dirty and self._in_flight is None else 0
 
     def take(self, now_us: int) -> Batch | None:
-        if self.out is not None or not self.dirty:
+        """The next batch for the writer, or None."""
+        if self._in_flight is not None or not self._dirty:
             return None
-        if self.fault and now_us < self.retry_us and not self.waiting:
-            return None  # guards the disk from tries that nobody waits for
+        if self.fault and now_us < self._retry_us and not self._awaited:
+            return None  # nobody waits: the disk is not tried more often than each RETRY_US
         self.batches += 1
-        changes = {(kind, key): self.rows[kind].get(key) for kind, key in self.dirty}
-        self.out = Batch(self.batches, changes, self.waiting)
-        self.dirty, self.waiting = {}, []
-        return self.out
+        changes = {(kind, key): self.rows[kind].get(key) for kind, key in self._dirty}
+        self._in_flight = Batch(self.batches, changes, self._awaited)
+        self._dirty = {}
+        self._awaited = []
+        return self._in_flight
 
     def ended(self, now_us: int, number: int, fault: str = "") -> None:
-        """The batch is safe, or `fault` says why it is not."""
-        batch = self.out
+        """The batch is durable, or `fault` says why it is not."""
+        batch = self._in_flight
         if batch is None or batch.number != number:
             return
-        self.out, self.fault = None, fault
-        if not fault:
-            for waiting in batch.waiting:
-                waiting.done(True)
-            return
+        self._in_flight = None
+        self.fault = fault
+        if fault:
+            self._batch_failed(now_us, batch)
+        for change in batch.awaited:
+            change.done(not fault)
+
+    def _batch_failed(self, now_us: int, batch: Batch) -> None:
         self.failed += 1
-        self.retry_us = now_us + RETRY_US
+        self.refused += len(batch.awaited)
+        self._retry_us = now_us + RETRY_US
         for key in batch.changes:
-            self.dirty.setdefault(key, None)
-        # The newest change first: what stood before the oldest refused one is what is restored.
-        for refused in reversed(batch.waiting):
-            kind, key = refused.key
-            later = next((w for w in self.waiting if w.key == refused.key), None)
-            if later is not None and later.before is refused.after:
-                later.before = refused.before  # guards what is refused from coming back with it
-            elif self.rows[kind].get(key) is not refused.after:
-                continue  # changed again since: that stands
-            elif refused.before is None:
-                self._unset(kind, key)
-            else:
-                self._set(kind, key, refused.before)
-        self.refused += len(batch.waiting)
-        for waiting in batch.waiting:
-            waiting.done(False)
+            self._dirty.setdefault(key, None)
+        # The newest change first: the row before the oldest refused one is what is restored.
+        for change in reversed(batch.awaited):
+            self._undo(change)
+
+    def _undo(self, refused: AwaitedChange) -> None:
+        kind, key = refused.key
+        later = next((change for change in self._awaited if change.key == refused.key), None)
+        if later is not None and later.before is refused.after:
+            later.before = refused.before  # or undoing the later one would restore what is refused here
+        elif self.rows[kind].get(key) is not refused.after:
+            return  # changed again since: that is kept
+        elif refused.before is None:
+            self._unset(kind, key)
+        else:
+            self._set(kind, key, refused.before)
--- a/rookbend/state/model.py
+++ b/rookbend/state/model.py
@@ -1,37 +1,40 @@
-"""What may be kept on disk, and who it belongs to. Pure.
+"""What may be persisted, whom a folder belongs to, and why a folder can't be used.
 
-A row is (kind, key) -> value, with the Unix microsecond at which it was put. Each kind has a bound; beyond it
-the oldest row of the kind goes. Values are msgpack of plain types, so that a later version can read them.
+A row is (kind, key) -> value, with the Unix microsecond at which it was stored. Each kind has a bound; beyond it the
+oldest row of the kind is evicted. Values are msgpack of plain types, so that a later version can read them.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
+from pathlib import Path
 
 SCHEMA = 1
+ROW_OVERHEAD_BYTES = 64
 
 
 @dataclass(frozen=True, slots=True)
 class Kind:
-    """`most` rows are kept. `spare`: given up first where the whole is too big."""
+    """A kind of rows, of which `max_rows` are kept. `evict_first`: evicted first where all kinds together are too
+    large."""
 
     name: str
-    most: int
-    spare: bool = False
+    max_rows: int
+    evict_first: bool = False
 
 
-# What each means is the table of trust (rookbend/recovery/state_validity.py); here is only how much of it is kept.
+# What each means after a power loss is the table in rookbend/recovery/state_validity.py.
 KINDS = {
     kind.name: kind
     for kind in (
-        Kind("order", 4_000),  # operators' orders, ours and those kept for others
-        Kind("drain", 10_000),  # members told as draining or gone
+        Kind("order", 4_000),  # operators' orders, of this director and replicated ones
+        Kind("drain", 10_000),  # members that are draining or gone
         Kind("purge", 4_000),
         Kind("token", 1_000),  # highest fencing tokens seen
         Kind("promise", 1_000),  # votes
-        Kind("log", 8_000),  # orders for the whole fleet, and up to which they stand
-        Kind("write", 20_000),  # names given out for writes by the DNS front
-        Kind("peer", 1_000),  # boot numbers of others
+        Kind("log", 8_000),  # orders for the whole fleet, and up to which they are committed
+        Kind("write", 20_000),  # names that the DNS front issued for writes
+        Kind("peer", 1_000),  # boot numbers of other directors
         Kind("hint", 2_000, True),
     )
 }
@@ -39,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Identity:
-    """Whose folder it is."""
+    """The director and the fleet that a folder belongs to."""
 
     name: str
     fleet: str
@@ -47,13 +50,53 @@
 
 @dataclass(frozen=True, slots=True)
 class Row:
+    """A value, and the Unix microsecond at which it was stored."""
+
     value: bytes
-    at_us: int
+    stored_us: int
 
     @property
     def size(self) -> int:
-        return len(self.value) + 64  # with the row's own cost, about
+        """The bytes it takes, roughly."""
+        return len(self.value) + ROW_OVERHEAD_BYTES
 
 
 class StateError(Exception):
-    """The folder can't be used as it is: one line on why, exit 2."""
+    """The folder can't be used as it is; the text is one line for the operator. Exit status 2."""
+
+
+class FolderUnusableError(StateError):
+    """The folder or the database in it can't be opened or written; `reason` is the system's."""
+
+    def __init__(self, folder: Path, verb: str, reason: str):
+        super().__init__(f"state folder {folder} can't be {verb}: {reason}")
+        self.folder = folder
+        self.reason = reason
+
+
+class FolderInUseError(StateError):
+    """Another process has the folder open."""
+
+    def __init__(self, folder: Path):
+        super().__init__(f"state folder {folder} is in use by a living process")
+        self.folder = folder
+
+
+class NewerSchemaError(StateError):
+    """A later version wrote the database."""
+
+    def __init__(self, folder: Path, schema: int, newest: int):
+        super().__init__(
+            f"state folder {folder} has schema {schema}, newer than {newest}, the newest that this version reads"
+        )
+        self.folder = folder
+        self.schema = schema
+
+
+class ForeignFolderError(StateError):
+    """The folder belongs to another director or fleet (`owner`)."""
+
+    def __init__(self, folder: Path, owner: str, found: str, expected: str):
+        super().__init__(f"state folder {folder} is of {owner} {found!r}, not {expected!r}")
+        self.folder = folder
+        self.found = found
--- a/rookbend/testing/recovery_simulation.py
+++ b/rookbend/testing/recovery_simulation.py
@@ -141,7 +141,7 @@
             self.lose_disk(number)
         node.boot += 1
         before = tuple(
-            PersistedRow(k, key, row.value, row.at_us)
+            PersistedRow(k, key, row.value, row.stored_us)
             for k, rows in node.disk.rows.items()
             for key, row in rows.items()
         )
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -137,9 +137,9 @@
 
 def test_rows_and_bytes_are_bounded_and_spare_kinds_go_first():
     ledger = Ledger(64 << 10)
-    for i in range(3 * KINDS["token"].most):
+    for i in range(3 * KINDS["token"].max_rows):
         ledger.put(i, "token", f"t{i}", b"x" * 8)
-    assert len(ledger.all("token")) <= KINDS["token"].most and ledger.bytes <= 64 << 10
+    assert len(ledger.all("token")) <= KINDS["token"].max_rows and ledger.bytes <= 64 << 10
     ledger = Ledger(64 << 10)
     ledger.put(1, "order", "kept", b"x")
     for i in range(2000):
@@ -159,7 +159,7 @@
     batch = ledger.take(1)
     assert batch is None or disk.write(batch) == ""
     disk.close()
-    return disk.boot
+    return disk.boot_number
 
 
 def read(folder):
@@ -172,7 +172,7 @@
     assert keep(tmp_path, a=b"1") == 1
     assert keep(tmp_path, b=b"2") == 2
     rows, disk = read(tmp_path)
-    assert rows == {"a": b"1", "b": b"2"} and disk.boot == 3 and not disk.moved
+    assert rows == {"a": b"1", "b": b"2"} and disk.boot_number == 3 and not disk.moved_aside
 
 
 @pytest.mark.parametrize(
@@ -186,7 +186,7 @@
     keep(tmp_path)
     with pytest.raises(StateError, match=fault):
         Disk(tmp_path, identity)
-    assert read(tmp_path)[1].boot == 2, "a refusal costs no number"
+    assert read(tmp_path)[1].boot_number == 2, "a refusal costs no number"
 
 
 def test_a_folder_in_use_and_one_of_a_newer_schema_are_refused(tmp_path, monkeypatch):
@@ -196,7 +196,7 @@
     held.close()
     monkeypatch.setattr(disk_module, "SCHEMA", 7)
     monkeypatch.setattr(disk_module, "MIGRATIONS", dict.fromkeys(range(1, 7), "CREATE TABLE IF NOT EXISTS x(y)"))
-    assert read(tmp_path)[1].boot == 2, "migrated"
+    assert read(tmp_path)[1].boot_number == 2, "migrated"
     monkeypatch.undo()
     with pytest.raises(StateError, match="schema 7, newer than 1"):
         Disk(tmp_path, ME)
@@ -209,7 +209,7 @@
     keep(tmp_path, a=b"1")
     spoil(tmp_path)
     rows, disk = read(tmp_path)
-    assert rows == {} and disk.boot == 1 and disk.moved.startswith("state.db.damaged-1: ")
+    assert rows == {} and disk.boot_number == 1 and disk.moved_aside.startswith("state.db.damaged-1: ")
     assert (tmp_path / "state.db.damaged-1").exists()
 
 
@@ -260,7 +260,7 @@
     folder, told = killed_after(tmp_path, 60, "synced")
     loss(folder)
     rows, disk = read(folder)
-    assert not disk.moved and not set(told) - set(rows)
+    assert not disk.moved_aside and not set(told) - set(rows)
 
 
 def test_the_forgetful_disk_does_lose_what_is_not_synced(tmp_path):
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -45,14 +45,14 @@
 def persisted(disk):
     ledger = Ledger(1 << 20, disk.rows)
     return tuple(
-        PersistedRow(kind, key, row.value, row.at_us) for kind in KINDS for key, row in ledger.all(kind).items()
+        PersistedRow(kind, key, row.value, row.stored_us) for kind in KINDS for key, row in ledger.all(kind).items()
     )
 
 
 def test_the_database_has_rows_of_every_kind_and_each_is_read_as_it_was_written(disk):
     assert {kind for kind, *_ in ROWS} == set(KINDS)
-    assert disk.moved == "" and disk.boot == EXPECTED["boot"] + 1
-    found = {(kind, key): (row.at_us, row.value) for (kind, key), row in disk.rows.items()}
+    assert disk.moved_aside == "" and disk.boot_number == EXPECTED["boot"] + 1
+    found = {(kind, key): (row.stored_us, row.value) for (kind, key), row in disk.rows.items()}
     assert found == {(kind, key): (stored_us, data) for kind, key, stored_us, data, _ in ROWS}
 
 
