--- a/rookbend/components/dns.py
+++ b/rookbend/components/dns.py
@@ -9,7 +9,7 @@
 from rookbend.net.dns import DnsServer, ResolverClient
 
 if TYPE_CHECKING:
-    from rookbend.recovery.issued_names import Names
+    from rookbend.recovery.issued_names import IssuedNames
 
 
 def build_dns(context: ComponentContext) -> Component:
@@ -32,18 +32,18 @@
     return server
 
 
-def _issued_names(context: ComponentContext) -> Names | None:
+def _issued_names(context: ComponentContext) -> IssuedNames | None:
     """What persists the names that the DNS front issues for writes; None where there is no state on disk."""
     state: Any = context.built.get("state")
     if state is None:
         return None
-    from rookbend.recovery.issued_names import KIND, Names
+    from rookbend.recovery.issued_names import KIND, IssuedNames
 
-    names = Names(
+    names = IssuedNames(
         context.clock.now(),
         lambda request_id, value, by_us, done: state.put_by(KIND, request_id, value, by_us, done),
         lambda request_id: state.drop(KIND, request_id),
-        {request_id: (row.value, row.at_us) for request_id, row in state.ledger.all(KIND).items()},
+        {request_id: (row.value, row.stored_us) for request_id, row in state.ledger.all(KIND).items()},
     )
-    context.gauges.append(lambda: {"dns_names_not_kept": names.unsafe, "dns_names_unreadable": names.unreadable})
+    context.gauges.append(lambda: {"dns_names_not_kept": names.not_durable, "dns_names_unreadable": names.unreadable})
     return names
