--- a/rookbend/routing/admission.py
+++ b/rookbend/routing/admission.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from rookbend.interface import Fail, Idempotency, Reject, Settings
-from rookbend.routing.fill_concurrency import FillRateLimiter
+from rookbend.routing.fill_rate import FillRateLimiter
 from rookbend.routing.rendezvous_hash import uniform_draw
 from rookbend.routing.request_state import Request
 
--- a/rookbend/routing/endpoint_selection.py
+++ b/rookbend/routing/endpoint_selection.py
@@ -13,7 +13,7 @@
 from rookbend.routing.slow_start import SlowStart
 
 CROWDED_TIME_LEFT_RATIO = 1.5  # a cache is crowded for a transfer that takes this much of the time left
-CROWDED_UTILIZATION_RATIO = 1.5  # or, where all are crowded, for a transfer of any size
+CROWDED_UTILIZATION_RATIO = 1.5  # fuller than this where all are crowded, it refuses a transfer of any size
 PARENT_CROWDED_SHARE_RATIO = 4.0  # fills at a parent, in this router's share of its capacity
 SPILLOVER_UTILIZATION_RATIO = 0.33  # a crowded cache is left only for one that is so much less full
 SPILLOVER_MAX_SLOWNESS_RATIO = 1.5  # unless it is slower than this
--- a/rookbend/routing/attempt_sending.py
+++ b/rookbend/routing/read_sending.py
@@ -1,15 +1,13 @@
-"""Sends a request: picks the cache and the source, applies the limits, and builds the attempt."""
+"""Sends reads: to a cache, which may fill from a source, within all limits."""
 
 from __future__ import annotations
 
-import math
-
-from rookbend.interface import Action, Fetch, FetchCached, Idempotency, Member, Settings
+from rookbend.interface import Action, Fetch, Member, Settings
 from rookbend.routing.attempt_tracking import AttemptTracker
 from rookbend.routing.cached_copies import CachedCopies
 from rookbend.routing.endpoint_selection import EndpointSelector
-from rookbend.routing.fill_concurrency import FillMonitor
-from rookbend.routing.membership import Membership
+from rookbend.routing.fill_concurrency import FillConcurrencyLimit
+from rookbend.routing.fill_lateness import FillMonitor
 from rookbend.routing.origin_protection import OriginProtection
 from rookbend.routing.purge_log import PurgeLog
 from rookbend.routing.request_state import Request
@@ -20,27 +18,25 @@
 
 OVERDUE_OBJECTIVE_RATIO = 0.7  # a read is overdue after these shares of its objective and its transfer time
 OVERDUE_TRANSFER_RATIO = 1.7
-READ_TIMEOUT_OBJECTIVE_RATIO = 6.0  # long: a fill runs on, so that an early end only adds another
-READ_TIMEOUT_TRANSFER_RATIO = 6.0
-WRITE_TIMEOUT_OBJECTIVE_RATIO = 0.45
-READ_RETENTION_RANK = 1
-WRITE_RETENTION_RANK = 0
+TIMEOUT_OBJECTIVE_RATIO = 6.0  # long: a fill runs on, so that an early end only adds another
+TIMEOUT_TRANSFER_RATIO = 6.0
+RETENTION_RANK = 1
 MIN_MAX_AGE_US = 1  # 0 would mean the class's fresh time
 CLASS_FRESH_TIME = 0
 
 
-class AttemptSender:
-    """Sends attempts within all limits. Actions are appended in the order in which they take effect."""
+class ReadSender:
+    """Sends reads. The actions of an attempt are appended to those of the event: its timer, then the attempt."""
 
     def __init__(
         self,
         settings: Settings,
-        membership: Membership,
         servers: ServerTable,
         endpoints: EndpointSelector,
         sources: SourceSelector,
         retry_policy: RetryPolicy,
         origin_protection: OriginProtection,
+        fill_limit: FillConcurrencyLimit,
         fill_monitor: FillMonitor,
         copies: CachedCopies,
         purges: PurgeLog,
@@ -48,19 +44,19 @@
         timers: TimerTable,
     ) -> None:
         self.settings = settings
-        self.membership = membership
         self.servers = servers
         self.endpoints = endpoints
         self.sources = sources
         self.retry_policy = retry_policy
         self.origin_protection = origin_protection
+        self.fill_limit = fill_limit
         self.fill_monitor = fill_monitor
         self.copies = copies
         self.purges = purges
         self.tracker = tracker
         self.timers = timers
 
-    def send_read(
+    def send(
         self,
         request: Request,
         preferred_server: int | None,
@@ -68,7 +64,10 @@
         now_us: int,
         actions: list[Action],
     ) -> Denial | None:
-        """Send a read to a cache, which may fill it from a source; returns why not, or None."""
+        """Send a read to the preferred cache and from the preferred source where these can take it, else to others.
+
+        Returns why no attempt was sent, or None.
+        """
         member = self.endpoints.choose_cache(request, preferred_server, now_us)
         source = self.sources.choose(request, preferred_source, now_us)
         if member is None and self.settings.allows_direct_to_source:
@@ -88,7 +87,7 @@
         """Send a read to `member`, from cached copies alone where no fill may start."""
         purged_us = self.purges.latest(request.object_id, request.group, now_us)
         is_cached = self.copies.location(request, purged_us, now_us) == member.server
-        cache_only = not is_cached and source is not None and not self.fill_monitor.limit.has_capacity(now_us)
+        cache_only = not is_cached and source is not None and not self.fill_limit.has_capacity(now_us)
         if cache_only and (request.cache_missed or member is source):
             return Denial.NO_FILL_CAPACITY
         parent_only = self._is_parent_only(request, source, cache_only, now_us)
@@ -96,18 +95,17 @@
             source = None
         source_server = source.server if source is not None else None
         may_fill = source is not None and not is_cached and not cache_only
-        timeout_us = read_timeout_us(request)
-        attempt = self.tracker.start(request, member, source_server, timeout_us, may_fill, now_us)
+        attempt = self.tracker.start(request, member, source_server, timeout_us(request), may_fill, now_us)
         attempt.is_cache_only = cache_only
-        overdue_after_us = read_overdue_after_us(request, self.servers[member.server].slowness())
-        actions.append(self.timers.start(overdue_after_us, attempt))
+        slowness = self.servers[member.server].slowness()
+        actions.append(self.timers.start(overdue_after_us(request, slowness), attempt))
         actions.append(
             Fetch(
                 request.id,
                 member.server,
                 attempt.timeout_us,
                 member.server if source_server is None else source_server,
-                READ_RETENTION_RANK,
+                RETENTION_RANK,
                 CLASS_FRESH_TIME if purged_us is None else self._max_age_us(request, purged_us, now_us),
                 self.settings.supports_joined_fills and purged_us is None,
                 parent_only,
@@ -132,49 +130,16 @@
         fresh_us = request.traffic_class.freshness_lifetime_us or now_us
         return max(MIN_MAX_AGE_US, min(since_purge_us, fresh_us))
 
-    def send_write(self, request: Request, now_us: int, actions: list[Action]) -> Denial | None:
-        """Send a write, which runs at the origin: straight where that is allowed, else through a cache."""
-        source: Member | None = self.membership.ready_origin()
-        if source is None or source.server in request.failed_sources:
-            source = self.sources.choose(request, None, now_us)
-        is_direct = self.settings.allows_direct_to_source
-        member = source if is_direct else self.endpoints.choose_cache(request, None, now_us)
-        if source is None or member is None:
-            return Denial.NO_ENDPOINT
-        denial = self.retry_policy.denial(request, member, now_us)
-        if denial is not None:
-            return denial
-        attempt = self.tracker.start(request, member, source.server, write_timeout_us(request), True, now_us)
-        timeout_us = attempt.timeout_us
-        if member is source and member.kind == self.settings.origin_kind:
-            actions.append(FetchCached(request.id, member.server, timeout_us))
-        else:
-            actions.append(
-                Fetch(request.id, member.server, timeout_us, source.server, WRITE_RETENTION_RANK, CLASS_FRESH_TIME)
-            )
-        return None
-
 
-def read_timeout_us(request: Request) -> float:
-    """Time-out of a first read."""
+def timeout_us(request: Request) -> float:
+    """Time-out of a read, before it is doubled with each one that ran out."""
     objective_us = request.traffic_class.latency_objective_us
     transfer_us = request.expected_transfer_us
-    return READ_TIMEOUT_OBJECTIVE_RATIO * objective_us + READ_TIMEOUT_TRANSFER_RATIO * transfer_us
+    return TIMEOUT_OBJECTIVE_RATIO * objective_us + TIMEOUT_TRANSFER_RATIO * transfer_us
 
 
-def read_overdue_after_us(request: Request, slowness_ratio: float) -> float:
-    """When a read at a server that is so slow is overdue."""
+def overdue_after_us(request: Request, slowness_ratio: float) -> float:
+    """How long a read takes at the most, unless it is overdue, at a server that is so slow."""
     objective_us = request.traffic_class.latency_objective_us
     transfer_us = request.expected_transfer_us
     return OVERDUE_OBJECTIVE_RATIO * objective_us + OVERDUE_TRANSFER_RATIO * transfer_us * slowness_ratio
-
-
-def write_timeout_us(request: Request) -> float:
-    """Time-out of a write, before it is doubled as that of any attempt.
-
-    What must not run twice gets no other attempt, and no time-out but its deadline: one would only drop answers.
-    """
-    if request.traffic_class.idempotency is Idempotency.NOT_IDEMPOTENT:
-        return math.inf
-    first_us = WRITE_TIMEOUT_OBJECTIVE_RATIO * request.traffic_class.latency_objective_us
-    return first_us * float(2**request.timeout_count)
--- a/rookbend/routing/request_lifecycle.py
+++ b/rookbend/routing/request_lifecycle.py
@@ -10,15 +10,16 @@
 
 from rookbend.interface import Action, AttemptFinished, AttemptStatus, Fail
 from rookbend.routing.admission import AdmissionControl
-from rookbend.routing.attempt_sending import AttemptSender
 from rookbend.routing.cached_copies import CachedCopies
 from rookbend.routing.fill_concurrency import FillConcurrencyLimit
 from rookbend.routing.fill_queue import FillQueue, latest_start_us
 from rookbend.routing.purge_log import PurgeLog
+from rookbend.routing.read_sending import ReadSender
 from rookbend.routing.request_collapsing import RequestCollapser, max_wait_us
 from rookbend.routing.request_state import Attempt, CollapsedFill, Request
 from rookbend.routing.retry_policy import Denial, NextStep, RetryPolicy
 from rookbend.routing.timers import TimerTable
+from rookbend.routing.write_sending import WriteSender
 
 ROUND_UP_US = 1
 
@@ -33,7 +34,8 @@
         collapser: RequestCollapser,
         copies: CachedCopies,
         purges: PurgeLog,
-        sender: AttemptSender,
+        reads: ReadSender,
+        writes: WriteSender,
         retry_policy: RetryPolicy,
         fill_queue: FillQueue,
         fill_limit: FillConcurrencyLimit,
@@ -44,7 +46,8 @@
         self.collapser = collapser
         self.copies = copies
         self.purges = purges
-        self.sender = sender
+        self.reads = reads
+        self.writes = writes
         self.retry_policy = retry_policy
         self.fill_queue = fill_queue
         self.fill_limit = fill_limit
@@ -97,7 +100,7 @@
 
     def send(self, request: Request, server: int | None = None, source: int | None = None) -> None:
         """Send a read, to `server` and from `source` where these are given and can take it."""
-        denial = self.sender.send_read(request, server, source, self.now_us, self.actions)
+        denial = self.reads.send(request, server, source, self.now_us, self.actions)
         if denial is None:
             return
         if denial is Denial.NO_FILL_CAPACITY and self.fill_queue.admits(request, self.now_us):
@@ -113,7 +116,7 @@
 
     def send_write(self, request: Request) -> None:
         """Send a write."""
-        if self.sender.send_write(request, self.now_us, self.actions) is not None:
+        if self.writes.send(request, self.now_us, self.actions) is not None:
             self.reject(request)
 
     def start_queued_fill(self) -> bool:
--- a/rookbend/routing/router.py
+++ b/rookbend/routing/router.py
@@ -24,18 +24,20 @@
     TimerFired,
 )
 from rookbend.routing.admission import AdmissionControl
-from rookbend.routing.attempt_sending import AttemptSender
 from rookbend.routing.attempt_tracking import AttemptTracker
 from rookbend.routing.cached_copies import CachedCopies
 from rookbend.routing.endpoint_selection import EndpointSelector
 from rookbend.routing.failure_attribution import FailureAttribution
-from rookbend.routing.fill_concurrency import FillConcurrencyLimit, FillMonitor, FillRateLimiter
+from rookbend.routing.fill_concurrency import FillConcurrencyLimit
+from rookbend.routing.fill_lateness import FillMonitor
 from rookbend.routing.fill_queue import FillQueue
+from rookbend.routing.fill_rate import FillRateLimiter
 from rookbend.routing.membership import Membership
 from rookbend.routing.membership_updates import MembershipUpdates
 from rookbend.routing.origin_protection import OriginProtection
 from rookbend.routing.outlier_detection import OutlierDetector
 from rookbend.routing.purge_log import PurgeLog
+from rookbend.routing.read_sending import ReadSender
 from rookbend.routing.rendezvous_hash import uniform_draw
 from rookbend.routing.request_collapsing import RequestCollapser
 from rookbend.routing.request_lifecycle import RequestLifecycle
@@ -48,6 +50,7 @@
 from rookbend.routing.source_selection import SourceSelector
 from rookbend.routing.timers import RouterTimer, TimerTable
 from rookbend.routing.transfer_estimates import TransferEstimates
+from rookbend.routing.write_sending import WriteSender
 
 
 class Router:
@@ -62,6 +65,7 @@
         self.open_requests: dict[int, Request] = {}
         self._build_state(settings)
         self._build_rules(settings, seed)
+        self._build_lifecycle()
         self._handlers = self._event_handlers()
 
     def _build_state(self, settings: Settings) -> None:
@@ -94,27 +98,31 @@
         self.attribution = FailureAttribution(settings, membership, servers, self.outliers, self.origin_protection)
         self.retry_policy = RetryPolicy(settings, membership)
         self.admission = AdmissionControl(settings, self.fill_rate, seed)
-        self.sender = AttemptSender(
+        self.reads = ReadSender(
             settings,
-            membership,
             servers,
             self.endpoints,
             self.sources,
             self.retry_policy,
             self.origin_protection,
+            self.fill_limit,
             self.fill_monitor,
             self.copies,
             self.purges,
             self.attempts,
             self.timers,
         )
+        self.writes = WriteSender(settings, membership, self.endpoints, self.sources, self.retry_policy, self.attempts)
+
+    def _build_lifecycle(self) -> None:
         self.lifecycle = RequestLifecycle(
             self.open_requests,
             self.admission,
             self.collapser,
             self.copies,
             self.purges,
-            self.sender,
+            self.reads,
+            self.writes,
             self.retry_policy,
             self.fill_queue,
             self.fill_limit,
@@ -175,7 +183,8 @@
             self.attribution,
             self.retry_policy,
             self.admission,
-            self.sender,
+            self.reads,
+            self.writes,
         ):
             part.settings = event.settings
         self.estimates.add_classes()
--- a/rookbend/testing/simulation/planted_fault.py
+++ b/rookbend/testing/simulation/planted_fault.py
@@ -5,14 +5,15 @@
 from rookbend.interface import AttemptFinished, AttemptStatus, Settings
 from rookbend.routing import Router
 from rookbend.routing.failure_attribution import is_origin_failure
-from rookbend.routing.fill_concurrency import FillConcurrencyLimit, FillMonitor
+from rookbend.routing.fill_concurrency import FillConcurrencyLimit
+from rookbend.routing.fill_lateness import FillMonitor
 from rookbend.routing.membership import Membership
 from rookbend.routing.origin_protection import OriginProtection
 from rookbend.routing.request_state import Attempt
 
 
 class NoOriginProtection(OriginProtection):
-    """Goes on asking an origin that turns calls away."""
+    """Goes on sending to an origin that refuses calls."""
 
     def spares(self, request_id: int, now_us: int) -> bool:
         return False
@@ -38,6 +39,6 @@
     def __init__(self, settings: Settings, seed: int = 0) -> None:
         super().__init__(settings, seed)
         self.origin_protection = NoOriginProtection(settings, seed)
-        self.sender.origin_protection = self.origin_protection
+        self.reads.origin_protection = self.origin_protection
         self.fill_monitor = OriginRefusalsAsLateFills(self.fill_limit, self.membership)
-        self.sender.fill_monitor = self.fill_monitor
+        self.reads.fill_monitor = self.fill_monitor
--- a/tests/test_operations_settings.py
+++ b/tests/test_operations_settings.py
@@ -142,6 +142,7 @@
     _, actions = rig.arrive(6, cls=4)
     assert sends(actions), "the class that has come is routed"
     assert rig.router.slow_start.settings is new and rig.router.membership.settings is new
+    assert all(part.settings is new for part in vars(rig.router).values() if hasattr(part, "settings"))
 
 
 def test_two_senders_share_the_budget_of_a_cold_cache():
