--- a/rookbend/routing/__init__.py
+++ b/rookbend/routing/__init__.py
@@ -1,3 +1,10 @@
-"""Every decision of the router: events in, actions out (interface.py). `router` is the way in."""
+"""Every decision of the router: events in, actions out (rookbend.interface). `Router` is the entry.
+
+State: request_state, server_stats, membership, attempt_tracking, cached_copies, purge_log, timers.
+The way of a request: request_lifecycle, request_collapsing, read_sending, write_sending, fill_queue.
+Rules: admission, endpoint_selection, source_selection, origin_protection, slow_start, server_load,
+fill_concurrency, fill_rate, fill_lateness, outlier_detection, silence_detection, failure_attribution,
+retry_policy, transfer_estimates, membership_updates, rendezvous_hash.
+"""
 
 from rookbend.routing.router import Router as Router
--- a/rookbend/routing/attempt_tracking.py
+++ b/rookbend/routing/attempt_tracking.py
@@ -1,4 +1,4 @@
-"""Attempts in flight, and what their start and end change in the books of servers, budgets and fills."""
+"""Attempts in flight, and the counters that their start and end change."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     def start(
         self, request: Request, member: Member, source: int | None, timeout_us: float, may_fill: bool, now_us: int
     ) -> Attempt:
-        """Book an attempt. Its time-out doubles with each one before, and ends with the deadline."""
+        """Record an attempt. Its time-out doubles with each one that ran out, and is bounded by the deadline."""
         server = member.server
         limit_us = int(min(timeout_us * 2**request.timeout_count, request.deadline_us - now_us))
         attempt = Attempt(request, request.attempt_count, server, source, now_us, limit_us, may_fill)
@@ -49,7 +49,7 @@
             self.fill_limit.in_flight += 1
 
     def finish(self, event: AttemptFinished) -> Attempt | None:
-        """Take an attempt out of the books; None where it is not in flight."""
+        """Remove an attempt; None where it is not in flight."""
         attempt = self.in_flight.pop((event.request, event.attempt), None)
         if attempt is None:
             return None
@@ -61,7 +61,7 @@
         return attempt
 
     def settle(self, attempt: Attempt, event: AttemptFinished) -> None:
-        """Note on the request that an attempt is over, and that it was not executed where that is sure."""
+        """Clear an attempt that is over from its request, and that it may have executed where it surely did not."""
         request = attempt.request
         if request.attempt is attempt:
             request.attempt = None
--- a/rookbend/routing/endpoint_selection.py
+++ b/rookbend/routing/endpoint_selection.py
@@ -48,7 +48,7 @@
     def choose_cache(self, request: Request, preferred: int | None, now_us: int) -> Member | None:
         """The cache for the next attempt, `preferred` before others.
 
-        Notes on the request whether no cache can meet its objective: only for a first attempt.
+        Sets `request.cannot_meet_objective` where it is the first attempt and would be late at every cache.
         """
         order = self.membership.order(request.key).caches
         suited, healthy, usable = self._scan(request, order, request.tried_servers, preferred, False, now_us)
@@ -93,10 +93,10 @@
         return None, healthy, usable
 
     def _spillover(self, request: Request, home: Member, other: Member | None, now_us: int) -> Member | None:
-        """Whether a request leaves its crowded cache for another one; it stays where that is as full.
+        """Where a request goes whose home cache is crowded: to `other`, the first that is not, or home.
 
-        Late everywhere, or filled again by caches that are as full, it would take room from those that can be on
-        time: then it has to fit at home, even if it is small where its size is a guess.
+        Home where there is no other or that is about as full: another fill there would take capacity from requests
+        that can be on time. At home the request has to fit, by its least transfer time where its size is a guess.
         """
         stats = self.servers[home.server]
         is_sound = now_us >= stats.full_until_us and stats.slowness() < SPILLOVER_MAX_SLOWNESS_RATIO
--- a/rookbend/routing/failure_attribution.py
+++ b/rookbend/routing/failure_attribution.py
@@ -43,7 +43,7 @@
         self.origin_protection = origin_protection
 
     def attribute(self, attempt: Attempt, event: AttemptFinished, now_us: int) -> None:
-        """Book the end of an attempt on its servers, and on the request what it is not to try again."""
+        """Record the end of an attempt with its servers, and with the request what it is not to try again."""
         status = event.status
         request = attempt.request
         if status is AttemptStatus.CANCELLED:
--- a/rookbend/routing/fill_concurrency.py
+++ b/rookbend/routing/fill_concurrency.py
@@ -46,7 +46,7 @@
         return self.in_flight < self.limit and self.rate.has_token(now_us)
 
     def observe(self, late: bool) -> None:
-        """Take in how a fill ended."""
+        """Adjust the limit to a fill that has ended."""
         if late:
             least = MIN_LIMIT_CAPACITY_RATIO * self.capacity
             self.limit = max(least, self.limit * (1 - self.decrease_ratio))
--- a/rookbend/routing/fill_lateness.py
+++ b/rookbend/routing/fill_lateness.py
@@ -13,12 +13,12 @@
 
 
 class FillMonitor:
-    """Tells from the end of an attempt whether its fill was late: by the limit, and by who held the object."""
+    """Observes the ends of reads: adjusts the concurrency limit, and averages late ratios by where fills came from."""
 
     def __init__(self, limit: FillConcurrencyLimit) -> None:
         self.limit = limit
-        self.parent_late_ratio = 0.0  # of what a parent held
-        self.origin_late_ratio = 0.0  # of what the origin was called for
+        self.parent_late_ratio = 0.0  # of fills that a parent had cached
+        self.origin_late_ratio = 0.0  # of fills that came from the origin
 
     def origin_is_slow(self) -> bool:
         """Whether fills from the origin come late while those that parents hold are timely."""
@@ -28,7 +28,7 @@
         )
 
     def attempt_finished(self, attempt: Attempt, event: AttemptFinished) -> None:
-        """Take in the end of a read. A time-out counts for nothing: the answer may be lost, and the fill timely."""
+        """Record the end of a read. A time-out is ignored: the answer may be lost, and the fill timely."""
         late_after_us = self._late_after_us(attempt.request)
         if event.detail is AttemptDetail.FILLED:
             late = event.elapsed_us > late_after_us
--- a/rookbend/routing/fill_queue.py
+++ b/rookbend/routing/fill_queue.py
@@ -26,7 +26,7 @@
         self.waiting: list[Request] = []
 
     def admits(self, request: Request, now_us: int) -> bool:
-        """Whether waiting makes sense: the request is open, has no attempt in flight, and can be on time."""
+        """Whether a request may wait: it is open, has no attempt in flight, and can be on time."""
         return request.id in self.open_requests and request.attempt is None and can_be_on_time(request, now_us)
 
     def take_best(self, now_us: int) -> Request | None:
--- a/rookbend/routing/request_lifecycle.py
+++ b/rookbend/routing/request_lifecycle.py
@@ -63,10 +63,10 @@
         elif request.is_write:
             self.send_write(request)
         else:
-            self.enter(request)
+            self.join_or_lead(request)
 
-    def enter(self, request: Request) -> None:
-        """Wait for a fill of the object, or lead one."""
+    def join_or_lead(self, request: Request) -> None:
+        """Wait for the fill of the object that is under way, or lead one; neither where a copy is known."""
         purged_us = self.purges.latest(request.object_id, request.group, self.now_us)
         fill = self.collapser.fills.get(request.key)
         if fill is None:
@@ -128,7 +128,7 @@
         return True
 
     def timer_fired(self, request: Request, token: int) -> None:
-        """A timer of a request is due."""
+        """A timer of a request has fired: its wait for a fill, for capacity, or a write's backoff is over."""
         if request.id not in self.open_requests or request.attempt is not None or request.timer_token != token:
             return
         if request.collapsed_fill is not None and not request.is_leader:
@@ -139,12 +139,12 @@
             self.send_write(request)
 
     def attempt_finished(self, attempt: Attempt, event: AttemptFinished) -> None:
-        """Take the step that follows the end of an attempt, and let a fill start where its place is free."""
+        """Take the step that follows the end of an attempt, then start a queued fill where there is capacity."""
         request = attempt.request
         if request.id in self.open_requests and (request.attempt is None or event.final):
             self._take(self.retry_policy.next_step(request, attempt, event, self.now_us), request, attempt)
         has_capacity = self.fill_limit.has_capacity(self.now_us)
-        if has_capacity and event.status is not AttemptStatus.FULL:  # a refused fill leaves no place to another
+        if has_capacity and event.status is not AttemptStatus.FULL:  # a rejected fill frees no capacity
             self.start_queued_fill()
 
     def _take(self, step: NextStep, request: Request, attempt: Attempt) -> None:
@@ -165,9 +165,9 @@
         elif step is NextStep.FILL_AFTER_MISS:
             request.cache_missed = True
             self.send(request, attempt.server)
-        elif step is NextStep.RETRY_AS_NEWCOMER:
+        elif step is NextStep.HAND_OVER_AND_RETRY:
             self.hand_over(request)
-            self.enter(request)
+            self.join_or_lead(request)
         else:
             self.send(request)
 
--- a/rookbend/routing/retry_policy.py
+++ b/rookbend/routing/retry_policy.py
@@ -19,10 +19,10 @@
 
     NO_ENDPOINT = "no server is left to try"
     OBJECTIVE_UNREACHABLE = "every cache would send it late"
-    ATTEMPTS_EXHAUSTED = "it had all the attempts there are"
+    ATTEMPTS_EXHAUSTED = "it has had max_attempts"
     DEADLINE_TOO_NEAR = "the deadline comes before its transfer"
     MAY_HAVE_EXECUTED = "it may have been executed, and must not be twice"
-    IDEMPOTENCY_WINDOW_OVER = "its idempotency key is forgotten by now"
+    IDEMPOTENCY_WINDOW_OVER = "its idempotency key may have expired"
     OUTSIDE_RETRY_SCOPE = "its idempotency key is not known to that server"
     NO_FILL_CAPACITY = "no fill may start now"
 
@@ -32,12 +32,12 @@
 
     SERVED = "it was served"
     FAILED = "it has failed for good"
-    REJECT = "answered at once"
+    REJECT = "it is answered at once: another attempt would do no good"
     BACK_OFF = "a write pauses before an origin that fails"
     FAIL = "the request itself is at fault"
     RETRY_WRITE = "a write goes on to another server"
     FILL_AFTER_MISS = "the cache has no copy: it has to be filled"
-    RETRY_AS_NEWCOMER = "a leader hands its fill over, and waits or leads again"
+    HAND_OVER_AND_RETRY = "a leader hands its fill over, and waits or leads again"
     RETRY = "it goes on to another server"
 
 
@@ -49,8 +49,10 @@
         self.membership = membership
 
     def denial(self, request: Request, member: Member, now_us: int) -> Denial | None:
-        """Why a request may not be sent to a member, or None: what may have been executed is repeated only
-        within its retry scope and the window of its idempotency key."""
+        """Why a request may not be sent to a member, or None where it may.
+
+        What may have been executed is repeated only within its retry scope and its idempotency key's window.
+        """
         if request.attempt_count >= self.settings.max_attempts:
             return Denial.ATTEMPTS_EXHAUSTED
         if now_us + MIN_TIME_LEFT_TRANSFER_RATIO * request.least_transfer_us >= request.deadline_us:
@@ -80,7 +82,7 @@
             return NextStep.FILL_AFTER_MISS
         if event.detail is AttemptDetail.SOURCE_LACKS:
             return NextStep.REJECT  # no parent has it, and the origin was to be spared
-        return NextStep.RETRY_AS_NEWCOMER if request.is_leader else NextStep.RETRY
+        return NextStep.HAND_OVER_AND_RETRY if request.is_leader else NextStep.RETRY
 
     def write_backoff_us(self, request: Request) -> float:
         """How long a write pauses after the origin has failed it."""
--- a/rookbend/routing/server_load.py
+++ b/rookbend/routing/server_load.py
@@ -25,14 +25,14 @@
         self.slow_start = slow_start
 
     def record_report(self, server: int, values: tuple[float, ...], now_us: int) -> None:
-        """Take in a load report, its values in the order of the settings' `load_report_fields`."""
+        """Record a load report, its values in the order of the settings' `load_report_fields`."""
         fields = self.settings.load_report_fields
         if values and IN_FLIGHT_FIELD in fields[: len(values)]:
             stats = self.servers[server]
             stats.load_report = LoadReport(now_us, values[fields.index(IN_FLIGHT_FIELD)], stats.in_flight)
 
     def record_hit(self, attempt: Attempt, event: AttemptFinished) -> None:
-        """Take in how long a hit took: of a cache's answers these alone tell how slow it is itself."""
+        """Record how long a hit took: only hits show how slow the cache itself is."""
         request = attempt.request
         if request.is_write or event.detail is not AttemptDetail.HIT:
             return
--- a/rookbend/routing/server_stats.py
+++ b/rookbend/routing/server_stats.py
@@ -8,7 +8,7 @@
 MAX_SLOWNESS_RATIO = 4.0  # most that a slow server stretches timers and shrinks its share by
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class LoadReport:
     """Requests in flight that a server last reported, and this router's own among them."""
 
--- a/rookbend/routing/silence_detection.py
+++ b/rookbend/routing/silence_detection.py
@@ -31,7 +31,7 @@
         self.in_flight = in_flight
 
     def attempt_overdue(self, attempt: Attempt, now_us: int) -> list[CancelAttempt]:
-        """Take in that an attempt is overdue; returns the attempts to cancel, those at a silent server.
+        """Record that an attempt is overdue; returns the cancellations of attempts at a silent server.
 
         A parent is silent only while another one answers: else it is the link or the origin.
         """
--- a/rookbend/routing/slow_start.py
+++ b/rookbend/routing/slow_start.py
@@ -28,7 +28,7 @@
         self.sender_count = 1
 
     def charge(self, server: int, now_us: int, work_us: float) -> None:
-        """Book work that is sent to a server."""
+        """Record work that is sent to a server."""
         log = self.sent.setdefault(server, deque())
         log.append((now_us, work_us))
         oldest_us = now_us - self.settings.overload_window_us
--- a/rookbend/routing/transfer_estimates.py
+++ b/rookbend/routing/transfer_estimates.py
@@ -23,7 +23,7 @@
         self.total_us: float = PRIOR_SAMPLES * PRIOR_OBJECTIVE_RATIO * traffic_class.latency_objective_us
 
     def add(self, transfer_us: float) -> None:
-        """Take in a transfer."""
+        """Record a transfer."""
         self.count += 1
         self.total_us = self.total_us + transfer_us
 
@@ -68,7 +68,7 @@
         request.objective_deadline_us = min(objective_us, request.deadline_us)
 
     def served(self, request: Request, server: int, now_us: int, elapsed_us: int) -> None:
-        """Take in an attempt that was served."""
+        """Record an attempt that was served: where its copy is, and what it took."""
         if request.is_write:
             self.class_stats[request.class_index].add(elapsed_us)
             return
