--- a/rookbend/cli/check_config.py
+++ b/rookbend/cli/check_config.py
@@ -18,7 +18,7 @@
     config, operators = load()
     members = sum(len(u.endpoints.members) for u in config.known.updates if u.endpoints)
     print(
-        f"{config.name} would listen on {config.listen}: {len(config.settings.lanes)} classes, "
+        f"{config.name} would listen on {config.listen}: {len(config.settings.classes)} classes, "
         f"{members} members told, {config.limits.memory_mb} MB, {config.limits.sockets} descriptors"
     )
     for name, part in (
--- a/rookbend/config.py
+++ b/rookbend/config.py
@@ -3,64 +3,84 @@
 from __future__ import annotations
 
 import sys
-from collections.abc import Mapping
+from collections.abc import Iterable, Mapping, Sequence
 from pathlib import Path
+from typing import Any
 
 import msgspec
 
 from rookbend import interface as api
 from rookbend import settings
 from rookbend.operations import reload_validation
-from rookbend.platform_settings import DirectorSettings, Lane, Limits, to_router_settings
+from rookbend.platform_settings import (
+    CachingConfig,
+    PlatformSettings,
+    ProcessLimits,
+    RouterLimitsConfig,
+    TrafficClassConfig,
+    to_router_settings,
+)
 from rookbend.protocol.coordinator_stream import Known, split_address
 from rookbend.settings import Settings
 from rookbend.simulator_settings import EFFECTS
 
+MIN_SOCKETS = 64
+MIN_MEMORY_MB = 32
+MAX_PORT = 65535
+
+ROOT = Path(__file__).parent.parent
+# A checkout has the file under deploy/, a plain installation under its prefix.
+SETTINGS_FILE = (
+    ROOT / "deploy" if (ROOT / "pyproject.toml").exists() else Path(sys.prefix) / "etc" / "rookbend"
+) / "rookbend.conf"
+
 
 class ConfigError(Exception):
-    """One line on what is wrong."""
+    """The configuration can't be used; the text is one line that names the file, the key and the value."""
 
 
 class Config(msgspec.Struct):
+    """The configuration of one director. Addresses are HOST:PORT; an empty one stands for none."""
+
     name: str
     listen: str
-    settings: DirectorSettings
+    settings: PlatformSettings
     coordinator: str = ""
-    operator: str = ""  # where the operators' door listens; empty: there is none
-    seed: str = "0"
-    limits: Limits = msgspec.field(default_factory=Limits)
+    operator: str = ""  # where the operator endpoint listens
+    seed: str = "0"  # hexadecimal
+    limits: ProcessLimits = msgspec.field(default_factory=ProcessLimits)
     peer_listen: str = ""
     peers: list[str] = []
     peers_all: str = ""
     flow_bytes_per_s: float = 0.0
     link_bytes_per_s: float = 0.0
     known: Known = msgspec.field(default_factory=Known)
-    keys: object = None  # those that the file has, set by `load`: see operations/reload_validation.py
+    keys: Any = None  # those that the file has, set by `load`: see operations/reload_validation.py
 
     def router_settings(self) -> api.Settings:
+        """The settings of the router."""
         return to_router_settings(self.settings)
 
 
-ROOT = Path(__file__).parent.parent
-# A checkout has the file under deploy/, a plain installation under its prefix.
-SETTINGS_FILE = (
-    ROOT / "deploy" if (ROOT / "pyproject.toml").exists() else Path(sys.prefix) / "etc" / "rookbend"
-) / "rookbend.conf"
-
-
 def load_all(environ: Mapping[str, str], before: Config | None = None) -> tuple[Config, Settings]:
-    """The configuration, and the operators' settings as far as it permits them. Raises ConfigError or
-    SettingsError."""
+    """The configuration, and the operators' settings as far as it permits them.
+
+    Raises ConfigError or SettingsError.
+    """
     config = load(environ, before)
     operators = settings.load(environ, SETTINGS_FILE)
-    talk = config.settings.limits.may_tell and bool(config.peer_listen and config.peers)
-    settings.check_permits(operators, config.settings.limits.probes, talk, len(config.peers))
+    limits = config.settings.limits
+    has_peers = limits.allows_peer_messages and bool(config.peer_listen and config.peers)
+    settings.check_permits(operators, limits.allows_probes, has_peers, len(config.peers))
     return config, operators
 
 
 def load(environ: Mapping[str, str], before: Config | None = None) -> Config:
-    """The configuration that `NODE_CONFIG` names; `NODE_NAME`, `NODE_LISTEN` and `NODE_OPERATOR` override
-    the file. With one from `before`, at a reload, the file has to have every key that the earlier one had."""
+    """The configuration that `NODE_CONFIG` names.
+
+    `NODE_NAME`, `NODE_LISTEN` and `NODE_OPERATOR` override the file. With one from `before`, at a reload, the
+    file has to have every key that the earlier one had. Raises ConfigError.
+    """
     path = environ.get("NODE_CONFIG")
     if not path:
         raise ConfigError("NODE_CONFIG is not set")
@@ -72,8 +92,8 @@
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
         raise ConfigError(f"NODE_CONFIG is not usable: {path}: {error}") from None
     raw = msgspec.json.decode(text)
-    if before is not None and (lacks := reload_validation.missing(before.keys, raw)):
-        raise ConfigError(f"NODE_CONFIG lacks {lacks}: {path}")
+    if before is not None and (missing_key := reload_validation.missing(before.keys, raw)):
+        raise ConfigError(f"NODE_CONFIG lacks {missing_key}: {path}")
     config.keys = reload_validation.shape(raw)
     config.name = environ.get("NODE_NAME", config.name)
     config.listen = environ.get("NODE_LISTEN", config.listen)
@@ -85,74 +105,94 @@
     return config
 
 
-def check_addresses(addresses) -> None:
-    """Each is HOST:PORT, or empty."""
-    for what, address in addresses:
-        if not address:
-            continue
-        try:
-            host, port = split_address(address)
-        except ValueError:
-            host, port = "", -1
-        if not host or not 0 <= port <= 65535:
-            raise ConfigError(f"{what} is no HOST:PORT: {address!r}")
-
-
 def check(config: Config) -> None:
+    """Raises ConfigError for values that can't be used."""
     if not config.listen:
         raise ConfigError("no address to listen on")
-    check_addresses(
-        (
-            *(
-                (name, getattr(config, name))
-                for name in ("listen", "operator", "coordinator", "peer_listen", "peers_all")
-            ),
-            *(("peers", p) for p in config.peers),
-        )
-    )
+    for name in ("listen", "operator", "coordinator", "peer_listen", "peers_all"):
+        _check_address(name, getattr(config, name))
+    for peer in config.peers:
+        _check_address("peers", peer)
     try:
         int(config.seed, 16)
     except ValueError:
         raise ConfigError(f"seed is no hexadecimal number: {config.seed!r}") from None
-    check_settings(config.settings)
-    if config.limits.sockets < 64 or config.limits.memory_mb < 32:
+    _check_settings(config.settings)
+    if config.limits.sockets < MIN_SOCKETS or config.limits.memory_mb < MIN_MEMORY_MB:
         raise ConfigError("the limits are too low to serve with")
 
 
-def check_class(lane: Lane, where: str, taken: list[str]) -> None:
-    """One class of the settings; `taken` are the names before it."""
-    if not lane.name or lane.name in taken:
-        raise ConfigError(f"{where}.name is empty or taken: {lane.name!r}")
-    if lane.effect not in EFFECTS:
-        raise ConfigError(f"{where}.effect is unknown: {lane.effect!r}")
-    for what, value in (("aimUs", lane.aim_us), ("hardLimitUs", lane.hard_limit_us)):
-        if value <= 0:
-            raise ConfigError(f"{where}.{what} is not over 0: {value}")
-    for what, value in (
-        ("gain", lane.gain),
-        ("aimStretch", lane.aim_stretch),
-        ("repeatWindowUs", lane.repeat_window_us),
-    ):
-        if value < 0:
-            raise ConfigError(f"{where}.{what} is below 0: {value}")
+def _check_address(name: str, address: str) -> None:
+    """HOST:PORT, or empty."""
+    if not address:
+        return
+    try:
+        host, port = split_address(address)
+    except ValueError:
+        host, port = "", -1
+    if not host or not 0 <= port <= MAX_PORT:
+        raise ConfigError(f"{name} is no HOST:PORT: {address!r}")
 
 
-def check_settings(s: DirectorSettings) -> None:
-    """Values that can't be meant, by their path in the file."""
-    if not s.lanes:
+def _check_settings(platform: PlatformSettings) -> None:
+    """Errors name values by their path in the file."""
+    if not platform.classes:
         raise ConfigError("settings.lanes names no class")
-    for i, lane in enumerate(s.lanes):
-        check_class(lane, f"settings.lanes[{i}]", [other.name for other in s.lanes[:i]])
-    for what, value in (
-        ("maxAttempts", s.limits.max_attempts),
-        ("maxOpen", s.limits.max_open),
-        ("maxStreams", s.limits.max_streams),
-        ("idleCloseUs", s.limits.idle_close_us),
-        ("connectTimeoutUs", s.limits.connect_timeout_us),
+    for index, traffic_class in enumerate(platform.classes):
+        earlier_names = [earlier.name for earlier in platform.classes[:index]]
+        _check_class(traffic_class, f"settings.lanes[{index}]", earlier_names)
+    _check_limits(platform.limits)
+    _check_lists_by_class(platform.caching, len(platform.classes))
+
+
+def _check_class(traffic_class: TrafficClassConfig, path: str, earlier_names: Sequence[str]) -> None:
+    if not traffic_class.name or traffic_class.name in earlier_names:
+        raise ConfigError(f"{path}.name is empty or taken: {traffic_class.name!r}")
+    if traffic_class.idempotency not in EFFECTS:
+        raise ConfigError(f"{path}.effect is unknown: {traffic_class.idempotency!r}")
+    _check_positive(
+        path,
+        (
+            ("aimUs", traffic_class.latency_objective_us),
+            ("hardLimitUs", traffic_class.deadline_us),
+        ),
+    )
+    for key, value in (
+        ("gain", traffic_class.priority_weight),
+        ("aimStretch", traffic_class.latency_objective_stretch),
+        ("repeatWindowUs", traffic_class.idempotency_key_window_us),
     ):
+        if value < 0:
+            raise ConfigError(f"{path}.{key} is below 0: {value}")
+
+
+def _check_limits(limits: RouterLimitsConfig) -> None:
+    _check_positive(
+        "settings.limits",
+        (
+            ("maxAttempts", limits.max_attempts),
+            ("maxOpen", limits.max_requests_in_flight),
+            ("maxStreams", limits.max_streams),
+            ("idleCloseUs", limits.idle_close_us),
+            ("connectTimeoutUs", limits.connect_timeout_us),
+        ),
+    )
+
+
+def _check_positive(path: str, values: Iterable[tuple[str, int]]) -> None:
+    for key, value in values:
         if value <= 0:
-            raise ConfigError(f"settings.limits.{what} is not over 0: {value}")
-    for name in ("class_fresh_us", "grace_for_us", "class_stale_worth", "goes_through", "in_pieces"):
-        values = getattr(s.family_info, name)
-        if values and len(values) != len(s.lanes):
-            raise ConfigError(f"settings.familyInfo has {len(values)} of {name} for {len(s.lanes)} classes")
+            raise ConfigError(f"{path}.{key} is not over 0: {value}")
+
+
+def _check_lists_by_class(caching: CachingConfig, class_count: int) -> None:
+    lists: tuple[tuple[str, Sequence[object]], ...] = (
+        ("class_fresh_us", caching.freshness_lifetime_us_by_class),
+        ("grace_for_us", caching.stale_grace_us_by_class),
+        ("class_stale_worth", caching.stale_priority_weight_by_class),
+        ("goes_through", caching.is_write_by_class),
+        ("in_pieces", caching.has_parts_by_class),
+    )
+    for name, values in lists:
+        if values and len(values) != class_count:
+            raise ConfigError(f"settings.familyInfo has {len(values)} of {name} for {class_count} classes")
--- a/rookbend/platform_settings.py
+++ b/rookbend/platform_settings.py
@@ -1,165 +1,209 @@
-"""The platform's settings as typed values, in the simulator's names, and as the module's own."""
+"""The platform's settings as typed values, and as the router's own.
+
+The names of the JSON keys are the platform's; each is mapped once, here, to the term that the program uses.
+"""
 
 from __future__ import annotations
 
+from collections.abc import Sequence
+from dataclasses import replace
+from typing import TypeVar
+
 import msgspec
 
 from rookbend import interface as api
 from rookbend.simulator_settings import EFFECTS, REPORT_NAMES
 
+Value = TypeVar("Value")
+
+
+class TrafficClassConfig(msgspec.Struct, rename="camel"):
+    """A request class. Times in microseconds."""
 
-class Lane(msgspec.Struct, rename="camel"):
     name: str
-    aim_us: int
-    hard_limit_us: int
-    effect: str
-    aim_stretch: float = 0.0
-    gain: float = 1.0
-    late_worth: float = 0.0
-    group: str = "all"
-    repeat_window_us: int = 0
+    latency_objective_us: int = msgspec.field(name="aimUs")
+    deadline_us: int = msgspec.field(name="hardLimitUs")
+    idempotency: str = msgspec.field(name="effect")
+    latency_objective_stretch: float = msgspec.field(name="aimStretch", default=0.0)
+    priority_weight: float = msgspec.field(name="gain", default=1.0)
+    late_priority_weight: float = msgspec.field(name="lateWorth", default=0.0)
+    retry_scope: str = msgspec.field(name="group", default="all")
+    idempotency_key_window_us: int = msgspec.field(name="repeatWindowUs", default=0)
     streaming: bool = False
 
 
-class FamilyInfo(msgspec.Struct, rename="camel"):
-    class_fresh_us: list[int] = []
-    grace_for_us: list[int] = []
-    class_stale_worth: list[float] = []
-    goes_through: list[bool] = []
-    in_pieces: list[bool] = []
-    seats_by_zone: tuple[int, ...] = ()
-    home_hub: tuple[int, ...] = ()
-    inlet_kb_per_s: tuple[float, ...] = msgspec.field(name="inletKbPerS", default=())
-    second_tier_kind: int = -1
-    source_kind: int = -1
+class CachingConfig(msgspec.Struct, rename="camel"):
+    """How objects are cached and filled. Lists with `by_class` have one value a class, or none."""
+
+    freshness_lifetime_us_by_class: list[int] = msgspec.field(name="classFreshUs", default=[])
+    stale_grace_us_by_class: list[int] = msgspec.field(name="graceForUs", default=[])
+    stale_priority_weight_by_class: list[float] = msgspec.field(name="classStaleWorth", default=[])
+    is_write_by_class: list[bool] = msgspec.field(name="goesThrough", default=[])
+    has_parts_by_class: list[bool] = msgspec.field(name="inPieces", default=[])
+    routers_by_zone: tuple[int, ...] = msgspec.field(name="seatsByZone", default=())
+    home_parents: tuple[int, ...] = msgspec.field(name="homeHub", default=())
+    link_kb_per_s: tuple[float, ...] = msgspec.field(name="inletKbPerS", default=())
+    parent_kind: int = msgspec.field(name="secondTierKind", default=-1)
+    origin_kind: int = msgspec.field(name="sourceKind", default=-1)
     pace_kb_per_s: float = msgspec.field(name="paceKbPerS", default=0.0)
-    collapses: bool = False
-    detail: str = "none"
-    direct: bool = False
-    neighbours: str = "none"
+    supports_joined_fills: bool = msgspec.field(name="collapses", default=False)
+    answer_detail: str = msgspec.field(name="detail", default="none")
+    allows_direct_to_source: bool = msgspec.field(name="direct", default=False)
+    sibling_sources: str = msgspec.field(name="neighbours", default="none")
     purge_grace_us: int = 0
-    purge_takes_us: int = 0
-    upper_cold_from: float = 1.0
-    parent_warms_in_us: int = 0
-    parent_fall_multiple: float = 1.0
+    purge_propagation_us: int = msgspec.field(name="purgeTakesUs", default=0)
+    parent_cold_capacity_ratio: float = msgspec.field(name="upperColdFrom", default=1.0)
+    parent_warm_up_us: int = msgspec.field(name="parentWarmsInUs", default=0)
+    parent_overload_multiple: float = msgspec.field(name="parentFallMultiple", default=1.0)
 
 
-class Invariants(msgspec.Struct, rename="camel"):
-    start_capacity: float
+class MemberRulesConfig(msgspec.Struct, rename="camel"):
+    """What holds for every member: cold capacity, overload, draining."""
+
+    cold_capacity_ratio: float = msgspec.field(name="startCapacity")
     warm_up_us: int
-    tip_multiple: float
-    fall_us: int
+    overload_multiple: float = msgspec.field(name="tipMultiple")
+    overload_window_us: int = msgspec.field(name="fallUs")
     drain_grace_us: int = 0
-    ask_within_us: int = 0
+    membership_poll_interval_us: int = msgspec.field(name="askWithinUs", default=0)
+
 
+class RouterLimitsConfig(msgspec.Struct, rename="camel"):
+    """What a director may do, and how much of it. `idle_close_us`: members close idle connections after it."""
 
-class SettingsLimits(msgspec.Struct, rename="camel"):
     max_attempts: int
-    max_open: int
+    max_requests_in_flight: int = msgspec.field(name="maxOpen")
     connect_timeout_us: int
-    second_copies: bool = False
-    cancelling: bool = False
-    probes: bool = False
-    may_tell: bool = False
-    retry_after: bool = False
+    allows_hedged_requests: bool = msgspec.field(name="secondCopies", default=False)
+    allows_cancellation: bool = msgspec.field(name="cancelling", default=False)
+    allows_probes: bool = msgspec.field(name="probes", default=False)
+    allows_peer_messages: bool = msgspec.field(name="mayTell", default=False)
+    allows_retry_after: bool = msgspec.field(name="retryAfter", default=False)
     max_retry_after_us: int = 0
     idle_close_us: int = 15_000_000
     max_streams: int = 1
 
 
-class Report(msgspec.Struct):
+class LoadReportConfig(msgspec.Struct):
+    """Which figures members report with their answers."""
+
     fields: tuple[str, ...] = ()
     source: str = "none"
 
 
-class DirectorSettings(msgspec.Struct, rename="camel"):
-    """The settings as nested JSON, in the simulator's names."""
+class PlatformSettings(msgspec.Struct, rename="camel"):
+    """All of them, nested as in the JSON file."""
 
-    lanes: list[Lane]
-    family_info: FamilyInfo
-    invariants: Invariants
-    limits: SettingsLimits
+    classes: list[TrafficClassConfig] = msgspec.field(name="lanes")
+    caching: CachingConfig = msgspec.field(name="familyInfo")
+    member_rules: MemberRulesConfig = msgspec.field(name="invariants")
+    limits: RouterLimitsConfig
     zone: int
-    siblings: int
+    router_count: int = msgspec.field(name="siblings")
     zones: tuple[str, ...] = ()
     kinds: tuple[str, ...] = ()
-    me: int = 0
+    router_index: int = msgspec.field(name="me", default=0)
     weights: str = "nominal"
-    registry_mode: str = "push"
-    quantum_us: int = 0
-    report: Report = msgspec.field(default_factory=Report)
+    membership_mode: str = msgspec.field(name="registryMode", default="push")
+    clock_tick_us: int = msgspec.field(name="quantumUs", default=0)
+    load_report: LoadReportConfig = msgspec.field(name="report", default_factory=LoadReportConfig)
+
 
+class ProcessLimits(msgspec.Struct):
+    """What the machine leaves to one director."""
 
-class Limits(msgspec.Struct):
     cores: float = 1.0
     memory_mb: int = 192
     sockets: int = 1024
 
 
-def to_router_settings(s: DirectorSettings) -> api.Settings:
-    """The module's own settings."""
-    f, rules, limits = s.family_info, s.invariants, s.limits
-
-    def by_class(values, index, default):
-        return values[index] if index < len(values) else default
-
-    classes = tuple(
-        api.TrafficClass(
-            name=lane.name,
-            latency_objective_us=lane.aim_us,
-            deadline_us=lane.hard_limit_us,
-            latency_objective_stretch=lane.aim_stretch,
-            priority_weight=lane.gain,
-            late_priority_weight=lane.late_worth,
-            idempotency=EFFECTS[lane.effect],
-            retry_scope=lane.group,
-            idempotency_key_window_us=lane.repeat_window_us,
-            streaming=lane.streaming,
-            is_write=by_class(f.goes_through, i, False),
-            has_parts=by_class(f.in_pieces, i, False),
-            freshness_lifetime_us=by_class(f.class_fresh_us, i, 0),
-            stale_grace_us=by_class(f.grace_for_us, i, 0),
-            stale_priority_weight=by_class(f.class_stale_worth, i, 0.0),
-        )
-        for i, lane in enumerate(s.lanes)
+def to_router_settings(platform: PlatformSettings) -> api.Settings:
+    """The router's own settings."""
+    settings = api.Settings(
+        classes=tuple(
+            _traffic_class(traffic_class, index, platform.caching)
+            for index, traffic_class in enumerate(platform.classes)
+        ),
+        zone=platform.zone,
+        router_index=platform.router_index,
+        router_count=platform.router_count,
+        weights=platform.weights,
+        membership_is_pushed=platform.membership_mode == "push",
+        load_report_fields=tuple(REPORT_NAMES.get(name, name) for name in platform.load_report.fields),
+        clock_tick_us=platform.clock_tick_us,
     )
-    return api.Settings(
-        classes=classes,
-        zone=s.zone,
-        router_index=s.me,
-        router_count=s.siblings,
-        routers_by_zone=f.seats_by_zone,
-        home_parents=f.home_hub,
-        link_kb_per_s=f.inlet_kb_per_s,
-        parent_kind=f.second_tier_kind,
-        origin_kind=f.source_kind,
-        weights=s.weights,
-        pace_kb_per_s=f.pace_kb_per_s,
-        supports_joined_fills=f.collapses,
-        answer_detail=f.detail,
-        allows_direct_to_source=f.direct,
-        sibling_sources=f.neighbours,
-        purge_grace_us=f.purge_grace_us,
-        purge_propagation_us=f.purge_takes_us,
-        cold_capacity_ratio=rules.start_capacity,
+    settings = _with_caching(settings, platform.caching)
+    settings = _with_member_rules(settings, platform.member_rules)
+    return _with_limits(settings, platform.limits)
+
+
+def _traffic_class(config: TrafficClassConfig, index: int, caching: CachingConfig) -> api.TrafficClass:
+    return api.TrafficClass(
+        name=config.name,
+        latency_objective_us=config.latency_objective_us,
+        deadline_us=config.deadline_us,
+        latency_objective_stretch=config.latency_objective_stretch,
+        priority_weight=config.priority_weight,
+        late_priority_weight=config.late_priority_weight,
+        idempotency=EFFECTS[config.idempotency],
+        retry_scope=config.retry_scope,
+        idempotency_key_window_us=config.idempotency_key_window_us,
+        streaming=config.streaming,
+        is_write=_by_class(caching.is_write_by_class, index, False),
+        has_parts=_by_class(caching.has_parts_by_class, index, False),
+        freshness_lifetime_us=_by_class(caching.freshness_lifetime_us_by_class, index, 0),
+        stale_grace_us=_by_class(caching.stale_grace_us_by_class, index, 0),
+        stale_priority_weight=_by_class(caching.stale_priority_weight_by_class, index, 0.0),
+    )
+
+
+def _by_class(values: Sequence[Value], index: int, default: Value) -> Value:
+    return values[index] if index < len(values) else default
+
+
+def _with_caching(settings: api.Settings, caching: CachingConfig) -> api.Settings:
+    return replace(
+        settings,
+        routers_by_zone=caching.routers_by_zone,
+        home_parents=caching.home_parents,
+        link_kb_per_s=caching.link_kb_per_s,
+        parent_kind=caching.parent_kind,
+        origin_kind=caching.origin_kind,
+        pace_kb_per_s=caching.pace_kb_per_s,
+        supports_joined_fills=caching.supports_joined_fills,
+        answer_detail=caching.answer_detail,
+        allows_direct_to_source=caching.allows_direct_to_source,
+        sibling_sources=caching.sibling_sources,
+        purge_grace_us=caching.purge_grace_us,
+        purge_propagation_us=caching.purge_propagation_us,
+        parent_cold_capacity_ratio=caching.parent_cold_capacity_ratio,
+        parent_warm_up_us=caching.parent_warm_up_us,
+        parent_overload_multiple=caching.parent_overload_multiple,
+    )
+
+
+def _with_member_rules(settings: api.Settings, rules: MemberRulesConfig) -> api.Settings:
+    return replace(
+        settings,
+        cold_capacity_ratio=rules.cold_capacity_ratio,
         warm_up_us=rules.warm_up_us,
-        overload_multiple=rules.tip_multiple,
-        overload_window_us=rules.fall_us,
-        parent_cold_capacity_ratio=f.upper_cold_from,
-        parent_warm_up_us=f.parent_warms_in_us,
-        parent_overload_multiple=f.parent_fall_multiple,
+        overload_multiple=rules.overload_multiple,
+        overload_window_us=rules.overload_window_us,
         drain_grace_us=rules.drain_grace_us,
-        membership_poll_interval_us=rules.ask_within_us,
+        membership_poll_interval_us=rules.membership_poll_interval_us,
+    )
+
+
+def _with_limits(settings: api.Settings, limits: RouterLimitsConfig) -> api.Settings:
+    return replace(
+        settings,
         max_attempts=limits.max_attempts,
-        allows_hedged_requests=limits.second_copies,
-        allows_cancellation=limits.cancelling,
-        allows_probes=limits.probes,
-        allows_peer_messages=limits.may_tell,
-        allows_retry_after=limits.retry_after,
+        allows_hedged_requests=limits.allows_hedged_requests,
+        allows_cancellation=limits.allows_cancellation,
+        allows_probes=limits.allows_probes,
+        allows_peer_messages=limits.allows_peer_messages,
+        allows_retry_after=limits.allows_retry_after,
         max_retry_after_us=limits.max_retry_after_us,
-        max_requests_in_flight=limits.max_open,
+        max_requests_in_flight=limits.max_requests_in_flight,
         connect_timeout_us=limits.connect_timeout_us,
-        membership_is_pushed=s.registry_mode == "push",
-        load_report_fields=tuple(REPORT_NAMES.get(name, name) for name in s.report.fields),
-        clock_tick_us=s.quantum_us,
     )
--- a/rookbend/resource_budget.py
+++ b/rookbend/resource_budget.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from rookbend.platform_settings import Limits
+from rookbend.platform_settings import ProcessLimits
 
 OWN_DESCRIPTORS = 40  # listeners, the coordinator, the event loop's own
 CLIENT_DESCRIPTORS_DIVISOR = 3  # clients may hold one descriptor in so many
@@ -14,7 +14,7 @@
 class ResourceBudget:
     """Bounds that follow from the limits. During an upgrade `processes` of this director keep to them together."""
 
-    def __init__(self, limits: Limits) -> None:
+    def __init__(self, limits: ProcessLimits) -> None:
         self.limits = limits
         self.component_descriptors = 0  # reserved for the optional components, once they are known
 
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -127,7 +127,7 @@
             f"{at}={text.lower() if isinstance(value, bool) else text.replace('True', 'true').replace('False', 'false')}"
         ]
 
-    nested = configuration.to_router_settings(msgspec.convert(SETTINGS, configuration.DirectorSettings))
+    nested = configuration.to_router_settings(msgspec.convert(SETTINGS, configuration.PlatformSettings))
     assert nested == simulator_settings.parse_settings("\n".join(paths(SETTINGS)))
 
 
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -162,7 +162,7 @@
         raw["lanes"][0]["name"] = "other-video"
         raw["limits"]["maxAttempts"] = 2
         stage.config = msgspec.structs.replace(
-            stage.config, settings=msgspec.convert(raw, configuration.DirectorSettings)
+            stage.config, settings=msgspec.convert(raw, configuration.PlatformSettings)
         )
         stage.service.reload()
         await stage.play("""
