--- a/rookbend/assembly.py
+++ b/rookbend/assembly.py
@@ -12,7 +12,7 @@
 from rookbend.core.clock import Clock
 from rookbend.core.counters import Counters
 from rookbend.core.engine import Engine
-from rookbend.net.buffered_socket import Outbox
+from rookbend.net.buffered_socket import WriteScheduler
 from rookbend.net.component import Component
 from rookbend.net.listeners import Listeners
 from rookbend.net.peers import PeerSocket
@@ -50,7 +50,12 @@
 
 
 def build_pool(
-    config: Config, engine: Engine, counters: Counters, nursery: trio.Nursery, outbox: Outbox, budget: ResourceBudget
+    config: Config,
+    engine: Engine,
+    counters: Counters,
+    nursery: trio.Nursery,
+    outbox: WriteScheduler,
+    budget: ResourceBudget,
 ) -> Pool:
     """The connections to members; their tasks run in `nursery`."""
     limits = config.settings.limits
--- a/rookbend/drain.py
+++ b/rookbend/drain.py
@@ -15,7 +15,7 @@
 
 from rookbend.core.clock import Clock
 from rookbend.core.engine import Engine
-from rookbend.net.client_listener import FrontServer
+from rookbend.net.client_listener import ClientListener
 from rookbend.net.component import Component
 from rookbend.process_metrics import TIMER_STEP_US
 
@@ -34,7 +34,7 @@
 
     clock: Clock
     engine: Engine
-    front: FrontServer
+    front: ClientListener
     components: Sequence[Component]
     upgrade: Upgrade | None
 
--- a/rookbend/net/operator_endpoint.py
+++ b/rookbend/net/operator_endpoint.py
@@ -15,7 +15,7 @@
 
 from rookbend.core.clock import Clock
 from rookbend.net.acceptor import accept
-from rookbend.net.buffered_socket import Channel, Outbox, prepare
+from rookbend.net.buffered_socket import BufferedSocket, WriteScheduler, prepare
 from rookbend.net.component import Component
 from rookbend.protocol.http_serve import HttpServe
 from rookbend.protocol.operator_api import OperatorApi
@@ -30,13 +30,13 @@
 
     descriptors = MAX_CALLERS + 2
 
-    def __init__(self, listener: socket.socket, api: OperatorApi, clock: Clock, outbox: Outbox):
+    def __init__(self, listener: socket.socket, api: OperatorApi, clock: Clock, outbox: WriteScheduler):
         self.listener = listener
         self.api = api
         self.clock = clock
         self.outbox = outbox
         self.address = listener.getsockname()[:2]
-        self.callers: dict[Channel, trio.CancelScope] = {}
+        self.callers: dict[BufferedSocket, trio.CancelScope] = {}
         self.answered = 0
 
     def start(self, nursery: trio.Nursery) -> None:
@@ -52,12 +52,12 @@
             oldest = next(iter(self.callers))
             self.callers.pop(oldest).cancel()
             oldest.close()  # its descriptor at once: the newcomer's is there already
-        channel = Channel(prepare(sock), nursery, self.outbox)
+        channel = BufferedSocket(prepare(sock), nursery, self.outbox)
         scope = trio.CancelScope(deadline=self._deadline_in(CALL_US))
         self.callers[channel] = scope
         nursery.start_soon(self._serve_caller, channel, scope)
 
-    async def _serve_caller(self, channel: Channel, scope: trio.CancelScope) -> None:
+    async def _serve_caller(self, channel: BufferedSocket, scope: trio.CancelScope) -> None:
         try:
             with scope:
                 await self._answer(channel, scope)
@@ -65,7 +65,7 @@
             self.callers.pop(channel, None)
             channel.close()
 
-    async def _answer(self, channel: Channel, scope: trio.CancelScope) -> None:
+    async def _answer(self, channel: BufferedSocket, scope: trio.CancelScope) -> None:
         http = HttpServe()
         request = None
         while request is None and not http.ended:
--- a/rookbend/process_metrics.py
+++ b/rookbend/process_metrics.py
@@ -9,7 +9,7 @@
 
 from rookbend.core.engine import Engine
 from rookbend.core.model import Endpoint
-from rookbend.net.client_listener import FrontServer
+from rookbend.net.client_listener import ClientListener
 from rookbend.net.pool import Pool
 from rookbend.resource_budget import OWN_DESCRIPTORS, ResourceBudget
 
@@ -25,7 +25,7 @@
 class ProcessMetrics:
     """`pool` is there once the director serves. `full_lag_us` is the loop lag that counts as full load."""
 
-    def __init__(self, engine: Engine, front: FrontServer, budget: ResourceBudget, full_lag_us: int) -> None:
+    def __init__(self, engine: Engine, front: ClientListener, budget: ResourceBudget, full_lag_us: int) -> None:
         self.engine = engine
         self.front = front
         self.budget = budget
--- a/rookbend/service.py
+++ b/rookbend/service.py
@@ -24,8 +24,8 @@
 from rookbend.drain import Drain, DrainContext
 from rookbend.fronts.platform import PlatformFront
 from rookbend.logs import Log
-from rookbend.net.buffered_socket import Outbox
-from rookbend.net.client_listener import FrontServer
+from rookbend.net.buffered_socket import WriteScheduler
+from rookbend.net.client_listener import ClientListener
 from rookbend.net.component import Component, ComponentContext
 from rookbend.net.listeners import Listeners
 from rookbend.net.peers import PeerSocket
@@ -69,7 +69,7 @@
         self.peers: PeerSocket | None = None
         self._stopping = trio.Event()
         self.counters = Counters()
-        self.outbox = Outbox()
+        self.outbox = WriteScheduler()
         self.listeners = Listeners()
         self.budget = ResourceBudget(config.limits)
         self.clock = Clock(trio.lowlevel.current_clock().current_time, unix)
@@ -82,7 +82,7 @@
         """The engine, and what stands between it and the coordinator and the clients."""
         self.engine = build_engine(self.config, self.clock, self.counters, self.log)
         self.watch = build_watch(self.config, self.engine)
-        self.front = FrontServer(
+        self.front = ClientListener(
             PlatformFront(self.engine, self.is_ready, self.is_closed),
             self.budget.max_clients,
             self.budget.max_unsent_bytes(),
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -8,16 +8,9 @@
 from rookbend.core.model import Attempt, MembershipChange, Purge, Request
 from rookbend.interface import AttemptDetail, AttemptStatus, MemberState
 from rookbend.protocol import cache_lines, client_frames
-from rookbend.protocol.coordinator_stream import (
-    EventStream,
-    StreamEnd,
-    StreamError,
-    Translator,
-    UnreadableEvent,
-    Update,
-    server_number,
-)
+from rookbend.protocol.coordinator_stream import StreamError, Translator, Update, server_number
 from rookbend.protocol.dns import TcpMessages, frame_tcp
+from rookbend.protocol.event_stream import EventStream, StreamEnd, UnreadableEvent
 from tests.director_scenario import frame
 
 CLIENT = frame(7, 1, {"method": "m", "rid": "0" * 16}, b"body") + frame(9, 1) + frame(1, 0, {})
@@ -113,14 +106,14 @@
     parser = cache_lines.AnswerParser()
     with pytest.raises(cache_lines.LineError) as error:
         parser.feed(CACHE + b"%%\r\n")
-    assert [a.rid for a in error.value.answers] == ["a1", "a2", "a3", "a4"]
+    assert [a.request_id for a in error.value.answers] == ["a1", "a2", "a3", "a4"]
 
 
 def test_a_part_of_an_answer_shows_as_begun():
     parser = cache_lines.AnswerParser()
     for data, begun in ((b"a1 ok - 5", True), (b"\r\n", True), (b"hello", True), (b"\r\n", False)):
         parser.feed(data)
-        assert parser.begun is begun
+        assert parser.has_partial is begun
 
 
 def test_a_command_says_what_the_attempt_says():
@@ -138,7 +131,7 @@
         join_fill=True,
         refresh_in_background=True,
     )
-    assert cache_lines.write_do(attempt, 1_000, "p1") == (
+    assert cache_lines.write_command(attempt, 1_000, "p1") == (
         b"do 9999999999999999 c=video,k=7f,p=3,w=1499,next=p1,admit=1,agelim=1,"
         b"ways=wait-for+background,cached=ab 2\r\nxy\r\n"
     )
