--- a/rookbend/net/component.py
+++ b/rookbend/net/component.py
@@ -1,5 +1,7 @@
-"""What the service asks of each of its parts: a listener, a stream, a scheduler, or several that belong
-together; and what a part may see of the director it belongs to."""
+"""The interface of a director's optional components, and what a component may use of its director.
+
+A component is a listener, a stream, a scheduler, or several that belong together.
+"""
 
 from __future__ import annotations
 
@@ -24,7 +26,7 @@
 
 @dataclass
 class ComponentContext:
-    """What a part may see of its director. The lifecycle is not in it: a part is told of the drain."""
+    """What a component may use of its director. The lifecycle is not in it: components are notified of the drain."""
 
     config: Config
     operators: Settings
@@ -35,41 +37,44 @@
     log: Log
     outbox: WriteScheduler
     most_clients: int
-    phase: Callable[[], str]  # the lifecycle's, by name
-    sample: Callable[[], Sample]  # what is measured of ourselves
+    phase: Callable[[], str]  # of the lifecycle, by its name
+    sample: Callable[[], Sample]  # the director's load now
     listeners: Listeners
-    # Whether the director may say that it is ready; a part that keeps it from that puts its own here.
+    # Whether the director may report that it is ready; a component that holds that back replaces it.
     admits: Callable[[], bool] = lambda: True
-    # Figures that go up and down, by name; a part adds its own.
+    # What returns gauges for the metrics, by name; components append theirs.
     gauges: list[Callable[[], dict[str, float]]] = field(default_factory=list)
-    # What parts built before offer to those built after, by name.
+    # What components offer to those that are built after them, by name.
     built: dict[str, Any] = field(default_factory=dict)
 
 
 class Component:
-    """`descriptors` are kept back for it. All methods but `open` must not fail."""
+    """An optional part of a director. All methods but `open` must not fail.
+
+    `descriptors` is how many file descriptors are reserved for it.
+    """
 
     descriptors = 0
 
     def open(self, listeners: Listeners) -> None:
-        """Takes its sockets. Raises OSError where an address can't be had."""
+        """Opens its sockets. Raises OSError where an address can't be bound."""
 
     def start(self, nursery: trio.Nursery) -> None:
-        """Starts its tasks; the nursery's end is theirs."""
+        """Starts its tasks; they are cancelled with the nursery."""
 
-    def reload(self, settings) -> None:
-        """The operators' settings were read again and can be used."""
+    def reload(self, settings: Settings) -> None:
+        """Applies the operators' settings that were read again and can be used."""
 
     def drain(self, by_us: int) -> None:
-        """The director has been told to stop; everything is settled at `by_us`."""
+        """The director was requested to stop; everything is answered at `by_us`."""
 
     def stop_taking(self) -> None:
-        """The time for latecomers is over: nothing new is taken from here on."""
+        """The grace time of the drain is over: nothing new is accepted from here on."""
 
     def leave(self) -> None:
-        """Everything is settled, the process ends next."""
+        """Everything is answered, the process ends next."""
 
     @property
     def busy(self) -> bool:
-        """Whether something it owes has not gone out yet."""
+        """Whether something that it owes has not gone out yet."""
         return False
--- a/rookbend/net/listeners.py
+++ b/rookbend/net/listeners.py
@@ -8,6 +8,7 @@
 from __future__ import annotations
 
 import socket
+from collections.abc import Callable
 
 from rookbend.net.acceptor import listen
 
@@ -21,10 +22,11 @@
 class Listeners:
     """What is `held` may be given to the next process; of what was inherited, each is used once."""
 
-    def __init__(self):
+    def __init__(self) -> None:
         self.inherited: dict[str, socket.socket] = {}
         self.held: dict[str, socket.socket] = {}
-        self.shared = self.predecessor = False
+        self.shared = False
+        self.predecessor = False
 
     def tcp(self, address: Address) -> socket.socket:
         """The listener of this address, inherited or bound here."""
@@ -43,12 +45,12 @@
 
         return self._get("udp", address, bind)
 
-    def _get(self, kind: str, address: Address, make) -> socket.socket:
+    def _get(self, kind: str, address: Address, bind: Callable[[bool], socket.socket]) -> socket.socket:
         sock = self.inherited.pop(_name(kind, address), None)
         if sock is None:
             if self.shared and not self.predecessor:
-                make(False).close()
-            sock = make(self.shared)
+                bind(False).close()
+            sock = bind(self.shared)
         self.held[_name(kind, sock.getsockname()[:2])] = sock
         return sock
 
