--- a/rookbend/core/check_result.py
+++ b/rookbend/core/check_result.py
@@ -1,4 +1,4 @@
-"""What a health protocol's exchange with a member comes to: the words shared by protocols and decisions."""
+"""Results of a health check, as the health protocols report them and the health decisions take them."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
     """How a check ended."""
 
     PASSED = "passed"
-    DEGRADED = "degraded"  # passed, and the member says that it is not at its best
-    FAILED = "failed"  # it answered, and not as it should
-    DISMISSED = "dismissed"  # it asks to be taken out at once
-    REFUSED = "refused"  # nothing listens there
+    DEGRADED = "degraded"  # passed, and the member reports reduced performance
+    FAILED = "failed"  # an answer, but not the expected one
+    DISMISSED = "dismissed"  # the member requests to be taken out of service at once
+    REFUSED = "refused"  # connection refused
     SILENT = "silent"  # no whole answer by the deadline
-    BROKEN = "broken"  # reset, cut off, or bytes that can't be used
+    BROKEN = "broken"  # connection reset or closed early, or an answer that can't be parsed
 
     @property
     def passes(self) -> bool:
@@ -27,7 +27,7 @@
 class AgentReport:
     """The parsed line of a health agent; None where the line leaves a matter open.
 
-    `weight` is percent, 0 to 100; `admin` is ready, drain or maint; `up` whether it says up or down.
+    `weight` is percent, 0 to 100; `admin` is ready, drain or maint; `up` whether the member is up or down.
     """
 
     up: bool | None = None
@@ -35,4 +35,4 @@
     weight: int | None = None
     most_connections: int | None = None
     reason: str = ""
-    unknown: int = 0  # words that mean nothing to us
+    unknown: int = 0  # how many tokens of the line are unknown
--- a/rookbend/core/engine.py
+++ b/rookbend/core/engine.py
@@ -34,8 +34,8 @@
     """One director's requests, attempts and timers, between the fronts, the router and the backend.
 
     `backend` has to be set before the first request, `peers` only where there are any. `endpoints` are the known
-    members by number. Calls that need nothing of the engine itself are those of its collaborators: `may_write` of
-    `SendGuard`, `finished` of `AttemptRunner`, `run_due` and `finish_all_by` of `DeadlineKeeper`.
+    members by number. Three calls are its collaborators' own: `may_write` of `SendGuard`, `finished` of
+    `AttemptRunner` and `class_index`, which is `TrafficClassIndex.index_of`.
     """
 
     def __init__(
@@ -67,15 +67,11 @@
         ).by_type()
         self._deadlines = DeadlineKeeper(self.timers, self.requests, self.attempts, self._driver, clock, counters)
         self._settings = settings
-        # Bound here, since a call passed on would cost a layer for each request.
         self.endpoints = self.membership.endpoints
-        self.is_in_service = self.membership.is_in_service
-        self.has_member_in_service = self.membership.has_member_in_service
+        # Bound here, since a method that passes the call on would cost a layer for each request.
         self.may_write = SendGuard(self.membership, self.purges, clock).may_write
         self.finished = self.attempts.finished
         self.class_index = self.traffic_classes.index_of
-        self.run_due = self._deadlines.run_due
-        self.finish_all_by = self._deadlines.finish_all_by
         self._post = self._driver.post
 
     @property
@@ -187,6 +183,22 @@
         """How many processes of this director send: see `interface.ActiveProcessesChanged`."""
         self._post(api.ActiveProcessesChanged(processes))
 
+    def finish_all_by(self, at_us: int) -> None:
+        """No request, open or to come, is answered later than this."""
+        self._deadlines.finish_all_by(at_us)
+
+    def run_due(self) -> int:
+        """Runs every timer that is due; returns when the next one is, or 0."""
+        return self._deadlines.run_due()
+
+    def has_member_in_service(self) -> bool:
+        """Whether any request could be served."""
+        return self.membership.has_member_in_service()
+
+    def is_in_service(self, server: int) -> bool:
+        """Whether a member is known and takes new requests."""
+        return self.membership.is_in_service(server)
+
     # Called by the coordinator's watch, by health, recovery and the peers
 
     def membership_changed(self, change: MembershipChange) -> None:
@@ -195,7 +207,7 @@
         self._post(self.membership.apply(change))
 
     def health_changed(self, endpoints: list[Endpoint]) -> None:
-        """Members whose state or weight differs from what the membership says, by other evidence."""
+        """Members whose state or weight differs from that of the membership, by other evidence."""
         self.counters.judgements += len(endpoints)
         self._post(self.membership.apply(MembershipChange(False, 0, endpoints)))
 
--- a/rookbend/core/model.py
+++ b/rookbend/core/model.py
@@ -1,4 +1,4 @@
-"""What the core deals in: requests, attempts, results and answers, and what the coordinator tells."""
+"""The core's data: requests, attempts, results and answers, membership changes and purges."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class FinalOutcome(Enum):
-    """The final answer to a request, in the words of every front."""
+    """How a request ended; each front translates it to its protocol."""
 
     SERVED = "served"
     REJECTED = "refused"
@@ -18,9 +18,9 @@
 
 @dataclass(slots=True)
 class Request:
-    """What a front asks of the core. The deadline is absolute, on the director's clock.
+    """A client's request. The deadline is absolute, on the director's clock.
 
-    `key` is the object's name as the client wrote it, `rid` the request's; both go on unchanged.
+    `key` is the object's name as the client wrote it, `request_id` the client's id; both are forwarded unchanged.
     """
 
     request_id: str
@@ -34,7 +34,7 @@
     is_retry: bool = False
     known_version: str = ""
     body: bytes = b""
-    idempotency_key: str = ""  # the client's, for a class that may be repeated under it; goes on unchanged
+    idempotency_key: str = ""  # the client's, for a class that may be repeated under it; forwarded unchanged
 
 
 @dataclass(slots=True)
@@ -85,7 +85,7 @@
 
 @dataclass(slots=True)
 class Endpoint:
-    """A line of the membership: the member as the module sees it, its name and its address."""
+    """An entry of the membership: the member as the router sees it, its name and its address."""
 
     member: Member
     name: str
