--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -165,6 +165,8 @@
     assert done.stdout == "[]\n"
 
 
-def test_the_parts_do_not_know_the_service(tmp_path):
-    asked = "import sys, rookbend.components; assert 'rookbend.service' not in sys.modules"
+def test_components_drain_and_reload_do_not_know_the_service(tmp_path):
+    asked = (
+        "import sys, rookbend.components, rookbend.drain, rookbend.reload; assert 'rookbend.service' not in sys.modules"
+    )
     subprocess.run([sys.executable, "-c", asked], check=True)
