--- a/rookbend/simhost.py
+++ b/rookbend/simhost.py
@@ -3,53 +3,73 @@
 from __future__ import annotations
 
 import sys
+from typing import BinaryIO
 
-from rookbend import simulator_codec, simulator_settings
 from rookbend.routing import Router
+from rookbend.simulator_actions import write_action
+from rookbend.simulator_codec import (
+    HEADER,
+    MAX_FRAME_BYTES,
+    REPLY_HEADER,
+    Record,
+    StartInstance,
+    StopInstance,
+    WireError,
+    read_batch,
+)
+from rookbend.simulator_settings import parse_settings
 
 
-def read_exactly(stream, size: int) -> bytes:
+def read_exactly(stream: BinaryIO, size: int) -> bytes:
+    """The next `size` bytes. Raises `WireError` where the input ends before."""
     data = stream.read(size)
     if len(data) < size:
-        raise simulator_codec.WireError("the input ends inside a frame")
+        raise WireError("the input ends inside a frame")
     return data
 
 
-def serve(stdin, stdout) -> None:
-    """Answers every batch until the input ends."""
-    routers: dict[int, Router] = {}
-    while True:
-        first = stdin.read(simulator_codec.HEADER.size)
-        if not first:
-            return
-        if len(first) < simulator_codec.HEADER.size:
-            raise simulator_codec.WireError("the input ends inside a frame header")
-        now, size, count, number = simulator_codec.HEADER.unpack(first)
-        if not simulator_codec.HEADER.size <= size <= simulator_codec.MAX_FRAME:
-            raise simulator_codec.WireError(f"a frame cannot be {size} bytes long")
-        events = simulator_codec.read_batch(read_exactly(stdin, size - simulator_codec.HEADER.size), count)
-        out = []
-        for instance, event in events:
-            kind = type(event)
-            if kind is simulator_codec.Attach:
-                routers[instance] = Router(simulator_settings.parse_settings(event.info), event.seed)
-            elif kind is simulator_codec.Retire:
-                routers.pop(instance, None)
-            else:
-                router = routers.get(instance)
-                if router is None:
-                    raise simulator_codec.WireError(f"an event for instance {instance}, which has not started")
-                for action in router.handle(now, event):
-                    out.append(simulator_codec.write_action(instance, action))
-        body = b"".join(out)
-        stdout.write(simulator_codec.REPLY_HEADER.pack(simulator_codec.REPLY_HEADER.size + len(body), number) + body)
+class RouterHost:
+    """The router instances of one simulation, by number."""
+
+    def __init__(self) -> None:
+        self._routers: dict[int, Router] = {}
+
+    def handle(self, now_us: int, instance: int, record: Record) -> list[bytes]:
+        """Applies one record; the records of the actions it led to. Raises `WireError`."""
+        if isinstance(record, StartInstance):
+            self._routers[instance] = Router(parse_settings(record.settings_text), record.seed)
+            return []
+        if isinstance(record, StopInstance):
+            self._routers.pop(instance, None)
+            return []
+        router = self._routers.get(instance)
+        if router is None:
+            raise WireError(f"an event for instance {instance}, which has not started")
+        return [write_action(instance, action) for action in router.handle(now_us, record)]
+
+
+def serve(stdin: BinaryIO, stdout: BinaryIO) -> None:
+    """Answers every batch until the input ends. Raises `WireError` at the first that breaks the wire format."""
+    host = RouterHost()
+    while header := stdin.read(HEADER.size):
+        if len(header) < HEADER.size:
+            raise WireError("the input ends inside a frame header")
+        now_us, size, count, batch_number = HEADER.unpack(header)
+        if not HEADER.size <= size <= MAX_FRAME_BYTES:
+            raise WireError(f"a frame cannot be {size} bytes long")
+        replies: list[bytes] = []
+        for instance, record in read_batch(read_exactly(stdin, size - HEADER.size), count):
+            replies += host.handle(now_us, instance, record)
+        body = b"".join(replies)
+        stdout.write(REPLY_HEADER.pack(REPLY_HEADER.size + len(body), batch_number) + body)
         stdout.flush()
 
 
 def main() -> int:
+    """Serves standard input; the exit code: 2 for broken input, 1 where the output was closed."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
-    except simulator_codec.WireError as error:
+    except WireError as error:
         print(f"rookbend: {error}", file=sys.stderr)
         return 2
     except BrokenPipeError:
--- a/rookbend/simulator_codec.py
+++ b/rookbend/simulator_codec.py
@@ -1,243 +1,242 @@
-"""The simulator's wire: frames to events, actions to frames, settings text to Settings."""
+"""The simulator's wire format: frame headers, and the records of a batch as events.
+
+Integers are big-endian. A frame from the simulator is `HEADER` and records, each a code, an instance and fields;
+the reply is `REPLY_HEADER` and the records of `simulator_actions`.
+"""
 
 from __future__ import annotations
 
 import struct
+from collections.abc import Callable
 from dataclasses import dataclass
+from enum import IntEnum
+from typing import Any, TypeVar
 
 from rookbend import interface as api
 
-HEADER = struct.Struct(">QIII")
-REPLY_HEADER = struct.Struct(">II")
-ENTRY = struct.Struct(">fIHHBQBH")
-INSTANCE = struct.Struct(">I")
-ATTACH = struct.Struct(">QI")
-TOPOLOGY = struct.Struct(">BQI")
-KNOCK = struct.Struct(">IBIQQfffB")
-PROBE_RESULT = struct.Struct(">IBIHB")
-DONE = struct.Struct(">IBIHBIBBIB")
-CANCELLED = struct.Struct(">I")
-ACK_FIRST = struct.Struct(">IBIIH")
-PEER_DATA = struct.Struct(">HH")
-TICK_DUE = struct.Struct(">Q")
-OUTDATED = struct.Struct(">QIH")
-
-EVERY_PEER = 0xFFFF
-MAX_FRAME = 1 << 30
-U32 = 0xFFFFFFFF
+HEADER = struct.Struct(">QIII")  # now in microseconds, frame size in bytes, count of records, batch number
+REPLY_HEADER = struct.Struct(">II")  # frame size in bytes, batch number
+MAX_FRAME_BYTES = 1 << 30
+
+_INSTANCE = struct.Struct(">I")
+_START_INSTANCE = struct.Struct(">QI")
+_MEMBERSHIP = struct.Struct(">BQI")
+_MEMBER = struct.Struct(">fIHHBQBH")
+_REQUEST = struct.Struct(">IBIQQfffB")
+_HEALTH_CHECK = struct.Struct(">IBIHB")
+_ATTEMPT_FINISHED = struct.Struct(">IBIHBIBBIB")
+_REQUEST_CANCELLED = struct.Struct(">I")
+_RESPONSE_STARTED = struct.Struct(">IBIIH")
+_PEER_MESSAGE = struct.Struct(">HH")
+_TIMER = struct.Struct(">Q")
+_PURGE = struct.Struct(">QIH")
+_FLOAT_BYTES = 4
+
+# Bits of a request's options.
+_RETRY_FLAG = 2
+_WRITE_FLAG = 4
 
 
 class WireError(Exception):
-    """A frame or a settings text that does not follow the wire."""
+    """A frame or a settings text that does not follow the wire format."""
 
 
 @dataclass(frozen=True, slots=True)
-class Attach:
+class StartInstance:
+    """Starts a router instance with a random seed and a settings text."""
+
     seed: int
-    info: str
+    settings_text: str
 
 
 @dataclass(frozen=True, slots=True)
-class Retire:
-    pass
+class StopInstance:
+    """Stops a router instance."""
 
 
-def server_id(address: int, port: int) -> int:
-    return address << 16 | port
+Record = StartInstance | StopInstance | api.Event
+EnumValue = TypeVar("EnumValue", bound=IntEnum)
 
 
-class Reader:
-    """Reads the records of one batch; every overrun is a WireError."""
+class RecordReader:
+    """Reads the fields of one batch in order. Raises `WireError` at each overrun."""
 
-    def __init__(self, data: bytes):
-        self.data = data
-        self.at = 0
+    def __init__(self, data: bytes) -> None:
+        self._data = data
+        self._offset = 0
 
-    def take(self, layout: struct.Struct) -> tuple:
+    @property
+    def at_end(self) -> bool:
+        """Whether all bytes were read."""
+        return self._offset >= len(self._data)
+
+    def read_code(self) -> int:
+        """The next byte."""
+        code = self._data[self._offset]
+        self._offset += 1
+        return code
+
+    def read(self, layout: struct.Struct) -> tuple[Any, ...]:
+        """The next fields, of that layout."""
         try:
-            fields = layout.unpack_from(self.data, self.at)
+            fields = layout.unpack_from(self._data, self._offset)
         except struct.error:
             raise WireError("a record runs past the end of its frame") from None
-        self.at += layout.size
+        self._offset += layout.size
         return fields
 
-    def blob(self, size: int) -> bytes:
-        end = self.at + size
-        if end > len(self.data):
+    def read_bytes(self, size: int) -> bytes:
+        """The next `size` bytes."""
+        end = self._offset + size
+        if end > len(self._data):
             raise WireError("a record runs past the end of its frame")
-        piece = self.data[self.at : end]
-        self.at = end
-        return piece
+        data = self._data[self._offset : end]
+        self._offset = end
+        return data
+
+    def read_floats(self, count: int) -> tuple[float, ...]:
+        """The next `count` numbers of single precision."""
+        return struct.unpack(f">{count}f", self.read_bytes(_FLOAT_BYTES * count))
 
-    def floats(self, count: int) -> tuple[float, ...]:
-        return struct.unpack(f">{count}f", self.blob(4 * count))
 
+def server_id(address: int, port: int) -> int:
+    """A server's identity in the router: its IPv4 address and port in one integer."""
+    return address << 16 | port
 
-def _enum(kind, value):
+
+def _enum_value(enum: type[EnumValue], value: int) -> EnumValue:
     try:
-        return kind(value)
+        return enum(value)
     except ValueError:
-        raise WireError(f"{value} is no {kind.__name__}") from None
+        raise WireError(f"{value} is no {enum.__name__}") from None
 
 
-def _note(value: int) -> api.AttemptDetail:
-    return api.AttemptDetail(value) if value in api.AttemptDetail._value2member_map_ else api.AttemptDetail.NONE
+def _attempt_detail(value: int) -> api.AttemptDetail:
+    """The detail, or none where the simulator sends one that is unknown here."""
+    known = value in api.AttemptDetail._value2member_map_
+    return api.AttemptDetail(value) if known else api.AttemptDetail.NONE
 
 
-def _read_attach(r: Reader):
-    seed, size = r.take(ATTACH)
+def _read_start_instance(reader: RecordReader) -> StartInstance:
+    seed, size = reader.read(_START_INSTANCE)
     try:
-        return Attach(seed, r.blob(size).decode("utf-8"))
+        return StartInstance(seed, reader.read_bytes(size).decode("utf-8"))
     except UnicodeDecodeError:
         raise WireError("the settings are not UTF-8") from None
 
 
-def _read_topology(r: Reader):
-    mode, version, count = r.take(TOPOLOGY)
-    body = r.blob(ENTRY.size * count)
+def _read_stop_instance(reader: RecordReader) -> StopInstance:
+    return StopInstance()
+
+
+def _read_membership(reader: RecordReader) -> api.MembershipUpdated:
+    kind, version, count = reader.read(_MEMBERSHIP)
+    data = reader.read_bytes(_MEMBER.size * count)
     members = tuple(
-        api.Member(server_id(host, port), share, cell, zone, since, _enum(api.MemberState, state), kind)
-        for share, host, port, cell, zone, since, state, kind in ENTRY.iter_unpack(body)
+        api.Member(
+            server_id(address, port), weight, cell, zone, since, _enum_value(api.MemberState, state), member_kind
+        )
+        for weight, address, port, cell, zone, since, state, member_kind in _MEMBER.iter_unpack(data)
     )
-    return api.MembershipUpdated(_enum(api.MembershipUpdateKind, mode), version, members)
+    return api.MembershipUpdated(_enum_value(api.MembershipUpdateKind, kind), version, members)
 
 
-def _read_knock(r: Reader):
-    request, qos, tenant, item, deadline, size, group, part, options = r.take(KNOCK)
+def _read_request(reader: RecordReader) -> api.RequestArrived:
+    request, traffic_class, tenant, object_id, deadline_us, size_kb, group, part, options = reader.read(_REQUEST)
     try:
         return api.RequestArrived(
             request,
-            qos,
-            item,
-            deadline,
-            size,
+            traffic_class,
+            object_id,
+            deadline_us,
+            size_kb,
             int(group),
             int(part),
             tenant,
-            bool(options & 2),
-            bool(options & 4),
+            bool(options & _RETRY_FLAG),
+            bool(options & _WRITE_FLAG),
         )
     except (ValueError, OverflowError):
         raise WireError("a request's group or part is no number") from None
 
 
-def _read_probe(r: Reader):
-    elapsed, status, host, port, count = r.take(PROBE_RESULT)
-    return api.HealthCheckFinished(server_id(host, port), _enum(api.AttemptStatus, status), elapsed, r.floats(count))
+def _read_health_check(reader: RecordReader) -> api.HealthCheckFinished:
+    elapsed_us, status, address, port, report_size = reader.read(_HEALTH_CHECK)
+    return api.HealthCheckFinished(
+        server_id(address, port),
+        _enum_value(api.AttemptStatus, status),
+        elapsed_us,
+        reader.read_floats(report_size),
+    )
 
 
-def _read_done(r: Reader):
-    request, attempt, host, port, status, elapsed, final, note, waited, count = r.take(DONE)
+def _read_attempt_finished(reader: RecordReader) -> api.AttemptFinished:
+    fields = reader.read(_ATTEMPT_FINISHED)
+    request, attempt, address, port, status, elapsed_us, final, detail, fill_queue_us, report_size = fields
     return api.AttemptFinished(
         request,
         attempt,
-        server_id(host, port),
-        _enum(api.AttemptStatus, status),
-        elapsed,
+        server_id(address, port),
+        _enum_value(api.AttemptStatus, status),
+        elapsed_us,
         bool(final),
-        _note(note),
-        waited,
-        r.floats(count),
+        _attempt_detail(detail),
+        fill_queue_us,
+        reader.read_floats(report_size),
     )
 
 
-def _read_first(r: Reader):
-    request, attempt, elapsed, host, port = r.take(ACK_FIRST)
-    return api.ResponseStarted(request, attempt, server_id(host, port), elapsed)
+def _read_response_started(reader: RecordReader) -> api.ResponseStarted:
+    request, attempt, elapsed_us, address, port = reader.read(_RESPONSE_STARTED)
+    return api.ResponseStarted(request, attempt, server_id(address, port), elapsed_us)
 
 
-def _read_peer(r: Reader):
-    sender, size = r.take(PEER_DATA)
-    return api.PeerMessageReceived(sender, r.blob(size))
+def _read_peer_message(reader: RecordReader) -> api.PeerMessageReceived:
+    sender, size = reader.read(_PEER_MESSAGE)
+    return api.PeerMessageReceived(sender, reader.read_bytes(size))
 
 
-def _read_outdated(r: Reader):
-    item, age, group = r.take(OUTDATED)
-    return api.PurgeReceived(item, group, age)
+def _read_purge(reader: RecordReader) -> api.PurgeReceived:
+    object_id, age_us, group = reader.read(_PURGE)
+    return api.PurgeReceived(object_id, group, age_us)
 
 
-READERS = {
-    0: _read_done,
-    1: _read_outdated,
-    2: _read_attach,
-    3: lambda r: Retire(),
-    4: _read_topology,
-    5: _read_peer,
-    6: _read_knock,
-    7: lambda r: api.TimerFired(*r.take(TICK_DUE)),
-    8: _read_first,
-    9: _read_probe,
-    10: lambda r: api.RequestCancelled(*r.take(CANCELLED)),
+def _read_timer(reader: RecordReader) -> api.TimerFired:
+    return api.TimerFired(*reader.read(_TIMER))
+
+
+def _read_request_cancelled(reader: RecordReader) -> api.RequestCancelled:
+    return api.RequestCancelled(*reader.read(_REQUEST_CANCELLED))
+
+
+_READERS_BY_CODE: dict[int, Callable[[RecordReader], Record]] = {
+    0: _read_attempt_finished,
+    1: _read_purge,
+    2: _read_start_instance,
+    3: _read_stop_instance,
+    4: _read_membership,
+    5: _read_peer_message,
+    6: _read_request,
+    7: _read_timer,
+    8: _read_response_started,
+    9: _read_health_check,
+    10: _read_request_cancelled,
 }
 
 
-def read_batch(body: bytes, count: int) -> list[tuple[int, object]]:
-    """The records of a batch, each with its instance."""
-    r = Reader(body)
-    events = []
+def read_batch(body: bytes, count: int) -> list[tuple[int, Record]]:
+    """The records of a batch, each with its instance. Raises `WireError` where `body` is not `count` records."""
+    reader = RecordReader(body)
+    records: list[tuple[int, Record]] = []
     for _ in range(count):
-        if r.at >= len(body):
+        if reader.at_end:
             raise WireError("a frame holds fewer records than it says")
-        code = body[r.at]
-        reader = READERS.get(code)
-        if reader is None:
+        code = reader.read_code()
+        read_record = _READERS_BY_CODE.get(code)
+        if read_record is None:
             raise WireError(f"unknown record code {code}")
-        r.at += 1
-        (instance,) = r.take(INSTANCE)
-        events.append((instance, reader(r)))
-    if r.at != len(body):
+        (instance,) = reader.read(_INSTANCE)
+        records.append((instance, read_record(reader)))
+    if not reader.at_end:
         raise WireError("a frame holds more bytes than its records")
-    return events
-
-
-def _server(server: int) -> bytes:
-    return server.to_bytes(6, "big")
-
-
-def _u32(value: int) -> int:
-    return min(max(int(value), 0), U32)
-
-
-def _text(text: str) -> bytes:
-    data = text.encode("utf-8")[:0xFFFF]
-    return struct.pack(">H", len(data)) + data
-
-
-def write_action(instance: int, a) -> bytes:
-    """One action as the bytes of its record."""
-    kind = type(a)
-    if kind is api.Fetch:
-        how = a.join_fill | a.only_if_cached << 1 | a.parent_no_store << 2 | a.refresh_in_background << 3
-        return (
-            struct.pack(">BII", 8, instance, a.request)
-            + _server(a.server)
-            + struct.pack(">I", _u32(a.timeout_us))
-            + _server(a.source)
-            + struct.pack(">BIB", a.retention_rank, _u32(a.max_age_us), how)
-        )
-    if kind is api.FetchCached:
-        return struct.pack(">BII", 5, instance, a.request) + _server(a.server) + struct.pack(">I", _u32(a.timeout_us))
-    if kind is api.SetTimer:
-        return struct.pack(">BIIQ", 11, instance, _u32(a.delay_us), a.token)
-    if kind is api.Fail:
-        return struct.pack(">BII", 2, instance, a.request)
-    if kind is api.Reject:
-        return struct.pack(">BIII", 7, instance, a.request, _u32(a.retry_after_us))
-    if kind is api.CancelAttempt:
-        return struct.pack(">BIIB", 9, instance, a.request, a.attempt)
-    if kind is api.StartHealthCheck:
-        return struct.pack(">BI", 12, instance) + _server(a.server)
-    if kind is api.CloseIdleConnections:
-        return struct.pack(">BI", 3, instance) + _server(a.server)
-    if kind is api.ReloadMembership:
-        return struct.pack(">BI", 10, instance)
-    if kind is api.SubscribeMembership:
-        return struct.pack(">BIB", 0, instance, a.on)
-    if kind is api.SendPeerMessage:
-        peer = EVERY_PEER if a.peer is None else a.peer
-        return struct.pack(">BIHH", 6, instance, peer, len(a.data)) + a.data
-    if kind is api.WriteLog:
-        return struct.pack(">BI", 1, instance) + _text(a.text)
-    if kind is api.InternalError:
-        return struct.pack(">BI", 4, instance) + _text(a.text)
-    raise TypeError(f"no action: {a!r}")
+    return records
--- a/rookbend/simulator_settings.py
+++ b/rookbend/simulator_settings.py
@@ -1,7 +1,14 @@
-"""The simulator's settings text (`path=value` lines) as the settings of the decision module."""
+"""The simulator's settings text (`path=value` lines) as the router's settings.
+
+The paths are the simulator's; each is mapped once, here, to the term that the program uses. Unknown paths are skipped.
+"""
 
 from __future__ import annotations
 
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any, TypeVar
+
 from rookbend import interface as api
 from rookbend.simulator_codec import WireError
 
@@ -12,19 +19,22 @@
 }
 REPORT_NAMES = {"outstanding": "inflight"}
 
+Value = TypeVar("Value")
+
 
-class _Pairs:
-    """path=value lines, typed on demand."""
+class SettingsText:
+    """The values of a settings text by path, converted on demand."""
 
-    def __init__(self, text: str):
-        self.pairs = {}
+    def __init__(self, text: str) -> None:
+        self._values: dict[str, str] = {}
         for line in text.splitlines():
-            path, mark, value = line.partition("=")
-            if mark:
-                self.pairs[path.strip()] = value.strip()
+            path, separator, value = line.partition("=")
+            if separator:
+                self._values[path.strip()] = value.strip()
 
-    def get(self, path, convert, default=None):
-        raw = self.pairs.get(path)
+    def get(self, path: str, convert: Callable[[str], Value], default: Value | None = None) -> Value:
+        """The value at `path`. Raises `WireError` where it is unusable, or missing without a default."""
+        raw = self._values.get(path)
         if raw is None or raw == "":
             if default is None:
                 raise WireError(f"missing setting {path}")
@@ -35,6 +45,16 @@
             raise WireError(f"setting {path} has no usable value") from None
 
 
+@dataclass(frozen=True, slots=True)
+class SettingPath:
+    """Where a field of the router's settings stands in the text; without a default it is required."""
+
+    field: str
+    path: str
+    convert: Callable[[str], Any]
+    default: Any = None
+
+
 def _int(raw: str) -> int:
     return int(float(raw))
 
@@ -45,92 +65,104 @@
     return raw == "true"
 
 
-def _list(convert):
+def _list(convert: Callable[[str], Value]) -> Callable[[str], tuple[Value, ...]]:
     return lambda raw: tuple(convert(item) for item in raw.split(","))
 
 
-def _effect(raw: str) -> api.Idempotency:
+def _idempotency(raw: str) -> api.Idempotency:
     if raw not in EFFECTS:
         raise ValueError(raw)
     return EFFECTS[raw]
 
 
-def parse_settings(text: str) -> api.Settings:
-    """Settings from the first message; unknown keys are skipped, a missing required one is named."""
-    get = _Pairs(text).get
-    count = get("lanes.count", _int)
-    family = {
-        name: get(f"familyInfo.{name}", _list(convert), ())
-        for name, convert in (
-            ("classFreshUs", _int),
-            ("graceForUs", _int),
-            ("classStaleWorth", float),
-            ("goesThrough", _bool),
-            ("inPieces", _bool),
-        )
-    }
-
-    def by_class(name, index, default):
-        values = family[name]
-        return values[index] if index < len(values) else default
-
-    classes = tuple(
-        api.TrafficClass(
-            name=get(f"lanes.{i}.name", str, str(i)),
-            latency_objective_us=get(f"lanes.{i}.aimUs", _int),
-            deadline_us=get(f"lanes.{i}.hardLimitUs", _int),
-            latency_objective_stretch=get(f"lanes.{i}.aimStretch", float, 0.0),
-            priority_weight=get(f"lanes.{i}.gain", float, 1.0),
-            late_priority_weight=get(f"lanes.{i}.lateWorth", float, 0.0),
-            idempotency=get(f"lanes.{i}.effect", _effect),
-            retry_scope=get(f"lanes.{i}.group", str, "all"),
-            idempotency_key_window_us=get(f"lanes.{i}.repeatWindowUs", _int, 0),
-            streaming=get(f"lanes.{i}.streaming", _bool, False),
-            is_write=by_class("goesThrough", i, False),
-            has_parts=by_class("inPieces", i, False),
-            freshness_lifetime_us=by_class("classFreshUs", i, 0),
-            stale_grace_us=by_class("graceForUs", i, 0),
-            stale_priority_weight=by_class("classStaleWorth", i, 0.0),
-        )
-        for i in range(count)
-    )
-    return api.Settings(
-        classes=classes,
-        zone=get("zone", _int),
-        router_index=get("me", _int, 0),
-        router_count=get("siblings", _int),
-        routers_by_zone=get("familyInfo.seatsByZone", _list(_int), ()),
-        home_parents=get("familyInfo.homeHub", _list(_int), ()),
-        link_kb_per_s=get("familyInfo.inletKbPerS", _list(float), ()),
-        parent_kind=get("familyInfo.secondTierKind", _int, -1),
-        origin_kind=get("familyInfo.sourceKind", _int, -1),
-        weights=get("weights", str, "nominal"),
-        pace_kb_per_s=get("familyInfo.paceKbPerS", float, 0.0),
-        supports_joined_fills=get("familyInfo.collapses", _bool, False),
-        answer_detail=get("familyInfo.detail", str, "none"),
-        allows_direct_to_source=get("familyInfo.direct", _bool, False),
-        sibling_sources=get("familyInfo.neighbours", str, "none"),
-        purge_grace_us=get("familyInfo.purgeGraceUs", _int, 0),
-        purge_propagation_us=get("familyInfo.purgeTakesUs", _int, 0),
-        cold_capacity_ratio=get("invariants.startCapacity", float),
-        warm_up_us=get("invariants.warmUpUs", _int),
-        overload_multiple=get("invariants.tipMultiple", float),
-        overload_window_us=get("invariants.fallUs", _int),
-        parent_cold_capacity_ratio=get("familyInfo.upperColdFrom", float, 1.0),
-        parent_warm_up_us=get("familyInfo.parentWarmsInUs", _int, 0),
-        parent_overload_multiple=get("familyInfo.parentFallMultiple", float, 1.0),
-        drain_grace_us=get("invariants.drainGraceUs", _int, 0),
-        membership_poll_interval_us=get("invariants.askWithinUs", _int, 0),
-        max_attempts=get("limits.maxAttempts", _int),
-        allows_hedged_requests=get("limits.secondCopies", _bool, False),
-        allows_cancellation=get("limits.cancelling", _bool, False),
-        allows_probes=get("limits.probes", _bool, False),
-        allows_peer_messages=get("limits.mayTell", _bool, False),
-        allows_retry_after=get("limits.retryAfter", _bool, False),
-        max_retry_after_us=get("limits.maxRetryAfterUs", _int, 0),
-        max_requests_in_flight=get("limits.maxOpen", _int),
-        connect_timeout_us=get("limits.connectTimeoutUs", _int),
-        membership_is_pushed=get("registryMode", str, "push") == "push",
-        load_report_fields=tuple(REPORT_NAMES.get(name, name) for name in get("report.fields", _list(str), ())),
-        clock_tick_us=get("quantumUs", _int, 0),
-    )
+def _is_push(raw: str) -> bool:
+    return raw == "push"
+
+
+def _report_fields(raw: str) -> tuple[str, ...]:
+    return tuple(REPORT_NAMES.get(name, name) for name in raw.split(","))
+
+
+# Of all classes in one list, by index; what the list lacks is the default.
+_CLASS_LISTS = (
+    SettingPath("freshness_lifetime_us", "familyInfo.classFreshUs", _int, 0),
+    SettingPath("stale_grace_us", "familyInfo.graceForUs", _int, 0),
+    SettingPath("stale_priority_weight", "familyInfo.classStaleWorth", float, 0.0),
+    SettingPath("is_write", "familyInfo.goesThrough", _bool, False),
+    SettingPath("has_parts", "familyInfo.inPieces", _bool, False),
+)
+# Of one class, below `lanes.INDEX.`.
+_CLASS_PATHS = (
+    SettingPath("latency_objective_us", "aimUs", _int),
+    SettingPath("deadline_us", "hardLimitUs", _int),
+    SettingPath("latency_objective_stretch", "aimStretch", float, 0.0),
+    SettingPath("priority_weight", "gain", float, 1.0),
+    SettingPath("late_priority_weight", "lateWorth", float, 0.0),
+    SettingPath("idempotency", "effect", _idempotency),
+    SettingPath("retry_scope", "group", str, "all"),
+    SettingPath("idempotency_key_window_us", "repeatWindowUs", _int, 0),
+    SettingPath("streaming", "streaming", _bool, False),
+)
+_ROUTER_PATHS = (
+    SettingPath("zone", "zone", _int),
+    SettingPath("router_index", "me", _int, 0),
+    SettingPath("router_count", "siblings", _int),
+    SettingPath("routers_by_zone", "familyInfo.seatsByZone", _list(_int), ()),
+    SettingPath("home_parents", "familyInfo.homeHub", _list(_int), ()),
+    SettingPath("link_kb_per_s", "familyInfo.inletKbPerS", _list(float), ()),
+    SettingPath("parent_kind", "familyInfo.secondTierKind", _int, -1),
+    SettingPath("origin_kind", "familyInfo.sourceKind", _int, -1),
+    SettingPath("weights", "weights", str, "nominal"),
+    SettingPath("pace_kb_per_s", "familyInfo.paceKbPerS", float, 0.0),
+    SettingPath("supports_joined_fills", "familyInfo.collapses", _bool, False),
+    SettingPath("answer_detail", "familyInfo.detail", str, "none"),
+    SettingPath("allows_direct_to_source", "familyInfo.direct", _bool, False),
+    SettingPath("sibling_sources", "familyInfo.neighbours", str, "none"),
+    SettingPath("purge_grace_us", "familyInfo.purgeGraceUs", _int, 0),
+    SettingPath("purge_propagation_us", "familyInfo.purgeTakesUs", _int, 0),
+    SettingPath("cold_capacity_ratio", "invariants.startCapacity", float),
+    SettingPath("warm_up_us", "invariants.warmUpUs", _int),
+    SettingPath("overload_multiple", "invariants.tipMultiple", float),
+    SettingPath("overload_window_us", "invariants.fallUs", _int),
+    SettingPath("parent_cold_capacity_ratio", "familyInfo.upperColdFrom", float, 1.0),
+    SettingPath("parent_warm_up_us", "familyInfo.parentWarmsInUs", _int, 0),
+    SettingPath("parent_overload_multiple", "familyInfo.parentFallMultiple", float, 1.0),
+    SettingPath("drain_grace_us", "invariants.drainGraceUs", _int, 0),
+    SettingPath("membership_poll_interval_us", "invariants.askWithinUs", _int, 0),
+    SettingPath("max_attempts", "limits.maxAttempts", _int),
+    SettingPath("allows_hedged_requests", "limits.secondCopies", _bool, False),
+    SettingPath("allows_cancellation", "limits.cancelling", _bool, False),
+    SettingPath("allows_probes", "limits.probes", _bool, False),
+    SettingPath("allows_peer_messages", "limits.mayTell", _bool, False),
+    SettingPath("allows_retry_after", "limits.retryAfter", _bool, False),
+    SettingPath("max_retry_after_us", "limits.maxRetryAfterUs", _int, 0),
+    SettingPath("max_requests_in_flight", "limits.maxOpen", _int),
+    SettingPath("connect_timeout_us", "limits.connectTimeoutUs", _int),
+    SettingPath("membership_is_pushed", "registryMode", _is_push, True),
+    SettingPath("load_report_fields", "report.fields", _report_fields, ()),
+    SettingPath("clock_tick_us", "quantumUs", _int, 0),
+)
+
+
+def _fields(text: SettingsText, paths: tuple[SettingPath, ...], prefix: str = "") -> dict[str, Any]:
+    return {p.field: text.get(prefix + p.path, p.convert, p.default) for p in paths}
+
+
+def _traffic_class(text: SettingsText, index: int, class_lists: dict[str, tuple[Any, ...]]) -> api.TrafficClass:
+    prefix = f"lanes.{index}."
+    name = text.get(f"{prefix}name", str, str(index))
+    own_fields = _fields(text, _CLASS_PATHS, prefix)
+    listed_fields = {}
+    for path in _CLASS_LISTS:
+        values = class_lists[path.field]
+        listed_fields[path.field] = values[index] if index < len(values) else path.default
+    return api.TrafficClass(name=name, **own_fields, **listed_fields)
+
+
+def parse_settings(settings_text: str) -> api.Settings:
+    """The settings of a router instance. Raises `WireError` with the first path that is missing or unusable."""
+    text = SettingsText(settings_text)
+    class_count = text.get("lanes.count", _int)
+    class_lists = {p.field: text.get(p.path, _list(p.convert), ()) for p in _CLASS_LISTS}
+    classes = tuple(_traffic_class(text, index, class_lists) for index in range(class_count))
+    return api.Settings(classes=classes, **_fields(text, _ROUTER_PATHS))
--- a/tests/test_simulator_codec.py
+++ b/tests/test_simulator_codec.py
@@ -8,7 +8,7 @@
 import pytest
 
 from rookbend import interface as api
-from rookbend import simulator_codec, simulator_settings
+from rookbend import simulator_actions, simulator_codec, simulator_settings
 
 ROOT = Path(__file__).parent.parent
 SETTINGS = """\
@@ -127,7 +127,7 @@
         (api.WriteLog("x"), 1),
         (api.InternalError("x"), 4),
     ):
-        data = simulator_codec.write_action(3, action)
+        data = simulator_actions.write_action(3, action)
         assert data[0] == code and data[1:5] == struct.pack(">I", 3)
 
 
