--- a/rookbend/cli/__init__.py
+++ b/rookbend/cli/__init__.py
@@ -1,16 +1,21 @@
 """The command line: one small module a sub-command, imported when it is run.
 
-A module has `HELP`, `EXAMPLE`, `add(parser)` and `run(args) -> exit code`.
+A module has `HELP`, `EXAMPLE`, `add_arguments(parser)` and `run(args) -> exit code`.
 """
 
 from __future__ import annotations
 
 import argparse
-import signal
 import sys
+from collections.abc import Iterable
 from importlib import import_module
 
+from rookbend.cli.errors import UsageError
+from rookbend.cli.startup_signals import startup_signals
+
 VERSION = "0.2.0"
+DEFAULT_COMMAND = "serve"
+# Module by command.
 COMMANDS = {
     "serve": "serve",
     "check-config": "check_config",
@@ -22,61 +27,41 @@
 }
 
 
-class UsageError(Exception):
-    """One line on what can't be used, for standard error; exit 2."""
-
-
-class EarlyEnd:
-    """Ends a director with code 0 at a SIGTERM or SIGINT before it receives signals itself: it has taken
-    nothing yet. From then on the service settles what it has, and a signal that comes once it has stopped
-    receiving changes nothing."""
-
-    def __init__(self):
-        self.armed = False
-
-    def arm(self) -> None:
-        self.armed = True
-        for number in (signal.SIGTERM, signal.SIGINT):
-            signal.signal(number, self._signalled)
-
-    def disarm(self) -> None:
-        self.armed = False
+def commands_to_load(arguments: list[str]) -> list[str]:
+    """Only the command that is named, or all of them for the page of help."""
+    if not arguments:
+        return [DEFAULT_COMMAND]
+    first_word = next((word for word in arguments if not word.startswith("-")), None)
+    return [first_word] if first_word in COMMANDS else list(COMMANDS)
 
-    def ignore(self) -> None:
-        """All is settled: what still comes must not turn the exit code into a signal's."""
-        for number in (signal.SIGTERM, signal.SIGINT):
-            signal.signal(number, signal.SIG_IGN)
 
-    def _signalled(self, number: int, frame: object) -> None:
-        if self.armed:
-            raise SystemExit(0)
-
-
-early_end = EarlyEnd()
+def build_parser(commands: Iterable[str]) -> argparse.ArgumentParser:
+    """The parser of these sub-commands; imports their modules."""
+    parser = argparse.ArgumentParser(prog="rookbend", description="A director in front of caches.")
+    subparsers = parser.add_subparsers(dest="command", metavar="COMMAND")
+    for name in commands:
+        module = import_module(f"rookbend.cli.{COMMANDS[name]}")
+        example = f"example: {module.EXAMPLE}"
+        subparser = subparsers.add_parser(name, help=module.HELP, description=module.HELP, epilog=example)
+        module.add_arguments(subparser)
+        subparser.set_defaults(run=module.run)
+    return parser
 
 
 def main(argv: list[str] | None = None) -> int:
-    words = sys.argv[1:] if argv is None else argv
-    parser = argparse.ArgumentParser(prog="rookbend", description="A director in front of caches.")
-    commands = parser.add_subparsers(dest="command", metavar="COMMAND")
-    # Only the module that is asked for is imported, or all of them for the page of help.
-    named = next((w for w in words if not w.startswith("-")), None)
-    wanted = [named] if named in COMMANDS else COMMANDS if words else ["serve"]
-    if wanted == ["serve"]:
-        early_end.arm()
-    for name in wanted:
-        module = import_module(f"rookbend.cli.{COMMANDS[name]}")
-        sub = commands.add_parser(name, help=module.HELP, description=module.HELP, epilog=f"example: {module.EXAMPLE}")
-        module.add(sub)
-        sub.set_defaults(run=module.run)
-    if not words:
-        words = ["serve"]
-    args = parser.parse_args(words)
+    """Runs a sub-command; its exit code."""
+    arguments = sys.argv[1:] if argv is None else argv
+    commands = commands_to_load(arguments)
+    if commands == [DEFAULT_COMMAND]:
+        startup_signals.arm()
+    parser = build_parser(commands)
+    args = parser.parse_args(arguments or [DEFAULT_COMMAND])
     if args.command is None:
         parser.print_help()
         return 2
     try:
-        return args.run(args)
-    except UsageError as fault:
-        print(f"rookbend: {fault}", file=sys.stderr)
+        exit_code: int = args.run(args)
+    except UsageError as error:
+        print(f"rookbend: {error}", file=sys.stderr)
         return 2
+    return exit_code
--- a/rookbend/cli/demo.py
+++ b/rookbend/cli/demo.py
@@ -6,16 +6,26 @@
 import json
 import sys
 from pathlib import Path
+from typing import TYPE_CHECKING, Any
 
-from rookbend.cli import UsageError
+from rookbend.cli.errors import UsageError
+
+if TYPE_CHECKING:
+    from rich.table import Table
+
+    from rookbend.testing.demo import Plan
 
 HELP = "start a fleet of directors on this machine, cut its power, and show how it returns"
 EXAMPLE = "rookbend demo --directors 3"
-HEAD = "NAME", "WHAT", "STATE", "DONE"
-BAR = 30
+HEADER = "NAME", "WHAT", "STATE", "DONE"
+MAX_DIRECTORS = 40
+BAR_COLUMNS = 30
 
+Report = dict[str, Any]
 
-def add(parser: argparse.ArgumentParser) -> None:
+
+def add_arguments(parser: argparse.ArgumentParser) -> None:
+    """Sizes and times of the run, and how to print."""
     parser.add_argument("--directors", type=int, default=3, metavar="N", help="default %(default)s")
     parser.add_argument("--seed", type=int, default=7, help="repeats a run's draws (default %(default)s)")
     parser.add_argument("--calm", type=float, default=8.0, metavar="S", help="seconds before the power goes")
@@ -24,7 +34,14 @@
     parser.add_argument("--keep", type=Path, metavar="DIR", help="leave configurations and logs there")
 
 
-def told(report: dict) -> str:
+def _format_second(report: Report, second: int, share: float | None) -> str:
+    is_dark = report["lost_at"] - 1 < second < report["back_at"]
+    bar = "" if share is None else "#" * round(share * BAR_COLUMNS)
+    percentage = "-" if share is None else f"{share:4.0%}"
+    return f"  {second:3} {bar:{BAR_COLUMNS}} {percentage}{'  < dark' if is_dark else ''}"
+
+
+def format_report(report: Report) -> str:
     """The report for people."""
     lines = [
         f"{report['directors']} directors, {report['requests']} requests, seed {report['seed']}; "
@@ -32,43 +49,37 @@
         "",
         "order of return (seconds after the power):",
     ]
-    lines += [f"  {name:4} {at:6.2f}" for name, at in report["return"]]
+    lines += [f"  {name:4} {at_s:6.2f}" for name, at_s in report["return"]]
     lines += ["", "worth earned of the worth asked for, by second:"]
-    for second, share in enumerate(report["worth"]):
-        mark = "  < dark" if report["lost_at"] - 1 < second < report["back_at"] else ""
-        drawn = "" if share is None else "#" * round(share * BAR)
-        lines.append(f"  {second:3} {drawn:{BAR}} {'-' if share is None else f'{share:4.0%}'}{mark}")
-    falls = ", ".join(f"{name} {n}" for name, n in report["falls"].items()) or "none"
-    lines += [
-        "",
-        f"pushed over: {falls}",
-        f"rules, on {report['seen']} things seen: "
-        + ", ".join(f"{rule} {n or 'kept'}" for rule, n in report["rules"].items()),
-    ]
+    lines += [_format_second(report, second, share) for second, share in enumerate(report["worth"])]
+    overloads = ", ".join(f"{name} {count}" for name, count in report["falls"].items()) or "none"
+    rules = ", ".join(f"{rule} {count or 'kept'}" for rule, count in report["rules"].items())
+    lines += ["", f"pushed over: {overloads}", f"rules, on {report['seen']} things seen: {rules}"]
     lines += [f"  {breach}" for breach in report["breaches"]]
     return "\n".join(lines)
 
 
 def run(args: argparse.Namespace) -> int:
+    """Runs it and prints the report; exit code 1 where a rule was broken."""
     import trio
 
     from rookbend.testing.demo import Demo, Plan
 
-    if not 1 <= args.directors <= 40:
-        raise UsageError("--directors: 1 to 40")
+    if not 1 <= args.directors <= MAX_DIRECTORS:
+        raise UsageError(f"--directors: 1 to {MAX_DIRECTORS}")
     plan = Plan(args.directors, seed=args.seed, calm_s=args.calm, after_s=args.after)
     if args.keep:
         args.keep.mkdir(parents=True, exist_ok=True)
     if args.json or not sys.stdout.isatty():
-        report = trio.run(Demo(plan, lambda act, rows: None).run, args.keep)
+        report = trio.run(Demo(plan, lambda phase, rows: None).run, args.keep)
     else:
-        report = shown(plan, args.keep)
-    print(json.dumps(report) if args.json else told(report))
+        report = run_with_table(plan, args.keep)
+    print(json.dumps(report) if args.json else format_report(report))
     return 1 if report["breaches"] else 0
 
 
-def shown(plan, keep: Path | None) -> dict:
-    """Runs it with a live table."""
+def run_with_table(plan: Plan, log_folder: Path | None) -> Report:
+    """Runs it with a live table; the report. Raises `UsageError` without rich."""
     import trio
 
     from rookbend.testing.demo import Demo
@@ -79,11 +90,12 @@
     except ImportError:
         raise UsageError("the table needs rich: pip install 'rookbend[ops]', or use --json") from None
 
-    def drawn(act: str, rows: list[list[str]]) -> Table:
-        table = Table(*HEAD, title=act)
+    def build_table(phase: str, rows: list[list[str]]) -> Table:
+        table = Table(*HEADER, title=phase)
         for row in rows:
             table.add_row(*row)
         return table
 
-    with Live(drawn("starting", []), auto_refresh=False, transient=True) as live:
-        return trio.run(Demo(plan, lambda act, rows: live.update(drawn(act, rows), refresh=True)).run, keep)
+    with Live(build_table("starting", []), auto_refresh=False, transient=True) as live:
+        demo = Demo(plan, lambda phase, rows: live.update(build_table(phase, rows), refresh=True))
+        return trio.run(demo.run, log_folder)
--- a/rookbend/cli/loading.py
+++ b/rookbend/cli/loading.py
@@ -1,15 +1,16 @@
-"""Reading what `NODE_*` names, for the sub-commands that need it."""
+"""Loads what `NODE_*` names, for the sub-commands that need it."""
 
 from __future__ import annotations
 
 import os
 
 from rookbend import config as configuration
-from rookbend.cli import UsageError
+from rookbend.cli.errors import UsageError
 from rookbend.settings import Settings, SettingsError
 
 
-def load() -> tuple[configuration.Config, Settings]:
+def load_configuration() -> tuple[configuration.Config, Settings]:
+    """The configuration and the operators' settings. Raises `UsageError`."""
     try:
         return configuration.load_all(os.environ)
     except (configuration.ConfigError, SettingsError) as error:
--- a/rookbend/cli/members.py
+++ b/rookbend/cli/members.py
@@ -5,68 +5,88 @@
 import argparse
 import getpass
 
-from rookbend.cli import UsageError
-from rookbend.cli.tables import add_admin, ago, ask, dump, plain, show_again
+from rookbend.cli import admin_client
+from rookbend.cli.admin_client import JsonObject
+from rookbend.cli.errors import UsageError
+from rookbend.cli.tables import Rows, format_age, format_table, print_json, watch_table
 
 HELP = "show the members of a running director, or give an order on one"
 EXAMPLE = "rookbend members --admin 127.0.0.1:9100 drain s-00c41f7a"
-ORDERS = {"drain": "drain", "maintain": "maintain", "ready": "ready"}
+HEADER = "MEMBER", "ROLE", "STATE", "WEIGHT", "CAUSE", "AGE", "REASON"
+ORDERS = "drain", "maintain", "ready"
+NO_ORDER = "ready"
 
 
-def add(parser: argparse.ArgumentParser) -> None:
-    parser.add_argument("order", nargs="?", choices=sorted(ORDERS), help="an order on one member")
+def add_arguments(parser: argparse.ArgumentParser) -> None:
+    """The order and its member, and how to print."""
+    parser.add_argument("order", nargs="?", choices=ORDERS, help="an order on one member")
     parser.add_argument("member", nargs="?", help="the member's name in the membership")
-    add_admin(parser)
+    admin_client.add_admin_option(parser)
     parser.add_argument("--fleet", action="store_true", help="the order is for the whole fleet")
     parser.add_argument("--json", action="store_true", help="the table as it comes")
     parser.add_argument("--watch", action="store_true", help="again each second, until interrupted")
     parser.add_argument("--evidence", action="store_true", help="a line more for each piece of evidence")
 
 
-def rows(found: dict, evidence: bool) -> list[list[str]]:
-    out = []
-    for m in found["members"]:
-        state = m["state"] + ("!" if m["panic"] else "")
-        out.append([m["member"], m["role"], state, f"{m['weight']}%", m["cause"], ago(m["age_us"]), m["reason"]])
-        if not evidence:
-            continue
-        out.append(["", "roster", m["roster"], "", "", ago(m["roster_age_us"]), ""])
-        if m["order"] != "ready":
-            out.append(["", "order", m["order"], "", "", "", f"by {m['order_by']}"])
-        for c in m["checks"]:
-            said = "down" if c["down"] else c["admin"] or c["outcome"] or "unheard"
-            reason = " ".join(filter(None, (c["reason"], c["trouble"], "stale" if c["stale"] else "")))
-            out.append(["", c["check"], said, f"{c['weight']}%", "", ago(c["age_us"]), reason])
-        if m["hold_us"] or m["flaps"]:
-            out.append(["", "hold", "", "", "", ago(m["hold_us"]), f"flaps: {m['flaps']}"])
-    return out
+def _member_row(member: JsonObject) -> list[str]:
+    return [
+        member["member"],
+        member["role"],
+        member["state"] + ("!" if member["panic"] else ""),
+        f"{member['weight']}%",
+        member["cause"],
+        format_age(member["age_us"]),
+        member["reason"],
+    ]
 
 
-HEAD = "MEMBER", "ROLE", "STATE", "WEIGHT", "CAUSE", "AGE", "REASON"
+def _check_row(check: JsonObject) -> list[str]:
+    state = "down" if check["down"] else check["admin"] or check["outcome"] or "unheard"
+    reasons = check["reason"], check["trouble"], "stale" if check["stale"] else ""
+    reason = " ".join(filter(None, reasons))
+    return ["", check["check"], state, f"{check['weight']}%", "", format_age(check["age_us"]), reason]
+
+
+def _evidence_rows(member: JsonObject) -> Rows:
+    rows = [["", "roster", member["roster"], "", "", format_age(member["roster_age_us"]), ""]]
+    if member["order"] != NO_ORDER:
+        rows.append(["", "order", member["order"], "", "", "", f"by {member['order_by']}"])
+    rows += [_check_row(check) for check in member["checks"]]
+    if member["hold_us"] or member["flaps"]:
+        rows.append(["", "hold", "", "", "", format_age(member["hold_us"]), f"flaps: {member['flaps']}"])
+    return rows
+
+
+def table_rows(table: JsonObject, with_evidence: bool) -> Rows:
+    """The response of `/members` as rows under `HEADER`."""
+    rows = []
+    for member in table["members"]:
+        rows.append(_member_row(member))
+        if with_evidence:
+            rows += _evidence_rows(member)
+    return rows
+
+
+def _give_order(args: argparse.Namespace) -> int:
+    if not args.member:
+        raise UsageError(f"{args.order} needs a member")
+    order = {"member": args.member, "order": args.order, "by": getpass.getuser()}
+    if args.fleet:
+        order["fleet"] = True
+    admin_client.post(args.admin, "/orders", order)
+    print(f"{args.member}: {args.order}" + (", for the whole fleet" if args.fleet else ""))
+    return 0
 
 
 def run(args: argparse.Namespace) -> int:
+    """Gives the order, or prints the table; exit code 0."""
     if args.order:
-        if not args.member:
-            raise UsageError(f"{args.order} needs a member")
-        ask(
-            args.admin,
-            "POST",
-            "/orders",
-            {
-                "member": args.member,
-                "order": ORDERS[args.order],
-                "by": getpass.getuser(),
-                **({"fleet": True} if args.fleet else {}),
-            },
-        )
-        print(f"{args.member}: {args.order}" + (", for the whole fleet" if args.fleet else ""))
-        return 0
+        return _give_order(args)
     if args.watch:
-        return show_again(HEAD, lambda: rows(ask(args.admin, "GET", "/members"), args.evidence))
-    found = ask(args.admin, "GET", "/members")
+        return watch_table(HEADER, lambda: table_rows(admin_client.get(args.admin, "/members"), args.evidence))
+    table = admin_client.get(args.admin, "/members")
     if args.json:
-        dump(found)
+        print_json(table)
     else:
-        print(plain(HEAD, rows(found, args.evidence)))
+        print(format_table(HEADER, table_rows(table, args.evidence)))
     return 0
--- a/rookbend/cli/recovery.py
+++ b/rookbend/cli/recovery.py
@@ -4,44 +4,50 @@
 
 import argparse
 
-from rookbend.cli.tables import add_admin, ask, dump
+from rookbend.cli import admin_client
+from rookbend.cli.admin_client import JsonObject
+from rookbend.cli.tables import print_json
 
 HELP = "explain where a director stands in its recovery, or hold, resume, skip a stage"
 EXAMPLE = "rookbend recovery --admin 127.0.0.1:9100 explain"
-WORDS = "explain", "hold", "resume", "skip"
+EXPLAIN = "explain"
+CHOICES = EXPLAIN, "hold", "resume", "skip"
 
 
-def add(parser: argparse.ArgumentParser) -> None:
-    parser.add_argument("word", nargs="?", choices=WORDS, default="explain", help="default: explain")
-    add_admin(parser)
+def add_arguments(parser: argparse.ArgumentParser) -> None:
+    """The order, and how to print."""
+    parser.add_argument("word", nargs="?", choices=CHOICES, default=EXPLAIN, help="default: explain")
+    admin_client.add_admin_option(parser)
     parser.add_argument("--json", action="store_true", help="the answer as it comes")
 
 
-def told(found: dict) -> str:
-    waits = f"; waits for {found['waits_for']}" if found["waits_for"] else ""
+def format_status(status: JsonObject) -> str:
+    """The response of `/recovery` for people."""
+    waits_for = f"; waits for {status['waits_for']}" if status["waits_for"] else ""
     lines = [
-        f"{found['director']}: {found['stage']} for {found['for_ms'] / 1000:.1f} s{waits}",
-        f"what happened: {found['happened']}; {found['up_share']:.0%} of the fleet is up",
-        "purges of the dark time: " + ("open" if found["gap"] == "open" else f"told by {found['gap']}"),
+        f"{status['director']}: {status['stage']} for {status['for_ms'] / 1000:.1f} s{waits_for}",
+        f"what happened: {status['happened']}; {status['up_share']:.0%} of the fleet is up",
+        "purges of the dark time: " + ("open" if status["gap"] == "open" else f"told by {status['gap']}"),
     ]
-    if found["fleet_rate"] is None:
+    if status["fleet_rate"] is None:
         lines.append("nothing is limited")
     else:
         lines.append(
-            f"towards the origin: {found['fleet_rate']:g} calls a second of the fleet, "
-            f"{found['our_rate']:.2f} of ours; {found['origin_bad']:.0%} of late ended badly"
+            f"towards the origin: {status['fleet_rate']:g} calls a second of the fleet, "
+            f"{status['our_rate']:.2f} of ours; {status['origin_bad']:.0%} of late ended badly"
         )
-    if found["drains"]:
-        lines.append(f"out by lists from before or of now: {', '.join(found['drains'])}")
+    if status["drains"]:
+        lines.append(f"out by lists from before or of now: {', '.join(status['drains'])}")
     return "\n".join(lines)
 
 
 def run(args: argparse.Namespace) -> int:
-    if args.word != "explain":
-        ask(args.admin, "POST", "/recovery", {"order": args.word})
-    found = ask(args.admin, "GET", "/recovery")
+    """Gives the order, if there is one, and prints the status; exit code 0."""
+    if args.word != EXPLAIN:
+        admin_client.post(args.admin, "/recovery", {"order": args.word})
+    status = admin_client.get(args.admin, "/recovery")
     if args.json:
-        dump(found)
+        print_json(status)
     else:
-        print(told(found))
+        print(format_status(status))
     return 0
--- a/rookbend/cli/serve.py
+++ b/rookbend/cli/serve.py
@@ -11,33 +11,36 @@
 
 from rookbend import config as configuration
 from rookbend import service
-from rookbend.cli import UsageError, early_end
-from rookbend.cli.loading import load
+from rookbend.cli.errors import UsageError
+from rookbend.cli.loading import load_configuration
+from rookbend.cli.startup_signals import startup_signals
 
 HELP = "serve as the director that NODE_CONFIG describes (the default)"
 EXAMPLE = "NODE_CONFIG=config.json rookbend serve"
+# Most objects die young by reference count; rare collections keep the pauses away from requests.
+GC_THRESHOLDS = (50_000, 20, 50)
 
 
-def add(parser: argparse.ArgumentParser) -> None:
-    pass
+def add_arguments(parser: argparse.ArgumentParser) -> None:
+    """It takes none."""
 
 
 def run(args: argparse.Namespace) -> int:
-    config, operators = load()
-    # Most objects die young by reference count; rare collections keep the pauses away from requests.
-    gc.set_threshold(50_000, 20, 50)
+    """Serves until a stop signal; exit code 0, or 1 where an address can't be listened on."""
+    config, operators = load_configuration()
+    gc.set_threshold(*GC_THRESHOLDS)
     try:
         trio.run(
             service.serve,
             config,
             operators,
-            lambda before: configuration.load_all(os.environ, before),
-            early_end.disarm,
+            lambda previous: configuration.load_all(os.environ, previous),
+            startup_signals.disarm,
         )
     except configuration.ConfigError as error:
         raise UsageError(str(error)) from None
     except service.ListenError as error:
         print(f"rookbend: {error}", file=sys.stderr)
         return 1
-    early_end.ignore()
+    startup_signals.ignore()
     return 0
--- a/rookbend/cli/tables.py
+++ b/rookbend/cli/tables.py
@@ -1,86 +1,75 @@
-"""What the sub-commands that ask a running director share: one request, ages, tables plain and live."""
+"""How the sub-commands print what a director answers: JSON, ages, tables in plain text and live."""
 
 from __future__ import annotations
 
-import argparse
-import http.client
 import json
 import sys
 import time
 from collections.abc import Callable, Sequence
+from typing import TYPE_CHECKING
 
-from rookbend.cli import UsageError
+from rookbend.cli.admin_client import JsonObject
+from rookbend.cli.errors import UsageError
 
-ANSWER_BY_S = 5
-WATCH_S = 1.0
+if TYPE_CHECKING:
+    from rich.table import Table
 
+Rows = list[list[str]]
 
-def add_admin(parser: argparse.ArgumentParser) -> None:
-    parser.add_argument(
-        "--admin",
-        default="127.0.0.1:9100",
-        metavar="HOST:PORT",
-        help="the director's [admin] listener (default %(default)s)",
-    )
+WATCH_INTERVAL_S = 1.0
+_SECONDS_SHOWN_BELOW_S = 100
+_MINUTES_SHOWN_BELOW_S = 6000
 
 
-def dump(found: dict) -> None:
-    """An answer as it came."""
-    json.dump(found, sys.stdout, indent=2)
+def print_json(content: JsonObject) -> None:
+    """Prints a response as it came."""
+    json.dump(content, sys.stdout, indent=2)
     print()
 
 
-def ask(admin: str, method: str, path: str, body: dict | None = None) -> dict:
-    """One request to the director. Raises UsageError where it can't be asked, or says no."""
-    host, _, port = admin.rpartition(":")
-    try:
-        connection = http.client.HTTPConnection(host, int(port), timeout=ANSWER_BY_S)
-        connection.request(
-            method, path, json.dumps(body) if body else None, {"Content-Type": "application/json"} if body else {}
-        )
-        answer = connection.getresponse()
-        found = json.loads(answer.read())
-    except (OSError, ValueError, http.client.HTTPException) as error:
-        raise UsageError(f"no director at {admin}: {error}") from None
-    if answer.status != 200:
-        raise UsageError(found.get("fault", f"status {answer.status}"))
-    return found
-
-
-def ago(us: int | None) -> str:
-    if us is None:
+def format_age(age_us: int | None) -> str:
+    """A time span in its largest fitting unit; None: never."""
+    if age_us is None:
         return "never"
-    seconds = us / 1e6
-    if seconds < 100:
+    seconds = age_us / 1e6
+    if seconds < _SECONDS_SHOWN_BELOW_S:
         return f"{seconds:.1f}s"
-    return f"{seconds / 60:.0f}m" if seconds < 6000 else f"{seconds / 3600:.0f}h"
+    if seconds < _MINUTES_SHOWN_BELOW_S:
+        return f"{seconds / 60:.0f}m"
+    return f"{seconds / 3600:.0f}h"
+
+
+def format_age_ms(age_ms: int | None) -> str:
+    """As `format_age`, of milliseconds."""
+    return format_age(None if age_ms is None else age_ms * 1000)
 
 
-def plain(head: Sequence[str], table: list[list[str]]) -> str:
-    every = [list(head), *table]
-    widths = [max(len(row[i]) for row in every) for i in range(len(head))]
-    lines = ("  ".join(c.ljust(w) for c, w in zip(row, widths, strict=True)) for row in every)
+def format_table(header: Sequence[str], rows: Rows) -> str:
+    """A table in plain text, its columns aligned."""
+    all_rows = [list(header), *rows]
+    widths = [max(len(row[column]) for row in all_rows) for column in range(len(header))]
+    lines = ("  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)) for row in all_rows)
     return "\n".join(line.rstrip() for line in lines)
 
 
-def show_again(head: Sequence[str], rows: Callable[[], list[list[str]]]) -> int:
-    """The table again each second, until interrupted. Raises UsageError without rich."""
+def watch_table(header: Sequence[str], read_rows: Callable[[], Rows]) -> int:
+    """Shows the table anew each second until interrupted; exit code 0. Raises `UsageError` without rich."""
     try:
         from rich.live import Live
         from rich.table import Table
     except ImportError:
         raise UsageError("--watch needs rich: pip install 'rookbend[ops]'") from None
 
-    def drawn() -> Table:
-        table = Table(*head)
-        for row in rows():
+    def build_table() -> Table:
+        table = Table(*header)
+        for row in read_rows():
             table.add_row(*row)
         return table
 
     try:
-        with Live(drawn(), auto_refresh=False) as live:
+        with Live(build_table(), auto_refresh=False) as live:
             while True:
-                time.sleep(WATCH_S)
-                live.update(drawn(), refresh=True)
+                time.sleep(WATCH_INTERVAL_S)
+                live.update(build_table(), refresh=True)
     except KeyboardInterrupt:
         return 0
--- a/rookbend/cli/version.py
+++ b/rookbend/cli/version.py
@@ -12,11 +12,12 @@
 LIBRARIES = ("trio", "msgspec", "h11", "structlog", "dnspython", "h2", "protobuf", "prometheus-client", "rich", "apsw")
 
 
-def add(parser: argparse.ArgumentParser) -> None:
-    pass
+def add_arguments(parser: argparse.ArgumentParser) -> None:
+    """It takes none."""
 
 
 def run(args: argparse.Namespace) -> int:
+    """Prints one line each; exit code 0."""
     print(f"rookbend {VERSION}")
     for name in LIBRARIES:
         try:
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -7,7 +7,7 @@
 import pytest
 import trio
 
-from rookbend.cli import members
+from rookbend.cli import members, tables
 from rookbend.logs import EventBudget, Log
 from tests.health_scenarios import AGENT, on_health
 
@@ -38,7 +38,7 @@
         status, body = await ask(stage, "GET", "/members")
         found = msgspec.json.decode(body)
         assert status == 200 and [m["member"] for m in found["members"]] == ["cache1", "cache2", "upper", "records"]
-        lines = members.plain(members.HEAD, members.rows(found, evidence=True)).splitlines()
+        lines = tables.format_table(members.HEADER, members.table_rows(found, with_evidence=True)).splitlines()
         assert lines[1].split()[:5] == ["cache1", "cache", "degraded", "40%", "agent"] and "fan" in lines[1]
         assert "roster" in lines[2] and "agent" in lines[3]
 
