--- a/rookbend/testing/cluster/clients.py
+++ b/rookbend/testing/cluster/clients.py
@@ -16,7 +16,7 @@
 from rookbend.testing.cluster.shared_state import digest, group_of
 from rookbend.testing.cluster.traffic_classes import KINDS, Kind
 from rookbend.testing.cluster.workload import Line, Target, Wish
-from rookbend.testing.invariant_checker import Answered, Asked, Left
+from rookbend.testing.invariant_events import ClientClosed, RequestSent, ResponseReceived
 from rookbend.testing.measurement_fleet import frame
 from rookbend.testing.weighted_score import Ended, earned
 
@@ -110,7 +110,7 @@
             target.lines.remove(line)
             for rid, wish in line.open.values():
                 # The process, or the way to it, has gone: that it left them unanswered is no breach.
-                self.record.see(Left(now_us(), rid))
+                self.record.see(ClientClosed(now_us(), rid))
                 wish.verdicts.append("lost")
                 self._again(wish, 0.1)
             line.open.clear()
@@ -148,7 +148,7 @@
             fields[data[at + 1 : n].decode()] = data[n + 2 : v].decode()
             at = v
         body = data[at:]
-        self.record.see(Answered(now_us(), rid or f"stream {stream}", verdict, digest(body) if body else ""))
+        self.record.see(ResponseReceived(now_us(), rid or f"stream {stream}", verdict, digest(body) if body else ""))
         self.record.note("answer", verdict)
         if wish is None:
             return
@@ -198,7 +198,9 @@
         line.open[line.last] = rid, wish
         now = now_us()
         self.record.see(
-            Asked(now, rid, target.name, kind.write, now + kind.deadline_us, (wish.key, wish.part), group_of(wish.key))
+            RequestSent(
+                now, rid, target.name, kind.write, now + kind.deadline_us, (wish.key, wish.part), group_of(wish.key)
+            )
         )
         line.write(frame(7, line.last, fields, b"form" if kind.write else b""))
 
--- a/rookbend/testing/cluster/coordinator.py
+++ b/rookbend/testing/cluster/coordinator.py
@@ -15,9 +15,9 @@
 from rookbend.testing.cluster.record import now_us
 from rookbend.testing.cluster.relay import reset
 from rookbend.testing.cluster.shared_state import ROLES, World
-from rookbend.testing.invariant_checker import MembershipTold, PurgeTold, Told
+from rookbend.testing.invariant_events import MembershipSent, MemberStatus, PurgeSent
 
-PHASES = {"SERVING": Told.SERVING, "DRAINING": Told.DRAINING, "DELETED": Told.GONE}
+PHASES = {"SERVING": MemberStatus.SERVING, "DRAINING": MemberStatus.DRAINING, "DELETED": MemberStatus.GONE}
 
 
 class Coordinator:
@@ -107,9 +107,9 @@
         """From here on the event binds that director."""
         at = now_us()
         for m in event.get("endpoints", {}).get("members", ()):
-            self.record.see(MembershipTold(at, director, m["id"], PHASES[m["phase"]]))
+            self.record.see(MembershipSent(at, director, m["id"], PHASES[m["phase"]]))
         if (e := event.get("evict")) is not None:
-            self.record.see(PurgeTold(at, director, e["unix_ms"] * 1000, e.get("ref", ""), e.get("shard", -1)))
+            self.record.see(PurgeSent(at, director, e["unix_ms"] * 1000, e.get("ref", ""), e.get("shard", -1)))
 
     # Streams
 
--- a/rookbend/testing/cluster/dns_names.py
+++ b/rookbend/testing/cluster/dns_names.py
@@ -16,7 +16,7 @@
 from rookbend.testing.cluster.record import Record, now_us
 from rookbend.testing.cluster.shared_state import group_of
 from rookbend.testing.cluster.traffic_classes import WRITES
-from rookbend.testing.invariant_checker import Answered, Asked, Left
+from rookbend.testing.invariant_events import ClientClosed, RequestSent, ResponseReceived
 
 ASK_AGAIN_S = 1.0
 
@@ -96,12 +96,12 @@
     """A write by name, of an object and an id of that number; the rules' checker hears of both ends."""
     rid = key = f"{number:016x}"
     group = group_of(key)
-    record.see(Asked(now_us(), rid, director, True, now_us() + deadline_us, (key, 0), group))
+    record.see(RequestSent(now_us(), rid, director, True, now_us() + deadline_us, (key, 0), group))
     try:
         found = await look_up(server, f"r{rid}.p0.{key}.g{group}.{min(WRITES)}.{zone}")
     except trio.Cancelled:
-        record.see(Left(now_us(), rid))  # its asker gives up
+        record.see(ClientClosed(now_us(), rid))  # its asker gives up
         raise
     verdict = {"NOERROR": "served", "REFUSED": "refused"}.get(found[0], "failed")
-    record.see(Answered(now_us(), rid, verdict, ""))
+    record.see(ResponseReceived(now_us(), rid, verdict, ""))
     return found
--- a/rookbend/testing/cluster/member_wire.py
+++ b/rookbend/testing/cluster/member_wire.py
@@ -11,7 +11,7 @@
 from rookbend.testing.cluster.relay import reset
 from rookbend.testing.cluster.shared_state import Got, Sent, digest, group_of
 from rookbend.testing.cluster.traffic_classes import WRITES
-from rookbend.testing.invariant_checker import Arrived, Done
+from rookbend.testing.invariant_events import AttemptAnswered, AttemptReceived
 
 
 @dataclass(slots=True)
@@ -71,7 +71,9 @@
         source = self.world.members.get(fields.get("next", ""))
         write = fields["c"] in WRITES
         self.asked += 1
-        self.record.see(Arrived(now_us(), rid, self.name, first, fields.get("next", ""), self.work_of(key, part)))
+        self.record.see(
+            AttemptReceived(now_us(), rid, self.name, first, fields.get("next", ""), self.work_of(key, part))
+        )
         group = group_of(key)
         try:
             with work.scope:
@@ -95,7 +97,7 @@
         finally:
             line.works.pop(rid, None)
             if not work.told:  # given up, or its connection has gone: it may have run
-                self.record.see(Done(now_us(), rid, self.name, True))
+                self.record.see(AttemptAnswered(now_us(), rid, self.name, True))
 
     async def _write(self, rid: str, key: str) -> Got:
         """A write runs at the origin, whatever becomes of its answer."""
@@ -121,7 +123,7 @@
             self.world.copies.append(Sent(work.asked_us, key, got.copy.t0_us, self.name))
         work.told = True
         self.record.see(
-            Done(
+            AttemptAnswered(
                 now_us(),
                 rid,
                 self.name,
--- a/rookbend/testing/cluster/members.py
+++ b/rookbend/testing/cluster/members.py
@@ -3,7 +3,7 @@
 lines.
 
 Work is seconds of sending. A member does `capacity` of it a second once it is warm, from a share of that
-after a start (`rules.Warmth`). Asked within a window for more than `multiple` times what it could do, it
+after a start (`SlowStart`). Asked within a window for more than `multiple` times what it could do, it
 falls: its connections are reset, and it takes none for `down_s`; a cache then returns cold and empty. What it
 can't begin within `queue_s` it refuses. Objects are drawn from their names, so each copy of one version is
 the same bytes everywhere, and a copy says in its bytes when it left the origin.
@@ -21,7 +21,8 @@
 from rookbend.testing.cluster.record import now_us
 from rookbend.testing.cluster.relay import reset
 from rookbend.testing.cluster.shared_state import Got, Make, World
-from rookbend.testing.invariant_checker import Fill, Started, Warmth
+from rookbend.testing.invariant_events import FillReceived, MemberStarted
+from rookbend.testing.slow_start_budget import SlowStart
 
 
 class Box(Wire):
@@ -29,7 +30,7 @@
         self.name, self.role, self.host, self.zone = name, role, host, zone
         self.world, self.record, self.make = world, world.record, make
         self.store = Store(make.memory)
-        self.warmth = Warmth(make.capacity, make.cold_capacity_ratio, make.warm_up_us, make.multiple)
+        self.slow_start = SlowStart(make.capacity, make.cold_capacity_ratio, make.warm_up_us, make.multiple)
         self.up_since_us = 0  # 0: it has run for long, and is warm
         self.port, self.down, self.falls = 0, False, 0
         self.draining = False
@@ -76,7 +77,7 @@
         self._log.clear()
         self._total, self._free_us = 0.0, 0
         if self.role != "origin":
-            self.record.see(Started(now_us(), self.name, self.warmth))
+            self.record.see(MemberStarted(now_us(), self.name, self.slow_start))
         self.record.note("start", self.name)
 
     def _fall(self) -> None:
@@ -93,7 +94,7 @@
     # Work
 
     def capacity(self, at: int) -> float:
-        return self.warmth.at(at - self.up_since_us) if self.up_since_us else self.make.capacity
+        return self.slow_start.capacity_at(at - self.up_since_us) if self.up_since_us else self.make.capacity
 
     def admit(self, work: float) -> float | None:
         """Takes work; the seconds until it is done, or None where it is refused or the member falls."""
@@ -179,7 +180,7 @@
         if self.down:
             return Got("error", "unreached")
         if self.role != "origin":
-            self.record.see(Fill(now_us(), self.name, self.work_of(key, part)))
+            self.record.see(FillReceived(now_us(), self.name, self.work_of(key, part)))
         origin = next(b for b in self.world.members.values() if b.role == "origin")
         got = await self.get(key, part, group, oldest_us, origin, 0, True)
         if got.copy is None and self.role == "parent" and got.note in ("denied", "unreached"):
--- a/rookbend/testing/cluster/record.py
+++ b/rookbend/testing/cluster/record.py
@@ -9,7 +9,8 @@
 import time
 from collections import Counter, deque
 
-from rookbend.testing.invariant_checker import Breach, Checker, Limits, Seen
+from rookbend.testing.invariant_checker import InvariantChecker, InvariantLimits, Violation
+from rookbend.testing.invariant_events import WireEvent
 
 KEPT = 200_000
 
@@ -20,14 +21,14 @@
 
 
 class Record:
-    def __init__(self, limits: Limits | None = None):
-        self.checker = Checker(limits)
+    def __init__(self, limits: InvariantLimits | None = None):
+        self.checker = InvariantChecker(limits)
         self.rows: deque[tuple[int, str, str, str]] = deque(maxlen=KEPT)  # (at, what, who, more)
         self.counts: Counter[tuple[str, str]] = Counter()  # (what, who)
         self.began_us = now_us()
 
-    def see(self, event: Seen) -> None:
-        self.checker.see(event)
+    def see(self, event: WireEvent) -> None:
+        self.checker.observe(event)
 
     def note(self, what: str, who: str, more: str = "") -> None:
         self.rows.append((now_us(), what, who, more))
@@ -48,9 +49,9 @@
             most = max(most, high - low + 1)
         return most
 
-    def breaches(self) -> list[Breach]:
-        self.checker.close(now_us())
-        return self.checker.breaches
+    def breaches(self) -> list[Violation]:
+        self.checker.close_expired(now_us())
+        return self.checker.violations
 
     def story(self) -> str:
         """Starts, ends and faults in order, for a failed run: seconds since the stage began."""
--- a/rookbend/testing/cluster/scenario.py
+++ b/rookbend/testing/cluster/scenario.py
@@ -38,7 +38,7 @@
 from rookbend.testing.cluster.report_ledger import Ledger
 from rookbend.testing.cluster.shared_state import CACHE, ORIGIN, PARENT, Make, World
 from rookbend.testing.cluster.upgrades import Upgrades
-from rookbend.testing.invariant_checker import Limits
+from rookbend.testing.invariant_checker import InvariantLimits
 from rookbend.testing.measurement_fleet import free_port
 from rookbend.testing.weighted_score import earned
 
@@ -60,7 +60,7 @@
     ):
         self.nursery, self.folder, self.seed, self.operators = nursery, folder, seed, operators
         self.net = f"127.{10 + os.getpid() % 200}"
-        self.record = Record(Limits(slack_us=150_000, purge_life_us=2 * PURGE_LIFE_US))
+        self.record = Record(InvariantLimits(slack_us=150_000, purge_retention_us=2 * PURGE_LIFE_US))
         self.world, self.ways = World(self.record, seed), Ways()
         self.names = [f"n{i}" for i in range(directors)]
         makes = {"cache": CACHE, "parent": PARENT, "origin": ORIGIN, **makes}
--- a/rookbend/testing/demo.py
+++ b/rookbend/testing/demo.py
@@ -124,8 +124,8 @@
             "lost_at": round((self.lost_us - self.began_us) / 1e6, 1),
             "back_at": round((self.back_us - self.began_us) / 1e6, 1),
             "falls": {b.name: b.falls for b in scene.boxes.values() if b.falls},
-            "seen": scene.record.checker.seen,
-            "rules": scene.record.checker.counts(),
+            "seen": scene.record.checker.observed_events,
+            "rules": scene.record.checker.violations_by_rule(),
             "breaches": [f"{b.rule}: {b.subject} {b.text}" for b in breaches[:20]],
             "client_late_ms": round(scene.front.late_s * 1000, 1),
         }
--- a/rookbend/testing/invariant_checker.py
+++ b/rookbend/testing/invariant_checker.py
@@ -1,364 +1,239 @@
-"""The rules' checker: judges a run by what crossed the sockets or the simulated wire, never by the director's
-word. Pure: fed with what stand-ins saw, in the order of their clock; answers with breaches.
-
-    answer      exactly one final answer a request, whole, by the deadline and its grace
-    attempts    at most `max_attempts` whole at members, and never two out at once
-    repeat      what may have run only once goes out again only after proof that it never ran, nor is refused
-    drain       nothing new to, nor from as a source, a member told as draining or gone, after the grace
-    cold        within each window a cold member is sent no more than multiple x present capacity x window
-    purge       no good answer from a copy older than a purge told to the director, after the grace
-    bytes       what is served is what a member made for that object and part
-
-State: a row a request until it is closed, a row a member, a purge until `purge_life_us` after it was told.
+"""The invariant checker: judges a run by what crossed the sockets or the simulated wire, never by what a director says.
+
+Pure: it is fed with events in the order of their clock, and collects violations of the rules (`Rule`). State: an
+entry a request until it is closed, one a member, and the purges of late.
 """
 
 from __future__ import annotations
 
-from collections import deque
+from collections.abc import Callable
 from dataclasses import dataclass, field
-from enum import Enum
-
-RULES = "answer", "attempts", "repeat", "drain", "cold", "purge", "bytes"
-
-
-class Told(Enum):
-    """A member's state as the coordinator tells it."""
-
-    SERVING = "serving"
-    DRAINING = "draining"
-    GONE = "gone"
+from enum import StrEnum
+from typing import Any
+
+from rookbend.testing.director_notifications import DirectorNotifications
+from rookbend.testing.invariant_events import (
+    REJECTED,
+    SERVED,
+    AttemptAnswered,
+    AttemptReceived,
+    ClientClosed,
+    FillReceived,
+    MembershipSent,
+    MemberStarted,
+    PurgeSent,
+    RequestSent,
+    ResponseReceived,
+    WireEvent,
+)
+from rookbend.testing.slow_start_budget import SlowStartBudget
+
+
+class Rule(StrEnum):
+    """What is checked; the values are the words of reports."""
+
+    ANSWER = "answer"  # exactly one final response a request, whole, by the deadline and its grace
+    ATTEMPTS = "attempts"  # at most `max_attempts` whole at members, and never two in flight at once
+    REPEAT = "repeat"  # what is not idempotent is retried or rejected only after proof that it never executed
+    DRAIN = "drain"  # nothing new to, nor from as a source, a member that drains or has gone, after the grace
+    COLD = "cold"  # a member in slow start is sent no more work in a window than overloads it
+    PURGE = "purge"  # no successful response from a copy older than a purge, after the grace
+    BYTES = "bytes"  # what is served is what a member produced for that object and part
 
 
 @dataclass(frozen=True, slots=True)
-class Limits:
-    """The figures of the rules. Microseconds; `slack_us` is added to each time limit, for real sockets."""
+class InvariantLimits:
+    """The figures of the rules. `slack_us` is added to each time limit, for real sockets."""
 
     max_attempts: int = 6
     answer_grace_us: int = 0
     drain_grace_us: int = 500_000
     purge_grace_us: int = 500_000
-    purge_life_us: int = 12_000_000
+    purge_retention_us: int = 12_000_000
     cold_window_us: int = 1_500_000
     slack_us: int = 50_000
 
 
 @dataclass(frozen=True, slots=True)
-class Warmth:
-    """How a member's capacity grows after its start: from a share, evenly, to all of it; and the multiple of
-    it that pushes the member over. Capacity is work a second: seconds of sending a second."""
-
-    capacity: float
-    cold_ratio: float
-    warm_up_us: int
-    multiple: float
-
-    def at(self, age_us: int) -> float:
-        if age_us >= self.warm_up_us:
-            return self.capacity
-        return self.capacity * (self.cold_ratio + (1 - self.cold_ratio) * max(age_us, 0) / self.warm_up_us)
-
-
-@dataclass(slots=True)
-class Asked:
-    """A whole request of a client has arrived at a director's machine."""
-
-    at: int
-    rid: str
-    director: str
-    once: bool  # may never run twice
-    deadline: int
-    key: tuple = ()  # object, part
-    group: int = 0
-
-
-@dataclass(slots=True)
-class Answered:
-    """A client has read a whole answer; `whole` False where its bytes can't be read as one."""
-
-    at: int
-    rid: str
-    verdict: str  # served, refused, failed
-    digest: str = ""
-    whole: bool = True
-
-
-@dataclass(slots=True)
-class Left:
-    """The client has withdrawn the request, or closed: no answer is owed."""
-
-    at: int
-    rid: str
-
-
-@dataclass(slots=True)
-class Arrived:
-    """An attempt is whole at a member; `sent` is when its first byte came."""
-
-    at: int
-    rid: str
-    member: str
-    sent: int
-    source: str = ""
-    work: float = 0.0  # seconds of sending that its class takes on average
-
-
-@dataclass(slots=True)
-class Done:
-    """A member has written the end of an attempt, or learnt that it is given up. `ran`: it may have run.
-    `t0` is when the copy left the origin, for a good answer."""
-
-    at: int
-    rid: str
-    member: str
-    ran: bool
-    good: bool = False
-    t0: int = 0
-    digest: str = ""
-
-
-@dataclass(slots=True)
-class Fill:
-    """A fill has come to a member as a source: work as an attempt is."""
-
-    at: int
-    member: str
-    work: float
-
-
-@dataclass(slots=True)
-class MembershipTold:
-    """What a director was told of a member, or counts as told."""
-
-    at: int
-    director: str
-    member: str
-    state: Told
+class Violation:
+    """A rule that was broken; `subject` is a request's id or a member's name."""
 
-
-@dataclass(slots=True)
-class PurgeTold:
-    """A purge of an object (`key` is its first part) or a group, made at `made`."""
-
-    at: int
-    director: str
-    made: int
-    object: str = ""
-    group: int = -1
+    rule: Rule
+    at_us: int
+    subject: str
+    text: str
 
 
 @dataclass(slots=True)
-class Started:
-    """A member's process has started, empty."""
+class RequestRecord:
+    """An open request and what was seen of it."""
 
-    at: int
-    member: str
-    warmth: Warmth
+    request: RequestSent
+    attempts: int = 0
+    in_flight: dict[str, AttemptReceived] = field(default_factory=dict)  # by member
+    may_have_executed: bool = False
+    responses: int = 0
+    client_closed: bool = False
+    first_bytes_us: dict[str, int] = field(default_factory=dict)  # of the newest attempt, by member
+
+
+class InvariantChecker:
+    """Checks the rules event by event."""
+
+    def __init__(self, limits: InvariantLimits | None = None) -> None:
+        self.limits = limits or InvariantLimits()
+        self.violations: list[Violation] = []
+        self.requests: dict[str, RequestRecord] = {}
+        self.observed_events = 0
+        self._notifications = DirectorNotifications(self.limits.purge_retention_us)
+        self._slow_start_budgets: dict[str, SlowStartBudget] = {}  # by member
+        self._produced_digests: dict[tuple[Any, ...], set[str]] = {}  # by object and part
+        self._handlers: dict[type, Callable[[Any], None]] = {
+            RequestSent: self._on_request_sent,
+            ResponseReceived: self._on_response_received,
+            ClientClosed: self._on_client_closed,
+            AttemptReceived: self._on_attempt_received,
+            AttemptAnswered: self._on_attempt_answered,
+            FillReceived: self._on_fill_received,
+            MemberStarted: self._on_member_started,
+            MembershipSent: self._notifications.add_membership,
+            PurgeSent: self._notifications.add_purge,
+        }
+
+    def observe(self, event: WireEvent) -> None:
+        """Takes the next event."""
+        self.observed_events += 1
+        self._handlers[type(event)](event)
+
+    def close_expired(self, now_us: int) -> None:
+        """Closes the requests whose time is over: one without a response by then has broken the rule."""
+        grace_us = self.limits.answer_grace_us + self.limits.slack_us
+        for request_id, record in list(self.requests.items()):
+            if record.request.deadline_us + grace_us >= now_us or record.in_flight:
+                continue
+            if not record.responses and not record.client_closed:
+                self._report(Rule.ANSWER, now_us, request_id, "no answer")
+            del self.requests[request_id]
 
+    def violations_by_rule(self) -> dict[str, int]:
+        """Counts of violations, all rules named."""
+        counts = {rule.value: 0 for rule in Rule}
+        for violation in self.violations:
+            counts[violation.rule.value] += 1
+        return counts
 
-Seen = Asked | Answered | Left | Arrived | Done | Fill | MembershipTold | PurgeTold | Started
+    def _report(self, rule: Rule, at_us: int, subject: str, text: str) -> None:
+        self.violations.append(Violation(rule, at_us, subject, text))
 
+    # Clients
 
-@dataclass(frozen=True, slots=True)
-class Breach:
-    rule: str
-    at: int
-    subject: str  # a request's id or a member's name
-    text: str
+    def _on_request_sent(self, event: RequestSent) -> None:
+        self.requests[event.request_id] = RequestRecord(event)
 
+    def _on_response_received(self, event: ResponseReceived) -> None:
+        at_us = event.at_us
+        request_id = event.request_id
+        record = self.requests.get(request_id)
+        if record is None:
+            self._report(Rule.ANSWER, at_us, request_id, "an answer to what was never asked, or is long closed")
+            return
+        record.responses += 1
+        if record.responses > 1:
+            self._report(Rule.ANSWER, at_us, request_id, f"answer number {record.responses}")
+            return
+        if not event.is_whole:
+            self._report(Rule.ANSWER, at_us, request_id, "an answer that can't be read")
+        due_us = record.request.deadline_us + self.limits.answer_grace_us + self.limits.slack_us
+        if at_us > due_us and not record.client_closed:
+            self._report(Rule.ANSWER, at_us, request_id, f"{(at_us - due_us) / 1000:.0f} ms late")
+        self._check_verdict(event, record)
+
+    def _check_verdict(self, event: ResponseReceived, record: RequestRecord) -> None:
+        may_execute = record.may_have_executed or bool(record.in_flight)
+        if event.verdict == REJECTED and record.request.at_most_once and may_execute:
+            self._report(Rule.REPEAT, event.at_us, event.request_id, "refused, and it may have run")
+        if event.verdict == SERVED and event.digest:
+            produced = self._produced_digests.get(record.request.content_key, set())
+            if event.digest not in produced:
+                self._report(Rule.BYTES, event.at_us, event.request_id, "served bytes that no member made for it")
+
+    def _on_client_closed(self, event: ClientClosed) -> None:
+        if event.request_id in self.requests:
+            self.requests[event.request_id].client_closed = True
 
-@dataclass(slots=True)
-class Open:
-    """A request and what was seen of it."""
+    # Members
 
-    asked: Asked
-    attempts: int = 0
-    out: dict[str, Arrived] = field(default_factory=dict)  # by member
-    ran: bool = False
-    answers: int = 0
-    left: bool = False
-    sent: dict[str, int] = field(default_factory=dict)  # by member: first byte of its newest attempt
-
-
-class Cold:
-    """The work put to a member that has started, over the window."""
-
-    def __init__(self, started: Started):
-        self.started, self.log, self.total, self.told = started, deque(), 0.0, False
-
-    def put(self, at: int, work: float, window: int) -> float:
-        """Takes work; how much of what the member bears in the window it has now, 1.0 being all."""
-        self.log.append((at, work))
-        self.total += work
-        while self.log[0][0] <= at - window:
-            self.total -= self.log.popleft()[1]
-        warmth = self.started.warmth
-        # The capacity of the window's oldest moment: it is less than now's, and a burst right after the
-        # start is judged by what the member was then.
-        then = warmth.at(max(0, at - window - self.started.at))
-        return self.total / (warmth.multiple * then * window / 1e6)
-
-
-class Checker:
-    def __init__(self, limits: Limits | None = None):
-        self.limits = limits or Limits()
-        self.breaches: list[Breach] = []
-        self.requests: dict[str, Open] = {}
-        self.membership: dict[tuple[str, str], tuple[int, Told]] = {}  # director, member: since when it is out
-        self.purges: dict[tuple[str, str, int], list[tuple[int, int]]] = {}  # [(told, made)]
-        self.cold: dict[str, Cold] = {}
-        self.made: dict[tuple, set[str]] = {}  # key: digests that members made for it
-        self.seen = 0
-
-    def see(self, event: Seen) -> None:
-        self.seen += 1
-        HANDLERS[type(event)](self, event)
-
-    def _breach(self, rule: str, at: int, subject: str, text: str) -> None:
-        self.breaches.append(Breach(rule, at, subject, text))
+    def _on_attempt_received(self, event: AttemptReceived) -> None:
+        at_us = event.at_us
+        request_id = event.request_id
+        member = event.member
+        record = self.requests.get(request_id)
+        if record is None:
+            self._report(Rule.ATTEMPTS, at_us, request_id, f"an attempt at {member} of what nobody asked")
+            return
+        record.attempts += 1
+        if record.attempts > self.limits.max_attempts:
+            self._report(Rule.ATTEMPTS, at_us, request_id, f"attempt number {record.attempts}, at {member}")
+        if record.in_flight:
+            others = ", ".join(record.in_flight)
+            self._report(Rule.ATTEMPTS, at_us, request_id, f"at {member} while one is out at {others}")
+        if record.request.at_most_once and record.may_have_executed:
+            self._report(Rule.REPEAT, at_us, request_id, f"again, at {member}, and it may have run")
+        record.in_flight[member] = event
+        record.first_bytes_us[member] = event.first_byte_us
+        self._check_drain(event, record.request.director, member, "to")
+        self._check_drain(event, record.request.director, event.source, "from")
+        self._check_slow_start(at_us, member, event.work_s)
+
+    def _check_drain(self, event: AttemptReceived, director: str, member: str, direction: str) -> None:
+        known = self._notifications.out_of_service(director, member)
+        grace_us = self.limits.drain_grace_us + self.limits.slack_us
+        if known is None or event.first_byte_us <= known.since_us + grace_us:
+            return
+        late_ms = (event.first_byte_us - known.since_us) / 1000
+        text = f"{event.request_id} sent {direction} it {late_ms:.0f} ms after it was told as {known.status.value}"
+        self._report(Rule.DRAIN, event.at_us, member, text)
 
-    # Clients
+    def _on_attempt_answered(self, event: AttemptAnswered) -> None:
+        record = self.requests.get(event.request_id)
+        if record is None:
+            return
+        record.in_flight.pop(event.member, None)
+        record.may_have_executed |= event.may_have_executed
+        if event.succeeded:
+            self._produced_digests.setdefault(record.request.content_key, set()).add(event.digest)
+            self._check_purges(event, record)
+
+    def _check_purges(self, event: AttemptAnswered, record: RequestRecord) -> None:
+        request = record.request
+        object_name = request.content_key[0] if request.content_key else ""
+        sent_us = record.first_bytes_us.get(event.member, event.at_us)
+        grace_us = self.limits.purge_grace_us + self.limits.slack_us
+        for purge in self._notifications.purges(request.director, object_name, request.group):
+            if event.copied_us >= purge.created_us or sent_us <= purge.notified_us + grace_us:
+                continue
+            older_ms = (purge.created_us - event.copied_us) / 1000
+            before_ms = (sent_us - purge.notified_us) / 1000
+            text = f"from a copy {older_ms:.0f} ms older than a purge told {before_ms:.0f} ms before it was sent"
+            self._report(Rule.PURGE, event.at_us, event.request_id, text)
 
-    def _asked(self, e: Asked) -> None:
-        self.requests[e.rid] = Open(e)
-
-    def _answered(self, e: Answered) -> None:
-        r = self.requests.get(e.rid)
-        if r is None:
-            return self._breach("answer", e.at, e.rid, "an answer to what was never asked, or is long closed")
-        r.answers += 1
-        if r.answers > 1:
-            return self._breach("answer", e.at, e.rid, f"answer number {r.answers}")
-        if not e.whole:
-            self._breach("answer", e.at, e.rid, "an answer that can't be read")
-        by = r.asked.deadline + self.limits.answer_grace_us + self.limits.slack_us
-        if e.at > by and not r.left:
-            self._breach("answer", e.at, e.rid, f"{(e.at - by) / 1000:.0f} ms late")
-        if e.verdict == "refused" and r.asked.once and (r.ran or r.out):
-            self._breach("repeat", e.at, e.rid, "refused, and it may have run")
-        if e.verdict == "served" and e.digest and e.digest not in self.made.get(r.asked.key, ()):
-            self._breach("bytes", e.at, e.rid, "served bytes that no member made for it")
-
-    def _left(self, e: Left) -> None:
-        if e.rid in self.requests:
-            self.requests[e.rid].left = True
+    def _on_fill_received(self, event: FillReceived) -> None:
+        self._check_slow_start(event.at_us, event.member, event.work_s)
 
-    # Members
+    def _on_member_started(self, event: MemberStarted) -> None:
+        budget = SlowStartBudget(event.slow_start, event.at_us, self.limits.cold_window_us)
+        self._slow_start_budgets[event.member] = budget
 
-    def _arrived(self, e: Arrived) -> None:
-        r = self.requests.get(e.rid)
-        if r is None:
-            return self._breach("attempts", e.at, e.rid, f"an attempt at {e.member} of what nobody asked")
-        r.attempts += 1
-        if r.attempts > self.limits.max_attempts:
-            self._breach("attempts", e.at, e.rid, f"attempt number {r.attempts}, at {e.member}")
-        if r.out:
-            self._breach("attempts", e.at, e.rid, f"at {e.member} while one is out at {', '.join(r.out)}")
-        if r.asked.once and r.ran:
-            self._breach("repeat", e.at, e.rid, f"again, at {e.member}, and it may have run")
-        r.out[e.member] = e
-        r.sent[e.member] = e.sent
-        grace = self.limits.drain_grace_us + self.limits.slack_us
-        for member, what in ((e.member, "to"), (e.source, "from")):
-            since, state = self.membership.get((r.asked.director, member), (0, Told.SERVING))
-            if state is not Told.SERVING and e.sent > since + grace:
-                late = (e.sent - since) / 1000
-                self._breach(
-                    "drain", e.at, member, f"{e.rid} sent {what} it {late:.0f} ms after it was told as {state.value}"
-                )
-        self._work(e.at, e.member, e.work)
-
-    def _done(self, e: Done) -> None:
-        r = self.requests.get(e.rid)
-        if r is None:
+    def _check_slow_start(self, at_us: int, member: str, work_s: float) -> None:
+        budget = self._slow_start_budgets.get(member)
+        if budget is None:
             return
-        r.out.pop(e.member, None)
-        r.ran |= e.ran
-        if not e.good:
+        if budget.is_over(at_us):
+            del self._slow_start_budgets[member]
             return
-        self.made.setdefault(r.asked.key, set()).add(e.digest)
-        sent = r.sent.get(e.member, e.at)
-        director, name = r.asked.director, r.asked.key[0] if r.asked.key else ""
-        for told, made in (
-            *self.purges.get((director, name, -1), ()),
-            *self.purges.get((director, "", r.asked.group), ()),
-        ):
-            if e.t0 < made and sent > told + self.limits.purge_grace_us + self.limits.slack_us:
-                self._breach(
-                    "purge",
-                    e.at,
-                    e.rid,
-                    f"from a copy {(made - e.t0) / 1000:.0f} ms older than a "
-                    f"purge told {(sent - told) / 1000:.0f} ms before it was sent",
-                )
-
-    def _fill(self, e: Fill) -> None:
-        self._work(e.at, e.member, e.work)
-
-    def _work(self, at: int, member: str, work: float) -> None:
-        cold = self.cold.get(member)
-        if cold is None:
-            return
-        window = self.limits.cold_window_us
-        if at - cold.started.at > cold.started.warmth.warm_up_us + window:
-            del self.cold[member]  # warm: no budget binds any more
-            return
-        share = cold.put(at, work, window)
-        if share > 1 and not cold.told:
-            cold.told = True
-            self._breach(
-                "cold",
-                at,
-                member,
-                f"{share:.2f} of what pushes it over, " f"{(at - cold.started.at) / 1e6:.1f} s after its start",
-            )
-
-    def _started(self, e: Started) -> None:
-        self.cold[e.member] = Cold(e)
-
-    # What directors were told
-
-    def _membership(self, e: MembershipTold) -> None:
-        since, state = self.membership.get((e.director, e.member), (e.at, Told.SERVING))
-        if e.state is Told.SERVING:
-            self.membership.pop((e.director, e.member), None)
-        elif state is Told.SERVING:
-            self.membership[e.director, e.member] = e.at, e.state
-        else:
-            self.membership[e.director, e.member] = since, e.state  # out already: the first word counts
-
-    def _purge(self, e: PurgeTold) -> None:
-        rows = self.purges.setdefault((e.director, e.object, e.group), [])
-        rows[:] = [row for row in rows if e.at - row[0] < self.limits.purge_life_us]
-        rows.append((e.at, e.made))
-
-    # The end
-
-    def close(self, now: int) -> None:
-        """Closes the requests whose time is over: who owes an answer by then has broken the rule."""
-        grace = self.limits.answer_grace_us + self.limits.slack_us
-        for rid, r in list(self.requests.items()):
-            if r.asked.deadline + grace >= now or r.out:
-                continue
-            if not r.answers and not r.left:
-                self._breach("answer", now, rid, "no answer")
-            del self.requests[rid]
-
-    def counts(self) -> dict[str, int]:
-        """Breaches by rule, all rules named."""
-        found = dict.fromkeys(RULES, 0)
-        for breach in self.breaches:
-            found[breach.rule] += 1
-        return found
-
-
-HANDLERS = {
-    Asked: Checker._asked,
-    Answered: Checker._answered,
-    Left: Checker._left,
-    Arrived: Checker._arrived,
-    Done: Checker._done,
-    Fill: Checker._fill,
-    MembershipTold: Checker._membership,
-    PurgeTold: Checker._purge,
-    Started: Checker._started,
-}
+        overload_ratio = budget.add(at_us, work_s)
+        if overload_ratio > 1 and not budget.violation_reported:
+            budget.violation_reported = True
+            age_s = (at_us - budget.started_us) / 1e6
+            text = f"{overload_ratio:.2f} of what pushes it over, {age_s:.1f} s after its start"
+            self._report(Rule.COLD, at_us, member, text)
--- a/tests/test_invariant_checker.py
+++ b/tests/test_invariant_checker.py
@@ -2,60 +2,59 @@
 
 import pytest
 
-from rookbend.testing.invariant_checker import (
-    RULES,
-    Answered,
-    Arrived,
-    Asked,
-    Checker,
-    Done,
-    Fill,
-    Left,
-    MembershipTold,
-    PurgeTold,
-    Started,
-    Told,
-    Warmth,
+from rookbend.testing.invariant_checker import InvariantChecker, Rule
+from rookbend.testing.invariant_events import (
+    AttemptAnswered,
+    AttemptReceived,
+    ClientClosed,
+    FillReceived,
+    MembershipSent,
+    MemberStarted,
+    MemberStatus,
+    PurgeSent,
+    RequestSent,
+    ResponseReceived,
 )
+from rookbend.testing.slow_start_budget import SlowStart
 from rookbend.testing.weighted_score import ClassWorth, Ended, earned, measure
 
 MS, SECOND = 1_000, 1_000_000
-WARMTH = Warmth(capacity=10.0, cold_ratio=0.2, warm_up_us=10 * SECOND, multiple=4.0)
+WARMTH = SlowStart(capacity=10.0, cold_ratio=0.2, warm_up_us=10 * SECOND, overload_multiple=4.0)
 
 
 def read(rid="r", at=0, once=False):
-    return Asked(at, rid, "n1", once, at + 2 * SECOND, ("obj", 0), 17)
+    return RequestSent(at, rid, "n1", once, at + 2 * SECOND, ("obj", 0), 17)
 
 
 def good(rid="r", at=0, member="c1", t0=0, digest="d"):
     return [
-        Arrived(at + 10 * MS, rid, member, at + 9 * MS, "p1"),
-        Done(at + 20 * MS, rid, member, True, True, t0, digest),
+        AttemptReceived(at + 10 * MS, rid, member, at + 9 * MS, "p1"),
+        AttemptAnswered(at + 20 * MS, rid, member, True, True, t0, digest),
     ]
 
 
 def served(rid="r", at=30 * MS, digest="d"):
-    return Answered(at, rid, "served", digest)
+    return ResponseReceived(at, rid, "served", digest)
 
 
 def missed(rid="r", at=0, member="c1", ran=False):
-    return [Arrived(at, rid, member, at), Done(at + MS, rid, member, ran)]
+    return [AttemptReceived(at, rid, member, at), AttemptAnswered(at + MS, rid, member, ran)]
 
 
 def judge(*events, until=60 * SECOND):
-    checker = Checker()
+    checker = InvariantChecker()
     for event in events:
         for one in event if isinstance(event, list) else [event]:
-            checker.see(one)
-    checker.close(until)
+            checker.observe(one)
+    checker.close_expired(until)
     return checker
 
 
 def test_a_good_run_breaks_nothing_and_leaves_nothing():
     checker = judge(
-        MembershipTold(0, "n1", "c9", Told.DRAINING),
-        PurgeTold(0, "n1", 0, "obj"),
-        Started(0, "c1", WARMTH),
+        MembershipSent(0, "n1", "c9", MemberStatus.DRAINING),
+        PurgeSent(0, "n1", 0, "obj"),
+        MemberStarted(0, "c1", WARMTH),
         read(),
         missed(at=MS, member="c2"),
         good(),
@@ -65,12 +64,12 @@
         good("w", 50 * MS, "records"),
         served("w", 90 * MS),
         read("gone"),
-        Left(50 * MS, "gone"),
+        ClientClosed(50 * MS, "gone"),
         read("full"),
         missed("full", 2 * MS),
-        Answered(9 * MS, "full", "refused"),
+        ResponseReceived(9 * MS, "full", "refused"),
     )
-    assert checker.breaches == [] and checker.requests == {} and checker.seen == 21
+    assert checker.violations == [] and checker.requests == {} and checker.observed_events == 21
 
 
 LATE = 700 * MS
@@ -82,42 +81,50 @@
         ("answer", [read()]),
         ("answer", [read(), good(), served(), served()]),
         ("answer", [read(), good(), served(at=2 * SECOND + 51 * MS)]),
-        ("answer", [read(), Answered(MS, "r", "failed", whole=False)]),
-        ("answer", [Answered(MS, "nobody", "failed")]),
-        ("attempts", [read(), *[missed(at=i * 9 * MS) for i in range(7)], Answered(SECOND, "r", "failed")]),
+        ("answer", [read(), ResponseReceived(MS, "r", "failed", is_whole=False)]),
+        ("answer", [ResponseReceived(MS, "nobody", "failed")]),
+        ("attempts", [read(), *[missed(at=i * 9 * MS) for i in range(7)], ResponseReceived(SECOND, "r", "failed")]),
         (
             "attempts",
             [
                 read(),
-                Arrived(MS, "r", "c1", MS),
-                Arrived(2 * MS, "r", "c2", MS),
-                Done(3 * MS, "r", "c1", False),
-                Done(3 * MS, "r", "c2", False),
-                Answered(9 * MS, "r", "failed"),
+                AttemptReceived(MS, "r", "c1", MS),
+                AttemptReceived(2 * MS, "r", "c2", MS),
+                AttemptAnswered(3 * MS, "r", "c1", False),
+                AttemptAnswered(3 * MS, "r", "c2", False),
+                ResponseReceived(9 * MS, "r", "failed"),
             ],
         ),
-        ("attempts", [Arrived(MS, "nobody", "c1", MS)]),
-        ("repeat", [read(once=True), missed(ran=True), missed(at=9 * MS), Answered(SECOND, "r", "failed")]),
-        ("repeat", [read(once=True), missed(ran=True), Answered(SECOND, "r", "refused")]),
+        ("attempts", [AttemptReceived(MS, "nobody", "c1", MS)]),
+        ("repeat", [read(once=True), missed(ran=True), missed(at=9 * MS), ResponseReceived(SECOND, "r", "failed")]),
+        ("repeat", [read(once=True), missed(ran=True), ResponseReceived(SECOND, "r", "refused")]),
         (
             "repeat",
             [
                 read(once=True),
-                Arrived(MS, "r", "c1", MS),
-                Answered(9 * MS, "r", "refused"),
-                Done(SECOND, "r", "c1", True),
+                AttemptReceived(MS, "r", "c1", MS),
+                ResponseReceived(9 * MS, "r", "refused"),
+                AttemptAnswered(SECOND, "r", "c1", True),
             ],
         ),
         (
             "drain",
-            [MembershipTold(0, "n1", "c1", Told.DRAINING), read(at=LATE), good(at=LATE), served(at=LATE + 30 * MS)],
+            [
+                MembershipSent(0, "n1", "c1", MemberStatus.DRAINING),
+                read(at=LATE),
+                good(at=LATE),
+                served(at=LATE + 30 * MS),
+            ],
+        ),
+        (
+            "drain",
+            [MembershipSent(0, "n1", "p1", MemberStatus.GONE), read(at=LATE), good(at=LATE), served(at=LATE + 30 * MS)],
         ),
-        ("drain", [MembershipTold(0, "n1", "p1", Told.GONE), read(at=LATE), good(at=LATE), served(at=LATE + 30 * MS)]),
         (
             "drain",
             [
-                MembershipTold(0, "n1", "c1", Told.DRAINING),
-                MembershipTold(LATE, "n1", "c1", Told.GONE),
+                MembershipSent(0, "n1", "c1", MemberStatus.DRAINING),
+                MembershipSent(LATE, "n1", "c1", MemberStatus.GONE),
                 read(at=LATE),
                 good(at=LATE),
                 served(at=LATE + 30 * MS),
@@ -126,49 +133,51 @@
         (
             "cold",
             [
-                Started(0, "c1", WARMTH),
+                MemberStarted(0, "c1", WARMTH),
                 read(),
-                Arrived(MS, "r", "c1", MS, work=13.0),
-                Done(2 * MS, "r", "c1", False),
-                Answered(3 * MS, "r", "failed"),
+                AttemptReceived(MS, "r", "c1", MS, work_s=13.0),
+                AttemptAnswered(2 * MS, "r", "c1", False),
+                ResponseReceived(3 * MS, "r", "failed"),
             ],
         ),
-        ("cold", [Started(0, "p1", WARMTH), *[Fill(i * 9 * MS, "p1", 1.3) for i in range(10)]]),
-        ("purge", [PurgeTold(0, "n1", 0, "obj"), read(at=LATE), good(at=LATE, t0=-1), served(at=LATE + 30 * MS)]),
-        ("purge", [PurgeTold(0, "n1", 0, group=17), read(at=LATE), good(at=LATE, t0=-1), served(at=LATE + 30 * MS)]),
+        ("cold", [MemberStarted(0, "p1", WARMTH), *[FillReceived(i * 9 * MS, "p1", 1.3) for i in range(10)]]),
+        ("purge", [PurgeSent(0, "n1", 0, "obj"), read(at=LATE), good(at=LATE, t0=-1), served(at=LATE + 30 * MS)]),
+        ("purge", [PurgeSent(0, "n1", 0, group=17), read(at=LATE), good(at=LATE, t0=-1), served(at=LATE + 30 * MS)]),
         ("bytes", [read(), good(), served(digest="other")]),
     ],
 )
 def test_each_planted_fault_is_seen_and_no_other(rule, events):
-    assert judge(*events).counts() == {**dict.fromkeys(RULES, 0), rule: 1}
+    assert judge(*events).violations_by_rule() == {**dict.fromkeys(map(str, Rule), 0), rule: 1}
 
 
 def test_what_is_within_the_grace_or_told_to_another_breaks_nothing():
     soon = 400 * MS
     assert (
         judge(
-            MembershipTold(0, "n1", "c1", Told.DRAINING),
-            MembershipTold(0, "n2", "c2", Told.GONE),
-            PurgeTold(0, "n1", 0, "obj"),
-            MembershipTold(0, "n1", "p1", Told.GONE),
+            MembershipSent(0, "n1", "c1", MemberStatus.DRAINING),
+            MembershipSent(0, "n2", "c2", MemberStatus.GONE),
+            PurgeSent(0, "n1", 0, "obj"),
+            MembershipSent(0, "n1", "p1", MemberStatus.GONE),
             read(at=soon),
             good(at=soon, t0=-1),
             served(at=soon + 30 * MS),
-            MembershipTold(soon, "n1", "c1", Told.SERVING),
-            MembershipTold(soon, "n1", "p1", Told.SERVING),
+            MembershipSent(soon, "n1", "c1", MemberStatus.SERVING),
+            MembershipSent(soon, "n1", "p1", MemberStatus.SERVING),
             read("s", LATE),
             good("s", LATE, t0=1),
             served("s", LATE + 30 * MS),
-        ).breaches
+        ).violations
         == []
     )
 
 
 def test_a_member_bears_more_as_it_warms():
     late = 11 * SECOND
-    events = [Started(0, "c1", WARMTH), *[Fill(late + i * MS, "c1", 5.0) for i in range(10)]]
-    assert judge(*events).breaches == [], "50 of 60 seconds' work, when it bears all"
-    assert judge(*[e if isinstance(e, Started) else Fill(e.at - late, "c1", 5.0) for e in events]).counts()["cold"]
+    events = [MemberStarted(0, "c1", WARMTH), *[FillReceived(late + i * MS, "c1", 5.0) for i in range(10)]]
+    assert judge(*events).violations == [], "50 of 60 seconds' work, when it bears all"
+    assert judge(
+        *[e if isinstance(e, MemberStarted) else FillReceived(e.at_us - late, "c1", 5.0) for e in events]
+    ).violations_by_rule()["cold"]
 
 
 VIDEO = ClassWorth("video", 2.0, 600 * MS, latency_objective_stretch=2.0, late_priority_weight=0.1)
--- a/tests/test_operations_faults.py
+++ b/tests/test_operations_faults.py
@@ -9,12 +9,12 @@
 from rookbend.protocol.coordinator_stream import split_address
 from rookbend.testing.cluster import stage
 from rookbend.testing.cluster.record import now_us
-from rookbend.testing.invariant_checker import MembershipTold, Told
+from rookbend.testing.invariant_events import MembershipSent, MemberStatus
 
 
 def tell_out(scene, name, out):
     """From here on the order binds the director: the checker judges it as it judges a drain."""
-    scene.record.see(MembershipTold(now_us(), "n0", name, Told.DRAINING if out else Told.SERVING))
+    scene.record.see(MembershipSent(now_us(), "n0", name, MemberStatus.DRAINING if out else MemberStatus.SERVING))
 
 
 async def order(scene, way, name, door=None):
