--- a/rookbend/testing/cache_store.py
+++ b/rookbend/testing/cache_store.py
@@ -1,22 +1,24 @@
-"""A cache's memory as the world has it: copies by rank, and what goes when a new one comes. Pure.
+"""A model of a cache's memory: copies by retention rank, and what is evicted for a new one. Pure.
 
-A copy is kept at a rank of 1 to 3. When room is needed the lowest rank goes first, within a rank what was
-used longest ago; a new copy pushes out only its own rank or lower, else it is not kept. A hit sets the rank
-anew, 0 leaves it. A parent knows no ranks: it keeps all at one.
+A copy has a rank of 1 to 3. Where memory is short the lowest rank is evicted first, within a rank the least recently
+used; a new copy evicts only its own rank or lower, else it is denied. A hit sets the rank anew, 0 leaves it. A parent
+knows no ranks: it stores all at one.
 """
 
 from __future__ import annotations
 
 from collections import OrderedDict
-from collections.abc import Hashable
+from collections.abc import Collection, Iterable
 from dataclasses import dataclass
 
 RANKS = 1, 2, 3
 
+Key = tuple[str | int, int]  # object and part
+
 
 @dataclass(slots=True)
 class Copy:
-    """`t0_us` is when it left the origin; `group` the object's, for purges."""
+    """A stored copy. `t0_us` is when it left the origin; `group` is the object's, for purges."""
 
     size: int
     t0_us: int
@@ -24,88 +26,116 @@
     rank: int = 1
 
 
-class Store:
-    """`capacity` bytes. Keys are (object, part)."""
+class CacheStore:
+    """The copies of one cache, up to `capacity` bytes."""
 
-    def __init__(self, capacity: int):
-        self.capacity, self.used = capacity, 0
-        self.ranks: dict[int, OrderedDict[Hashable, Copy]] = {rank: OrderedDict() for rank in RANKS}
-        self.where: dict[Hashable, int] = {}
-        self.by_object: dict[Hashable, set[Hashable]] = {}
-        self.by_group: dict[int, set[Hashable]] = {}
-        self.evicted = self.denied = 0
+    def __init__(self, capacity: int) -> None:
+        self.capacity = capacity
+        self.used = 0
+        self.copies_by_rank: dict[int, OrderedDict[Key, Copy]] = {rank: OrderedDict() for rank in RANKS}
+        self.ranks: dict[Key, int] = {}
+        self.keys_by_object: dict[str | int, set[Key]] = {}
+        self.keys_by_group: dict[int, set[Key]] = {}
+        self.evicted = 0
+        self.denied = 0
 
     def __len__(self) -> int:
-        return len(self.where)
+        return len(self.ranks)
 
-    def look(self, key: Hashable) -> Copy | None:
-        """The copy, its place untouched."""
-        rank = self.where.get(key)
-        return None if rank is None else self.ranks[rank][key]
+    def peek(self, key: Key) -> Copy | None:
+        """The copy; its recency stays."""
+        rank = self.ranks.get(key)
+        return None if rank is None else self.copies_by_rank[rank][key]
 
-    def use(self, key: Hashable, rank: int = 0) -> Copy | None:
-        """The copy, used now, at this rank from here on."""
-        held = self.where.get(key)
-        if held is None:
+    def get(self, key: Key, new_rank: int = 0) -> Copy | None:
+        """The copy, most recently used from now on, at `new_rank` where that is not 0."""
+        rank = self.ranks.get(key)
+        if rank is None:
             return None
-        copy = self.ranks[held][key]
-        if rank and rank != held:
-            del self.ranks[held][key]
-            self.ranks[rank][key] = copy
-            self.where[key] = copy.rank = rank
+        copy = self.copies_by_rank[rank][key]
+        if new_rank and new_rank != rank:
+            del self.copies_by_rank[rank][key]
+            self.copies_by_rank[new_rank][key] = copy
+            self.ranks[key] = new_rank
+            copy.rank = new_rank
         else:
-            self.ranks[held].move_to_end(key)
+            self.copies_by_rank[rank].move_to_end(key)
         return copy
 
-    def keep(self, key: Hashable, copy: Copy) -> bool:
-        """Takes a new copy in the place of an older one; False where there is no room at its rank."""
-        old = self.look(key)
-        if old is not None and old.t0_us >= copy.t0_us:
-            self.use(key, copy.rank)
+    def put(self, key: Key, copy: Copy) -> bool:
+        """Stores a new copy in place of an older one; False where it is denied."""
+        present = self.peek(key)
+        if present is not None and present.t0_us >= copy.t0_us:
+            self.get(key, copy.rank)
             return True
-        room = self.capacity - self.used + (old.size if old is not None else 0)
-        if room < copy.size:
-            below = (c.size for rank in RANKS if rank <= copy.rank for k, c in self.ranks[rank].items() if k != key)
-            if copy.size > self.capacity or not _reaches(below, copy.size - room):
-                self.denied += 1
-                return False
-        self.drop(key)
-        for rank in RANKS[: copy.rank]:
-            held = self.ranks[rank]
-            while held and self.capacity - self.used < copy.size:
-                self.drop(next(iter(held)))
-                self.evicted += 1
-        self.ranks[copy.rank][key] = copy
-        self.where[key] = copy.rank
+        replaced_size = 0 if present is None else present.size
+        if not self._can_store(key, copy, replaced_size):
+            self.denied += 1
+            return False
+        self.remove(key)
+        self._evict_for(copy)
+        self.copies_by_rank[copy.rank][key] = copy
+        self.ranks[key] = copy.rank
         self.used += copy.size
-        self.by_object.setdefault(key[0], set()).add(key)
-        self.by_group.setdefault(copy.group, set()).add(key)
+        self.keys_by_object.setdefault(key[0], set()).add(key)
+        self.keys_by_group.setdefault(copy.group, set()).add(key)
         return True
 
-    def drop(self, key: Hashable) -> None:
-        rank = self.where.pop(key, None)
+    def remove(self, key: Key) -> None:
+        """Removes the copy, if there is one."""
+        rank = self.ranks.pop(key, None)
         if rank is None:
             return
-        copy = self.ranks[rank].pop(key)
+        copy = self.copies_by_rank[rank].pop(key)
         self.used -= copy.size
-        for index, name in ((self.by_object, key[0]), (self.by_group, copy.group)):
-            index[name].discard(key)
-            if not index[name]:
-                del index[name]
-
-    def purge(self, made_us: int, name: Hashable = None, group: int | None = None) -> int:
-        """Drops the copies of an object or a group that left the origin before the purge; how many."""
-        keys = self.by_object.get(name, ()) if group is None else self.by_group.get(group, ())
-        old = [key for key in keys if self.look(key).t0_us < made_us]
-        for key in old:
-            self.drop(key)
-        return len(old)
+        self.keys_by_object[key[0]].discard(key)
+        if not self.keys_by_object[key[0]]:
+            del self.keys_by_object[key[0]]
+        self.keys_by_group[copy.group].discard(key)
+        if not self.keys_by_group[copy.group]:
+            del self.keys_by_group[copy.group]
+
+    def purge(self, created_us: int, object_name: str | int | None = None, group: int | None = None) -> int:
+        """Removes the copies of an object or a group that left the origin before the purge; their number."""
+        keys: Collection[Key]
+        if group is not None:
+            keys = self.keys_by_group.get(group, ())
+        elif object_name is not None:
+            keys = self.keys_by_object.get(object_name, ())
+        else:
+            keys = ()
+        outdated = [key for key in keys if self.copies_by_rank[self.ranks[key]][key].t0_us < created_us]
+        for key in outdated:
+            self.remove(key)
+        return len(outdated)
+
+    def _can_store(self, key: Key, copy: Copy, replaced_size: int) -> bool:
+        missing = copy.size - (self.capacity - self.used + replaced_size)
+        if missing <= 0:
+            return True
+        if copy.size > self.capacity:
+            return False
+        evictable_sizes = (
+            other.size
+            for rank in RANKS[: copy.rank]
+            for other_key, other in self.copies_by_rank[rank].items()
+            if other_key != key
+        )
+        return _sum_reaches(evictable_sizes, missing)
+
+    def _evict_for(self, copy: Copy) -> None:
+        for rank in RANKS[: copy.rank]:
+            copies = self.copies_by_rank[rank]
+            while copies and self.capacity - self.used < copy.size:
+                self.remove(next(iter(copies)))
+                self.evicted += 1
 
 
-def _reaches(sizes, wanted: int) -> bool:
+def _sum_reaches(sizes: Iterable[int], target: int) -> bool:
+    """Whether the sum reaches the target; stops at the size that does."""
     total = 0
     for size in sizes:
         total += size
-        if total >= wanted:
+        if total >= target:
             return True
     return False
--- a/rookbend/testing/cluster/clients.py
+++ b/rookbend/testing/cluster/clients.py
@@ -18,7 +18,7 @@
 from rookbend.testing.cluster.workload import Line, Target, Wish
 from rookbend.testing.invariant_events import ClientClosed, RequestSent, ResponseReceived
 from rookbend.testing.measurement_fleet import frame
-from rookbend.testing.weighted_score import Ended, earned
+from rookbend.testing.weighted_score import RequestOutcome, earned_weight
 
 GONE = OSError, trio.BrokenResourceError, trio.ClosedResourceError
 VERDICTS = {0: "served", 14: "refused", 2: "failed"}
@@ -229,8 +229,12 @@
 
     # What came of them
 
-    def ended(self, since_us: int = 0, until_us: int = 1 << 62) -> list[Ended]:
-        return [Ended(w.first_us, w.kind, w.done_us or None) for w in self.wishes if since_us <= w.first_us < until_us]
+    def ended(self, since_us: int = 0, until_us: int = 1 << 62) -> list[RequestOutcome]:
+        return [
+            RequestOutcome(w.first_us, w.kind, w.done_us or None)
+            for w in self.wishes
+            if since_us <= w.first_us < until_us
+        ]
 
     def by_second(self, began_us: int, until_us: int = 1 << 62) -> dict[int, tuple[float, float]]:
         """Worth earned and asked for, by the second in which it was first asked."""
@@ -238,6 +242,6 @@
         for e in self.ended(began_us, until_us):
             second = (e.sent_us - began_us) // 1_000_000
             got, asked = out.get(second, (0.0, 0.0))
-            worth = self.kinds[e.cls].worth
-            out[second] = got + earned(worth, e), asked + worth.worth
+            worth = self.kinds[e.traffic_class].worth
+            out[second] = got + earned_weight(worth, e), asked + worth.priority_weight
         return out
--- a/rookbend/testing/cluster/members.py
+++ b/rookbend/testing/cluster/members.py
@@ -16,7 +16,7 @@
 
 import trio
 
-from rookbend.testing.cache_store import Copy, Store
+from rookbend.testing.cache_store import CacheStore, Copy
 from rookbend.testing.cluster.member_wire import Wire
 from rookbend.testing.cluster.record import now_us
 from rookbend.testing.cluster.relay import reset
@@ -29,7 +29,7 @@
     def __init__(self, name: str, role: str, host: str, zone: str, world: World, make: Make):
         self.name, self.role, self.host, self.zone = name, role, host, zone
         self.world, self.record, self.make = world, world.record, make
-        self.store = Store(make.memory)
+        self.store = CacheStore(make.memory)
         self.slow_start = SlowStart(make.capacity, make.cold_capacity_ratio, make.warm_up_us, make.multiple)
         self.up_since_us = 0  # 0: it has run for long, and is warm
         self.port, self.down, self.falls = 0, False, 0
@@ -65,7 +65,7 @@
     def die(self) -> None:
         """Its process ends: connections are reset, what it held is lost."""
         self.down = True
-        self.store = Store(self.make.memory)
+        self.store = CacheStore(self.make.memory)
         for stream in list(self._streams):
             reset(stream)
         self._streams.clear()
@@ -144,7 +144,7 @@
         now = now_us()
         if self.role == "origin":
             return await self._made(key, part, group)
-        held = self.valid(key, group, self.store.use((key, part), keep), oldest_us)
+        held = self.valid(key, group, self.store.get((key, part), keep), oldest_us)
         takes = self.admit(self.work_of(key, part))
         if takes is None:
             return Got("refused", "crowded")
@@ -156,7 +156,7 @@
             return Got("nothing")
         if join and (event := self._fetching.get((key, part))) is not None:
             await event.wait()
-            held = self.valid(key, group, self.store.look((key, part)), oldest_us)
+            held = self.valid(key, group, self.store.peek((key, part)), oldest_us)
             if held is not None:
                 return Got("ok", "shared", held)
         event = self._fetching[key, part] = trio.Event()
@@ -170,7 +170,7 @@
             note = {"refused": "denied", "nothing": "absent"}.get(got.word, "unreached")
             return Got("error", "behind" if got.note == "behind" else note)
         if keep or self.role == "parent":
-            self.store.keep((key, part), Copy(got.copy.size, got.copy.t0_us, group, keep or 1))
+            self.store.put((key, part), Copy(got.copy.size, got.copy.t0_us, group, keep or 1))
         await trio.sleep(takes)
         note = "origin" if source.role == "origin" or got.note in ("origin", "parent") else "parent"
         return Got("ok", note, got.copy, (now_us() - now) / 1e6)
--- a/rookbend/testing/cluster/scenario.py
+++ b/rookbend/testing/cluster/scenario.py
@@ -40,7 +40,7 @@
 from rookbend.testing.cluster.upgrades import Upgrades
 from rookbend.testing.invariant_checker import InvariantLimits
 from rookbend.testing.measurement_fleet import free_port
-from rookbend.testing.weighted_score import earned
+from rookbend.testing.weighted_score import earned_weight
 
 
 class Scene(Faults, Asking, Upgrades):
@@ -207,8 +207,8 @@
     def worth(self, since_us: int = 0, until_us: int = 1 << 62) -> float:
         """The share of the worth asked for in that time that was earned."""
         ended = self.front.ended(since_us, until_us)
-        asked = sum(self.front.kinds[e.cls].worth.worth for e in ended)
-        return sum(earned(self.front.kinds[e.cls].worth, e) for e in ended) / asked if asked else 1.0
+        asked = sum(self.front.kinds[e.traffic_class].worth.priority_weight for e in ended)
+        return sum(earned_weight(self.front.kinds[e.traffic_class].worth, e) for e in ended) / asked if asked else 1.0
 
     async def stop(self) -> None:
         """Ends exactly the processes that the scene has started."""
--- a/rookbend/testing/cluster/traffic_classes.py
+++ b/rookbend/testing/cluster/traffic_classes.py
@@ -4,14 +4,14 @@
 
 from dataclasses import dataclass
 
-from rookbend.testing.weighted_score import ClassWorth
+from rookbend.testing.weighted_score import ClassObjective
 
 
 @dataclass(frozen=True, slots=True)
 class Kind:
     """A class of requests: its worth, its deadline, its share of the arrivals; the parts of its objects."""
 
-    worth: ClassWorth
+    worth: ClassObjective
     deadline_us: int
     share: float
     write: bool = False
@@ -19,9 +19,9 @@
 
 
 KINDS = (
-    Kind(ClassWorth("form", 8.0, 1_000_000, 0.0, 0.5), 3_000_000, 0.08, True),
-    Kind(ClassWorth("image", 1.0, 600_000, 2.0, 0.4), 2_000_000, 0.62),
-    Kind(ClassWorth("video", 2.0, 900_000, 2.0, 0.4), 4_000_000, 0.30, parts=4),
+    Kind(ClassObjective("form", 8.0, 1_000_000, 0.0, 0.5), 3_000_000, 0.08, True),
+    Kind(ClassObjective("image", 1.0, 600_000, 2.0, 0.4), 2_000_000, 0.62),
+    Kind(ClassObjective("video", 2.0, 900_000, 2.0, 0.4), 4_000_000, 0.30, parts=4),
 )
 
 WRITES = frozenset(kind.worth.name for kind in KINDS if kind.write)
@@ -36,7 +36,7 @@
             "aimStretch": k.worth.latency_objective_stretch,
             "hardLimitUs": k.deadline_us,
             "effect": "single_shot" if k.write else "free",
-            "gain": k.worth.worth,
+            "gain": k.worth.priority_weight,
             "lateWorth": k.worth.late_priority_weight,
         }
         for k in KINDS
--- a/rookbend/testing/shared_link.py
+++ b/rookbend/testing/shared_link.py
@@ -1,9 +1,8 @@
-"""A link that its transfers share, in time of the world. Pure.
+"""A model of a link that its transfers share. Pure.
 
-All transfers get an equal share of the link, none more than its own most; what those leave goes to the
-others (max-min fairness). Work is counted by how far a transfer with an unbounded share would have come
-(virtual time), so that an arrival or an end costs a logarithm, not a look at every transfer, while all
-transfers have one most; mixed mosts are handled by classes, one for each most there is.
+All transfers get an equal share of the link, none more than its own rate limit; what those leave goes to the others
+(max-min fairness). Progress is counted as the bytes that a transfer of a rate limit would have carried since the
+start (virtual time), so that a start or an end costs a logarithm, not a visit to each transfer.
 """
 
 from __future__ import annotations
@@ -11,107 +10,124 @@
 import heapq
 from collections.abc import Hashable
 
-EPSILON = 1e-9
+_EPSILON = 1e-9
 
 
-class _Class:
-    """Transfers of one most: they move alike, so the first to end is known by a heap."""
+class RateClass:
+    """The transfers of one rate limit: they progress alike, so a heap gives the first to end."""
 
-    __slots__ = ("count", "done", "ends", "most", "rate")
+    __slots__ = ("count", "ends", "progress", "rate", "rate_limit")
 
-    def __init__(self, most: float):
-        self.most, self.rate, self.done, self.count = most, 0.0, 0.0, 0
-        self.ends: list[tuple[float, int, Hashable]] = []  # (bytes of `done` at its end, number, key)
+    def __init__(self, rate_limit: float) -> None:
+        self.rate_limit = rate_limit
+        self.rate = 0.0  # of each transfer, now
+        self.progress = 0.0
+        self.count = 0
+        self.ends: list[tuple[float, int, Hashable]] = []  # progress at the end, transfer number, key
 
 
-class Link:
-    """`capacity` is bytes a second; times are seconds. Drive it by `begin`, `advance` and `next_end`."""
+class SharedLink:
+    """A link of `capacity` bytes a second; times are seconds. Drive it by `start`, `advance` and `next_end`."""
 
-    def __init__(self, capacity: float):
-        self.capacity, self.now = capacity, 0.0
-        self.classes: dict[float, _Class] = {}
-        self.open: dict[Hashable, tuple[_Class, int]] = {}
-        self.carried = 0.0
-        self._number = 0
+    def __init__(self, capacity: float) -> None:
+        self.capacity = capacity
+        self.now = 0.0
+        self.rate_classes: dict[float, RateClass] = {}  # by rate limit
+        self.transfers: dict[Hashable, tuple[RateClass, int]] = {}  # class and number, by key
+        self.carried = 0.0  # bytes
+        self._last_number = 0
 
     def __len__(self) -> int:
-        return len(self.open)
+        return len(self.transfers)
 
     @property
-    def fullness(self) -> float:
-        """What is carried now, as a share of the capacity."""
-        return sum(c.rate * c.count for c in self.classes.values()) / self.capacity if self.capacity else 1.0
+    def utilization(self) -> float:
+        """The present rate in proportion to the capacity."""
+        if not self.capacity:
+            return 1.0
+        return sum(rate_class.rate * rate_class.count for rate_class in self.rate_classes.values()) / self.capacity
 
     def set_capacity(self, capacity: float, now: float) -> list[Hashable]:
+        """Changes the capacity; what has ended until now."""
         ended = self.advance(now)
         self.capacity = capacity
-        self._share()
+        self._share_capacity()
         return ended
 
-    def begin(self, key: Hashable, size: float, most: float, now: float) -> list[Hashable]:
-        """A transfer of so many bytes begins; what has ended until now."""
+    def start(self, key: Hashable, size: float, rate_limit: float, now: float) -> list[Hashable]:
+        """Starts a transfer of `size` bytes; what has ended until now."""
         ended = self.advance(now)
-        cls = self.classes.setdefault(most, _Class(most))
-        self._number += 1
-        heapq.heappush(cls.ends, (cls.done + size, self._number, key))
-        cls.count += 1
-        self.open[key] = cls, self._number
-        self._share()
+        rate_class = self.rate_classes.setdefault(rate_limit, RateClass(rate_limit))
+        self._last_number += 1
+        heapq.heappush(rate_class.ends, (rate_class.progress + size, self._last_number, key))
+        rate_class.count += 1
+        self.transfers[key] = rate_class, self._last_number
+        self._share_capacity()
         return ended
 
-    def abort(self, key: Hashable, now: float) -> list[Hashable]:
-        """A transfer is given up; what has ended until now (it may be among them)."""
+    def cancel(self, key: Hashable, now: float) -> list[Hashable]:
+        """Cancels a transfer; what has ended until now (it may be among them)."""
         ended = self.advance(now)
-        held = self.open.pop(key, None)
-        if held is not None:
-            held[0].count -= 1
-            self._share()
+        transfer = self.transfers.pop(key, None)
+        if transfer is not None:
+            rate_class, _ = transfer
+            rate_class.count -= 1
+            self._share_capacity()
         return ended
 
     def next_end(self) -> float:
         """When the next transfer ends if nothing else changes; infinity where none does."""
-        best = float("inf")
-        for cls in self.classes.values():
-            self._tidy(cls)
-            if cls.ends and cls.rate > 0:
-                best = min(best, self.now + max(0.0, cls.ends[0][0] - cls.done) / cls.rate)
-        return best
+        earliest = float("inf")
+        for rate_class in self.rate_classes.values():
+            self._drop_cancelled(rate_class)
+            if rate_class.ends and rate_class.rate > 0:
+                left = max(0.0, rate_class.ends[0][0] - rate_class.progress)
+                earliest = min(earliest, self.now + left / rate_class.rate)
+        return earliest
 
     def advance(self, now: float) -> list[Hashable]:
-        """Goes on to a time; the transfers that ended on the way, in order."""
-        ended = []
-        while (due := self.next_end()) <= now:
-            self._move(due)
-            for cls in list(self.classes.values()):
-                while cls.ends and cls.ends[0][0] <= cls.done + EPSILON * max(1.0, cls.done):
-                    _, number, key = heapq.heappop(cls.ends)
-                    if self.open.get(key) == (cls, number):
-                        del self.open[key]
-                        cls.count -= 1
-                        ended.append(key)
-            self._share()
+        """Moves on to a time; the transfers that ended on the way, in order."""
+        ended: list[Hashable] = []
+        while (end := self.next_end()) <= now:
+            self._move(end)
+            for rate_class in list(self.rate_classes.values()):
+                ended += self._pop_ended(rate_class)
+            self._share_capacity()
         self._move(now)
         return ended
 
+    def _pop_ended(self, rate_class: RateClass) -> list[Hashable]:
+        ended = []
+        reached = rate_class.progress + _EPSILON * max(1.0, rate_class.progress)
+        while rate_class.ends and rate_class.ends[0][0] <= reached:
+            _, number, key = heapq.heappop(rate_class.ends)
+            if self.transfers.get(key) == (rate_class, number):
+                del self.transfers[key]
+                rate_class.count -= 1
+                ended.append(key)
+        return ended
+
     def _move(self, now: float) -> None:
         span = max(0.0, now - self.now)
-        for cls in self.classes.values():
-            cls.done += cls.rate * span
-            self.carried += cls.rate * cls.count * span
+        for rate_class in self.rate_classes.values():
+            rate_class.progress += rate_class.rate * span
+            self.carried += rate_class.rate * rate_class.count * span
         self.now = max(self.now, now)
 
-    def _tidy(self, cls: _Class) -> None:
-        while cls.ends and self.open.get(cls.ends[0][2]) != (cls, cls.ends[0][1]):
-            heapq.heappop(cls.ends)
-
-    def _share(self) -> None:
-        """Max-min: the least most first; what a class can't use is left to those after it."""
-        left, count = self.capacity, len(self.open)
-        for most in sorted(self.classes):
-            cls = self.classes[most]
-            if not cls.count:
-                del self.classes[most]
+    def _drop_cancelled(self, rate_class: RateClass) -> None:
+        ends = rate_class.ends
+        while ends and self.transfers.get(ends[0][2]) != (rate_class, ends[0][1]):
+            heapq.heappop(ends)
+
+    def _share_capacity(self) -> None:
+        """Max-min: the lowest rate limit first; what a class can't use is left to those after it."""
+        left = self.capacity
+        count = len(self.transfers)
+        for rate_limit in sorted(self.rate_classes):
+            rate_class = self.rate_classes[rate_limit]
+            if not rate_class.count:
+                del self.rate_classes[rate_limit]
                 continue
-            cls.rate = min(most, left / count)
-            left -= cls.rate * cls.count
-            count -= cls.count
+            rate_class.rate = min(rate_limit, left / count)
+            left -= rate_class.rate * rate_class.count
+            count -= rate_class.count
--- a/rookbend/testing/simulation/links.py
+++ b/rookbend/testing/simulation/links.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from rookbend.testing.shared_link import Link
+from rookbend.testing.shared_link import SharedLink
 from rookbend.testing.simulation.clock import EPOCH, Simulation
 
 
@@ -12,16 +12,16 @@
     """A link out (or into a location), in transfers at full pace; work is seconds of one such transfer."""
 
     def __init__(self, sim: Simulation, links: float):
-        self.sim, self.link, self.ends = sim, Link(links), {}
+        self.sim, self.link, self.ends = sim, SharedLink(links), {}
         self.due = 0.0
 
     def send(self, key, work_s: float, most: float, ended: Callable[[], None]) -> None:
         self.ends[key] = ended
-        self._gone(self.link.begin(key, work_s, most, self.sim.time / 1e6))
+        self._gone(self.link.start(key, work_s, most, self.sim.time / 1e6))
 
     def abort(self, key) -> None:
         if self.ends.pop(key, None) is not None:
-            self._gone(self.link.abort(key, self.sim.time / 1e6))
+            self._gone(self.link.cancel(key, self.sim.time / 1e6))
 
     def _gone(self, keys) -> None:
         due = self.link.next_end()
--- a/rookbend/testing/weighted_score.py
+++ b/rookbend/testing/weighted_score.py
@@ -1,9 +1,9 @@
-"""Worth served against worth asked for, as the operators count it. Pure.
+"""The weighted score of a run: priority weight earned in proportion to what was requested, as operators count it. Pure.
 
-A request is worth its class's worth if it was served within the class's aim (the aim, and a multiple of
-the time that sending its bytes takes), a share of it if served later but before the client gave up, and a
-share if from a copy past its fresh time. The figure mixes the whole run, its worst ten seconds and its worst
-class. A client's retries belong to its first try: what counts is when that was sent and what came last.
+A request earns the priority weight of its class if it succeeded within the class's latency objective (and a multiple
+of the time that its transfer takes), a part of it if it succeeded later but before the client gave up, and a part if
+it was served from a stale copy. The score mixes the whole run, its worst window and its worst class. A client's
+retries belong to its first try: what counts is when that was sent and what came last.
 """
 
 from __future__ import annotations
@@ -11,15 +11,20 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-WHOLE, WORST_SPAN, WORST_CLASS = 0.6, 0.1, 0.3
-SPAN_US = 10_000_000
-STEP_US = 1_000_000  # the spans that are looked at begin this far apart
+WHOLE_RUN_RATIO = 0.6
+WORST_WINDOW_RATIO = 0.1
+WORST_CLASS_RATIO = 0.3
+WINDOW_US = 10_000_000
+WINDOW_STEP_US = 1_000_000
+_EPSILON = 1e-9
 
 
 @dataclass(frozen=True, slots=True)
-class ClassWorth:
+class ClassObjective:
+    """What a request of a class earns, and by when."""
+
     name: str
-    worth: float
+    priority_weight: float
     latency_objective_us: int
     latency_objective_stretch: float = 0.0
     late_priority_weight: float = 0.0
@@ -27,64 +32,104 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
-    """A request with all its tries: `sent_us` the first, `answered_us` the end of the good answer or None."""
+class RequestOutcome:
+    """A request with all its tries: `succeeded_us` is the end of the successful response, or None."""
 
     sent_us: int
-    cls: int
-    answered_us: int | None
-    sending_us: int = 0
-    stale: bool = False
+    traffic_class: int
+    succeeded_us: int | None
+    transfer_us: int = 0
+    is_stale: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Figure:
-    """Shares from 0 to 1; `worst_at_us` is where the worst span begins."""
-
-    total: float
-    whole: float
-    worst_span: float
-    worst_at_us: int
-    by_class: dict[str, float]
-
-
-def earned(cls: ClassWorth, request: Ended) -> float:
-    if request.answered_us is None:
-        return 0.0
-    worth = cls.worth * (cls.stale_priority_weight if request.stale else 1.0)
-    aim = cls.latency_objective_us + cls.latency_objective_stretch * request.sending_us
-    return worth if request.answered_us - request.sent_us <= aim else worth * cls.late_priority_weight
+class WeightedRequest:
+    """What one request earned, and the most that it could."""
 
+    sent_us: int
+    traffic_class: int
+    earned: float
+    possible: float
 
-def _share(pairs: Iterable[tuple[float, float]]) -> float:
-    got = asked = 0.0
-    for g, a in pairs:
-        got, asked = got + g, asked + a
-    return got / asked if asked else 1.0
 
+@dataclass(frozen=True, slots=True)
+class Score:
+    """Ratios from 0 to 1; `worst_window_us` is where the worst window begins."""
 
-def measure(classes: list[ClassWorth], requests: list[Ended]) -> Figure:
-    """The figure of a run. A run without requests has lost nothing."""
-    rows = sorted((r.sent_us, r.cls, earned(classes[r.cls], r), classes[r.cls].worth) for r in requests)
-    whole = _share((got, asked) for _, _, got, asked in rows)
-    by_class = {c.name: _share((got, asked) for _, i, got, asked in rows if i == n) for n, c in enumerate(classes)}
-    worst, worst_at = worst_span([(at, got, asked) for at, _, got, asked in rows])
-    total = WHOLE * whole + WORST_SPAN * worst + WORST_CLASS * min(by_class.values(), default=1.0)
-    return Figure(total, whole, worst, worst_at, by_class)
+    total: float
+    whole_run: float
+    worst_window: float
+    worst_window_us: int
+    by_class: dict[str, float]
 
 
-def worst_span(rows: list[tuple[int, float, float]]) -> tuple[float, int]:
-    """(share, begin) of the worst span; a run shorter than one is one span. Rows are in order of time."""
-    if not rows:
+def earned_weight(objective: ClassObjective, outcome: RequestOutcome) -> float:
+    """The priority weight that one request earned."""
+    if outcome.succeeded_us is None:
+        return 0.0
+    weight = objective.priority_weight * (objective.stale_priority_weight if outcome.is_stale else 1.0)
+    objective_us = objective.latency_objective_us + objective.latency_objective_stretch * outcome.transfer_us
+    is_late = outcome.succeeded_us - outcome.sent_us > objective_us
+    return weight * objective.late_priority_weight if is_late else weight
+
+
+def earned_ratio(requests: Iterable[WeightedRequest]) -> float:
+    """Earned weight in proportion to the possible; 1 where nothing was requested."""
+    earned = 0.0
+    possible = 0.0
+    for request in requests:
+        earned += request.earned
+        possible += request.possible
+    return earned / possible if possible else 1.0
+
+
+def score_run(objectives: list[ClassObjective], outcomes: list[RequestOutcome]) -> Score:
+    """The score of a run. A run without requests has lost nothing."""
+    requests = [_weigh(objectives[outcome.traffic_class], outcome) for outcome in outcomes]
+    requests.sort(key=lambda request: (request.sent_us, request.traffic_class, request.earned))
+    whole_run = earned_ratio(requests)
+    by_class = {
+        objective.name: earned_ratio(request for request in requests if request.traffic_class == index)
+        for index, objective in enumerate(objectives)
+    }
+    worst_window, worst_window_us = find_worst_window(requests)
+    worst_class = min(by_class.values(), default=1.0)
+    total = WHOLE_RUN_RATIO * whole_run + WORST_WINDOW_RATIO * worst_window + WORST_CLASS_RATIO * worst_class
+    return Score(total, whole_run, worst_window, worst_window_us, by_class)
+
+
+def _weigh(objective: ClassObjective, outcome: RequestOutcome) -> WeightedRequest:
+    earned = earned_weight(objective, outcome)
+    return WeightedRequest(outcome.sent_us, outcome.traffic_class, earned, objective.priority_weight)
+
+
+def find_worst_window(requests: list[WeightedRequest]) -> tuple[float, int]:
+    """The ratio and the start of the worst window; a run shorter than one is one window.
+
+    `requests` are in order of time.
+    """
+    if not requests:
         return 1.0, 0
-    first, last = rows[0][0], rows[-1][0]
-    begins = range(first, max(first, last - SPAN_US) + 1, STEP_US)
-    worst, worst_at, low, high, got, asked = 2.0, first, 0, 0, 0.0, 0.0
-    for begin in begins:
-        while high < len(rows) and rows[high][0] < begin + SPAN_US:
-            got, asked, high = got + rows[high][1], asked + rows[high][2], high + 1
-        while low < high and rows[low][0] < begin:
-            got, asked, low = got - rows[low][1], asked - rows[low][2], low + 1
-        if asked > 1e-9 and got / asked < worst:
-            worst, worst_at = got / asked, begin
-    return (max(0.0, worst), worst_at) if worst <= 1.0 + 1e-9 else (1.0, first)
+    first_us = requests[0].sent_us
+    last_us = requests[-1].sent_us
+    worst = 2.0  # above every ratio
+    worst_us = first_us
+    begin = 0  # index of the window's first request
+    end = 0  # index behind its last
+    earned = 0.0
+    possible = 0.0
+    for begin_us in range(first_us, max(first_us, last_us - WINDOW_US) + 1, WINDOW_STEP_US):
+        while end < len(requests) and requests[end].sent_us < begin_us + WINDOW_US:
+            earned += requests[end].earned
+            possible += requests[end].possible
+            end += 1
+        while begin < end and requests[begin].sent_us < begin_us:
+            earned -= requests[begin].earned
+            possible -= requests[begin].possible
+            begin += 1
+        if possible > _EPSILON and earned / possible < worst:
+            worst = earned / possible
+            worst_us = begin_us
+    if worst > 1.0 + _EPSILON:
+        return 1.0, first_us
+    return max(0.0, worst), worst_us
--- a/tests/test_invariant_checker.py
+++ b/tests/test_invariant_checker.py
@@ -16,7 +16,7 @@
     ResponseReceived,
 )
 from rookbend.testing.slow_start_budget import SlowStart
-from rookbend.testing.weighted_score import ClassWorth, Ended, earned, measure
+from rookbend.testing.weighted_score import ClassObjective, RequestOutcome, earned_weight, score_run
 
 MS, SECOND = 1_000, 1_000_000
 WARMTH = SlowStart(capacity=10.0, cold_ratio=0.2, warm_up_us=10 * SECOND, overload_multiple=4.0)
@@ -180,32 +180,32 @@
     ).violations_by_rule()["cold"]
 
 
-VIDEO = ClassWorth("video", 2.0, 600 * MS, latency_objective_stretch=2.0, late_priority_weight=0.1)
-PAGE = ClassWorth("page", 1.0, 300 * MS, stale_priority_weight=0.7)
+VIDEO = ClassObjective("video", 2.0, 600 * MS, latency_objective_stretch=2.0, late_priority_weight=0.1)
+PAGE = ClassObjective("page", 1.0, 300 * MS, stale_priority_weight=0.7)
 
 
 @pytest.mark.parametrize(
     "cls, ended, worth",
     [
-        (VIDEO, Ended(0, 0, 600 * MS), 2.0),
-        (VIDEO, Ended(0, 0, 601 * MS), 0.2),
-        (VIDEO, Ended(0, 0, None), 0.0),
-        (VIDEO, Ended(0, 0, 1000 * MS, sending_us=200 * MS), 2.0),
-        (PAGE, Ended(5, 1, 9, stale=True), 0.7),
-        (PAGE, Ended(0, 1, 301 * MS), 0.0),
+        (VIDEO, RequestOutcome(0, 0, 600 * MS), 2.0),
+        (VIDEO, RequestOutcome(0, 0, 601 * MS), 0.2),
+        (VIDEO, RequestOutcome(0, 0, None), 0.0),
+        (VIDEO, RequestOutcome(0, 0, 1000 * MS, transfer_us=200 * MS), 2.0),
+        (PAGE, RequestOutcome(5, 1, 9, is_stale=True), 0.7),
+        (PAGE, RequestOutcome(0, 1, 301 * MS), 0.0),
     ],
 )
 def test_what_one_request_earns(cls, ended, worth):
-    assert earned(cls, ended) == pytest.approx(worth)
+    assert earned_weight(cls, ended) == pytest.approx(worth)
 
 
 def test_the_figure_mixes_the_whole_the_worst_span_and_the_worst_class():
     """60 s of a video and a page each second; the pages of seconds 20 to 29 are lost."""
-    requests = [Ended(s * SECOND, 0, s * SECOND + 1) for s in range(60)]
-    requests += [Ended(s * SECOND, 1, None if 20 <= s < 30 else s * SECOND + 1) for s in range(60)]
-    figure = measure([VIDEO, PAGE], requests)
-    assert figure.whole == pytest.approx(170 / 180) and figure.worst_span == pytest.approx(2 / 3)
-    assert figure.worst_at_us == 20 * SECOND and figure.by_class == {"video": 1.0, "page": pytest.approx(5 / 6)}
+    requests = [RequestOutcome(s * SECOND, 0, s * SECOND + 1) for s in range(60)]
+    requests += [RequestOutcome(s * SECOND, 1, None if 20 <= s < 30 else s * SECOND + 1) for s in range(60)]
+    figure = score_run([VIDEO, PAGE], requests)
+    assert figure.whole_run == pytest.approx(170 / 180) and figure.worst_window == pytest.approx(2 / 3)
+    assert figure.worst_window_us == 20 * SECOND and figure.by_class == {"video": 1.0, "page": pytest.approx(5 / 6)}
     assert figure.total == pytest.approx(0.6 * 170 / 180 + 0.1 * 2 / 3 + 0.3 * 5 / 6)
-    assert measure([VIDEO, PAGE], []).total == 1.0
-    assert measure([VIDEO, PAGE], requests[:3]).worst_span == 1.0
+    assert score_run([VIDEO, PAGE], []).total == 1.0
+    assert score_run([VIDEO, PAGE], requests[:3]).worst_window == 1.0
