--- a/rookbend/net/leases.py
+++ b/rookbend/net/leases.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 import secrets
-from typing import Any, cast
+from typing import TYPE_CHECKING, Any, cast
 
 import trio
 
@@ -27,10 +27,13 @@
 from rookbend.net.shard_checks import ShardChecks
 from rookbend.net.state import StatePart
 from rookbend.protocol.leases import is_lease_datagram
-from rookbend.recovery.coordinator import OrderLearnt
-from rookbend.recovery.origin_ramp import HEARD_US
+from rookbend.recovery.actions import ApplyOrder
+from rookbend.recovery.origin_ramp import SAMPLE_VALID_US
 from rookbend.settings.schema import Settings, default_voters
 
+if TYPE_CHECKING:
+    from rookbend.net.recovery import RecoveryPart
+
 POLL_INTERVAL_US = 250_000
 
 
@@ -81,7 +84,7 @@
 
     def __init__(self, site: Site):
         super().__init__(site)
-        self.recovery = cast(Any, site.built["recovery"])
+        self.recovery = cast("RecoveryPart", site.built["recovery"])
         config = coordinator_config(site)
         incarnation = secrets.randbits(INCARNATION_BITS) + 1
         self.machine = LeaseCoordinator(config, self.now(), incarnation, persisted_rows(self.state))
@@ -96,7 +99,7 @@
         self._forward_datagram = site.engine.on_peer
         site.engine.on_peer = self._datagram_received
         self.recovery.on_boot_raised = lambda: self.feed(events.StaleStorageDetected())
-        self.recovery.machine.conducted = self.machine.parts.ramp_allocator.share.ratio
+        self.recovery.machine.admission.assigned_quota = self.machine.parts.ramp_allocator.share.ratio
         if "checks" in config.tasks:
             self.shard_checks.install()
         site.gauges.append(self.gauges)
@@ -104,8 +107,7 @@
 
     def now(self) -> int:
         """Recovery's clock: µs from the Unix time of the start, on the monotonic clock."""
-        now_us: int = self.recovery.now()
-        return now_us
+        return self.recovery.now()
 
     def gauges(self) -> dict[str, float]:
         """Figures for metrics."""
@@ -177,7 +179,7 @@
             self._report_writer.cancel()
 
     def _apply_order(self, action: actions.ApplyOrder) -> None:
-        self.recovery.learn(OrderLearnt(action.target, action.order, action.operator))
+        self.recovery.apply_order(ApplyOrder(action.target, action.order, action.operator))
 
     def _collect_counters(self, _action: actions.CollectCounters) -> None:
         counters = self.site.counters
@@ -203,16 +205,20 @@
         while True:
             now_us = self.now()
             recovery = self.recovery.machine
-            self.feed(events.LiveMembersChanged(recovery.peers.living(now_us)))
+            self.feed(events.LiveMembersChanged(recovery.peers.live_members(now_us)))
             self.feed(events.OriginCallsReported(self._origin_calls(now_us)))
             self.shard_checks.collect()
             await trio.sleep(POLL_INTERVAL_US / 1e6)
 
     def _origin_calls(self, now_us: int) -> dict[int, int]:
         """Recent calls by director while the fleet ramps up, else none."""
-        ramp = self.recovery.machine.share
-        fresh = {director: sample for director, sample in ramp.others.items() if now_us - sample.at_us <= 2 * HEARD_US}
-        if ramp.rate is None and not any(sample.rate for sample in fresh.values()):
+        ramp = self.recovery.machine.ramp
+        fresh = {
+            director: sample
+            for director, sample in ramp.peer_samples.items()
+            if now_us - sample.at_us <= 2 * SAMPLE_VALID_US
+        }
+        if ramp.fleet_rate is None and not any(sample.fleet_rate for sample in fresh.values()):
             return {}
         calls = {director: sample.calls for director, sample in fresh.items()}
-        return calls | {self.machine.config.director: len(ramp.seen)}
+        return calls | {self.machine.config.director: len(ramp.completed)}
