--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -25,7 +25,8 @@
 from rookbend.leases.leader_tasks import ORDERS_SCOPE
 from rookbend.leases.lease import LeaseTerms
 from rookbend.testing.cluster import allow_probes, stage
-from rookbend.testing.lease_simulation import SECOND, OwnerSim
+from rookbend.testing.lease_simulation import LeaseSimulation
+from rookbend.testing.lease_simulation_parts import SECOND_US
 
 BASE = """
 [state]
@@ -95,38 +96,40 @@
 
 def without_owner(kind: str, seed: int) -> float:
     """Seconds of simulated time from the fault until the first scope that was lost has an owner again."""
-    sim = OwnerSim(5, seed, loss=0.05, double=0.05, drift=0.02)
+    sim = LeaseSimulation(5, seed, loss=0.05, duplication=0.05, drift=0.02)
     sim.start()
-    sim.run(9 * SECOND)
+    sim.run(9 * SECOND_US)
     scope = ORDERS_SCOPE
-    owner = sim.owners(scope)[0]
-    began = sim.now
+    owner = sim.holders(scope)[0]
+    began = sim.now_us
     if kind == "kill":
         sim.kill(owner)
     elif kind == "freeze":
         sim.freeze(owner)
     elif kind == "cut":
-        sim.cut = {(owner, p) for p in range(5)} | {(p, owner) for p in range(5)}
+        sim.network.cut_links = {(owner, p) for p in range(5)} | {(p, owner) for p in range(5)}
     else:
-        sim._feed(sim.nodes[owner], ShutdownRequested())
-    while not [o for o in sim.owners(scope) if o != owner] and sim.now - began < 60 * SECOND:
+        sim.feed(sim.directors[owner], ShutdownRequested())
+    while not [o for o in sim.holders(scope) if o != owner] and sim.now_us - began < 60 * SECOND_US:
         sim.run(5_000)
-    assert not sim.wrong, sim.wrong
+    assert not sim.violations, sim.violations
     # Until its lease ends a frozen or cut owner owns, and may act: that time is not without an owner.
-    return (sim.now - began) / 1e6
+    return (sim.now_us - began) / 1e6
 
 
 def traffic(count: int, seed: int) -> dict:
-    sim = OwnerSim(count, seed, voters=5, shards=8)
+    sim = LeaseSimulation(count, seed, voters=5, shards=8)
     sim.start()
-    sim.run(10 * SECOND)
-    sent, size, began = sum(sim.sent.values()), sim.bytes, sim.now
-    sim.run(10 * SECOND)
-    seconds = (sim.now - began) / 1e6
-    most = max(n.machine.actions.sent for n in sim.nodes) / ((sim.now - sim.nodes[0].machine.began_us) / 1e6)
+    sim.run(10 * SECOND_US)
+    sent, size, began = sum(sim.network.datagrams_by_second.values()), sim.network.bytes_sent, sim.now_us
+    sim.run(10 * SECOND_US)
+    seconds = (sim.now_us - began) / 1e6
+    most = max(n.coordinator.actions.sent for n in sim.directors) / (
+        (sim.now_us - sim.directors[0].coordinator.began_us) / 1e6
+    )
     return {
-        "datagrams": (sum(sim.sent.values()) - sent) / seconds / count,
-        "bytes": (sim.bytes - size) / seconds / count,
+        "datagrams": (sum(sim.network.datagrams_by_second.values()) - sent) / seconds / count,
+        "bytes": (sim.network.bytes_sent - size) / seconds / count,
         "most": most,
     }
 
--- /dev/null
+++ b/rookbend/testing/lease_invariants.py
@@ -0,0 +1,56 @@
+"""What must hold of leases whatever happens, as a simulation sees it: checked by simulated time."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+
+from rookbend.leases.actions import LeaseAcquired, WriteReportLine
+from rookbend.leases.events import ReportLineWritten
+from rookbend.leases.fencing import FencingGuard
+from rookbend.leases.leader_tasks import REPORT_SCOPE
+from rookbend.leases.lease import Holder
+
+
+class LeaseInvariants:
+    """`violations` in words: two holders of a scope, a token twice, a token that does not grow."""
+
+    def __init__(self) -> None:
+        self.violations: list[str] = []
+        self.holder_by_token: dict[tuple[int, int], Holder] = {}  # by (scope, token)
+        self._highest: dict[int, int] = {}
+
+    def lease_acquired(self, action: LeaseAcquired, holder: Holder) -> None:
+        """Checks the token of a lease."""
+        scope, token = action.scope, action.token
+        if self.holder_by_token.setdefault((scope, token), holder) != holder:
+            self.violations.append(f"token {token} of scope {scope} twice")
+        highest = self._highest.get(scope, 0)
+        if token < highest:
+            self.violations.append(f"token {token} of scope {scope} after {highest}")
+        self._highest[scope] = max(highest, token)
+
+    def check_holders(self, scope: int, holders: Iterable[int], elapsed_us: int) -> None:
+        """Checks that at most one director holds the scope right now."""
+        holders = list(holders)
+        if len(holders) > 1:
+            self.violations.append(f"scope {scope} is owned by {holders} at {elapsed_us}")
+
+
+class SimulatedLedger:
+    """Takes report lines by token, like the ledger of the report; `lines` by number."""
+
+    def __init__(self, invariants: LeaseInvariants):
+        self._guard = FencingGuard()
+        self._invariants = invariants
+        self.lines: dict[int, str] = {}
+
+    def append(self, line: WriteReportLine) -> ReportLineWritten:
+        """The outcome for the director that wrote the line."""
+        is_stale = line.token < self._guard.highest.get(REPORT_SCOPE, 0)
+        accepted = self._guard.accept(REPORT_SCOPE, line.token)
+        if accepted and is_stale:
+            self._invariants.violations.append(f"the ledger took the line of token {line.token}")
+        if accepted:
+            self.lines.setdefault(line.number, line.line)
+        highest_token = self._guard.highest[REPORT_SCOPE]
+        return ReportLineWritten(line.number, accepted, 0 if accepted else highest_token)
--- a/rookbend/testing/lease_simulation.py
+++ b/rookbend/testing/lease_simulation.py
@@ -1,48 +1,39 @@
-"""A fleet of ownership machines in simulated time: the program's own machine, up to hundreds of them, with
-datagrams that are lost, late or doubled, cuts one way and both, clocks that run fast and slow, disks that are
-lost or put back old, directors that stand still, and a ledger that takes the report's lines by token. Seeded.
+"""A fleet of lease coordinators in simulated time: the program's own, up to hundreds of them. Seeded.
 
-Each machine's clock is its own: simulated time times its rate. What is looked at (`check`) is looked at by
-simulated time, whatever the machines believe."""
+Datagrams are lost, late or doubled, links are cut one way or both, clocks run fast and slow, storage is lost or fails,
+directors freeze, and a ledger takes the report's lines by token. Each director's clock is simulated time times its
+rate; invariants are checked by simulated time, whatever the directors believe.
+"""
 
 from __future__ import annotations
 
-import heapq
 import random
-from collections import Counter
-from dataclasses import dataclass, field
+from collections.abc import Callable, Sequence
+from typing import Any
 
 from rookbend.coordination.actions import DeleteRow, PersistRow, SendDatagram, WriteLogLine
 from rookbend.coordination.events import DatagramReceived, TimerExpired
 from rookbend.leases import actions, events
 from rookbend.leases.config import CoordinatorConfig
 from rookbend.leases.coordinator import LeaseCoordinator
-from rookbend.leases.fencing import FencingGuard
-from rookbend.leases.leader_tasks import LEASED_TASK_NAMES, REPORT_SCOPE, scopes_of
-from rookbend.leases.lease import LeaseTerms
-
-SECOND = 1_000_000
-EPOCH = 1_764_576_000 * SECOND
-LIVING_US = 4 * SECOND  # a director is taken for living so long after its last word
-
-
-@dataclass
-class Node:
-    number: int
-    rate: float = 1.0
-    step_us: int = 0  # its clock was set by so much at its last start
-    disk: dict[tuple[str, str], bytes] = field(default_factory=dict)
-    machine: LeaseCoordinator | None = None
-    lives: int = 0
-    frozen: bool = False
-    waiting: list = field(default_factory=list)
-    stood: list[tuple[str, str]] = field(default_factory=list)  # orders in effect, in order, of this life
-    done: dict[int, str] = field(default_factory=dict)
-    said: Counter = field(default_factory=Counter)
-    refuses: bool = False  # its disk
-
-
-class OwnerSim:
+from rookbend.leases.leader_tasks import LEASED_TASK_NAMES, scopes_of
+from rookbend.leases.lease import Holder, LeaseTerms
+from rookbend.testing.lease_invariants import LeaseInvariants, SimulatedLedger
+from rookbend.testing.lease_simulation_parts import EPOCH_US, SECOND_US, Schedule, SimulatedDirector, SimulatedNetwork
+
+INCARNATION_BITS = 40
+POLL_INTERVAL_US = 1 * SECOND_US
+LIVENESS_DELAY_US = 1 * SECOND_US
+STORAGE_DELAY_US = 1_000
+LEAST_TIMER_US = 1_000
+MAX_START_DELAY_US = 100_000
+MAX_LEDGER_DELAY_US = 200_000
+MAX_DATAGRAM_BYTES = 256
+
+
+class LeaseSimulation:
+    """See `SimulatedNetwork` for the network; `drift` is the ratio by which some clocks run fast or slow."""
+
     def __init__(
         self,
         count: int,
@@ -50,198 +41,209 @@
         voters: int = 3,
         shards: int = 4,
         loss: float = 0.0,
-        double: float = 0.0,
-        late_us: int = 2_000,
+        duplication: float = 0.0,
+        delay_us: int = 2_000,
         drift: float = 0.0,
-        report_us: int = 5 * SECOND,
-        duties: frozenset[str] = LEASED_TASK_NAMES,
+        report_period_us: int = 5 * SECOND_US,
+        tasks: frozenset[str] = LEASED_TASK_NAMES,
     ):
-        self.count, self.seed, self.loss, self.double, self.late_us = count, seed, loss, double, late_us
+        self.count = count
+        self.seed = seed
+        self.shards = shards
+        self.report_period_us = report_period_us
+        self.tasks = tasks
         self.random = random.Random(f"{seed} owners")
-        self.now = EPOCH
+        self.network = SimulatedNetwork(self.random, loss, duplication, delay_us)
+        self.schedule = Schedule()
         self.voters = frozenset(range(min(voters, count)))
-        self.shards, self.report_us, self.duties = shards, report_us, duties
-        self.nodes = [Node(i, 1 + drift * self.random.choice((-1, 0, 1))) for i in range(count)]
-        self.cut: set[tuple[int, int]] = set()
-        self.ledger, self.lines = FencingGuard(), {}
-        self.sent: Counter = Counter()  # datagrams by second
-        self.bytes = 0
-        self.tokens: dict[tuple[int, int], tuple[int, int]] = {}  # (scope, token): (place, life)
-        self.highest: dict[int, int] = {}
-        self.wrong: list[str] = []
-        self.changes: list[tuple[int, int, int, str]] = []  # (when, scope, place, won or lost)
-        self._heap: list[tuple] = []
-        self._order = 0
-        self._ids = 0
+        self.directors = [
+            SimulatedDirector(number, 1 + drift * self.random.choice((-1, 0, 1))) for number in range(count)
+        ]
+        self.invariants = LeaseInvariants()
+        self.ledger = SimulatedLedger(self.invariants)
+        self._order_ids = 0
+        self._handlers = self._action_handlers()
+
+    @property
+    def violations(self) -> list[str]:
+        """What did not hold, in words."""
+        return self.invariants.violations
 
     # Time
 
-    def _push(self, at: int, what, *args) -> None:
-        self._order += 1
-        heapq.heappush(self._heap, (at, self._order, what, args))
+    @property
+    def now_us(self) -> int:
+        """Simulated time."""
+        return self.schedule.now_us
 
-    def run(self, for_us: int) -> None:
-        end = self.now + for_us
-        while self._heap and self._heap[0][0] <= end:
-            self.now, _, what, args = heapq.heappop(self._heap)
-            what(*args)
-        self.now = end
+    def run(self, duration_us: int) -> None:
+        """Lets simulated time pass."""
+        self.schedule.run(duration_us)
 
-    def clock(self, node: Node) -> int:
-        return EPOCH + int((self.now - EPOCH) * node.rate) + node.step_us
+    def clock(self, director: SimulatedDirector) -> int:
+        """The reading of a director's own clock."""
+        return EPOCH_US + int((self.now_us - EPOCH_US) * director.clock_rate) + director.clock_step_us
 
     # Directors
 
     def start(self, *numbers: int) -> None:
+        """Starts those that are down, all without numbers."""
         for number in numbers or range(self.count):
-            node = self.nodes[number]
-            if node.machine is not None:
-                continue
-            node.lives += 1
-            life = self.random.getrandbits(40) + 1
-            config = CoordinatorConfig(
-                number,
-                self.count,
-                "sim",
-                self.seed,
-                self.voters,
-                LeaseTerms(),
-                self.duties,
-                self.shards,
-                self.report_us,
-            )
-            kept = tuple((kind, key, value) for (kind, key), value in node.disk.items())
-            node.machine = LeaseCoordinator(config, self.clock(node), life, kept)
-            node.stood, node.done = [], {}
-            self._carry_out(node, node.machine.begin(self.clock(node)))
-            self._push(self.now + int(self.random.random() * 100_000), self._tick, node, node.machine)
-            self._push(self.now, self._live, node, node.machine)
+            if self.directors[number].coordinator is None:
+                self._start(self.directors[number])
+
+    def _start(self, director: SimulatedDirector) -> None:
+        director.starts += 1
+        incarnation = self.random.getrandbits(INCARNATION_BITS) + 1
+        shape = director.number, self.count, "sim", self.seed, self.voters
+        config = CoordinatorConfig(*shape, LeaseTerms(), self.tasks, self.shards, self.report_period_us)
+        rows = tuple((kind, key, value) for (kind, key), value in director.storage.items())
+        coordinator = LeaseCoordinator(config, self.clock(director), incarnation, rows)
+        director.coordinator = coordinator
+        director.applied_orders = []
+        director.order_outcomes = {}
+        self._carry_out(director, coordinator.begin(self.clock(director)))
+        delay_us = int(self.random.random() * MAX_START_DELAY_US)
+        self.schedule.after(delay_us, self._timer_expired, director, coordinator)
+        self.schedule.after(0, self._poll_liveness, director, coordinator)
 
     def kill(self, *numbers: int) -> None:
+        """Stops these at once."""
         for number in numbers:
-            node = self.nodes[number]
-            node.machine, node.frozen, node.waiting = None, False, []
+            director = self.directors[number]
+            director.coordinator = None
+            director.frozen = False
+            director.delayed_events = []
 
     def freeze(self, number: int, frozen: bool = True) -> None:
-        node = self.nodes[number]
-        node.frozen = frozen
+        """Stops a process, or lets it go on: then it finds what came meanwhile."""
+        director = self.directors[number]
+        director.frozen = frozen
         if not frozen:
-            waiting, node.waiting = node.waiting, []
-            for event in waiting:
-                self._feed(node, event)
+            delayed = director.delayed_events
+            director.delayed_events = []
+            for event in delayed:
+                self.feed(director, event)
 
-    def _tick(self, node: Node, of: LeaseCoordinator) -> None:
-        if node.machine is not of:
+    def _timer_expired(self, director: SimulatedDirector, coordinator: LeaseCoordinator) -> None:
+        if director.coordinator is not coordinator:
             return
-        if not node.frozen:
-            self._feed(node, TimerExpired())
-        self._push(self.now + max(1_000, of.due_us - self.clock(node)), self._tick, node, of)
-
-    def _live(self, node: Node, of: LeaseCoordinator) -> None:
-        """Who is up, as recovery's exchange tells: a little late, and not across a cut."""
-        if node.machine is not of:
+        if not director.frozen:
+            self.feed(director, TimerExpired())
+        wait_us = max(LEAST_TIMER_US, coordinator.due_us - self.clock(director))
+        self.schedule.after(wait_us, self._timer_expired, director, coordinator)
+
+    def _poll_liveness(self, director: SimulatedDirector, coordinator: LeaseCoordinator) -> None:
+        """Who is up, as recovery's gossip reports it: a little late, and not across a cut link."""
+        if director.coordinator is not coordinator:
             return
-        if not node.frozen:
-            places = frozenset(
-                n.number
-                for n in self.nodes
-                if n is node or (n.machine is not None and not n.frozen and (n.number, node.number) not in self.cut)
-            )
-            self._push(self.now + SECOND, self._feed_of, node, of, events.LiveMembersChanged(places))
-        self._push(self.now + SECOND, self._live, node, of)
-
-    def _feed_of(self, node: Node, of: LeaseCoordinator, event) -> None:
-        if node.machine is of:
-            self._feed(node, event)
-
-    def _feed(self, node: Node, event) -> None:
-        if node.machine is None:
+        if not director.frozen:
+            live = frozenset(peer.number for peer in self.directors if self._hears(director, peer))
+            event = events.LiveMembersChanged(live)
+            self.schedule.after(LIVENESS_DELAY_US, self._feed_incarnation, director, coordinator, event)
+        self.schedule.after(POLL_INTERVAL_US, self._poll_liveness, director, coordinator)
+
+    def _hears(self, director: SimulatedDirector, peer: SimulatedDirector) -> bool:
+        if peer is director:
+            return True
+        is_up = peer.coordinator is not None and not peer.frozen
+        return is_up and (peer.number, director.number) not in self.network.cut_links
+
+    def _feed_incarnation(
+        self, director: SimulatedDirector, coordinator: LeaseCoordinator | None, event: events.Event
+    ) -> None:
+        if director.coordinator is coordinator:
+            self.feed(director, event)
+
+    def feed(self, director: SimulatedDirector, event: events.Event) -> None:
+        """Feeds an event, at once or when the director goes on."""
+        if director.coordinator is None:
             return
-        if node.frozen:
-            node.waiting.append(event)
+        if director.frozen:
+            director.delayed_events.append(event)
             return
-        self._carry_out(node, node.machine.feed(self.clock(node), event))
-
-    def _carry_out(self, node: Node, to_do: list) -> None:
-        for a in to_do:
-            kind = type(a)
-            if kind is SendDatagram:
-                self._send(node, a)
-            elif kind is PersistRow:
-                if not node.refuses:
-                    node.disk[a.kind, a.key] = a.value
-                if a.awaited:
-                    event = events.RowPersisted(a.kind, a.key, not node.refuses)
-                    self._push(self.now + 1_000, self._feed_of, node, node.machine, event)
-            elif kind is DeleteRow:
-                node.disk.pop((a.kind, a.key), None)
-            elif kind is actions.LeaseAcquired:
-                self._won(node, a)
-            elif kind is actions.LeaseLost:
-                self.changes.append((self.now, a.scope, node.number, "lost"))
-            elif kind is actions.ApplyOrder:
-                node.stood.append((a.target, a.order))
-            elif kind is actions.CompleteOrder:
-                node.done[a.id] = a.error
-            elif kind is actions.CollectCounters:
-                self._feed(node, events.CountersCollected((10 * node.lives, 9, 1, 0)))
-            elif kind is actions.WriteReportLine:
-                # The line is in the socket's buffer: it arrives whenever the network likes.
-                self._push(self.now + int(self.random.random() * 200_000), self._write, node, node.machine, a)
-            elif kind is WriteLogLine:
-                node.said[a.event] += 1
-
-    def _won(self, node: Node, a: actions.LeaseAcquired) -> None:
-        self.changes.append((self.now, a.scope, node.number, "won"))
-        who = node.number, node.machine.incarnation
-        if self.tokens.setdefault((a.scope, a.token), who) != who:
-            self.wrong.append(f"token {a.token} of scope {a.scope} twice")
-        if a.token < self.highest.get(a.scope, 0):
-            self.wrong.append(f"token {a.token} of scope {a.scope} after {self.highest[a.scope]}")
-        self.highest[a.scope] = max(self.highest.get(a.scope, 0), a.token)
+        self._carry_out(director, director.coordinator.feed(self.clock(director), event))
+
+    def order(self, number: int, target: str, order: str) -> int:
+        """An operator's order at that director; its id."""
+        self._order_ids += 1
+        self.feed(self.directors[number], events.OrderRequested(self._order_ids, target, order, "kim"))
+        return self._order_ids
+
+    # Actions
+
+    def _carry_out(self, director: SimulatedDirector, to_do: Sequence[object]) -> None:
+        for action in to_do:
+            self._handlers[type(action)](director, action)
+
+    def _action_handlers(self) -> dict[type, Callable[[SimulatedDirector, Any], None]]:
+        return {
+            SendDatagram: self._send_datagram,
+            PersistRow: self._persist_row,
+            DeleteRow: self._delete_row,
+            WriteLogLine: lambda director, line: director.log_counts.update((line.event,)),
+            actions.LeaseAcquired: self._lease_acquired,
+            actions.LeaseLost: lambda director, action: None,
+            actions.ApplyOrder: lambda director, action: director.applied_orders.append((action.target, action.order)),
+            actions.CompleteOrder: self._complete_order,
+            actions.ApplyShardResults: lambda director, action: None,
+            actions.CollectCounters: self._collect_counters,
+            actions.WriteReportLine: self._write_report_line,
+        }
+
+    def _send_datagram(self, director: SimulatedDirector, action: SendDatagram) -> None:
+        assert len(action.data) <= MAX_DATAGRAM_BYTES
+        for delay_us in self.network.send(self.now_us, director.number, action.peer, len(action.data)):
+            event = DatagramReceived(director.number, action.data)
+            self.schedule.after(delay_us, self.feed, self.directors[action.peer], event)
+
+    def _persist_row(self, director: SimulatedDirector, row: PersistRow) -> None:
+        durable = not director.storage_fails
+        if durable:
+            director.storage[row.kind, row.key] = row.value
+        if row.awaited:
+            event = events.RowPersisted(row.kind, row.key, durable)
+            self.schedule.after(STORAGE_DELAY_US, self._feed_incarnation, director, director.coordinator, event)
+
+    def _delete_row(self, director: SimulatedDirector, row: DeleteRow) -> None:
+        director.storage.pop((row.kind, row.key), None)
+
+    def _lease_acquired(self, director: SimulatedDirector, action: actions.LeaseAcquired) -> None:
+        assert director.coordinator is not None
+        self.invariants.lease_acquired(action, Holder(director.number, director.coordinator.incarnation))
         self.check()
 
-    def _write(self, node: Node, of: LeaseCoordinator, a: actions.WriteReportLine) -> None:
-        old = a.token < self.ledger.highest.get(REPORT_SCOPE, 0)
-        ok = self.ledger.accept(REPORT_SCOPE, a.token)
-        if ok and old:
-            self.wrong.append(f"the ledger took the line of token {a.token}")
-        if ok:
-            self.lines.setdefault(a.number, a.line)
-        highest = self.ledger.highest[REPORT_SCOPE]
-        self._feed_of(node, of, events.ReportLineWritten(a.number, ok, 0 if ok else highest))
-
-    def order(self, number: int, member: str, order: str) -> int:
-        self._ids += 1
-        self._feed(self.nodes[number], events.OrderRequested(self._ids, member, order, "kim"))
-        return self._ids
-
-    # Datagrams
-
-    def _send(self, node: Node, a: SendDatagram) -> None:
-        assert len(a.data) <= 256
-        self.sent[(self.now - EPOCH) // SECOND] += 1
-        self.bytes += len(a.data)
-        for _ in range(2 if self.random.random() < self.double else 1):
-            if (node.number, a.peer) not in self.cut and self.random.random() >= self.loss:
-                late = int(self.late_us * (1 + self.random.expovariate(1.0)))
-                self._push(self.now + late, self._feed, self.nodes[a.peer], DatagramReceived(node.number, a.data))
-
-    # What is looked at
-
-    def owners(self, scope: int) -> list[int]:
-        """Who owns it in effect right now, each by its own clock; one that stands still too."""
+    def _complete_order(self, director: SimulatedDirector, action: actions.CompleteOrder) -> None:
+        director.order_outcomes[action.id] = action.error
+
+    def _collect_counters(self, director: SimulatedDirector, _action: actions.CollectCounters) -> None:
+        self.feed(director, events.CountersCollected((10 * director.starts, 9, 1, 0)))
+
+    def _write_report_line(self, director: SimulatedDirector, line: actions.WriteReportLine) -> None:
+        # The line is in the socket's buffer: it arrives whenever the network likes.
+        delay_us = int(self.random.random() * MAX_LEDGER_DELAY_US)
+        coordinator = director.coordinator
+        self.schedule.after(delay_us, lambda: self._feed_incarnation(director, coordinator, self.ledger.append(line)))
+
+    # Invariants
+
+    def holders(self, scope: int) -> list[int]:
+        """Who holds the scope right now, each by its own clock; a frozen director too."""
         return [
-            n.number for n in self.nodes if n.machine is not None and n.machine.leases.held_token(self.clock(n), scope)
+            director.number
+            for director in self.directors
+            if director.coordinator is not None and director.coordinator.leases.held_token(self.clock(director), scope)
         ]
 
     def scopes(self) -> tuple[int, ...]:
-        return scopes_of(self.duties, self.shards)
+        """All scopes of the fleet."""
+        return scopes_of(self.tasks, self.shards)
 
     def check(self) -> None:
+        """Checks that no scope has two holders."""
         for scope in self.scopes():
-            if len(found := self.owners(scope)) > 1:
-                self.wrong.append(f"scope {scope} is owned by {found} at {self.now - EPOCH}")
+            self.invariants.check_holders(scope, self.holders(scope), self.now_us - EPOCH_US)
 
-    def ownerless(self) -> list[int]:
-        return [s for s in self.scopes() if not self.owners(s)]
+    def leaderless_scopes(self) -> list[int]:
+        """Scopes that nobody holds."""
+        return [scope for scope in self.scopes() if not self.holders(scope)]
--- a/tests/test_leases_any_faults.py
+++ b/tests/test_leases_any_faults.py
@@ -5,12 +5,13 @@
 from hypothesis import HealthCheck, settings
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from rookbend.testing.lease_simulation import SECOND, OwnerSim
+from rookbend.testing.lease_simulation import LeaseSimulation
+from rookbend.testing.lease_simulation_parts import SECOND_US
 
 
 def consistent(sim):
     """Orders took effect in one order, each once."""
-    lists = sorted((n.stood for n in sim.nodes if n.machine is not None), key=len)
+    lists = sorted((n.applied_orders for n in sim.directors if n.coordinator is not None), key=len)
     for shorter, longer in zip(lists, lists[1:], strict=False):
         assert longer[: len(shorter)] == shorter
     if lists:
@@ -30,10 +31,10 @@
         voters=st.sampled_from([3, 5]),
     )
     def begin(self, count, seed, clocks, loss, voters):
-        self.sim = OwnerSim(count, seed, voters, 3, loss=loss, double=0.1, drift=0.02)
+        self.sim = LeaseSimulation(count, seed, voters, 3, loss=loss, duplication=0.1, drift=0.02)
         self.clocks, self.spoilt, self.orders = clocks, set(), {}
         self.sim.start()
-        self.sim.run(8 * SECOND)
+        self.sim.run(8 * SECOND_US)
 
     def some(self, number):
         return number % self.sim.count
@@ -44,10 +45,10 @@
         self.sim.kill(number)
         self.sim.run(for_ms * 1000)
         if self.clocks:
-            self.sim.nodes[number].step_us = self.sim.random.choice((-600, 0, 600)) * SECOND
+            self.sim.directors[number].clock_step_us = self.sim.random.choice((-600, 0, 600)) * SECOND_US
         elif not self.spoilt - {number} and self.sim.random.random() < 0.3:
             self.spoilt.add(number)  # one disk at most: two of three voters would be a majority
-            self.sim.nodes[number].disk.clear()
+            self.sim.directors[number].storage.clear()
         self.sim.start(number)
 
     @rule(number=st.integers(0, 6), for_ms=st.integers(100, 10_000))
@@ -61,11 +62,11 @@
     def cut(self, a, b, both):
         a, b = self.some(a), self.some(b)
         if a != b:
-            self.sim.cut |= {(a, b), (b, a)} if both else {(a, b)}
+            self.sim.network.cut_links |= {(a, b), (b, a)} if both else {(a, b)}
 
     @rule()
     def heal(self):
-        self.sim.cut.clear()
+        self.sim.network.cut_links.clear()
 
     @rule(number=st.integers(0, 6))
     def order(self, number):
@@ -80,23 +81,23 @@
     def safe(self):
         if hasattr(self, "sim"):
             self.sim.check()
-            assert not self.sim.wrong, self.sim.wrong
+            assert not self.sim.violations, self.sim.violations
             consistent(self.sim)
 
     def teardown(self):
         if not hasattr(self, "sim"):
             return
         sim = self.sim
-        sim.cut.clear()
-        sim.loss = 0.0
+        sim.network.cut_links.clear()
+        sim.network.loss = 0.0
         sim.start()
-        sim.run(15 * SECOND)
+        sim.run(15 * SECOND_US)
         sim.check()
-        assert not sim.wrong
-        assert not sim.ownerless(), "a stable majority leads to owners"
-        answered = [self.orders[i] for n in sim.nodes for i, fault in n.done.items() if not fault]
-        for node in sim.nodes:
-            stood = [member for member, _ in node.stood]
+        assert not sim.violations
+        assert not sim.leaderless_scopes(), "a stable majority leads to owners"
+        answered = [self.orders[i] for n in sim.directors for i, fault in n.order_outcomes.items() if not fault]
+        for node in sim.directors:
+            stood = [member for member, _ in node.applied_orders]
             assert set(answered) <= set(stood), "an order that was said to stand"
         consistent(sim)
 
