--- a/rookbend/components/__init__.py
+++ b/rookbend/components/__init__.py
@@ -52,9 +52,9 @@
 
 
 def _build_ownership(context: ComponentContext) -> list[Component]:
-    from rookbend.net.leases import OwnershipPart
+    from rookbend.net.leases import LeasePart
 
-    ownership = OwnershipPart(context)
+    ownership = LeasePart(context)
     context.built["ownership"] = ownership
     return [ownership]
 
