--- a/rookbend/coordination/action_queue.py
+++ b/rookbend/coordination/action_queue.py
@@ -5,7 +5,7 @@
 from typing import Generic, TypeVar
 
 from rookbend.coordination.actions import SendDatagram, WriteLogLine
-from rookbend.core.token_bucket import Bucket
+from rookbend.core.token_bucket import TokenBucket
 
 Action = TypeVar("Action")
 
@@ -18,7 +18,7 @@
     """
 
     def __init__(self, datagrams_per_s: float, burst: int):
-        self._limit = Bucket(datagrams_per_s, burst)
+        self._limit = TokenBucket(datagrams_per_s, burst)
         self._actions: list[Action | SendDatagram | WriteLogLine] = []
         self.sent = 0
         self.suppressed = 0
--- a/rookbend/core/ports.py
+++ b/rookbend/core/ports.py
@@ -15,6 +15,9 @@
     def handle(self, now_us: int, event: Event) -> Iterable[Action]:
         """Takes one event and returns the actions to carry out, in order."""
 
+    def is_ejected(self, server: int, now_us: int) -> bool:
+        """Whether the policy has ejected a server as an outlier."""
+
 
 class Backend(Protocol):
     """Carries attempts to members."""
--- a/rookbend/leases/coordinator.py
+++ b/rookbend/leases/coordinator.py
@@ -16,7 +16,7 @@
 
 from rookbend.coordination.actions import DeleteRow, PersistRow, SendDatagram, WriteLogLine
 from rookbend.coordination.events import DatagramReceived, TimerExpired
-from rookbend.core.token_bucket import Bucket
+from rookbend.core.token_bucket import TokenBucket
 from rookbend.leases import leader_tasks, order_replication, ramp_allocation
 from rookbend.leases import sharded_checks as checks
 from rookbend.leases.actions import Action, Count, Lost, OrderDone, OrderStands, Owned, Told, WriteLine
@@ -173,7 +173,7 @@
         self.began_us = now
         self.figures: tuple[int, ...] = ()
         self.stopping = False
-        self.budget = Bucket(BUDGET, BURST)
+        self.budget = TokenBucket(BUDGET, BURST)
         self.unreadable = self.silenced = self.changes = self.turned_away = 0
         self.sent = 0
         self.due_us = now
--- a/rookbend/net/checks.py
+++ b/rookbend/net/checks.py
@@ -15,7 +15,7 @@
 from rookbend.health.check_schedule import cadence_of, policies_of
 from rookbend.health.events import AgentReported, CheckCompleted
 from rookbend.health.service import HealthService
-from rookbend.net.member_connection import open_socket
+from rookbend.net.connector import open_socket
 from rookbend.net.scheduling import Runner
 from rookbend.scheduling.scheduler import Plan
 from rookbend.settings import Check
--- a/rookbend/net/component.py
+++ b/rookbend/net/component.py
@@ -5,7 +5,7 @@
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, Any
 
 import trio
 
@@ -16,7 +16,7 @@
     from rookbend.core.engine import Engine
     from rookbend.health.spare_capacity import Sample
     from rookbend.logs import Log
-    from rookbend.net.buffered_socket import Outbox
+    from rookbend.net.buffered_socket import WriteScheduler
     from rookbend.net.listeners import Listeners
     from rookbend.net.watch import Watch
     from rookbend.settings import Settings
@@ -33,7 +33,7 @@
     clock: Clock
     counters: Counters
     log: Log
-    outbox: Outbox
+    outbox: WriteScheduler
     most_clients: int
     phase: Callable[[], str]  # the lifecycle's, by name
     sample: Callable[[], Sample]  # what is measured of ourselves
@@ -43,7 +43,7 @@
     # Figures that go up and down, by name; a part adds its own.
     gauges: list[Callable[[], dict[str, float]]] = field(default_factory=list)
     # What parts built before offer to those built after, by name.
-    built: dict[str, object] = field(default_factory=dict)
+    built: dict[str, Any] = field(default_factory=dict)
 
 
 class Component:
--- a/rookbend/net/leases.py
+++ b/rookbend/net/leases.py
@@ -16,8 +16,8 @@
 from rookbend.leases import leader_tasks, sharded_checks
 from rookbend.leases.lease import Terms
 from rookbend.net.component import Component, ComponentContext
+from rookbend.net.connector import open_socket
 from rookbend.net.machine_driver import INCARNATION_BITS
-from rookbend.net.member_connection import open_socket
 from rookbend.protocol.leases import is_ours
 from rookbend.recovery.actions import ApplyOrder
 from rookbend.recovery.origin_ramp import SAMPLE_VALID_US
--- a/rookbend/net/machine_driver.py
+++ b/rookbend/net/machine_driver.py
@@ -47,11 +47,11 @@
 
     machine: StateMachine[EventT | TimerExpired]
 
-    def __init__(self, site: ComponentContext):
-        self.site = site
-        self.engine = site.engine
-        self.log = site.log
-        self.state: StatePart | None = site.built.get("state")  # type: ignore[assignment]
+    def __init__(self, context: ComponentContext):
+        self.context = context
+        self.engine = context.engine
+        self.log = context.log
+        self.state: StatePart | None = context.built.get("state")
         self.datagrams_sent = 0
         self._due_earlier = trio.Event()
         self._handlers: ActionHandlers = {
--- a/rookbend/net/operations.py
+++ b/rookbend/net/operations.py
@@ -147,9 +147,8 @@
         other_kinds = (engine.settings.parent_kind, engine.settings.origin_kind)
         now = engine.clock.now()
         caches = [e.member for e in engine.endpoints.values() if e.member.kind not in other_kinds]
-        servers = engine.router.health.servers
+        router = engine.router
         excluded = sum(
-            member.state is not MemberState.READY or (member.server in servers and servers[member.server].until > now)
-            for member in caches
+            member.state is not MemberState.READY or router.is_ejected(member.server, now) for member in caches
         )
         return len(caches), excluded
--- a/rookbend/net/recovery_setup.py
+++ b/rookbend/net/recovery_setup.py
@@ -16,12 +16,12 @@
 DEFAULT_PURGE_PROPAGATION_US = 6_000_000
 
 
-def recovery_config(site: ComponentContext) -> RecoveryConfig:
+def recovery_config(context: ComponentContext) -> RecoveryConfig:
     """What the settings say, for the coordinator."""
-    operators = site.operators
+    operators = context.operators
     wanted = operators.recovery
     assert wanted is not None, "recovery is built only where the settings ask for it"
-    router = site.engine.settings
+    router = context.engine.settings
     classes = tuple(
         TrafficClassCost(c.is_write, c.priority_weight, MULTIPART_CLASS_COST if c.has_parts else 1.0)
         for c in router.classes
@@ -30,7 +30,7 @@
         number=router.router_index,
         director_count=router.router_count,
         fleet=operators.state.fleet if operators.state is not None else wanted.fleet,
-        seed=int(site.config.seed, 16),
+        seed=int(context.config.seed, 16),
         classes=classes,
         zone=router.zone,
         parent_kind=router.parent_kind,
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -15,7 +15,6 @@
     "rookbend/net/leases.py": 325,
     "rookbend/leases/coordinator.py": 1023,
     "rookbend/leases/lease.py": 263,
-    "rookbend/components.py": 258,
     "rookbend/protocol/grpc_health.py": 297,
     "rookbend/settings/schema.py": 461,
     "tests/test_dns_front.py": 360,
