--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -85,17 +85,17 @@
 
 
 def simulated(side: str, count: int, seed: int) -> dict:
-    sim = FleetSim(count, seed, World(demand=600), recovery=side != "without", talk=side == "peers")
+    sim = FleetSim(count, seed, World(demand=600), recovery=side != "without", gossip=side == "peers")
     sim.power_on()
     sim.run(12 * SECOND)
     sim.power_off()
-    sim.go_cold()
+    sim.demand.go_cold()
     sim.origin.most, falls = 0.0, sim.origin.falls
     sim.run(SECOND)
-    at, refused, asked = 13, sim.refused, sim.asked
+    at, refused, asked = 13, sim.demand.refused, sim.demand.requests
     sim.power_on()
     sim.run(32 * SECOND)
-    shares = [sim.share(s) for s in range(at, at + 30)]
+    shares = [sim.demand.served_ratio(s) for s in range(at, at + 30)]
     return {
         "to_50": held(shares, 0.5),
         "to_95": held(shares, 0.95),
@@ -103,7 +103,7 @@
         "most": sim.origin.most,
         "falls": sim.origin.falls - falls,
         "datagrams": max(sim.datagrams.values(), default=0) / count,
-        "refused": (sim.refused - refused) / max(1, sim.asked - asked),
+        "refused": (sim.demand.refused - refused) / max(1, sim.demand.requests - asked),
     }
 
 
--- a/rookbend/testing/recovery_origin.py
+++ b/rookbend/testing/recovery_origin.py
@@ -1,6 +1,6 @@
-"""The origin of a simulated fleet, and the demand that reaches it (recovery_simulation.py).
+"""The origin of a simulated fleet (recovery_simulation.py).
 
-The origin answers so many calls a second, queues for a second, refuses then, and falls over when it is pushed too far.
+It answers so many calls a second, queues them for a second, refuses then, and collapses when it is overloaded.
 """
 
 from __future__ import annotations
@@ -9,13 +9,18 @@
 from dataclasses import dataclass
 
 SECOND = 1_000_000
+REFUSAL_US = 1_000
 
 
 @dataclass
 class World:
-    """`capacity` calls a second of the origin, `demand` requests a second of all clients; of these writes,
-    and of the reads those that find no copy at first, at last, and the calls after which half the way is
-    gone."""
+    """What surrounds the directors.
+
+    `capacity`: calls a second that the origin answers; it collapses for `down_us` beyond `multiple` times that within
+    `window_us`, and queues for `queue_us` at most; a call takes `call_us`. `demand`: requests a second of all clients,
+    `writes` the ratio of writes among them. Of the reads `miss_cold` find no copy at first and `miss_warm` at last;
+    half the way is done after `fills_to_half` fills.
+    """
 
     capacity: float = 140.0
     demand: float = 400.0
@@ -31,32 +36,39 @@
 
 
 class Origin:
+    """`falls` counts collapses, `calls` all calls; `most` is the fullest window, 1 being where it collapses."""
+
     def __init__(self, world: World):
         self.world = world
-        self.log: deque[int] = deque()
-        self.free_us = self.down_until = 0
-        self.falls = self.calls = 0
-        self.most = 0.0  # the fullest window, as a share of what pushes it over
+        self.falls = 0
+        self.calls = 0
+        self.most = 0.0
+        self._recent_us: deque[int] = deque()
+        self._free_us = 0
+        self._down_until_us = 0
 
     def call(self, now: int) -> tuple[bool, int]:
-        """(answered, microseconds it takes)."""
-        w = self.world
+        """Whether a call is answered, and the microseconds it takes."""
+        world = self.world
         self.calls += 1
-        if now < self.down_until:
-            return False, 1_000
-        self.log.append(now)
-        while self.log[0] <= now - w.window_us:
-            self.log.popleft()
-        full = len(self.log) / (w.multiple * w.capacity * w.window_us / SECOND)
-        self.most = max(self.most, full)
-        if full > 1:
-            self.falls += 1
-            self.down_until = now + w.down_us
-            self.log.clear()
-            self.free_us = 0
-            return False, 1_000
-        free = max(self.free_us, now)
-        if free - now > w.queue_us:
-            return False, 1_000
-        self.free_us = free + int(SECOND / w.capacity)
-        return True, free - now + w.call_us
+        if now < self._down_until_us:
+            return False, REFUSAL_US
+        self._recent_us.append(now)
+        while self._recent_us[0] <= now - world.window_us:
+            self._recent_us.popleft()
+        load = len(self._recent_us) / (world.multiple * world.capacity * world.window_us / SECOND)
+        self.most = max(self.most, load)
+        if load > 1:
+            self._collapse(now)
+            return False, REFUSAL_US
+        free_us = max(self._free_us, now)
+        if free_us - now > world.queue_us:
+            return False, REFUSAL_US
+        self._free_us = free_us + int(SECOND / world.capacity)
+        return True, free_us - now + world.call_us
+
+    def _collapse(self, now: int) -> None:
+        self.falls += 1
+        self._down_until_us = now + self.world.down_us
+        self._recent_us.clear()
+        self._free_us = 0
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -9,7 +9,6 @@
     "rookbend/model_checking/faults.py": 276,
     "rookbend/model_checking/lease.py": 395,
     "rookbend/testing/measurement_fleet.py": 307,
-    "rookbend/testing/recovery_simulation.py": 313,
     "rookbend/testing/invariant_checker.py": 364,
     "rookbend/testing/cluster/scenario.py": 272,
     "rookbend/net/leases.py": 325,
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -215,7 +215,7 @@
         sim.power_on()
         sim.run(15 * SECOND)
         sim.power_off()
-        sim.go_cold()
+        sim.demand.go_cold()
         sim.origin.falls, sim.origin.most = 0, 0.0
         sim.run(SECOND)
         sim.power_on()
@@ -248,7 +248,7 @@
 
     @initialize(count=st.sampled_from([3, 5, 9]), seed=st.integers(0, 99), loss=st.sampled_from([0.0, 0.3]))
     def begin(self, count, seed, loss):
-        self.sim = FleetSim(count, seed, World(demand=20), loss=loss, double=loss, late_us=20_000)
+        self.sim = FleetSim(count, seed, World(demand=20), loss=loss, duplication=loss, late_us=20_000)
         self.random = random.Random(seed)
         self.sim.power_on()
         self.sim.run(2 * SECOND)
@@ -317,7 +317,7 @@
 
     @invariant()
     def no_boot_number_and_life_repeat(self):
-        told = [pair for node in self.sim.nodes for pair in [(node.number, *life) for life in node.lives]]
+        told = [pair for node in self.sim.nodes for pair in [(node.number, *life) for life in node.incarnations]]
         assert len(told) == len(set(told))
 
     @invariant()
@@ -347,7 +347,7 @@
         assert sim.stages() == {"serving": sim.count}, [
             (n.number, n.machine.sequence.stage.name, n.machine.sequence.waits_for) for n in sim.nodes if n.machine
         ]
-        numbers = [b for b, _ in sim.nodes[0].lives]
+        numbers = [b for b, _ in sim.nodes[0].incarnations]
         assert numbers == sorted(set(numbers)), "an untouched disk's numbers grow"
 
 
