--- a/rookbend/core/check_result.py
+++ b/rookbend/core/check_result.py
@@ -4,6 +4,7 @@
 
 from dataclasses import dataclass
 from enum import Enum
+from typing import NamedTuple
 
 
 class CheckOutcome(Enum):
@@ -23,6 +24,13 @@
         return self in (CheckOutcome.PASSED, CheckOutcome.DEGRADED)
 
 
+class CheckResult(NamedTuple):
+    """A check's outcome; `reason` is empty where nothing needs an explanation."""
+
+    outcome: CheckOutcome
+    reason: str
+
+
 @dataclass(frozen=True, slots=True)
 class AgentReport:
     """The parsed line of a health agent; None where the line leaves a matter open.
--- a/rookbend/health/__init__.py
+++ b/rookbend/health/__init__.py
@@ -11,5 +11,5 @@
 `spare_capacity`  how much of this director is left
 `own_status`      what this director reports of itself to a balancer in front
 
-Checks are spoken in `protocol/` (`agent`, `http_check`, `grpc_health`, `proxy`) and made by `net/checks.py`.
+Checks are spoken in `protocol/` (`agent`, `http_check`, `grpc_health_client`, `proxy`) and made by `net/checks.py`.
 """
--- a/rookbend/net/checks.py
+++ b/rookbend/net/checks.py
@@ -44,9 +44,9 @@
 
         return HttpAsk(check.method, check.path, host, check.expect_status, check.expect_body, check.most_bytes)
     if check.type in ("grpc", "grpc-watch"):
-        from rookbend.protocol.grpc_health import GrpcAsk
+        from rookbend.protocol.grpc_health_client import GrpcHealthClient
 
-        return GrpcAsk(host, check.service, watch)
+        return GrpcHealthClient(host, check.service, watch)
     return None
 
 
@@ -205,7 +205,7 @@
             await move(sock, exchange)
             if exchange.result is not None and not exchange.ended:
                 status, exchange.result = exchange.result, None
-            if status is None or not exchange.heard_pong or exchange.ended:
+            if status is None or not exchange.pong_received or exchange.ended:
                 continue
             heard(status)
             rest = rest_us()
@@ -221,7 +221,7 @@
             scope.deadline = self.clock.monotonic_at(self.clock.now() + check.answer_by_us)
             if not exchange.ended:
                 await send(sock, exchange.ping())
-        if exchange.unimplemented:
+        if exchange.watch_unimplemented:
             raise WatchUnsupportedError
         return exchange.result
 
--- a/rookbend/net/health.py
+++ b/rookbend/net/health.py
@@ -81,9 +81,10 @@
         self.open_now: dict[BufferedSocket, object] = {}
 
     async def _grpc(self, channel: BufferedSocket) -> None:
-        from rookbend.protocol.grpc_health import NOT_SERVING, SERVING, GrpcServe
+        from rookbend.protocol.grpc_health_messages import ServingStatus
+        from rookbend.protocol.grpc_health_server import GrpcHealthServer
 
-        grpc = GrpcServe(lambda: SERVING if self.standing().taking else NOT_SERVING)
+        grpc = GrpcHealthServer(lambda: ServingStatus.SERVING if self.standing().taking else ServingStatus.NOT_SERVING)
         self.open_now[channel] = grpc
         try:
             channel.write(grpc.start())
--- a/rookbend/testing/health_agents.py
+++ b/rookbend/testing/health_agents.py
@@ -131,9 +131,10 @@
         pass
 
     async def _speak_grpc(self, stream: trio.SocketStream) -> None:
-        from rookbend.protocol.grpc_health import NOT_SERVING, SERVING, GrpcServe
+        from rookbend.protocol.grpc_health_messages import ServingStatus
+        from rookbend.protocol.grpc_health_server import GrpcHealthServer
 
-        grpc = GrpcServe(lambda: SERVING if self.manner.serving else NOT_SERVING)
+        grpc = GrpcHealthServer(lambda: ServingStatus.SERVING if self.manner.serving else ServingStatus.NOT_SERVING)
         self._grpc[stream] = grpc
         self.on_asked(b"grpc")
         await self._send(stream, grpc.start())
--- a/tests/test_health_checks.py
+++ b/tests/test_health_checks.py
@@ -151,10 +151,10 @@
 
 def test_grpc_watchers_in_front_hear_of_the_drain_at_once():
     from rookbend.core.check_result import CheckOutcome
-    from rookbend.protocol.grpc_health import GrpcAsk
+    from rookbend.protocol.grpc_health_client import GrpcHealthClient
 
     async def steps(stage):
-        ask, told = GrpcAsk("x", "", watch=True), []
+        ask, told = GrpcHealthClient("x", "", watch=True), []
         async with await trio.open_tcp_stream(*stage.service.balancer[2].address) as stream:
             await stream.send_all(ask.start())
             while len(told) < 2:
--- a/tests/test_health_protocols.py
+++ b/tests/test_health_protocols.py
@@ -6,7 +6,9 @@
 
 from rookbend.core.check_result import AgentReport, CheckOutcome
 from rookbend.protocol.agent import AgentAsk, read_line, write_line
-from rookbend.protocol.grpc_health import NOT_SERVING, SERVING, GrpcAsk, GrpcServe
+from rookbend.protocol.grpc_health_client import GrpcHealthClient
+from rookbend.protocol.grpc_health_messages import ServingStatus
+from rookbend.protocol.grpc_health_server import GrpcHealthServer
 from rookbend.protocol.http_check import HttpAsk
 from rookbend.protocol.proxy import local_header, proxy_header
 
@@ -108,9 +110,9 @@
 class Grpc:
     """Both sides, with bytes carried between them."""
 
-    def __init__(self, service="", watch=False, status=SERVING):
+    def __init__(self, service="", watch=False, status=ServingStatus.SERVING):
         self.status = status
-        self.server, self.client = GrpcServe(lambda: self.status), GrpcAsk("a", service, watch)
+        self.server, self.client = GrpcHealthServer(lambda: self.status), GrpcHealthClient("a", service, watch)
         self.carry(self.client.start(), self.server.start())
 
     def carry(self, up=b"", down=b""):
@@ -124,18 +126,18 @@
 
 def test_grpc_check_tells_serving_not_serving_and_what_is_unknown():
     assert Grpc().result[0] is CheckOutcome.PASSED
-    assert Grpc(status=NOT_SERVING).result == (CheckOutcome.FAILED, "NOT_SERVING")
+    assert Grpc(status=ServingStatus.NOT_SERVING).result == (CheckOutcome.FAILED, "NOT_SERVING")
     assert Grpc(service="other").result == (CheckOutcome.FAILED, "grpc-status 5")
 
 
 def test_grpc_watch_tells_each_change_and_its_end():
     g = Grpc(watch=True)
     assert g.result[0] is CheckOutcome.PASSED and not g.client.ended
-    g.status = NOT_SERVING
+    g.status = ServingStatus.NOT_SERVING
     g.carry(down=g.server.changed())
     assert g.result == (CheckOutcome.FAILED, "NOT_SERVING") and g.server.changed() == b""
     g.carry(up=g.client.ping())
-    assert g.client.heard_pong
+    assert g.client.pong_received
     g.client.feed(b"")
     assert g.client.ended and g.result[0] is CheckOutcome.BROKEN
     assert Grpc(service="other", watch=True).result == (CheckOutcome.FAILED, "SERVICE_UNKNOWN")
@@ -143,15 +145,15 @@
 
 def test_a_server_without_watch_is_told_apart():
     g = Grpc.__new__(Grpc)
-    g.server, g.client = GrpcServe(lambda: SERVING), GrpcAsk("a", "", True)
-    g.server._call = lambda stream, path, messages: g.server._finish(stream, 12, "no")
+    g.server, g.client = GrpcHealthServer(lambda: ServingStatus.SERVING), GrpcHealthClient("a", "", True)
+    g.server._dispatch = lambda stream_id, call: g.server._send_error(stream_id, 12, "no")
     g.carry(g.client.start(), g.server.start())
-    assert g.client.unimplemented and g.result == (CheckOutcome.FAILED, "grpc-status 12")
+    assert g.client.watch_unimplemented and g.result == (CheckOutcome.FAILED, "grpc-status 12")
 
 
 @pytest.mark.parametrize("data", [b"HTTP/1.1 400 x\r\n\r\n", b"\0" * 50, b"\xff" * 5000])
 def test_what_is_no_grpc_ends_either_side(data):
-    client, server = GrpcAsk("a", ""), GrpcServe(lambda: SERVING)
+    client, server = GrpcHealthClient("a", ""), GrpcHealthServer(lambda: ServingStatus.SERVING)
     client.start(), server.start()
     client.feed(data), server.feed(data)
     client.feed(b""), server.feed(b"")
@@ -161,24 +163,24 @@
 def test_no_bytes_raise_in_any_of_them():
     """A check that raised would end the director. Noise, and good answers with a few bytes changed."""
     rng = random.Random(11)
-    server = GrpcServe(lambda: SERVING)
-    asked = GrpcAsk("a", "").start()
+    server = GrpcHealthServer(lambda: ServingStatus.SERVING)
+    asked = GrpcHealthClient("a", "").start()
     grpc = server.start() + server.feed(asked)
     samples = [b"up 50% #x\r\n", b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello", grpc, asked]
     for turn in range(3000):
         data = bytearray(rng.choice(samples) if turn % 4 else rng.randbytes(40))
         for _ in range(rng.randrange(4)):
             data[rng.randrange(len(data))] = rng.randrange(256)
-        ask = GrpcAsk("a", "", bool(turn % 2))
+        ask = GrpcHealthClient("a", "", bool(turn % 2))
         ask.start()
         for machine in (
             AgentAsk("", 64),
             ask,
-            GrpcServe(lambda: SERVING),
+            GrpcHealthServer(lambda: ServingStatus.SERVING),
             HttpAsk("GET", "/", "a", ((200, 299),), "x", 64),
         ):
-            if isinstance(machine, GrpcServe | HttpAsk):
+            if isinstance(machine, GrpcHealthServer | HttpAsk):
                 machine.start()
             for part in (bytes(data[:9]), bytes(data[9:]), b""):
                 machine.feed(part)
-            assert getattr(machine, "result", None) is not None or isinstance(machine, GrpcServe)
+            assert getattr(machine, "result", None) is not None or isinstance(machine, GrpcHealthServer)
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -16,7 +16,6 @@
     "rookbend/net/recovery.py": 254,
     "rookbend/leases/coordinator.py": 1023,
     "rookbend/leases/lease.py": 263,
-    "rookbend/protocol/grpc_health.py": 297,
     "rookbend/recovery/coordinator.py": 702,
     "rookbend/settings/schema.py": 461,
     "tests/test_dns_front.py": 360,
