--- a/rookbend/health/__init__.py
+++ b/rookbend/health/__init__.py
@@ -11,5 +11,6 @@
 `spare_capacity`  how much of this director is left
 `own_status`      what this director reports of itself to a balancer in front
 
-Checks are spoken in `protocol/` (`agent`, `http_check`, `grpc_health_client`, `proxy`) and made by `net/checks.py`.
+The protocols of checks are in `protocol/` (`agent_check`, `http_check`, `grpc_health_client`, `proxy`);
+`net/checks.py` runs them.
 """
--- a/rookbend/net/checks.py
+++ b/rookbend/net/checks.py
@@ -36,13 +36,13 @@
     imported only where a check needs it."""
     host = check.host or "{}:{}".format(*address)
     if check.type == "agent":
-        from rookbend.protocol.agent import AgentAsk
+        from rookbend.protocol.agent_check import AgentCheckClient
 
-        return AgentAsk(check.send, check.most_bytes)
+        return AgentCheckClient(check.send, check.most_bytes)
     if check.type == "http":
-        from rookbend.protocol.http_check import HttpAsk
+        from rookbend.protocol.http_check import HttpCheckClient
 
-        return HttpAsk(check.method, check.path, host, check.expect_status, check.expect_body, check.most_bytes)
+        return HttpCheckClient(check.method, check.path, host, check.expect_status, check.expect_body, check.most_bytes)
     if check.type in ("grpc", "grpc-watch"):
         from rookbend.protocol.grpc_health_client import GrpcHealthClient
 
--- a/rookbend/net/health.py
+++ b/rookbend/net/health.py
@@ -14,7 +14,7 @@
 from rookbend.net.component import Component
 from rookbend.net.http_server import IDLE_US, SmallServer, serve_http
 from rookbend.protocol import health as http_health
-from rookbend.protocol.agent import write_line
+from rookbend.protocol.agent_check import encode_line
 
 MEASURE_US = 250_000
 
@@ -52,7 +52,7 @@
 
     async def client(channel: BufferedSocket) -> None:
         s = standing()
-        channel.write(write_line(s.admin, s.up, s.weight, s.most_connections, s.reason))
+        channel.write(encode_line(s.admin, s.up, s.weight, s.most_connections, s.reason))
 
     return SmallServer(address, clock, outbox, client)
 
--- a/rookbend/net/http_server.py
+++ b/rookbend/net/http_server.py
@@ -13,7 +13,7 @@
 from rookbend.net.buffered_socket import BufferedSocket, WriteScheduler, prepare
 from rookbend.net.component import Component
 from rookbend.net.listeners import Listeners
-from rookbend.protocol.http_serve import HttpRequest, HttpServe
+from rookbend.protocol.http_server import HttpRequest, HttpServerConnection
 
 CLIENTS = 32
 IDLE_US = 10_000_000
@@ -71,12 +71,12 @@
 
 async def serve_http(channel: BufferedSocket, handle: Callable[[HttpRequest], Reply | Awaitable[Reply]]) -> None:
     """Answers each request of a connection by `handle`: (status, body, content type), or one to wait for."""
-    http = HttpServe()
+    http = HttpServerConnection()
     while not http.ended:
         request = http.feed(await channel.receive())
         while request is not None:
             reply = handle(request)
-            channel.write(http.answer(*(reply if isinstance(reply, tuple) else await reply)))
-            request = None if http.ended else http.next()
-        if http.refusal:
-            channel.write(http.refusal)
+            channel.write(http.respond(*(reply if isinstance(reply, tuple) else await reply)))
+            request = None if http.ended else http.next_request()
+        if http.error_response:
+            channel.write(http.error_response)
--- a/rookbend/net/operator_endpoint.py
+++ b/rookbend/net/operator_endpoint.py
@@ -17,7 +17,7 @@
 from rookbend.net.acceptor import accept
 from rookbend.net.buffered_socket import BufferedSocket, WriteScheduler, prepare
 from rookbend.net.component import Component
-from rookbend.protocol.http_serve import HttpServe
+from rookbend.protocol.http_server import HttpServerConnection
 from rookbend.protocol.operator_api import OperatorApi
 
 MAX_CALLERS = 24
@@ -66,15 +66,15 @@
             channel.close()
 
     async def _answer(self, channel: BufferedSocket, scope: trio.CancelScope) -> None:
-        http = HttpServe()
+        http = HttpServerConnection()
         request = None
         while request is None and not http.ended:
             request = http.feed(await channel.receive())
         if request is not None:
-            channel.write(http.answer(*self.api.answer(request), close=True))
+            channel.write(http.respond(*self.api.answer(request), close=True))
             self.answered += 1
-        elif http.refusal:
-            channel.write(http.refusal)
+        elif http.error_response:
+            channel.write(http.error_response)
         else:
             return
         channel.finish()
--- a/rookbend/protocol/admin.py
+++ b/rookbend/protocol/admin.py
@@ -18,7 +18,7 @@
 import msgspec
 
 from rookbend.health.model import Order
-from rookbend.protocol.http_serve import HttpRequest
+from rookbend.protocol.http_server import HttpRequest
 
 JSON, TEXT = "application/json", "text/plain"
 LOCAL = ("127.", "localhost", "[::1]")
--- a/rookbend/protocol/health.py
+++ b/rookbend/protocol/health.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from rookbend.protocol.http_serve import HttpRequest
+from rookbend.protocol.http_server import HttpRequest
 
 PATHS = "/health", "/ready"
 
--- a/rookbend/protocol/http_check.py
+++ b/rookbend/protocol/http_check.py
@@ -1,43 +1,51 @@
-"""An HTTP health check as the one who asks makes it (RFC 9110, RFC 9112), by h11.
+"""The client of an HTTP health check (RFC 9110, RFC 9112), by h11.
 
-Two answer headers count beside the status, as Envoy's health checking defines them: a server that sends
+Two response headers count beside the status, as Envoy's health checking defines them: a server that sends
 `x-envoy-immediate-health-check-fail` is to be taken out at once; `x-envoy-degraded` passes with less trust.
 """
 
 from __future__ import annotations
 
+from typing import Any
+
 import h11
 
-from rookbend.core.check_result import CheckOutcome
+from rookbend.core.check_result import CheckOutcome, CheckResult
 
-FAIL_AT_ONCE = b"x-envoy-immediate-health-check-fail"
-DEGRADED = b"x-envoy-degraded"
-MOST_HEAD = 16 << 10
+FAIL_AT_ONCE_HEADER = b"x-envoy-immediate-health-check-fail"
+DEGRADED_HEADER = b"x-envoy-degraded"
+MAX_HEAD_BYTES = 16 << 10
+MAX_REASON_CHARS = 120
 
 
-class HttpAsk:
-    """One request. `result` is (Outcome, reason) once it is known."""
+class HttpCheckClient:
+    """One request on one connection, without a socket; `result` is set once it is known."""
 
     def __init__(
-        self, method: str, path: str, host: str, statuses: tuple[tuple[int, int], ...], body: str, most_bytes: int
+        self, method: str, path: str, host: str, statuses: tuple[tuple[int, int], ...], body: str, max_bytes: int
     ):
-        self._http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MOST_HEAD)
+        """`statuses` are the ranges that pass, both ends included; `body`, unless empty, is a text that must
+        come in the first `max_bytes` of the response's body."""
+        self.result: CheckResult | None = None
+        self._http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
         self._request = h11.Request(
             method=method,
             target=path,
             headers=[("Host", host), ("User-Agent", "rookbend-check"), ("Accept", "*/*"), ("Connection", "close")],
         )
-        self._statuses, self._wanted, self._most = statuses, body.encode(), most_bytes
+        self._accepted_statuses = statuses
+        self._expected_body = body.encode()
+        self._max_bytes = max_bytes
         self._body = b""
         self._status = 0
         self._degraded = False
-        self.result: tuple[CheckOutcome, str] | None = None
 
     def start(self) -> bytes:
-        return self._http.send(self._request) + self._http.send(h11.EndOfMessage())
+        """Returns the request."""
+        return (self._http.send(self._request) or b"") + (self._http.send(h11.EndOfMessage()) or b"")
 
     def feed(self, data: bytes) -> bytes:
-        """Takes what came, empty for the end of the connection. Gives what is to be sent: nothing."""
+        """Takes received bytes, empty at the end of the connection; there is never anything to send."""
         if self.result is not None:
             return b""
         try:
@@ -46,34 +54,42 @@
                 event = self._http.next_event()
                 if event is h11.NEED_DATA or event is h11.PAUSED:
                     break
-                self._take(event)
+                self._handle(event)
         except h11.RemoteProtocolError as error:
-            self.result = CheckOutcome.BROKEN, f"no HTTP: {error}"[:120]
+            self.result = CheckResult(CheckOutcome.BROKEN, f"no HTTP: {error}"[:MAX_REASON_CHARS])
         return b""
 
-    def _take(self, event) -> None:
+    def _handle(self, event: Any) -> None:
         if isinstance(event, h11.Response):
-            self._head(event)
+            self._handle_head(event)
         elif isinstance(event, h11.Data):
-            self._body += bytes(event.data)
-            if self._wanted and self._wanted in self._body:
-                self._passed()
-            elif len(self._body) > self._most:
-                self.result = CheckOutcome.FAILED, f"not found in the first {self._most} bytes of the body"
+            self._handle_body(bytes(event.data))
         elif isinstance(event, h11.EndOfMessage):
-            self.result = CheckOutcome.FAILED, f"{self._status} with another body"
+            self.result = CheckResult(CheckOutcome.FAILED, f"{self._status} with another body")
         elif isinstance(event, h11.ConnectionClosed):
-            self.result = CheckOutcome.BROKEN, "closed before the answer"
+            self.result = CheckResult(CheckOutcome.BROKEN, "closed before the answer")
+
+    def _handle_head(self, response: h11.Response) -> None:
+        self._status = response.status_code
+        names = {name for name, _ in response.headers}
+        self._degraded = DEGRADED_HEADER in names
+        if FAIL_AT_ONCE_HEADER in names:
+            self.result = CheckResult(CheckOutcome.DISMISSED, "asked to be taken out at once")
+        elif not any(lowest <= self._status <= highest for lowest, highest in self._accepted_statuses):
+            self.result = CheckResult(CheckOutcome.FAILED, f"status {self._status}")
+        elif not self._expected_body:
+            self._pass()
 
-    def _head(self, answer: h11.Response) -> None:
-        self._status, names = answer.status_code, {name for name, _ in answer.headers}
-        self._degraded = DEGRADED in names
-        if FAIL_AT_ONCE in names:
-            self.result = CheckOutcome.DISMISSED, "asked to be taken out at once"
-        elif not any(low <= self._status <= high for low, high in self._statuses):
-            self.result = CheckOutcome.FAILED, f"status {self._status}"
-        elif not self._wanted:
-            self._passed()
+    def _handle_body(self, data: bytes) -> None:
+        self._body += data
+        if self._expected_body and self._expected_body in self._body:
+            self._pass()
+        elif len(self._body) > self._max_bytes:
+            reason = f"not found in the first {self._max_bytes} bytes of the body"
+            self.result = CheckResult(CheckOutcome.FAILED, reason)
 
-    def _passed(self) -> None:
-        self.result = (CheckOutcome.DEGRADED, "says it is degraded") if self._degraded else (CheckOutcome.PASSED, "")
+    def _pass(self) -> None:
+        if self._degraded:
+            self.result = CheckResult(CheckOutcome.DEGRADED, "says it is degraded")
+        else:
+            self.result = CheckResult(CheckOutcome.PASSED, "")
--- a/rookbend/protocol/operator_api.py
+++ b/rookbend/protocol/operator_api.py
@@ -12,7 +12,7 @@
 from typing import NamedTuple
 from urllib.parse import parse_qs
 
-from rookbend.protocol.http_serve import HttpRequest
+from rookbend.protocol.http_server import HttpRequest
 
 TEXT = "text/plain"
 MAX_QUOTED_PATH = 200
--- a/tests/test_balancer_status.py
+++ b/tests/test_balancer_status.py
@@ -3,7 +3,7 @@
 import pytest
 
 from rookbend.protocol.health import answer
-from rookbend.protocol.http_serve import HttpServe
+from rookbend.protocol.http_server import HttpServerConnection
 from tests.director_scenario import play
 from tests.health_scenarios import health
 
@@ -43,14 +43,14 @@
 
 @pytest.mark.parametrize("data", [b"\x00\x01\r\n\r\n", b"GET /" + b"x" * 9000])
 def test_what_is_no_http_is_refused_and_ends(data):
-    http = HttpServe()
-    assert http.feed(data) is None and b" 4" in http.refusal[:12] and http.ended
+    http = HttpServerConnection()
+    assert http.feed(data) is None and b" 4" in http.error_response[:12] and http.ended
 
 
 def test_one_connection_may_ask_again():
-    http, ask = HttpServe(), b"GET /health HTTP/1.1\r\nHost: x\r\n\r\n"
+    http, ask = HttpServerConnection(), b"GET /health HTTP/1.1\r\nHost: x\r\n\r\n"
     for taking, status in ((True, b"200"), (False, b"503")):
-        assert status in http.answer(*answer(http.feed(ask), taking, "x")) and not http.ended
+        assert status in http.respond(*answer(http.feed(ask), taking, "x")) and not http.ended
     assert http.feed(b"") is None and http.ended
 
 
--- a/tests/test_health_protocols.py
+++ b/tests/test_health_protocols.py
@@ -5,11 +5,11 @@
 import pytest
 
 from rookbend.core.check_result import AgentReport, CheckOutcome
-from rookbend.protocol.agent import AgentAsk, read_line, write_line
+from rookbend.protocol.agent_check import AgentCheckClient, encode_line, parse_line
 from rookbend.protocol.grpc_health_client import GrpcHealthClient
 from rookbend.protocol.grpc_health_messages import ServingStatus
 from rookbend.protocol.grpc_health_server import GrpcHealthServer
-from rookbend.protocol.http_check import HttpAsk
+from rookbend.protocol.http_check import HttpCheckClient
 from rookbend.protocol.proxy import local_header, proxy_header
 
 
@@ -42,7 +42,7 @@
     ],
 )
 def test_every_word_of_an_agent(line, words):
-    assert read_line(line) == words
+    assert parse_line(line) == words
 
 
 @pytest.mark.parametrize(
@@ -59,25 +59,25 @@
     ],
 )
 def test_an_agents_line_is_read_to_its_end(parts, result):
-    ask = AgentAsk("", 100)
+    ask = AgentCheckClient("", 100)
     for part in parts:
         assert ask.result is None
         ask.feed(part)
     assert ask.result == result
     ask.feed(b"down\n")
-    assert ask.result == result and len(ask._text) <= 101
+    assert ask.result == result and len(ask._buffer) <= 101
 
 
 def test_what_we_say_is_what_we_would_read():
-    assert read_line(write_line("ready", True, 70, 300, "lag").decode().strip()) == AgentReport(
+    assert parse_line(encode_line("ready", True, 70, 300, "lag").decode().strip()) == AgentReport(
         True, "ready", 70, 300, "lag"
     )
-    assert write_line("drain", True, 70, 300) == b"up drain\n"
+    assert encode_line("drain", True, 70, 300) == b"up drain\n"
 
 
 def http(answer, **changes):
-    ask = HttpAsk(
-        **{**dict(method="GET", path="/health", host="a", statuses=((200, 299),), body="", most_bytes=100), **changes}
+    ask = HttpCheckClient(
+        **{**dict(method="GET", path="/health", host="a", statuses=((200, 299),), body="", max_bytes=100), **changes}
     )
     assert ask.start().startswith(b"GET /health HTTP/1.1\r\nHost: a\r\n")
     for i in range(len(answer)):
@@ -174,12 +174,12 @@
         ask = GrpcHealthClient("a", "", bool(turn % 2))
         ask.start()
         for machine in (
-            AgentAsk("", 64),
+            AgentCheckClient("", 64),
             ask,
             GrpcHealthServer(lambda: ServingStatus.SERVING),
-            HttpAsk("GET", "/", "a", ((200, 299),), "x", 64),
+            HttpCheckClient("GET", "/", "a", ((200, 299),), "x", 64),
         ):
-            if isinstance(machine, GrpcHealthServer | HttpAsk):
+            if isinstance(machine, GrpcHealthServer | HttpCheckClient):
                 machine.start()
             for part in (bytes(data[:9]), bytes(data[9:]), b""):
                 machine.feed(part)
--- a/tests/test_operations_endpoint.py
+++ b/tests/test_operations_endpoint.py
@@ -7,13 +7,13 @@
 import trio.testing
 
 from rookbend.net.operator_endpoint import MAX_CALLERS
-from rookbend.protocol.http_serve import HttpServe
+from rookbend.protocol.http_server import HttpServerConnection
 from rookbend.protocol.operator_api import OperatorApi
 from tests.director_scenario import staged
 
 
 def ask(api, method, target):
-    http = HttpServe()
+    http = HttpServerConnection()
     request = http.feed(f"{method} {target} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
     status, body, _ = api.answer(request)
     return status, body.decode().strip()
