--- a/rookbend/components/admin.py
+++ b/rookbend/components/admin.py
@@ -9,7 +9,7 @@
 from rookbend.health.model import Order
 from rookbend.net.component import Component, ComponentContext
 from rookbend.net.http_server import SmallServer, serve_http
-from rookbend.protocol.admin import AdminDesk
+from rookbend.protocol.admin_api import AdminApi, CommandResult
 
 OK = 200
 NOT_FOUND = 404
@@ -24,7 +24,7 @@
     health = context.built.get("health")
     recovery = context.built.get("recovery")
     ownership = context.built.get("ownership")
-    desk = AdminDesk(
+    api = AdminApi(
         _tables(context),
         MemberOrders(health, recovery, ownership).give if health is not None else None,
         _metrics(context) if settings.metrics else None,
@@ -32,7 +32,7 @@
         ownership,
     )
     server = SmallServer(
-        settings.listen, context.clock, context.outbox, lambda channel: serve_http(channel, desk.answer)
+        settings.listen, context.clock, context.outbox, lambda channel: serve_http(channel, api.answer)
     )
     context.built["admin"] = server
     return server
@@ -47,28 +47,28 @@
         self._recovery = recovery
         self._ownership = ownership
 
-    async def give(self, member: str, order: Order, by: str, fleet: bool) -> tuple[int, str]:
-        """Returns the HTTP status and, unless that is 200, the fault."""
+    async def give(self, member: str, order: Order, by: str, fleet: bool) -> CommandResult:
+        """Returns the HTTP status and, unless that is 200, the error."""
         if fleet:
             return await self._give_to_fleet(member, order, by)
         server = self._health.service.find(member)
         if server is None:
-            return NOT_FOUND, f"no member {member}"
+            return CommandResult(NOT_FOUND, f"no member {member}")
         # Persisted first: an order that was acknowledged is not undone by a power loss.
         if self._recovery is not None:
             fault = await self._recovery.order(member, order.value, by)
             if fault:
-                return SERVICE_UNAVAILABLE, f"the order on {member} is {fault}"
+                return CommandResult(SERVICE_UNAVAILABLE, f"the order on {member} is {fault}")
         self._health.service.feed(OrderReceived(server, order, by))
-        return OK, ""
+        return CommandResult(OK, "")
 
-    async def _give_to_fleet(self, member: str, order: Order, by: str) -> tuple[int, str]:
+    async def _give_to_fleet(self, member: str, order: Order, by: str) -> CommandResult:
         if self._ownership is None:
-            return CONFLICT, "[ownership] is off: no orders for the whole fleet"
+            return CommandResult(CONFLICT, "[ownership] is off: no orders for the whole fleet")
         fault = await self._ownership.order(member, order.value, by)
         if fault:
-            return SERVICE_UNAVAILABLE, f"the order on {member}: {fault}"
-        return OK, ""
+            return CommandResult(SERVICE_UNAVAILABLE, f"the order on {member}: {fault}")
+        return CommandResult(OK, "")
 
 
 def _tables(context: ComponentContext) -> dict[str, Callable[[], object]]:
