--- a/rookbend/routing/endpoint_selection.py
+++ b/rookbend/routing/endpoint_selection.py
@@ -13,7 +13,7 @@
 from rookbend.routing.slow_start import SlowStart
 
 CROWDED_TIME_LEFT_RATIO = 1.5  # a cache is crowded for a transfer that takes this much of the time left
-CROWDED_UTILIZATION_RATIO = 1.5  # or, where all are crowded, for a transfer of any size
+CROWDED_UTILIZATION_RATIO = 1.5  # fuller than this where all are crowded, it refuses a transfer of any size
 PARENT_CROWDED_SHARE_RATIO = 4.0  # fills at a parent, in this router's share of its capacity
 SPILLOVER_UTILIZATION_RATIO = 0.33  # a crowded cache is left only for one that is so much less full
 SPILLOVER_MAX_SLOWNESS_RATIO = 1.5  # unless it is slower than this
@@ -48,7 +48,7 @@
     def choose_cache(self, request: Request, preferred: int | None, now_us: int) -> Member | None:
         """The cache for the next attempt, `preferred` before others.
 
-        Notes on the request whether no cache can meet its objective: only for a first attempt.
+        Sets `request.cannot_meet_objective` where it is the first attempt and would be late at every cache.
         """
         order = self.membership.order(request.key).caches
         suited, healthy, usable = self._scan(request, order, request.tried_servers, preferred, False, now_us)
@@ -93,10 +93,10 @@
         return None, healthy, usable
 
     def _spillover(self, request: Request, home: Member, other: Member | None, now_us: int) -> Member | None:
-        """Whether a request leaves its crowded cache for another one; it stays where that is as full.
+        """Where a request goes whose home cache is crowded: to `other`, the first that is not, or home.
 
-        Late everywhere, or filled again by caches that are as full, it would take room from those that can be on
-        time: then it has to fit at home, even if it is small where its size is a guess.
+        Home where there is no other or that is about as full: another fill there would take capacity from requests
+        that can be on time. At home the request has to fit, by its least transfer time where its size is a guess.
         """
         stats = self.servers[home.server]
         is_sound = now_us >= stats.full_until_us and stats.slowness() < SPILLOVER_MAX_SLOWNESS_RATIO
