--- a/rookbend/net/recovery.py
+++ b/rookbend/net/recovery.py
@@ -62,7 +62,6 @@
 
     def __init__(self, context: ComponentContext):
         super().__init__(context)
-
         self.health: Any = context.built.get("health")
         self._monotonic_us = context.clock.monotonic_us
         self._offset_us = context.clock.now() - self._monotonic_us()
