--- a/rookbend/net/recovery.py
+++ b/rookbend/net/recovery.py
@@ -39,6 +39,7 @@
     RecoveryCommand,
     StreamActive,
 )
+from rookbend.recovery.status import fleet_status, recovery_status
 
 ORIGIN_FAILURE_DETAILS = frozenset(
     (AttemptDetail.SOURCE_REFUSED, AttemptDetail.SOURCE_UNREACHABLE, AttemptDetail.ORIGIN_FAILED)
@@ -214,11 +215,11 @@
 
     def fleet(self) -> dict[str, Any]:
         """The fleet as this director knows it, for `rookbend fleet`."""
-        return {"director": self.context.config.name, **self.machine.describe(self.now())}
+        return {"director": self.context.config.name, **fleet_status(self.machine, self.now())}
 
     def explain(self) -> dict[str, Any]:
         """Why this director is in its stage, for `rookbend recovery`."""
-        return {"director": self.context.config.name, **self.machine.explain(self.now())}
+        return {"director": self.context.config.name, **recovery_status(self.machine, self.now())}
 
     # The timer
 
--- a/rookbend/recovery/coordinator.py
+++ b/rookbend/recovery/coordinator.py
@@ -13,7 +13,7 @@
 from rookbend.coordination.action_queue import ActionQueue
 from rookbend.coordination.events import DatagramReceived, TimerExpired
 from rookbend.protocol import gossip
-from rookbend.recovery import events, state_validity, status
+from rookbend.recovery import events, state_validity
 from rookbend.recovery.actions import Action
 from rookbend.recovery.admission_control import HINT_KIND, ORIGIN_HINT_KEY, AdmissionControl
 from rookbend.recovery.config import LocalIdentity, RecoveryConfig
@@ -206,16 +206,6 @@
             self.admission.phase, self.sequence.stage, self.missed_purges.covered, self.membership.revision, load
         )
 
-    # What operators read
-
-    def describe(self, now: int) -> dict[str, Any]:
-        """See `status.fleet_status`."""
-        return status.fleet_status(self, now)
-
-    def explain(self, now: int) -> dict[str, Any]:
-        """See `status.recovery_status`."""
-        return status.recovery_status(self, now)
-
 
 def _known_boot_numbers(persisted: Sequence[PersistedRow]) -> dict[int, int]:
     return {int(row.key): int.from_bytes(row.value, "big") for row in persisted if row.kind == PEER_KIND}
--- a/rookbend/recovery/status.py
+++ b/rookbend/recovery/status.py
@@ -2,14 +2,12 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
+from rookbend.recovery.coordinator import RecoveryCoordinator
 from rookbend.recovery.peers import Peer
 from rookbend.recovery.startup_stages import Stage
 
-if TYPE_CHECKING:
-    from rookbend.recovery.coordinator import RecoveryCoordinator
-
 
 def fleet_status(coordinator: RecoveryCoordinator, now: int) -> dict[str, Any]:
     """This director and what it knows of the others; ages in milliseconds."""
--- a/tests/test_layering.py
+++ b/tests/test_layering.py
@@ -36,21 +36,18 @@
     }
 
 
-def statements_at_import(body):
-    """Imports that run as the module is loaded: not those of functions, nor for type checkers only."""
+def top_level_imports(body):
+    """Imports of the module itself, those for type checkers among them, not those inside functions."""
     for node in body:
-        if isinstance(node, ast.If):
-            if "TYPE_CHECKING" not in ast.dump(node.test):
-                yield from statements_at_import(node.body)
-        elif isinstance(node, ast.Try):
-            yield from statements_at_import(node.body)
+        if isinstance(node, ast.If | ast.Try):
+            yield from top_level_imports(node.body)
         elif isinstance(node, ast.Import | ast.ImportFrom):
             yield node
 
 
 def imports_of(name, known, every=False):
     tree = ast.parse(known[name].read_text())
-    nodes = ast.walk(tree) if every else statements_at_import(tree.body)
+    nodes = ast.walk(tree) if every else top_level_imports(tree.body)
     found = set()
     for node in nodes:
         if isinstance(node, ast.ImportFrom) and node.module:
