--- a/rookbend/testing/cluster/faults.py
+++ b/rookbend/testing/cluster/faults.py
@@ -7,7 +7,7 @@
 
 import trio
 
-from rookbend.testing import fault_timeline
+from rookbend.testing import fault_timeline, fault_timeline_format
 from rookbend.testing.cluster import disk
 
 
@@ -76,18 +76,18 @@
 
     async def play(self, text: str, file: str = "day") -> None:
         """The failures of a text, from now on; `seed` and lines go into the report of a failed run."""
-        self.day = fault_timeline.parse(text, file)
+        self.day = fault_timeline_format.parse_faults(text, file)
         others = *self.names, *self.boxes, "coordinator", "clients"
         pairs = [f"{a}>{b}" for a in self.names for b in others if a != b]
         world = {
-            fault_timeline.MEMBER: list(self.boxes),
-            fault_timeline.DIRECTOR: self.names,
-            fault_timeline.PAIR: pairs,
-            fault_timeline.MACHINE: [*self.names, *self.boxes],
-            fault_timeline.COORDINATOR: ["coordinator"],
+            fault_timeline.TargetType.MEMBER: list(self.boxes),
+            fault_timeline.TargetType.DIRECTOR: self.names,
+            fault_timeline.TargetType.PAIR: pairs,
+            fault_timeline.TargetType.MACHINE: [*self.names, *self.boxes],
+            fault_timeline.TargetType.COORDINATOR: ["coordinator"],
         }
         begun = trio.current_time()
-        steps = fault_timeline.steps(self.day, world)
+        steps = fault_timeline.plan_steps(self.day, world)
         at = 0
         while at < len(steps):
             due = steps[at].at_us
@@ -97,11 +97,11 @@
                 together.append(steps[at])
                 at += 1
             # All that loses power in one instant loses it before anybody else moves.
-            for step in sorted(together, key=lambda s: s.failure.kind != "power"):
+            for step in sorted(together, key=lambda s: s.fault.kind != "power"):
                 await self._step(step)
 
     async def _step(self, step: fault_timeline.Step) -> None:
-        kind, part, begins = step.failure.kind, step.part, step.begins
+        kind, part, begins = step.fault.kind, step.target, step.begins
         if kind in ("power", "kill"):
             if begins:
                 self.power_off(part)
@@ -114,13 +114,13 @@
         elif kind == "cut-between":
             (self.cut if begins else self.heal)(*part.split(">"))
         elif kind == "clock":
-            ahead = step.failure.by_us / 1e6 * (-1 if step.failure.back else 1)
+            ahead = step.fault.by_us / 1e6 * (-1 if step.fault.back else 1)
             self.nodes[part].set_clock(ahead if begins else 0.0)
         elif kind == "disk":
-            self.nodes[part].set_disk(step.failure.says if begins else "")
+            self.nodes[part].set_disk(step.fault.says if begins else "")
         elif kind == "drop":
             for other in self.names:
-                self.ways.get(part, other).set(loss=step.failure.share if begins else 0.0)
+                self.ways.get(part, other).set(loss=step.fault.share if begins else 0.0)
         elif kind == "cut":
             self.coordinator.go() if begins else self.coordinator.back()
         elif kind in ("term", "hup"):
--- a/rookbend/testing/cluster/scenario.py
+++ b/rookbend/testing/cluster/scenario.py
@@ -24,7 +24,7 @@
 import trio
 
 from rookbend.protocol.coordinator_stream import split_address
-from rookbend.testing import fault_timeline
+from rookbend.testing import fault_timeline, fault_timeline_format
 from rookbend.testing.cluster.admin_client import Asking
 from rookbend.testing.cluster.clients import Front
 from rookbend.testing.cluster.coordinator import Coordinator
@@ -81,7 +81,7 @@
         self.relays: dict[tuple[str, str], TcpRelay] = {}
         self.places: dict[str, dict[str, str]] = {}
         self.peers: dict[str, str] = {}
-        self.day: tuple[fault_timeline.Failure, ...] = ()
+        self.day: tuple[fault_timeline.Fault, ...] = ()
         self.change: Callable[[dict], dict] = lambda settings: settings  # of what directors are told
         self.doors = False  # whether directors are told where their operators' door is
         self.off: dict[str, None] = {}  # what has lost its power, in that order
@@ -192,7 +192,7 @@
 
     def report(self) -> str:
         """What repeats the run, and what happened in it."""
-        lines = [f"seed {self.seed}", fault_timeline.write(self.day), self.record.story()]
+        lines = [f"seed {self.seed}", fault_timeline_format.format_faults(self.day), self.record.story()]
         for name, node in self.nodes.items():
             if node.lines:
                 lines.append(f"-- {name}, life {node.lives}, last lines:")
--- a/rookbend/testing/counter_totals.py
+++ b/rookbend/testing/counter_totals.py
@@ -1,9 +1,9 @@
-"""Counts across a fleet: reads the logs of many directors and adds up what they say.
+"""Sums the counters of a fleet from the logs of its directors.
 
-A director writes its counters at exit (and on SIGUSR1) as one `counters` line. A file may hold several lives
-of a director, each begun by `ready`: a life's last `counters` line is its total, and one killed writes none.
-Every other event is counted by name, with `dropped=N` added back, so that a line kept for many dropped ones
-counts for all of them.
+A director writes its counters at exit (and on SIGUSR1) as one `counters` line. A file may hold several incarnations of
+a director, each begun by `ready`: an incarnation's last `counters` line is its total, and a killed one writes none.
+Every other event is counted by name, with `dropped=N` added back, so that a line written for many dropped ones counts
+for all of them.
 
     python -m rookbend.testing.counter_totals LOGDIR [--json]
 
@@ -16,93 +16,130 @@
 import shlex
 import sys
 from collections import Counter
+from collections.abc import Iterable
+from dataclasses import dataclass
 from pathlib import Path
+from typing import Any
 
 import msgspec
 
+DESCRIPTION = "Counts across a fleet: reads the logs of many directors and adds up what they say."
+COUNTERS_EVENT = "counters"
+READY_EVENT = "ready"
 
-def fields_of(line: str) -> dict[str, str]:
+
+def parse_line(line: str) -> dict[str, str]:
     """The fields of one log line, logfmt or JSON; {} for a line that is neither (a traceback, say)."""
     line = line.strip()
     if line.startswith("{"):
-        try:
-            value = msgspec.json.decode(line)
-        except msgspec.DecodeError:
-            return {}
-        return {str(k): str(v) for k, v in value.items()} if isinstance(value, dict) else {}
+        return _parse_json(line)
     try:
         words = shlex.split(line)
     except ValueError:
         return {}
-    pairs = dict(word.split("=", 1) for word in words if "=" in word)
-    return pairs if "event" in pairs else {}
+    fields = dict(word.split("=", 1) for word in words if "=" in word)
+    return fields if "event" in fields else {}
+
+
+def _parse_json(line: str) -> dict[str, str]:
+    try:
+        content = msgspec.json.decode(line)
+    except msgspec.DecodeError:
+        return {}
+    if not isinstance(content, dict):
+        return {}
+    return {str(key): str(value) for key, value in content.items()}
 
 
-class Tally:
-    """Totals of one fleet's logs: counters summed over every life, events counted by name."""
+@dataclass(frozen=True, slots=True)
+class Maximum:
+    """The highest value of one director, and its name."""
+
+    value: int
+    director: str
+
+
+class FleetTotals:
+    """Totals of one fleet's logs: counters summed over every incarnation, events counted by name."""
 
     def __init__(self) -> None:
         self.counters: Counter[str] = Counter()
         self.events: Counter[str] = Counter()
-        self.most: dict[str, tuple[int, str]] = {}  # counter: (highest of one director, which)
+        self.maxima: dict[str, Maximum] = {}  # by counter
         self.directors = 0  # logs that held counters
-        self.faults = 0  # lines that are no event: tracebacks and the like
+        self.unreadable_lines = 0  # tracebacks and the like
 
-    def read(self, name: str, lines) -> None:
-        mine: Counter[str] = Counter()
-        life: dict[str, int] = {}
+    def add_log(self, director: str, lines: Iterable[str]) -> None:
+        """Adds the log of one director."""
+        director_counters: Counter[str] = Counter()
+        incarnation_counters: dict[str, int] = {}
         for line in lines:
             if not line.strip():
                 continue
-            fields = fields_of(line)
+            fields = parse_line(line)
             event = fields.get("event")
             if event is None:
-                self.faults += 1
+                self.unreadable_lines += 1
                 continue
             self.events[event] += 1 + int(fields.get("dropped", 0) or 0)
-            if event == "counters":
-                life = {k: int(v) for k, v in fields.items() if v.isdigit()}
-            elif event == "ready" and life:
-                mine.update(life)  # a new life: the last one's totals are final
-                life = {}
-        mine.update(life)
-        self.directors += bool(mine)
-        self.counters.update(mine)
-        for key, value in mine.items():
-            if value > self.most.get(key, (-1, ""))[0]:
-                self.most[key] = (value, name)
-
-    def report(self) -> dict:
+            if event == COUNTERS_EVENT:
+                incarnation_counters = {name: int(value) for name, value in fields.items() if value.isdigit()}
+            elif event == READY_EVENT:
+                # A new incarnation: the totals of the last one are final.
+                director_counters.update(incarnation_counters)
+                incarnation_counters = {}
+        director_counters.update(incarnation_counters)
+        self._add_counters(director, director_counters)
+
+    def _add_counters(self, director: str, counters: Counter[str]) -> None:
+        self.directors += bool(counters)
+        self.counters.update(counters)
+        for name, value in counters.items():
+            maximum = self.maxima.get(name)
+            if maximum is None or value > maximum.value:
+                self.maxima[name] = Maximum(value, director)
+
+    def report(self) -> dict[str, Any]:
+        """The totals as the JSON object that the program prints."""
         return {
             "directors": self.directors,
             "counters": dict(sorted(self.counters.items())),
-            "busiest": {k: list(v) for k, v in sorted(self.most.items())},
+            "busiest": {name: [maximum.value, maximum.director] for name, maximum in sorted(self.maxima.items())},
             "events": dict(self.events.most_common()),
-            "unreadable_lines": self.faults,
+            "unreadable_lines": self.unreadable_lines,
         }
 
 
+def read_logs(folder: Path) -> FleetTotals:
+    """The totals of the `*.log` files of a folder, one a director."""
+    totals = FleetTotals()
+    for path in sorted(folder.glob("*.log")):
+        with path.open(errors="replace") as lines:
+            totals.add_log(path.stem, lines)
+    return totals
+
+
+def print_report(report: dict[str, Any]) -> None:
+    """Prints the report for people."""
+    print(f"{report['directors']} directors, {report['unreadable_lines']} lines that are no event")
+    for name, value in report["counters"].items():
+        maximum, director = report["busiest"][name]
+        print(f"  {name:16} {value:10}   most {maximum} ({director})")
+    for event, count in report["events"].items():
+        print(f"  event {event:28} {count:8}")
+
+
 def main(argv: list[str] | None = None) -> int:
-    parser = argparse.ArgumentParser(
-        prog="python -m rookbend.testing.counter_totals", description=__doc__.splitlines()[0]
-    )
+    """Prints the totals of a folder of logs; exit code 0."""
+    parser = argparse.ArgumentParser(prog="python -m rookbend.testing.counter_totals", description=DESCRIPTION)
     parser.add_argument("logs", type=Path, help="a folder of director logs, one file a director")
     parser.add_argument("--json", action="store_true", help="one JSON object instead of the table")
     args = parser.parse_args(argv)
-    tally = Tally()
-    for path in sorted(args.logs.glob("*.log")):
-        with path.open(errors="replace") as lines:
-            tally.read(path.stem, lines)
-    report = tally.report()
+    report = read_logs(args.logs).report()
     if args.json:
         print(msgspec.json.encode(report).decode())
-        return 0
-    print(f"{report['directors']} directors, {report['unreadable_lines']} lines that are no event")
-    for key, value in report["counters"].items():
-        most, who = report["busiest"][key]
-        print(f"  {key:16} {value:10}   most {most} ({who})")
-    for event, count in report["events"].items():
-        print(f"  event {event:28} {count:8}")
+    else:
+        print_report(report)
     return 0
 
 
--- /dev/null
+++ b/rookbend/testing/fault_timeline_format.py
@@ -0,0 +1,129 @@
+"""The text of a fault timeline, in the form of the operators' settings.
+
+    [failure cache-dies]
+        kind    kill
+        part    c3 c4                   names, or *, or 30%: drawn by the seed
+        at      5s
+        for     12s                     0s, the default: for good
+        seed    7
+
+The kinds and their further directives are in `fault_timeline`.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from typing import Any
+
+from rookbend.settings import values as v
+from rookbend.settings.reader import Directive, Section, SettingsError, read
+from rookbend.settings.values import Form
+from rookbend.testing.fault_timeline import KINDS, Fault
+
+SECTION_KIND = "failure"
+# Directives that only some kinds have.
+KIND_DIRECTIVES = "share", "by", "says", "reset", "back"
+FIELDS_BY_DIRECTIVE = {"part": "targets", "at": "at_us", "for": "duration_us", "by": "by_us"}  # others: of that name
+MAX_TIME_US = v.TIME_UNITS["h"]
+FORMS = {
+    "kind": Form(v.one_of(*KINDS), required=True),
+    "part": Form(v.text(1, 255), many=True),
+    "at": Form(v.time(0, MAX_TIME_US), required=True),
+    "for": Form(v.time(0, MAX_TIME_US)),
+    "seed": Form(v.whole(0, 2**63)),
+    "share": Form(v.share()),
+    "by": Form(v.time(1_000, MAX_TIME_US)),
+    "says": Form(v.text(1)),
+    "reset": Form(v.yes_or_no),
+    "back": Form(v.yes_or_no),
+}
+
+
+def parse_faults(text: str, file: str) -> tuple[Fault, ...]:
+    """The faults of a file's text. Raises `SettingsError`, worded as the settings' are."""
+    faults: dict[str, Fault] = {}
+    for section in read(text, file):
+        if section.kind != SECTION_KIND or not section.name:
+            raise SettingsError(section.place, f"{section.title} is no [failure NAME]")
+        if section.name in faults:
+            first_line = faults[section.name].place.line
+            raise SettingsError(section.place, f"{section.title} stands twice, first in line {first_line}")
+        faults[section.name] = _parse_section(section)
+    return tuple(faults.values())
+
+
+def _parse_section(section: Section) -> Fault:
+    directives = _directives_by_name(section)
+    fields: dict[str, Any] = {"name": section.name, "place": section.place}
+    for name, form in FORMS.items():
+        if name in directives:
+            fields[FIELDS_BY_DIRECTIVE.get(name, name)] = _parse_directive(directives[name], form)
+        elif form.required:
+            raise SettingsError(section.place, f"{section.title} needs {name}")
+    _check_kind_directives(section, fields["kind"], directives)
+    return Fault(**fields)
+
+
+def _directives_by_name(section: Section) -> dict[str, Directive]:
+    directives: dict[str, Directive] = {}
+    for directive in section.directives:
+        if directive.name not in FORMS:
+            raise SettingsError(directive.place, f"a failure knows no {directive.name}")
+        if directive.name in directives:
+            raise SettingsError(directive.place, f"{directive.name} stands twice")
+        directives[directive.name] = directive
+    return directives
+
+
+def _parse_directive(directive: Directive, form: Form) -> Any:
+    if not directive.values or (len(directive.values) > 1 and not form.many):
+        raise SettingsError(directive.place, f"{directive.name} takes {'values' if form.many else 'one value'}")
+    try:
+        values = tuple(form.read(word) for word in directive.values)
+    except ValueError as error:
+        raise SettingsError(directive.place, f"{directive.name}: {error}") from None
+    return values if form.many else values[0]
+
+
+def _check_kind_directives(section: Section, kind_name: str, directives: dict[str, Directive]) -> None:
+    kind = KINDS[kind_name]
+    for name in KIND_DIRECTIVES:
+        if name == kind.required and name not in directives:
+            raise SettingsError(section.place, f"{kind_name} needs {name}")
+        if name in directives and name not in (kind.required, kind.optional):
+            raise SettingsError(directives[name].place, f"{name} means nothing to {kind_name}")
+
+
+def format_faults(faults: Iterable[Fault]) -> str:
+    """The text that `parse_faults` reads as these: what a run prints so that it can be repeated."""
+    lines = []
+    for fault in faults:
+        lines.append(f"[{SECTION_KIND} {fault.name}]")
+        lines += [f"    {name:8}{value}" for name, value in _directives_of(fault)]
+    return "\n".join(lines) + "\n"
+
+
+def _directives_of(fault: Fault) -> list[tuple[str, str]]:
+    directives = [
+        ("kind", fault.kind),
+        ("part", " ".join(fault.targets)),
+        ("at", f"{fault.at_us}us"),
+        ("for", f"{fault.duration_us}us"),
+        ("seed", str(fault.seed)),
+    ]
+    if fault.share:
+        directives.append(("share", f"{fault.share * 100:g}%"))
+    if fault.by_us:
+        directives.append(("by", f"{fault.by_us}us"))
+    if fault.says:
+        directives.append(("says", _quote(fault.says)))
+    if fault.reset:
+        directives.append(("reset", "yes"))
+    if fault.back:
+        directives.append(("back", "yes"))
+    return directives
+
+
+def _quote(text: str) -> str:
+    escaped = text.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n")
+    return f'"{escaped}"'
--- a/tests/test_counter_totals.py
+++ b/tests/test_counter_totals.py
@@ -1,6 +1,6 @@
 """Counts across a fleet: each life's last counters count once, dropped lines count back."""
 
-from rookbend.testing.counter_totals import Tally, fields_of
+from rookbend.testing.counter_totals import FleetTotals, parse_line
 
 LIFE = [
     "timestamp=t level=info event=ready director=n0",
@@ -12,10 +12,10 @@
 
 
 def test_a_lifes_last_counters_count_and_a_restart_adds_the_next():
-    tally = Tally()
-    tally.read("n0", LIFE + LIFE[:1] + ["Traceback (most recent call last):", "event=counters connects=2"])
-    tally.read("n1", ['{"event": "counters", "connects": 30, "level": "info"}'])
-    report = tally.report()
+    totals = FleetTotals()
+    totals.add_log("n0", LIFE + LIFE[:1] + ["Traceback (most recent call last):", "event=counters connects=2"])
+    totals.add_log("n1", ['{"event": "counters", "connects": 30, "level": "info"}'])
+    report = totals.report()
     assert report["counters"] == {"connects": 9 + 2 + 30, "attempts": 12}
     assert report["busiest"]["connects"] == [30, "n1"]
     assert report["events"]["member_garbage"] == 1 + 5
@@ -23,4 +23,4 @@
 
 
 def test_lines_that_are_no_event_give_nothing():
-    assert fields_of("plain text") == {} and fields_of('{"a": ') == {} and fields_of('a="open') == {}
+    assert parse_line("plain text") == {} and parse_line('{"a": ') == {} and parse_line('a="open') == {}
--- a/tests/test_fault_timeline.py
+++ b/tests/test_fault_timeline.py
@@ -3,7 +3,8 @@
 import pytest
 
 from rookbend.settings import SettingsError
-from rookbend.testing.fault_timeline import KINDS, parse, steps, write
+from rookbend.testing.fault_timeline import KINDS, plan_steps
+from rookbend.testing.fault_timeline_format import format_faults, parse_faults
 
 WORLD = {
     "member": [f"c{i}" for i in range(10)],
@@ -35,9 +36,9 @@
 
 
 def test_a_day_is_steps_in_order_and_the_same_for_a_seed():
-    day = parse(DAY, "x")
-    found = steps(day, WORLD)
-    assert [(s.at_us // 1_000_000, s.failure.name, s.part, s.begins) for s in found[:6]] == [
+    day = parse_faults(DAY, "x")
+    found = plan_steps(day, WORLD)
+    assert [(s.at_us // 1_000_000, s.fault.name, s.target, s.begins) for s in found[:6]] == [
         (1, "hub", "north", True),
         (5, "hub", "north", False),
         (5, "dies", "c3", True),
@@ -45,16 +46,16 @@
         (7, "dies", "c3", False),
         (7, "dies", "c4", False),
     ]
-    lies = [s.part for s in found[6:]]
-    assert len(lies) == 3 and lies == [s.part for s in steps(parse(DAY, "x"), WORLD)[6:]]
-    assert lies != [s.part for s in steps(parse(DAY.replace("seed 7", "seed 9"), "x"), WORLD)[6:]]
+    lies = [s.target for s in found[6:]]
+    assert len(lies) == 3 and lies == [s.target for s in plan_steps(parse_faults(DAY, "x"), WORLD)[6:]]
+    assert lies != [s.target for s in plan_steps(parse_faults(DAY.replace("seed 7", "seed 9"), "x"), WORLD)[6:]]
 
 
 def test_what_is_written_reads_as_the_same():
-    day = parse(DAY, "x")
-    again = parse(write(day), "x")
-    assert [(s.at_us, s.part, s.begins, s.failure.says) for s in steps(again, WORLD)] == [
-        (s.at_us, s.part, s.begins, s.failure.says) for s in steps(day, WORLD)
+    day = parse_faults(DAY, "x")
+    again = parse_faults(format_faults(day), "x")
+    assert [(s.at_us, s.target, s.begins, s.fault.says) for s in plan_steps(again, WORLD)] == [
+        (s.at_us, s.target, s.begins, s.fault.says) for s in plan_steps(day, WORLD)
     ]
 
 
@@ -85,13 +86,16 @@
 )
 def test_each_fault_is_told_with_its_line(text, fault):
     with pytest.raises(SettingsError) as found:
-        steps(parse(text, "FILE"), WORLD)
+        plan_steps(parse_faults(text, "FILE"), WORLD)
     assert str(found.value).startswith(f"FILE:{fault}")
 
 
 def test_every_kind_can_be_said():
     more = {"share": "share 5%\n", "by": "by 1s\n", "says": "says up\n"}
-    for kind, (on, needed) in KINDS.items():
-        day = parse(f"[failure a]\nkind {kind}\nat 1s\nfor 1s\n" + "".join(more[n] for n in needed), "x")
-        found = steps(day, WORLD)
-        assert [s.begins for s in found] == [True] * len(WORLD[on]) + [False] * len(WORLD[on])
+    for kind, form in KINDS.items():
+        day = parse_faults(
+            f"[failure a]\nkind {kind}\nat 1s\nfor 1s\n" + (more[form.required] if form.required else ""), "x"
+        )
+        found = plan_steps(day, WORLD)
+        names = WORLD[form.target_type]
+        assert [s.begins for s in found] == [True] * len(names) + [False] * len(names)
--- a/tests/test_process_cluster.py
+++ b/tests/test_process_cluster.py
@@ -12,7 +12,7 @@
 from rookbend.testing.cluster.process import SHIM, Node
 from rookbend.testing.cluster.record import Record
 from rookbend.testing.cluster.relay import UdpRelay, Ways
-from rookbend.testing.fault_timeline import parse, write
+from rookbend.testing.fault_timeline_format import format_faults, parse_faults
 
 
 def test_a_power_loss_of_all_in_the_middle_of_writes_breaks_no_rule():
@@ -143,13 +143,13 @@
 
 
 def test_the_new_failures_are_read_written_and_refused_like_the_others():
-    day = parse(
+    day = parse_faults(
         "[failure a]\n kind clock\n part n0\n at 1s\n by 10m\n back yes\n"
         "[failure b]\n kind cut-between\n part n0>n1\n at 2s\n for 1s\n",
         "day",
     )
-    assert parse(write(day), "again") == tuple(
+    assert parse_faults(format_faults(day), "again") == tuple(
         type(f)(**{**{n: getattr(f, n) for n in f.__struct_fields__}, "place": g.place})
-        for f, g in zip(day, parse(write(day), "again"), strict=True)
+        for f, g in zip(day, parse_faults(format_faults(day), "again"), strict=True)
     )
-    assert day[0].back and day[1].on == "pair"
+    assert day[0].back and day[1].target_type == "pair"
