--- a/benchmarks/health.py
+++ b/benchmarks/health.py
@@ -24,7 +24,7 @@
 import trio
 
 from benchmarks.measure import figures, machine, percentile, spread, table
-from rookbend.testing.health_agents import Manner
+from rookbend.testing.health_agents import Behavior, ResponseMode
 from rookbend.testing.measurement_fleet import Clients, Director, Fleet, fleet, free_port, running
 
 HERE = Path(__file__).parent.parent
@@ -46,8 +46,8 @@
     answer-by 500ms
     stale 1m
 """
-DRAIN, READY = Manner(text=b"drain\n"), Manner(text=b"ready up 100%\n")
-STALL = Manner("stall", b"up ready 100%\n")
+DRAIN, READY = Behavior(text=b"drain\n"), Behavior(text=b"ready up 100%\n")
+STALL = Behavior(ResponseMode.STALL, b"up ready 100%\n")
 PARTS = "reaction", "stalled", "before", "cost", "platform"
 SETTLE_S = 1.5  # an attempt to a box that was drained this long ago is looked for no more
 
@@ -69,7 +69,7 @@
     after = {"agent": 0, "roster": 0}
     async with fleet(members) as made:
         for box in made.boxes:
-            box.agent.manner = READY
+            box.agent.behavior = READY
         node, address = director(
             made, folder, True, OPERATORS.format(port=made.agent_port, interval="1s" if members <= 100 else "4s")
         )
@@ -96,14 +96,14 @@
                         told["agent"] = time.monotonic()
                         heard.set()
 
-                agent.on_asked, agent.manner = on_asked, DRAIN
+                agent.on_poll, agent.behavior = on_asked, DRAIN
                 await heard.wait()
                 await trio.sleep(SETTLE_S)
                 for way, box in drained.items():
                     late = [t - told[way] for t in box.arrivals if t > told[way]]
                     delays[way].append(max(late, default=0.0) * 1000)
                     after[way] += len(late)
-                agent.on_asked, agent.manner = (lambda data: None), READY
+                agent.on_poll, agent.behavior = (lambda data: None), READY
                 await made.coordinator.tell(drained["roster"].line())
                 await trio.sleep(0.5)
             served = sum(code == 0 for _, _, code in clients.times)
@@ -124,7 +124,7 @@
     p99, median, cpu = ({0: [], 30: []} for _ in range(3))
     async with fleet(members) as made:
         for box in made.boxes:
-            box.agent.manner = READY
+            box.agent.behavior = READY
         node, address = director(made, folder, True, OPERATORS.format(port=made.agent_port, interval="1s"))
         async with running(node), trio.open_nursery() as nursery:
             clients = Clients(address, rate, hot_objects(200), SEED)
@@ -135,7 +135,7 @@
             for turn in range(2 * turns):
                 share = 30 if (turn + turn // 2) % 2 else 0  # 0 30 30 0 ...: a drift falls on both
                 for box in chosen:
-                    box.agent.manner = STALL if share else READY
+                    box.agent.behavior = STALL if share else READY
                 await trio.sleep(1.5)
                 begun, cpu_before = time.monotonic(), node.cpu_s()
                 await trio.sleep(seconds)
@@ -153,7 +153,7 @@
     found: dict[str, dict[str, list[float]]] = {}
     async with fleet(members) as made:
         for box in made.boxes:
-            box.agent.manner = READY
+            box.agent.behavior = READY
         nodes, asked = {}, {}
         for side, checkout, operators in (
             ("before", before, ""),
@@ -187,15 +187,15 @@
     """CPU a check: a director without clients, checks on and off, in two processes side by side."""
     async with fleet(members) as made:
         for box in made.boxes:
-            box.agent.manner = READY
+            box.agent.behavior = READY
         on, _ = director(made, folder / "on", True, OPERATORS.format(port=made.agent_port, interval="1s"))
         off, _ = director(made, folder / "off", True, "")
         async with running(on, off):
             await trio.sleep(2)
-            before, asked = (on.cpu_s(), off.cpu_s()), sum(b.agent.asked for b in made.boxes)
+            before, asked = (on.cpu_s(), off.cpu_s()), sum(b.agent.polls for b in made.boxes)
             await trio.sleep(seconds)
             used = on.cpu_s() - before[0] - (off.cpu_s() - before[1])
-            checks = sum(b.agent.asked for b in made.boxes) - asked
+            checks = sum(b.agent.polls for b in made.boxes) - asked
             resident = on.resident_kb() - off.resident_kb()
     return {"checks": checks, "us": used / checks * 1e6, "resident_kb": resident}
 
--- a/rookbend/testing/measurement_fleet.py
+++ b/rookbend/testing/measurement_fleet.py
@@ -23,7 +23,7 @@
 
 import trio
 
-from rookbend.testing.health_agents import HealthPeer, listen_together
+from rookbend.testing.health_agents import HealthAgent, listen_on_shared_port
 
 SETTINGS = {
     "lanes": [
@@ -84,7 +84,7 @@
 
     def __init__(self, name: str, host: str, zone: str = "edge", flavor: str = "standard"):
         self.name, self.host, self.zone, self.flavor = name, host, zone, flavor
-        self.agent = HealthPeer(host)
+        self.agent = HealthAgent(host)
         self.port = 0
         self.arrivals: deque[float] = deque(maxlen=KEPT)  # monotonic seconds
         self.connections = 0  # accepted since it began to listen
@@ -279,7 +279,7 @@
         for box in self.boxes:
             await box.listen(nursery, port)
             port = box.port
-        self.agent_port = await listen_together([b.agent for b in self.boxes], nursery)
+        self.agent_port = await listen_on_shared_port([b.agent for b in self.boxes], nursery)
 
     def config(self, probes: bool, port: int, me: int = 0, directors: int = 1) -> dict:
         settings = json.loads(json.dumps(SETTINGS))
--- a/tests/director_scenario.py
+++ b/tests/director_scenario.py
@@ -21,7 +21,7 @@
 from rookbend.health.model import Order
 from rookbend.service import Service
 from rookbend.settings import parse
-from rookbend.testing.health_agents import listen_together
+from rookbend.testing.health_agents import listen_on_shared_port
 from rookbend.testing.measurement_fleet import SETTINGS, frame
 from tests.dns_stand_ins import Agent, DnsClient, Health, Resolver
 from tests.platform_stand_ins import OBJ, PATIENCE, Box, Client, Coordinator
@@ -81,7 +81,7 @@
         for name in (*HOSTS, "coordinator", "coordinator2", "dns", "resolver"):
             await self.actors[name].open()
         agents = [a.peer for a in self.actors.values() if isinstance(a, Agent)]
-        operators = operators.replace("AGENTS", str(await listen_together(agents, self.nursery)))
+        operators = operators.replace("AGENTS", str(await listen_on_shared_port(agents, self.nursery)))
         known = {
             "index": 1,
             "updates": [{"index": 1, "endpoints": {"complete": True, "members": [self.member(m) for m in members]}}],
--- a/tests/dns_stand_ins.py
+++ b/tests/dns_stand_ins.py
@@ -8,7 +8,7 @@
 from rookbend.net.dns import open_both
 from rookbend.net.listeners import Listeners
 from rookbend.protocol import dns as dns_protocol
-from rookbend.testing.health_agents import HealthPeer, Manner, http_answer
+from rookbend.testing.health_agents import Behavior, HealthAgent, ResponseMode, http_response
 from tests.platform_stand_ins import Actor, pairs
 
 
@@ -125,7 +125,7 @@
 
     def __init__(self, stage, host):
         super().__init__(stage)
-        self.peer = HealthPeer(host, on_asked=self.asked)
+        self.peer = HealthAgent(host, on_poll=self.asked)
 
     def asked(self, data):
         if self.heard.statistics().current_buffer_used < 500:  # nobody may be listening to each check
@@ -134,17 +134,19 @@
     async def send(self, words):
         kind, peer = words[0], self.peer
         if kind == "grpc":
-            if peer.manner.kind != "grpc":
-                peer.manner = Manner("grpc", serving="serving" in words)
-            peer.manner.deaf = "deaf" in words
-            if not peer.manner.deaf:
+            if peer.behavior.mode != ResponseMode.GRPC:
+                peer.behavior = Behavior(ResponseMode.GRPC, is_serving="serving" in words)
+            peer.behavior.ignores_grpc = "deaf" in words
+            if not peer.behavior.ignores_grpc:
                 await peer.set_serving("serving" in words)
         elif kind == "http":
-            peer.manner = Manner("say", http_answer(int(words[1]), words[2], *words[3:]))
+            peer.behavior = Behavior(ResponseMode.RESPOND, http_response(int(words[1]), words[2], *words[3:]))
         elif kind in ("stall", "dribble", "flood", "silent", "reset", "leave"):
-            peer.manner = Manner(kind, " ".join(words[1:]).encode() + (b"" if kind == "flood" else b"\n"))
+            peer.behavior = Behavior(
+                ResponseMode(kind), " ".join(words[1:]).encode() + (b"" if kind == "flood" else b"\n")
+            )
         else:
-            peer.manner = Manner("say", " ".join(words).encode() + b"\n")
+            peer.behavior = Behavior(ResponseMode.RESPOND, " ".join(words).encode() + b"\n")
 
     async def expect(self, words):
         """An ask from now on: those of before prove nothing about what it says now."""
--- a/tests/test_health_agents.py
+++ b/tests/test_health_agents.py
@@ -17,7 +17,7 @@
             cache1 wait draining
         """)
         for _ in range(40):
-            stage.actors["agent1"].peer.manner.text = b"up ready 100%\n"
+            stage.actors["agent1"].peer.behavior.text = b"up ready 100%\n"
             await trio.sleep(0.05)
             assert stage.state("cache1") == ("draining", 0, "roster")
         assert await where(stage, 1) == {"cache2"}
@@ -116,7 +116,7 @@
         for name in ("agent1", "agent2"):
             peer = stage.actors[name].peer
             # What it sent beyond a line's bound stayed in the sockets, and was never read.
-            assert peer.sent / peer.asked < 8 << 20
+            assert peer.sent_bytes / peer.polls < 8 << 20
 
     on_health(steps)
 
--- a/tests/test_health_checks.py
+++ b/tests/test_health_checks.py
@@ -25,7 +25,7 @@
     async def steps(stage):
         await stage.play(f"agent2 send http 200 fine\n agent1 send {said}\n all wait 6")
         assert stage.state("cache1")[0] == state, stage.service.health.service.table()
-        assert b"GET /health HTTP/1.1" in stage.actors["agent2"].peer.heard[-1]
+        assert b"GET /health HTTP/1.1" in stage.actors["agent2"].peer.received[-1]
 
     on_health(steps, operators=HTTP)
 
@@ -53,10 +53,10 @@
 
     async def steps(stage):
         await stage.play("agent1 send grpc serving\n agent2 send grpc serving\n all wait 5")
-        watched = stage.actors["agent1"].peer.asked
+        watched = stage.actors["agent1"].peer.polls
         assert stage.state("cache1")[0] == "ready" and watched == 1, "one stream, and it lasts"
         await stage.play("agent1 send grpc deaf\n cache1 wait down")
-        assert stage.actors["agent1"].peer.asked > watched
+        assert stage.actors["agent1"].peer.polls > watched
 
     on_health(steps, operators=GRPC.format(type="grpc-watch"))
 
@@ -74,7 +74,7 @@
 def test_a_proxy_header_goes_before_the_question():
     async def steps(stage):
         await stage.play("agent1 send http 200 fine\n all wait 3")
-        return list(stage.actors["agent1"].peer.heard)
+        return list(stage.actors["agent1"].peer.received)
 
     heard = on_health(steps, operators=HTTP + "    proxy proxy\n")
     assert heard and all(h.startswith(b"\r\n\r\n\0\r\nQUIT\n\x21\x11\0\x0c\x7f\0\0") and b"GET /" in h for h in heard)
@@ -88,13 +88,13 @@
         await stage.play("agent1 send stall down\n agent1 expect ask")
         stage.operators = type(stage.operators)(health=stage.operators.health)
         stage.service.reload()
-        stage.actors["agent1"].peer.manner.text = b"down\n"
+        stage.actors["agent1"].peer.behavior.text = b"down\n"
         await trio.sleep(30)
         assert stage.state("cache1") == ("ready", 100, "nothing")
         assert not stage.service.health.runner.plan.jobs
-        asked = stage.actors["agent1"].peer.asked
+        asked = stage.actors["agent1"].peer.polls
         await trio.sleep(30)
-        assert stage.actors["agent1"].peer.asked == asked
+        assert stage.actors["agent1"].peer.polls == asked
 
     on_health(steps)
 
