--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -25,7 +25,9 @@
 import trio
 
 from benchmarks.measure import figures, machine, spread, table
-from rookbend.testing.measurement_fleet import Clients, Director, fleet, free_port, running
+from rookbend.testing.director_process import DirectorProcess, find_free_port, running_directors
+from rookbend.testing.measurement_fleet import open_fleet
+from rookbend.testing.open_loop_client import OpenLoopClient
 
 HERE = Path(__file__).parent.parent
 SEED = 11
@@ -44,19 +46,20 @@
 
 
 async def turn(code: Path, directors: int, seconds: float, folder: Path) -> dict:
-    async with fleet(2) as made:
+    async with open_fleet(2) as made:
         nodes, addresses = [], []
         for me in range(directors):
-            port = free_port()
+            port = find_free_port()
             place = folder / f"n{me}"
             place.mkdir(parents=True, exist_ok=True)
-            nodes.append(Director(code, place, made.config(False, port, me, directors)))
+            nodes.append(DirectorProcess(code, place, made.director_config(False, port, me, directors)))
             addresses.append(("127.0.0.1", port))
-        origin = made.boxes[-1]
-        async with running(*nodes):
+        origin = made.origin
+        async with running_directors(*nodes):
             before = origin.connections
             clients = [
-                Clients(a, RATE, ["%016x" % i for i in range(1, 50)], SEED + i, "form") for i, a in enumerate(addresses)
+                OpenLoopClient(a, RATE, ["%016x" % i for i in range(1, 50)], SEED + i, "form")
+                for i, a in enumerate(addresses)
             ]
             with trio.move_on_after(seconds):
                 async with trio.open_nursery() as nursery:
@@ -65,8 +68,8 @@
             await trio.sleep(0.5)  # the last answers
             cpu = [node.cpu_s() for node in nodes]
             opened = origin.connections - before
-        sent = sum(len(c.times) + len(c.due) for c in clients)
-        served = sum(1 for c in clients for _, _, code in c.times if code == 0)
+        sent = sum(len(c.timings) + len(c.due_s) for c in clients)
+        served = sum(1 for c in clients for _, _, code in c.timings if code == 0)
     return {
         "writes": sent,
         "served": served / max(sent, 1),
--- a/benchmarks/health.py
+++ b/benchmarks/health.py
@@ -24,8 +24,10 @@
 import trio
 
 from benchmarks.measure import figures, machine, percentile, spread, table
+from rookbend.testing.director_process import DirectorProcess, find_free_port, running_directors
 from rookbend.testing.health_agents import Behavior, ResponseMode
-from rookbend.testing.measurement_fleet import Clients, Director, Fleet, fleet, free_port, running
+from rookbend.testing.measurement_fleet import MeasurementFleet, open_fleet
+from rookbend.testing.open_loop_client import OpenLoopClient
 
 HERE = Path(__file__).parent.parent
 SEED = 7
@@ -52,10 +54,10 @@
 SETTLE_S = 1.5  # an attempt to a box that was drained this long ago is looked for no more
 
 
-def director(made: Fleet, folder: Path, probes: bool, operators: str) -> tuple[Director, tuple[str, int]]:
-    port = free_port()
+def director(made: MeasurementFleet, folder: Path, probes: bool, operators: str) -> tuple[DirectorProcess, tuple]:
+    port = find_free_port()
     folder.mkdir(parents=True, exist_ok=True)
-    return Director(HERE, folder, made.config(probes, port), operators), ("127.0.0.1", port)
+    return DirectorProcess(HERE, folder, made.director_config(probes, port), operators), ("127.0.0.1", port)
 
 
 def hot_objects(count: int) -> list[str]:
@@ -67,26 +69,25 @@
     """Drains the boxes that are read most, now by their agent, now by the membership, and back."""
     delays: dict[str, list[float]] = {"agent": [], "roster": []}
     after = {"agent": 0, "roster": 0}
-    async with fleet(members) as made:
-        for box in made.boxes:
+    async with open_fleet(members) as made:
+        for box in made.members:
             box.agent.behavior = READY
         node, address = director(
             made, folder, True, OPERATORS.format(port=made.agent_port, interval="1s" if members <= 100 else "4s")
         )
-        async with running(node), trio.open_nursery() as nursery:
-            clients = Clients(address, rate, hot_objects(24), SEED)
+        async with running_directors(node), trio.open_nursery() as nursery:
+            clients = OpenLoopClient(address, rate, hot_objects(24), SEED)
             nursery.start_soon(clients.run)
             await trio.sleep(2)
             until = time.monotonic() + seconds
             for turn in range(10**6):
                 if time.monotonic() > until:
                     break
-                ways = "agent", "roster"
                 now = time.monotonic()
-                busy = sorted(made.caches, key=lambda b: -sum(t > now - 1 for t in b.arrivals))
-                drained = dict(zip(ways, busy if turn % 2 else busy[1::-1], strict=False))
+                busy = sorted(made.caches, key=lambda b: -sum(t > now - 1 for t in b.arrivals_s))
+                drained = dict(zip(delays, busy if turn % 2 else busy[1::-1], strict=False))
                 told: dict[str, float] = {}
-                await made.coordinator.tell(drained["roster"].line("DRAINING"))
+                await made.coordinator.send_members(drained["roster"].membership_entry("DRAINING"))
                 told["roster"] = time.monotonic()
                 agent = drained["agent"].agent
                 heard = trio.Event()
@@ -100,18 +101,17 @@
                 await heard.wait()
                 await trio.sleep(SETTLE_S)
                 for way, box in drained.items():
-                    late = [t - told[way] for t in box.arrivals if t > told[way]]
+                    late = [t - told[way] for t in box.arrivals_s if t > told[way]]
                     delays[way].append(max(late, default=0.0) * 1000)
                     after[way] += len(late)
                 agent.on_poll, agent.behavior = (lambda data: None), READY
-                await made.coordinator.tell(drained["roster"].line())
+                await made.coordinator.send_members(drained["roster"].membership_entry())
                 await trio.sleep(0.5)
-            served = sum(code == 0 for _, _, code in clients.times)
             found = {
                 "members": members,
-                "served": served,
-                "answers": len(clients.times),
-                "late": clients.late,
+                "served": sum(code == 0 for _, _, code in clients.timings),
+                "answers": len(clients.timings),
+                "late": clients.max_lateness_s,
                 "delays": delays,
                 "after": after,
             }
@@ -122,12 +122,12 @@
 async def stalled(members: int, turns: int, seconds: float, rate: float, folder: Path) -> dict:
     """Turn and turn about: all agents answer; 30% stop in mid-reply."""
     p99, median, cpu = ({0: [], 30: []} for _ in range(3))
-    async with fleet(members) as made:
-        for box in made.boxes:
+    async with open_fleet(members) as made:
+        for box in made.members:
             box.agent.behavior = READY
         node, address = director(made, folder, True, OPERATORS.format(port=made.agent_port, interval="1s"))
-        async with running(node), trio.open_nursery() as nursery:
-            clients = Clients(address, rate, hot_objects(200), SEED)
+        async with running_directors(node), trio.open_nursery() as nursery:
+            clients = OpenLoopClient(address, rate, hot_objects(200), SEED)
             nursery.start_soon(clients.run)
             await trio.sleep(2)
             rng = random.Random(SEED)
@@ -140,19 +140,19 @@
                 begun, cpu_before = time.monotonic(), node.cpu_s()
                 await trio.sleep(seconds)
                 used = node.cpu_s() - cpu_before
-                times = [taken * 1000 for due, taken, code in clients.times if due >= begun and code == 0]
+                times = [taken * 1000 for due, taken, code in clients.timings if due >= begun and code == 0]
                 p99[share].append(percentile(times, 0.99))
                 median[share].append(percentile(times, 0.5))
                 cpu[share].append(used / len(times) * 1e6)
             nursery.cancel_scope.cancel()
-    return {"p99": p99, "median": median, "cpu": cpu, "late": clients.late}
+    return {"p99": p99, "median": median, "cpu": cpu, "late": clients.max_lateness_s}
 
 
 async def beside_before(members: int, turns: int, seconds: float, rate: float, before: Path, folder: Path) -> dict:
     """The version before, health off, health on: three directors side by side, asked in turns."""
     found: dict[str, dict[str, list[float]]] = {}
-    async with fleet(members) as made:
-        for box in made.boxes:
+    async with open_fleet(members) as made:
+        for box in made.members:
             box.agent.behavior = READY
         nodes, asked = {}, {}
         for side, checkout, operators in (
@@ -160,12 +160,12 @@
             ("off", HERE, ""),
             ("on", HERE, OPERATORS.format(port=made.agent_port, interval="1s")),
         ):
-            port, where = free_port(), folder / side
+            port, where = find_free_port(), folder / side
             where.mkdir(parents=True)
-            nodes[side] = Director(checkout, where, made.config(True, port), operators)
-            asked[side] = Clients(("127.0.0.1", port), rate, hot_objects(200), SEED)
+            nodes[side] = DirectorProcess(checkout, where, made.director_config(True, port), operators)
+            asked[side] = OpenLoopClient(("127.0.0.1", port), rate, hot_objects(200), SEED)
             found[side] = {"p99": [], "cpu": []}
-        async with running(*nodes.values()):
+        async with running_directors(*nodes.values()):
             for turn in range(turns):
                 for side in sorted(nodes, reverse=bool(turn % 2)):
                     clients, node = asked[side], nodes[side]
@@ -173,29 +173,29 @@
                         async with trio.open_nursery() as nursery:
                             nursery.start_soon(clients.run)
                             await trio.sleep(1)  # connections are there by then
-                            begun, cpu, done = time.monotonic(), node.cpu_s(), len(clients.times)
+                            begun, cpu, done = time.monotonic(), node.cpu_s(), len(clients.timings)
                             await trio.sleep(seconds - 0.1)
-                            used, done = node.cpu_s() - cpu, len(clients.times) - done
-                    times = [taken * 1000 for due, taken, code in clients.times if due >= begun and code == 0]
+                            used, done = node.cpu_s() - cpu, len(clients.timings) - done
+                    times = [taken * 1000 for due, taken, code in clients.timings if due >= begun and code == 0]
                     found[side]["p99"].append(percentile(times, 0.99))
                     found[side]["cpu"].append(used / done * 1e6)
-                    clients.due.clear()
+                    clients.due_s.clear()
     return found
 
 
 async def cost_of_checks(members: int, seconds: float, folder: Path) -> dict:
     """CPU a check: a director without clients, checks on and off, in two processes side by side."""
-    async with fleet(members) as made:
-        for box in made.boxes:
+    async with open_fleet(members) as made:
+        for box in made.members:
             box.agent.behavior = READY
         on, _ = director(made, folder / "on", True, OPERATORS.format(port=made.agent_port, interval="1s"))
         off, _ = director(made, folder / "off", True, "")
-        async with running(on, off):
+        async with running_directors(on, off):
             await trio.sleep(2)
-            before, asked = (on.cpu_s(), off.cpu_s()), sum(b.agent.polls for b in made.boxes)
+            before, asked = (on.cpu_s(), off.cpu_s()), sum(b.agent.polls for b in made.members)
             await trio.sleep(seconds)
             used = on.cpu_s() - before[0] - (off.cpu_s() - before[1])
-            checks = sum(b.agent.polls for b in made.boxes) - asked
+            checks = sum(b.agent.polls for b in made.members) - asked
             resident = on.resident_kb() - off.resident_kb()
     return {"checks": checks, "us": used / checks * 1e6, "resident_kb": resident}
 
@@ -230,16 +230,16 @@
         for side in sorted(sides, reverse=bool(turn % 2)):
             config = {
                 "name": "n0",
-                "listen": f"127.0.0.1:{free_port()}",
+                "listen": f"127.0.0.1:{find_free_port()}",
                 "seed": "7",
-                "settings": Fleet(0).config(False, 0)["settings"],
+                "settings": MeasurementFleet(0).director_config(False, 0)["settings"],
             }
             where = folder / f"{side}{turn}"
             where.mkdir(parents=True)
             # Each in the environment that its own build makes, where there is one: libraries of tests and
             # operators that happen to be installed are found and loaded by others.
             own = sides[side] / ".venv" / "bin" / "python"
-            node = Director(sides[side], where, config, "", str(own) if own.exists() else sys.executable)
+            node = DirectorProcess(sides[side], where, config, "", str(own) if own.exists() else sys.executable)
             seconds[side].append(node.start())
             time.sleep(0.2)
             memory[side].append(node.resident_kb() / 1024)
--- a/rookbend/testing/cluster/clients.py
+++ b/rookbend/testing/cluster/clients.py
@@ -17,7 +17,7 @@
 from rookbend.testing.cluster.traffic_classes import KINDS, Kind
 from rookbend.testing.cluster.workload import Line, Target, Wish
 from rookbend.testing.invariant_events import ClientClosed, RequestSent, ResponseReceived
-from rookbend.testing.measurement_fleet import frame
+from rookbend.testing.open_loop_client import encode_frame
 from rookbend.testing.weighted_score import RequestOutcome, earned_weight
 
 GONE = OSError, trio.BrokenResourceError, trio.ClosedResourceError
@@ -71,7 +71,7 @@
             try:
                 stream = await trio.open_tcp_stream(*target.address)
                 async with stream:
-                    await stream.send_all(frame(1, 1, {}))
+                    await stream.send_all(encode_frame(1, 1, {}))
                     data = await stream.receive_some(4096)
                     if len(data) < 10 or data[9] != 0:
                         raise trio.BrokenResourceError("not ready")
@@ -202,7 +202,7 @@
                 now, rid, target.name, kind.write, now + kind.deadline_us, (wish.key, wish.part), group_of(wish.key)
             )
         )
-        line.write(frame(7, line.last, fields, b"form" if kind.write else b""))
+        line.write(encode_frame(7, line.last, fields, b"form" if kind.write else b""))
 
     async def run(self) -> None:
         """Sends wishes at the rate until `running` is cancelled."""
--- a/rookbend/testing/cluster/director_config.py
+++ b/rookbend/testing/cluster/director_config.py
@@ -6,7 +6,7 @@
 
 from rookbend.testing.cluster.shared_state import CACHE, PARENT
 from rookbend.testing.cluster.traffic_classes import KINDS, lanes
-from rookbend.testing.measurement_fleet import SETTINGS
+from rookbend.testing.measurement_settings import SETTINGS
 
 OPERATORS = """
 [log]
--- a/rookbend/testing/cluster/scenario.py
+++ b/rookbend/testing/cluster/scenario.py
@@ -38,8 +38,8 @@
 from rookbend.testing.cluster.report_ledger import Ledger
 from rookbend.testing.cluster.shared_state import CACHE, ORIGIN, PARENT, Make, World
 from rookbend.testing.cluster.upgrades import Upgrades
+from rookbend.testing.director_process import find_free_port
 from rookbend.testing.invariant_checker import InvariantLimits
-from rookbend.testing.measurement_fleet import free_port
 from rookbend.testing.weighted_score import earned_weight
 
 
@@ -112,11 +112,11 @@
             await relay.listen(self.nursery, self._host(name, 8))
             self.relays[name, "coordinator"] = relay
             self.places[name] = {
-                "listen": f"{self._host(name, 1)}:{free_port(self._host(name, 1))}",
-                "admin": f"{self._host(name, 2)}:{free_port(self._host(name, 2))}",
-                "peers": f"{self._host(name, 3)}:{free_port(self._host(name, 3), socket.SOCK_DGRAM)}",
-                "operator": f"{self._host(name, 2)}:{free_port(self._host(name, 2))}",
-                "dns": f"{self._host(name, 5)}:{free_port(self._host(name, 5))}",
+                "listen": f"{self._host(name, 1)}:{find_free_port(self._host(name, 1))}",
+                "admin": f"{self._host(name, 2)}:{find_free_port(self._host(name, 2))}",
+                "peers": f"{self._host(name, 3)}:{find_free_port(self._host(name, 3), socket.SOCK_DGRAM)}",
+                "operator": f"{self._host(name, 2)}:{find_free_port(self._host(name, 2))}",
+                "dns": f"{self._host(name, 5)}:{find_free_port(self._host(name, 5))}",
                 "resolver": await Resolver(name, self._address_of).listen(self.nursery, self._host(name, 6)),
             }
         heard = {n: split_address(self.places[n]["peers"]) for n in self.names}
--- a/rookbend/testing/cluster/upgrades.py
+++ b/rookbend/testing/cluster/upgrades.py
@@ -8,7 +8,7 @@
 import trio
 
 from rookbend.testing.cluster.process import HANG_S, HungProcessError, Node
-from rookbend.testing.measurement_fleet import free_port
+from rookbend.testing.director_process import find_free_port
 
 
 class Upgrades:
@@ -31,7 +31,7 @@
         self.elders.setdefault(name, []).append(old)
         self.nodes[name] = new
         host = self._host(name, 2)
-        self.places[name]["operator"] = f"{host}:{free_port(host)}"
+        self.places[name]["operator"] = f"{host}:{find_free_port(host)}"
         new.start(self.nursery, self.config(name), self.settings_text(name))
         return old
 
--- /dev/null
+++ b/rookbend/testing/open_loop_client.py
@@ -0,0 +1,97 @@
+"""Clients of a director for measurements: the platform's frames, and requests at a rate that no response slows."""
+
+from __future__ import annotations
+
+import itertools
+import random
+import struct
+import time
+from typing import NamedTuple
+
+import trio
+
+REQUEST_FRAME = 7
+MAX_REQUESTS_IN_FLIGHT = 32  # the protocol's bound on one connection
+_BOUND_RETRY_S = 0.001
+_LENGTH_BYTES = 4
+
+
+def encode_frame(kind: int, stream: int, fields: dict[str, str] | None = None, body: bytes = b"") -> bytes:
+    """A frame as the platform's clients write it; without a field count where `fields` is None."""
+    data = b"" if fields is None else _encode_fields(fields)
+    return struct.pack(">IBI", 5 + len(data) + len(body), kind, stream) + data + body
+
+
+def _encode_fields(fields: dict[str, str]) -> bytes:
+    data = bytes([len(fields)])
+    for name, value in fields.items():
+        data += bytes([len(name)]) + name.encode() + struct.pack(">H", len(value)) + value.encode()
+    return data
+
+
+class RequestTiming(NamedTuple):
+    """A request that was answered: when it was due (monotonic), how long it took from then, the response's code."""
+
+    due_s: float
+    duration_s: float
+    code: int
+
+
+class OpenLoopClient:
+    """Sends each request when it is due, whatever was answered, and times it from then."""
+
+    def __init__(
+        self, address: tuple[str, int], rate: float, objects: list[str], seed: int, method: str = "video"
+    ) -> None:
+        self.address = address
+        self.rate = rate
+        self.objects = objects
+        self.method = method
+        self.random = random.Random(seed)
+        self.due_s: dict[int, float] = {}  # of requests in flight, by stream
+        self.timings: list[RequestTiming] = []
+        self.max_lateness_s = 0.0  # the most that this process sent late
+
+    async def run(self) -> None:
+        """Sends requests until it is cancelled."""
+        connection = await trio.open_tcp_stream(*self.address)
+        async with connection, trio.open_nursery() as nursery:
+            nursery.start_soon(self._receive, connection)
+            due_s = time.monotonic()
+            for stream in itertools.count(1):
+                due_s += self.random.expovariate(self.rate)
+                await trio.sleep(max(0.0, due_s - time.monotonic()))
+                self.max_lateness_s = max(self.max_lateness_s, time.monotonic() - due_s)
+                while len(self.due_s) >= MAX_REQUESTS_IN_FLIGHT:
+                    await trio.sleep(_BOUND_RETRY_S)
+                self.due_s[stream] = due_s
+                await connection.send_all(self._encode_request(stream))
+
+    def _encode_request(self, stream: int) -> bytes:
+        fields = {
+            "method": self.method,
+            "rid": f"{self.random.getrandbits(32):08x}{stream:08x}",
+            "budget": "4000",
+            "obj": self.random.choice(self.objects),
+        }
+        return encode_frame(REQUEST_FRAME, stream, fields)
+
+    async def _receive(self, connection: trio.SocketStream) -> None:
+        data = b""
+        async for block in connection:
+            data += block
+            while (frame_bytes := _complete_frame_bytes(data)) is not None:
+                stream = int.from_bytes(data[5:9], "big")
+                code = data[9]
+                data = data[frame_bytes:]
+                due_s = self.due_s.pop(stream, None)
+                if due_s is not None:
+                    self.timings.append(RequestTiming(due_s, time.monotonic() - due_s, code))
+
+
+def _complete_frame_bytes(data: bytes) -> int | None:
+    """The size of the first frame with its length field; None while it is incomplete."""
+    if len(data) < _LENGTH_BYTES:
+        return None
+    frame_bytes = _LENGTH_BYTES + int.from_bytes(data[:_LENGTH_BYTES], "big")
+    return frame_bytes if len(data) >= frame_bytes else None
--- a/tests/director_scenario.py
+++ b/tests/director_scenario.py
@@ -22,11 +22,11 @@
 from rookbend.service import Service
 from rookbend.settings import parse
 from rookbend.testing.health_agents import listen_on_shared_port
-from rookbend.testing.measurement_fleet import SETTINGS, frame
+from rookbend.testing.measurement_settings import SETTINGS
 from tests.dns_stand_ins import Agent, DnsClient, Health, Resolver
 from tests.platform_stand_ins import OBJ, PATIENCE, Box, Client, Coordinator
 
-__all__ = ["OBJ", "SETTINGS", "UNIX", "frame", "on_stage", "play", "staged"]
+__all__ = ["OBJ", "SETTINGS", "UNIX", "on_stage", "play", "staged"]
 UNIX = 1_764_576_000.0
 HOSTS = {"cache1": "127.0.0.11", "cache2": "127.0.0.12", "upper": "127.0.0.21", "records": "127.0.0.31"}
 ROLES = {"upper": ("hub", "parent"), "records": ("hub", "origin")}
--- a/tests/platform_stand_ins.py
+++ b/tests/platform_stand_ins.py
@@ -6,7 +6,7 @@
 import trio
 import trio.testing
 
-from rookbend.testing.measurement_fleet import frame
+from rookbend.testing.open_loop_client import encode_frame
 
 PATIENCE = 60
 OBJ = "7f3a9c21e0b4d655"
@@ -59,9 +59,9 @@
         elif what == "request":
             body = args.pop("body", "").encode()
             args.setdefault("rid", f"{int(words[1]):016x}")
-            data = frame(7, int(words[1]), {"method": words[2], "obj": OBJ, "budget": "1500", **args}, body)
+            data = encode_frame(7, int(words[1]), {"method": words[2], "obj": OBJ, "budget": "1500", **args}, body)
         else:
-            data = frame({"cancel": 9, "ready?": 1}[what], int(words[1]), {} if what == "ready?" else None)
+            data = encode_frame({"cancel": 9, "ready?": 1}[what], int(words[1]), {} if what == "ready?" else None)
         await self.streams[-1].send_all(data)
 
     async def read(self, stream):
--- a/tests/raw_client.py
+++ b/tests/raw_client.py
@@ -5,14 +5,15 @@
 import trio
 import trio.testing
 
-from tests.director_scenario import OBJ, frame
+from rookbend.testing.open_loop_client import encode_frame
+from tests.director_scenario import OBJ
 
 SERVED, REFUSED = 0, 14
 ANSWERED, CLOSING = 8, 3
 
 
 def request(stream, chunk=0, budget=5000):
-    return frame(
+    return encode_frame(
         7, stream, {"method": "video", "obj": OBJ, "budget": str(budget), "chunk": str(chunk), "rid": f"{stream:016x}"}
     )
 
--- a/tests/test_client_leaves.py
+++ b/tests/test_client_leaves.py
@@ -12,7 +12,8 @@
 import trio.testing
 
 from rookbend.net.client_connection import PAUSE_ABOVE_BYTES
-from tests.director_scenario import OBJ, frame, on_stage
+from rookbend.testing.open_loop_client import encode_frame
+from tests.director_scenario import OBJ, on_stage
 from tests.interleaving import fill, hold_connects
 
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
@@ -134,7 +135,7 @@
         await client.open()
         await trio.testing.wait_all_tasks_blocked()
         raw = client.streams[-1].socket
-        data = frame(7, 1, {"method": "video", "obj": OBJ, "budget": "1500", "rid": "1" * 16})
+        data = encode_frame(7, 1, {"method": "video", "obj": OBJ, "budget": "1500", "rid": "1" * 16})
         await raw.send(data)  # no turn of the director between the two
         raw.shutdown(socket.SHUT_WR)
         await stage.play("""
@@ -210,7 +211,7 @@
         await sock.send(request(count + 1))  # waits: its answer could not be taken
         await stage.play("cache1 expect nothing")
         if way == "cancel":
-            await sock.send(frame(9, count) + frame(9, count + 1))
+            await sock.send(encode_frame(9, count) + encode_frame(9, count + 1))
             await stage.play(f"cache1 expect undo rid={count:016x}")
             await stage.play("cache1 expect nothing")
             assert not client.session.open_streams
@@ -224,6 +225,8 @@
             assert not await stage.actors["cache1"].heard_of("do")
 
     def request(i):
-        return frame(7, i, {"method": "video", "obj": OBJ, "budget": "60000", "chunk": str(i), "rid": f"{i:016x}"})
+        return encode_frame(
+            7, i, {"method": "video", "obj": OBJ, "budget": "60000", "chunk": str(i), "rid": f"{i:016x}"}
+        )
 
     on_stage(check)
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -10,8 +10,8 @@
 from rookbend.fronts.platform import PlatformFront, PlatformSession
 from rookbend.interface import AttemptStatus, MemberState
 from rookbend.routing import Router
+from rookbend.testing.open_loop_client import encode_frame
 from tests import router_harness
-from tests.director_scenario import frame
 from tests.engine_harness import CACHE, PARENT, SECOND, Bench, Script, fetch
 
 
@@ -165,7 +165,7 @@
 
 
 def asked(stream, budget="2000"):
-    return frame(7, stream, {"method": "media", "rid": f"{stream:016x}", "obj": "b" * 16, "budget": budget})
+    return encode_frame(7, stream, {"method": "media", "rid": f"{stream:016x}", "obj": "b" * 16, "budget": budget})
 
 
 def session(bench):
--- a/tests/test_full_descriptors.py
+++ b/tests/test_full_descriptors.py
@@ -4,7 +4,9 @@
 
 import trio
 
-from rookbend.testing.measurement_fleet import Director, fleet, frame, free_port, running
+from rookbend.testing.director_process import DirectorProcess, find_free_port, running_directors
+from rookbend.testing.measurement_fleet import open_fleet
+from rookbend.testing.open_loop_client import encode_frame
 
 SOCKETS = 128
 IDLE = 200
@@ -20,7 +22,7 @@
     async def code(self, kind, fields):
         """The code of the answer to a request or a question for readiness."""
         self.number += 1
-        await self.stream.send_all(frame(kind, self.number, fields))
+        await self.stream.send_all(encode_frame(kind, self.number, fields))
         with trio.fail_after(PATIENCE_S):
             while len(self.data) < 4 or len(self.data) < 4 + int.from_bytes(self.data[:4], "big"):
                 more = await self.stream.receive_some()
@@ -42,13 +44,13 @@
 
 def test_idle_clients_keep_neither_usual_ones_nor_members_nor_discovery_out(tmp_path):
     async def main():
-        async with fleet(caches=2) as outside:
-            port, config_port = free_port(), free_port()
-            config = outside.config(False, port)
+        async with open_fleet(caches=2) as outside:
+            port, config_port = find_free_port(), find_free_port()
+            config = outside.director_config(False, port)
             config["limits"]["sockets"] = SOCKETS
             config["coordinator"] = f"127.0.0.1:{config_port}"  # nobody listens there: discovery is down
-            director = Director(".", tmp_path, config)
-            async with running(director):
+            director = DirectorProcess(".", tmp_path, config)
+            async with running_directors(director):
                 resource.prlimit(director.process.pid, resource.RLIMIT_NOFILE, (SOCKETS, SOCKETS))
                 idle = [await connect(port) for _ in range(IDLE)]
                 for client in idle[-20:]:
@@ -60,7 +62,7 @@
                 assert not outside.coordinator.streams
                 listeners = await trio.open_tcp_listeners(config_port, host="127.0.0.1")
                 async with trio.open_nursery() as nursery:
-                    nursery.start_soon(trio.serve_listeners, outside.coordinator._serve, listeners)
+                    nursery.start_soon(trio.serve_listeners, outside.coordinator.serve, listeners)
                     with trio.fail_after(PATIENCE_S):
                         while not outside.coordinator.streams:
                             await trio.sleep(0.01)
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -7,7 +7,6 @@
 # Files that are longer still, and how long each may be: a file that shrinks takes its figure along.
 EXCEPTIONS = {
     "rookbend/model_checking/lease.py": 366,
-    "rookbend/testing/measurement_fleet.py": 307,
     "rookbend/testing/cluster/scenario.py": 272,
     "rookbend/settings/schema.py": 461,
     "tests/test_dns_front.py": 360,
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -12,7 +12,7 @@
 from rookbend.interface import MemberState
 from rookbend.operations import metrics_text
 from rookbend.operations.exclusions import MAX_EXCLUSIONS, Exclusions
-from rookbend.testing.measurement_fleet import SETTINGS
+from rookbend.testing.measurement_settings import SETTINGS
 from tests.director_scenario import OBJ, staged
 
 READY, DRAINING, GONE = MemberState.READY, MemberState.DRAINING, MemberState.GONE
--- a/tests/test_operations_settings.py
+++ b/tests/test_operations_settings.py
@@ -9,7 +9,7 @@
 from rookbend import config as configuration
 from rookbend import interface as api
 from rookbend.operations import reload_validation
-from rookbend.testing.measurement_fleet import SETTINGS
+from rookbend.testing.measurement_settings import SETTINGS
 from tests.router_harness import ORIGIN, Rig, sends, settings
 
 FILE = {
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -11,9 +11,9 @@
 from rookbend.protocol.coordinator_stream import StreamError, Translator, Update, server_number
 from rookbend.protocol.dns import TcpMessages, frame_tcp
 from rookbend.protocol.event_stream import EventStream, StreamEnd, UnreadableEvent
-from tests.director_scenario import frame
+from rookbend.testing.open_loop_client import encode_frame
 
-CLIENT = frame(7, 1, {"method": "m", "rid": "0" * 16}, b"body") + frame(9, 1) + frame(1, 0, {})
+CLIENT = encode_frame(7, 1, {"method": "m", "rid": "0" * 16}, b"body") + encode_frame(9, 1) + encode_frame(1, 0, {})
 CACHE = (
     b"a1 ok note=parent,slow=12.5,sum=ab,t0=1,load=inflight:7;util:0.61 5\r\nhel\r\n\r\n"
     b"a2 nothing - 0\r\n\r\na3 current sum=ab 0\r\n\r\na4 refused note=crowded,load=util:0.5 0\r\n\r\n"
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -6,7 +6,8 @@
 import trio.testing
 
 from rookbend.drain import GRACE_US
-from tests.director_scenario import frame, on_stage
+from rookbend.testing.open_loop_client import encode_frame
+from tests.director_scenario import on_stage
 from tests.raw_client import ANSWERED, CLOSING, REFUSED, SERVED, RawClient, request
 
 LATECOMERS_S = GRACE_US / 1e6
@@ -37,7 +38,7 @@
 
     async def check(stage):
         client = await RawClient(stage).connect()
-        await client.send(frame(1, 9, {}))
+        await client.send(encode_frame(1, 9, {}))
 
         async def paused():
             await unread.wait()
@@ -156,7 +157,7 @@
 def test_a_resting_client_that_never_closes_does_not_keep_the_director():
     async def check(stage):
         client = await RawClient(stage).connect()
-        await client.send(frame(1, 9, {}))
+        await client.send(encode_frame(1, 9, {}))
         stage.service.stop()
         stage.service.stop()  # a second signal changes nothing
         await stopped(stage)
