--- a/rookbend/components/__init__.py
+++ b/rookbend/components/__init__.py
@@ -22,9 +22,9 @@
 
 
 def _build_state(context: ComponentContext) -> list[Component]:
-    from rookbend.net.state import StatePart
+    from rookbend.net.state import StateComponent
 
-    state = StatePart(context)
+    state = StateComponent(context)
     context.built["state"] = state
     return [state]
 
@@ -44,17 +44,17 @@
 
 
 def _build_recovery(context: ComponentContext) -> list[Component]:
-    from rookbend.net.recovery import RecoveryPart
+    from rookbend.net.recovery import RecoveryComponent
 
-    recovery = RecoveryPart(context)
+    recovery = RecoveryComponent(context)
     context.built["recovery"] = recovery
     return [recovery]
 
 
 def _build_ownership(context: ComponentContext) -> list[Component]:
-    from rookbend.net.leases import LeasePart
+    from rookbend.net.leases import LeaseComponent
 
-    ownership = LeasePart(context)
+    ownership = LeaseComponent(context)
     context.built["ownership"] = ownership
     return [ownership]
 
--- a/rookbend/net/leases.py
+++ b/rookbend/net/leases.py
@@ -25,14 +25,14 @@
 from rookbend.net.machine_driver import INCARNATION_BITS, ActionHandlers, MachineDriver
 from rookbend.net.report_writer import ReportWriter
 from rookbend.net.shard_checks import ShardChecks
-from rookbend.net.state import StatePart
 from rookbend.protocol.leases import is_lease_datagram
 from rookbend.recovery.actions import ApplyOrder
 from rookbend.recovery.origin_ramp import SAMPLE_VALID_US
 from rookbend.settings.schema import Settings, default_voters
 
 if TYPE_CHECKING:
-    from rookbend.net.recovery import RecoveryPart
+    from rookbend.net.recovery import RecoveryComponent
+    from rookbend.net.state import StateComponent
 
 POLL_INTERVAL_US = 250_000
 
@@ -69,14 +69,14 @@
     )
 
 
-def persisted_rows(state: StatePart | None) -> tuple[Row, ...]:
+def persisted_rows(state: StateComponent | None) -> tuple[Row, ...]:
     """The coordinator's rows found on disk; none without a disk."""
     if state is None:
         return ()
     return tuple((kind, key, row.value) for kind in ROW_KINDS for key, row in state.ledger.all(kind).items())
 
 
-class LeasePart(MachineDriver[events.Event]):
+class LeaseComponent(MachineDriver[events.Event]):
     """One director's leases; `machine` is the coordinator."""
 
     descriptors = 2  # the ledger
@@ -84,7 +84,7 @@
 
     def __init__(self, context: ComponentContext):
         super().__init__(context)
-        self.recovery = cast("RecoveryPart", context.built["recovery"])
+        self.recovery = cast("RecoveryComponent", context.built["recovery"])
         config = coordinator_config(context)
         incarnation = secrets.randbits(INCARNATION_BITS) + 1
         self.machine = LeaseCoordinator(config, self.now(), incarnation, persisted_rows(self.state))
--- a/rookbend/net/machine_driver.py
+++ b/rookbend/net/machine_driver.py
@@ -16,7 +16,7 @@
 from rookbend.net.component import Component, ComponentContext
 
 if TYPE_CHECKING:
-    from rookbend.net.state import StatePart
+    from rookbend.net.state import StateComponent
 
 INCARNATION_BITS = 40
 
@@ -51,7 +51,7 @@
         self.context = context
         self.engine = context.engine
         self.log = context.log
-        self.state: StatePart | None = context.built.get("state")
+        self.state: StateComponent | None = context.built.get("state")
         self.datagrams_sent = 0
         self._due_earlier = trio.Event()
         self._handlers: ActionHandlers = {
--- a/rookbend/net/recovery.py
+++ b/rookbend/net/recovery.py
@@ -55,7 +55,7 @@
         self.durable = False
 
 
-class RecoveryPart(MachineDriver[Event]):
+class RecoveryComponent(MachineDriver[Event]):
     """`limits` are those in force; `on_boot_raised` is called when peers knew a later incarnation than the disk."""
 
     machine: RecoveryCoordinator
--- a/rookbend/net/recovery_setup.py
+++ b/rookbend/net/recovery_setup.py
@@ -10,7 +10,7 @@
 from rookbend.recovery.state_validity import PersistedRow
 
 if TYPE_CHECKING:
-    from rookbend.net.state import StatePart
+    from rookbend.net.state import StateComponent
 
 MULTIPART_CLASS_COST = 4.0  # objects that come in parts are large: relative to a class of small ones
 DEFAULT_PURGE_PROPAGATION_US = 6_000_000
@@ -43,7 +43,7 @@
     )
 
 
-def persisted_rows(state: StatePart | None) -> tuple[PersistedRow, ...]:
+def persisted_rows(state: StateComponent | None) -> tuple[PersistedRow, ...]:
     """All rows found on disk; none without a disk."""
     if state is None:
         return ()
--- a/rookbend/net/state.py
+++ b/rookbend/net/state.py
@@ -15,7 +15,7 @@
 from rookbend.state.writer import Writer
 
 
-class StatePart(Component):
+class StateComponent(Component):
     """`ledger` holds the rows; `boot_number` is that of this start. Raises ConfigError where the folder can't be
     used."""
 
