--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -12,6 +12,7 @@
 import msgspec
 import pytest
 
+from rookbend.leases import state as lease_state
 from rookbend.operations import persisted_state
 from rookbend.recovery import replicated_rows
 from rookbend.recovery.actions import ApplyOrder, ApplyPurge, SetAdmissionLimits
@@ -109,6 +110,17 @@
     assert found == values_of("write") and names.unreadable == 0
 
 
-def test_rows_of_leases_are_the_arrays_and_numbers_that_were_written(persisted):
-    for kind in ("token", "promise", "log"):
-        assert {row.key: msgspec.msgpack.decode(row.value) for row in persisted if row.kind == kind} == values_of(kind)
+def test_leases_restore_every_row_that_is_theirs_and_write_it_to_the_byte(persisted):
+    rows = {(row.kind, row.key): row.value for row in persisted if row.kind in lease_state.ROW_KINDS}
+    state = lease_state.restore((kind, key, value) for (kind, key), value in rows.items())
+    grants, tokens, log = values_of("promise"), values_of("token"), values_of("log")
+    assert {str(scope): [*grant.holder, grant.token] for scope, grant in state.grants.items()} == grants
+    assert {str(scope): token for scope, token in state.tokens.items()} == tokens
+    assert state.committed == log.pop("stands") and state.has_log
+    entries = {key: [*entry[:-1], list(entry.origin)] for key, entry in zip(log, state.entries.values(), strict=True)}
+    assert entries == log
+    written = [lease_state.grant_row(scope, grant) for scope, grant in state.grants.items()]
+    written += [lease_state.token_row(scope, token) for scope, token in state.tokens.items()]
+    written += [lease_state.entry_row(entry) for entry in state.entries.values()]
+    written.append(lease_state.committed_row(state.committed))
+    assert {(row.kind, row.key): row.value for row in written} == rows
