--- a/rookbend/recovery/__init__.py
+++ b/rookbend/recovery/__init__.py
@@ -12,7 +12,7 @@
     origin_ramp             slow start towards the origin, and this director's quota of it
     startup_stages          the order in which service returns
     admission_control       the limits that follow from stage, ramp and missed purges
-    gossip_sender, gossip_receiver   the exchange with the other directors
+    gossip_sender, gossip_receiver, peer_rows   the exchange with the other directors
     status                  what operators read
     issued_names            names that the DNS front issued for writes
 
--- a/rookbend/recovery/coordinator.py
+++ b/rookbend/recovery/coordinator.py
@@ -24,10 +24,11 @@
 from rookbend.recovery.missed_purges import MissedPurgeWindow
 from rookbend.recovery.order_replication import OrderReplication
 from rookbend.recovery.origin_ramp import OriginRamp
+from rookbend.recovery.peer_rows import PeerRowIntake
 from rookbend.recovery.peers import Peers, Phase
 from rookbend.recovery.purge_replication import PurgeReplication
 from rookbend.recovery.replicated_rows import DRAIN, ORDER, PURGE, ReplicatedState
-from rookbend.recovery.startup_stages import Stage, StartupSequence
+from rookbend.recovery.startup_stages import Stage
 from rookbend.recovery.state_validity import PersistedRow
 
 HEARTBEAT_US = 250_000
@@ -38,7 +39,8 @@
 
 
 class RecoveryCoordinator:
-    """Holds the parts. `due_us` is when the next `TimerExpired` is wanted; `persisted` are the rows found on disk."""
+    """Holds the parts. `due_us` is when the next `TimerExpired` is wanted; `persisted` are the rows found on disk;
+    `sequence` has the present stage."""
 
     def __init__(
         self,
@@ -65,15 +67,14 @@
         self.admission = AdmissionControl(
             config, now, self.classifier, self.peers, self.ramp, self.membership, self.missed_purges, self.actions
         )
+        self.sequence = self.admission.sequence
         self.sender = GossipSender(self.identity, self.peers, self.rows, self._local_status, self.actions)
+        intake = PeerRowIntake(self.rows, self.peers, self.membership, self.purges, self.orders, self.missed_purges)
         self.receiver = GossipReceiver(
             self.identity,
             self.peers,
-            self.rows,
             self.sender,
-            self.membership,
-            self.purges,
-            self.orders,
+            intake,
             self.missed_purges,
             self.ramp,
             self.admission,
@@ -82,11 +83,6 @@
         self._persisted = persisted
         self._random = random.Random(f"{config.seed} recovery {config.number}")
 
-    @property
-    def sequence(self) -> StartupSequence:
-        """The startup sequence with its present stage."""
-        return self.admission.sequence
-
     @property
     def counts_origin_calls(self) -> bool:
         """Whether calls to the origin still matter: while the ramp lasts, and before it."""
--- a/rookbend/recovery/gossip_receiver.py
+++ b/rookbend/recovery/gossip_receiver.py
@@ -10,13 +10,11 @@
 from rookbend.recovery.admission_control import AdmissionControl
 from rookbend.recovery.config import LocalIdentity
 from rookbend.recovery.gossip_sender import GossipSender
-from rookbend.recovery.membership import MembershipFilter
 from rookbend.recovery.missed_purges import MissedPurgeWindow
-from rookbend.recovery.order_replication import MalformedOrderKeyError, OrderReplication
 from rookbend.recovery.origin_ramp import OriginRamp, OriginSample
+from rookbend.recovery.peer_rows import PeerRowIntake
 from rookbend.recovery.peers import Peers, Phase, Rejection
-from rookbend.recovery.purge_replication import MalformedPurgeKeyError, PurgeReplication
-from rookbend.recovery.replicated_rows import DRAIN, ORDER, PURGE, QuorumVotes, ReplicatedState, decode_value
+from rookbend.recovery.replicated_rows import PURGE
 
 MAX_CALLS_OF_PEER = 200  # of one sample: a faulty one must not outweigh all others
 MAX_BOOT_NUMBER_STEP = 1_000_000
@@ -30,41 +28,39 @@
         self,
         identity: LocalIdentity,
         peers: Peers,
-        rows: ReplicatedState,
         sender: GossipSender,
-        membership: MembershipFilter,
-        purges: PurgeReplication,
-        orders: OrderReplication,
+        intake: PeerRowIntake,
         missed_purges: MissedPurgeWindow,
         ramp: OriginRamp,
         admission: AdmissionControl,
         actions: ActionQueue[Action],
     ):
-        self.unreadable = 0
+        self._unreadable_datagrams = 0
         self._identity = identity
         self._peers = peers
-        self._rows = rows
         self._sender = sender
-        self._membership = membership
-        self._purges = purges
-        self._orders = orders
+        self._intake = intake
         self._missed_purges = missed_purges
         self._ramp = ramp
         self._admission = admission
         self._actions = actions
-        self._drain_votes = QuorumVotes()
+
+    @property
+    def unreadable(self) -> int:
+        """See the class."""
+        return self._unreadable_datagrams + self._intake.unreadable
 
     def receive(self, now: int, event: DatagramReceived) -> bool:
         """Takes a datagram; whether it was a Hello that is believed."""
         try:
             message = gossip.decode(event.data)
         except gossip.GossipDecodeError:
-            self.unreadable += 1
+            self._unreadable_datagrams += 1
             return False
         sender = event.sender
         from_itself = sender == self._identity.number
         if message.fleet != self._identity.fleet_hash or message.number != sender or from_itself:
-            self.unreadable += 1
+            self._unreadable_datagrams += 1
             return False
         if isinstance(message, gossip.Hello):
             return self._receive_hello(now, sender, message)
@@ -125,20 +121,13 @@
     def _compare_rows(self, now: int, sender: int, hello: gossip.Hello) -> None:
         """Requests the rows of each kind that is wanted and differs."""
         for kind, name in enumerate(gossip.ROW_KINDS):
-            if not self._wants_rows(name):
+            if not self._intake.wants(name):
                 continue
-            if hello.digests[kind] != self._rows.by_name[name].digest:
+            if hello.digests[kind] != self._intake.rows.by_name[name].digest:
                 self._sender.request_rows(now, sender, kind, "")
             elif name == PURGE.name and hello.purges_covered:
                 self._purges_complete(now, sender)
 
-    def _wants_rows(self, name: str) -> bool:
-        if name == ORDER.name:
-            return True
-        if name == PURGE.name:
-            return not self._missed_purges.covered
-        return not self._membership.received
-
     def _purges_complete(self, now: int, sender: int) -> None:
         self._missed_purges.peer_complete(sender, self._peers)
         self._admission.announce_coverage(now)
@@ -151,22 +140,8 @@
             return  # not believed: unknown yet, or an older incarnation
         name = gossip.ROW_KINDS[batch.kind]
         for key, data in batch.rows:
-            if decode_value(self._rows.by_name[name].kind, data) is None:
-                self.unreadable += 1
-            else:
-                self._receive_row(now, sender, name, key, data)
+            self._intake.add(now, sender, name, key, data)
         if batch.more and batch.rows:
             self._sender.request_rows(now, sender, batch.kind, batch.rows[-1][0])
         elif name == PURGE.name:
             self._purges_complete(now, sender)
-
-    def _receive_row(self, now: int, sender: int, name: str, key: str, data: bytes) -> None:
-        try:
-            if name == PURGE.name:
-                self._purges.add_peers_purge(now, key, data)
-            elif name == ORDER.name:
-                self._orders.add_peers_order(key, data)
-            elif name == DRAIN.name and self._drain_votes.add(sender, key, data, len(self._peers.rows)):
-                self._membership.add_peers_drain(now, key, data)
-        except (MalformedPurgeKeyError, MalformedOrderKeyError):
-            self.unreadable += 1
--- /dev/null
+++ b/rookbend/recovery/peer_rows.py
@@ -0,0 +1,56 @@
+"""Takes over rows that peers pass on: each kind by its own rule, malformed ones counted."""
+
+from __future__ import annotations
+
+from rookbend.recovery.membership import MembershipFilter
+from rookbend.recovery.missed_purges import MissedPurgeWindow
+from rookbend.recovery.order_replication import MalformedOrderKeyError, OrderReplication
+from rookbend.recovery.peers import Peers
+from rookbend.recovery.purge_replication import MalformedPurgeKeyError, PurgeReplication
+from rookbend.recovery.replicated_rows import DRAIN, ORDER, PURGE, QuorumVotes, ReplicatedState, decode_value
+
+
+class PeerRowIntake:
+    """`rows` are the present ones; `unreadable` counts rows that are malformed."""
+
+    def __init__(
+        self,
+        rows: ReplicatedState,
+        peers: Peers,
+        membership: MembershipFilter,
+        purges: PurgeReplication,
+        orders: OrderReplication,
+        missed_purges: MissedPurgeWindow,
+    ):
+        self.rows = rows
+        self.unreadable = 0
+        self._peers = peers
+        self._membership = membership
+        self._purges = purges
+        self._orders = orders
+        self._missed_purges = missed_purges
+        self._drain_votes = QuorumVotes()
+
+    def wants(self, name: str) -> bool:
+        """Whether rows of a kind are requested from peers: purges while some may be missing, drains while there is no
+        membership, orders always."""
+        if name == ORDER.name:
+            return True
+        if name == PURGE.name:
+            return not self._missed_purges.covered
+        return not self._membership.received
+
+    def add(self, now: int, sender: int, name: str, key: str, data: bytes) -> None:
+        """Takes a row of a peer that is believed."""
+        if decode_value(self.rows.by_name[name].kind, data) is None:
+            self.unreadable += 1
+            return
+        try:
+            if name == PURGE.name:
+                self._purges.add_peers_purge(now, key, data)
+            elif name == ORDER.name:
+                self._orders.add_peers_order(key, data)
+            elif name == DRAIN.name and self._drain_votes.add(sender, key, data, len(self._peers.rows)):
+                self._membership.add_peers_drain(now, key, data)
+        except (MalformedPurgeKeyError, MalformedOrderKeyError):
+            self.unreadable += 1
