--- a/rookbend/components/dns.py
+++ b/rookbend/components/dns.py
@@ -6,7 +6,8 @@
 
 from rookbend.fronts.dns import DnsFront
 from rookbend.net.component import Component, ComponentContext
-from rookbend.net.dns import DnsServer, ResolverClient
+from rookbend.net.dns_resolver import ResolverClient
+from rookbend.net.dns_server import DnsServer
 
 if TYPE_CHECKING:
     from rookbend.recovery.issued_names import IssuedNames
@@ -27,7 +28,7 @@
         seed,
         names=_issued_names(context),
     )
-    server = DnsServer(front, context.clock, settings.listen, context.outbox)
+    server = DnsServer(front, resolver, context.clock, settings.listen, context.outbox)
     context.built["dns"] = server
     return server
 
--- /dev/null
+++ b/rookbend/fronts/dns_lookups.py
@@ -0,0 +1,90 @@
+"""What the DNS front works on: the lookups in progress and those whose repeats get the same outcome; resolvers."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import NamedTuple, Protocol
+
+import dns.message
+
+from rookbend.protocol.dns import LookupOutcome
+
+MAX_LOOKUPS = 4096
+MAX_WAITERS = 32  # clients that may wait for one lookup
+EXPIRY_INTERVAL_US = 1_000_000
+
+Respond = Callable[[dns.message.Message], None]
+ClientAddress = tuple[str | int, ...]  # the transport, then the socket's address
+
+
+class Resolver(Protocol):
+    """Finds the addresses of members' names."""
+
+    def resolve(self, name: str, record_type: str, deadline_us: int, done: Callable[[list[str] | None], None]) -> None:
+        """Calls `done` once with the addresses of a name, or with None on any failure, by the deadline."""
+
+
+class WaiterKey(NamedTuple):
+    """Tells a query apart from one that the same client sends again."""
+
+    client: ClientAddress
+    query_id: int
+
+
+class ReadKey(NamedTuple):
+    """Identifies a read's lookup; a write's is identified by its request id."""
+
+    waiter: WaiterKey
+    name: str
+
+
+class Waiter(NamedTuple):
+    """A query that is to be replied to."""
+
+    query: dns.message.Message
+    respond: Respond
+
+
+LookupKey = ReadKey | str
+
+
+class RoutedLookup:
+    """One request to the core on behalf of a lookup and its repeats; `write_id` is empty for a read."""
+
+    __slots__ = ("deadline_us", "expires_us", "name", "outcome", "waiters", "write_id")
+
+    def __init__(self, name: str, write_id: str, deadline_us: int, expires_us: int):
+        self.name = name
+        self.write_id = write_id
+        self.deadline_us = deadline_us
+        self.expires_us = expires_us
+        self.outcome: LookupOutcome | None = None
+        self.waiters: dict[WaiterKey, Waiter] = {}
+
+    def can_wait(self, key: WaiterKey) -> bool:
+        """Whether that query is waiting already, or there is space for one more."""
+        return key in self.waiters or len(self.waiters) < MAX_WAITERS
+
+
+class LookupTable:
+    """The lookups by key; one leaves only once its retry span is over, since a forgotten write could run twice."""
+
+    def __init__(self, capacity: int = MAX_LOOKUPS):
+        self.capacity = capacity
+        self.by_key: dict[LookupKey, RoutedLookup] = {}
+        self._next_expiry_us = 0
+
+    @property
+    def is_full(self) -> bool:
+        """Whether no further lookup may be added."""
+        return len(self.by_key) >= self.capacity
+
+    def expire(self, now_us: int) -> list[RoutedLookup]:
+        """Removes what is finished and past its retry span, once a second at most; returns what was removed."""
+        if now_us < self._next_expiry_us:
+            return []
+        self._next_expiry_us = now_us + EXPIRY_INTERVAL_US
+        expired = [
+            key for key, routed in self.by_key.items() if routed.expires_us <= now_us and routed.outcome is not None
+        ]
+        return [self.by_key.pop(key) for key in expired]
--- /dev/null
+++ b/rookbend/net/dns_server.py
@@ -0,0 +1,153 @@
+"""The driver of the DNS front: its servers over UDP and TCP."""
+
+from __future__ import annotations
+
+import contextlib
+import socket
+from typing import Any
+
+import dns.message
+import trio
+
+from rookbend.core.clock import Clock
+from rookbend.fronts.dns import DnsFront
+from rookbend.fronts.dns_lookups import Respond
+from rookbend.net.acceptor import accept
+from rookbend.net.buffered_socket import BufferedSocket, WriteScheduler, prepare
+from rookbend.net.component import Component
+from rookbend.net.dns_resolver import ResolverClient
+from rookbend.net.listeners import Listeners
+from rookbend.protocol import dns_tcp
+from rookbend.protocol.dns import MAX_MESSAGE_BYTES, encode_reply
+
+IDLE_TIMEOUT_US = 10_000_000  # a TCP client is closed this long after its last message
+MAX_TCP_CLIENTS = 64
+RESOLVER_DESCRIPTORS = 32  # lookups at the resolver at once
+BIND_ATTEMPTS = 20
+
+
+def open_both(listeners: Listeners, address: tuple[str, int]) -> tuple[socket.socket, socket.socket]:
+    """A TCP listener and a UDP socket on one port; port 0 stands for one that is free for both."""
+    for attempts_left in reversed(range(BIND_ATTEMPTS)):
+        tcp = listeners.tcp(address)
+        try:
+            return tcp, listeners.udp(tcp.getsockname()[:2])
+        except OSError:
+            tcp.close()
+            # A port that the system chose for TCP may be taken for UDP: another is chosen then.
+            if address[1] or not attempts_left:
+                raise
+    raise AssertionError("not reached")
+
+
+class DnsServer(Component):
+    """Both transports on one port."""
+
+    descriptors = MAX_TCP_CLIENTS + RESOLVER_DESCRIPTORS
+
+    def __init__(
+        self,
+        front: DnsFront,
+        resolver: ResolverClient,
+        clock: Clock,
+        address: tuple[str, int],
+        write_scheduler: WriteScheduler,
+    ):
+        self.front = front
+        self.clients = 0
+        self._resolver = resolver
+        self._clock = clock
+        self._configured_address = address
+        self._write_scheduler = write_scheduler
+
+    def open(self, listeners: Listeners) -> None:
+        """Binds both sockets; `address` is then the one bound to."""
+        self.tcp, self.udp = open_both(listeners, self._configured_address)
+        self.address: tuple[str, int] = self.tcp.getsockname()[:2]
+
+    def start(self, nursery: trio.Nursery) -> None:
+        """Starts the servers and the resolver's client."""
+        self._resolver.start(nursery)
+        nursery.start_soon(self.serve_udp)
+        nursery.start_soon(self.serve_tcp, trio.CancelScope())
+
+    def stop_taking(self) -> None:
+        """Refuses new lookups from now on."""
+        self.front.closing = True
+
+    async def serve_udp(self) -> None:
+        """Takes datagrams, for good."""
+        while True:
+            await trio.lowlevel.wait_readable(self.udp)
+            try:
+                wire, source = self.udp.recvfrom(MAX_MESSAGE_BYTES)
+            except OSError:
+                continue  # an earlier reply was refused by its client's machine
+            self.front.query(wire, ("udp", *source), self._udp_responder(wire, source))
+
+    def _udp_responder(self, wire: bytes, source: Any) -> Respond:
+        def respond(reply: dns.message.Message) -> None:
+            # Lost, as a datagram may be: the client retries and gets the same outcome.
+            with contextlib.suppress(OSError):
+                # Straight to the socket: nothing is queued between the check of the membership and these bytes.
+                self.udp.sendto(encode_reply(reply, wire, over_udp=True), source)
+
+        return respond
+
+    async def serve_tcp(self, scope: trio.CancelScope) -> None:
+        """Accepts clients until the scope is cancelled."""
+        async with trio.open_nursery() as nursery:
+            await accept(self.tcp, scope, lambda sock: self._accepted(sock, nursery))
+
+    def _accepted(self, sock: socket.socket, nursery: trio.Nursery) -> None:
+        if self.clients >= MAX_TCP_CLIENTS:
+            sock.close()
+            return
+        self.clients += 1
+        nursery.start_soon(self._serve_client, BufferedSocket(prepare(sock), nursery, self._write_scheduler))
+
+    async def _serve_client(self, channel: BufferedSocket) -> None:
+        try:
+            await _TcpClient(channel, self.front, self._clock).run()
+        except OSError:
+            pass  # it left before its address could be read
+        finally:
+            self.clients -= 1
+            channel.send()
+            channel.close()
+
+
+class _TcpClient:
+    """One TCP connection and the replies that it is still to get."""
+
+    def __init__(self, channel: BufferedSocket, front: DnsFront, clock: Clock):
+        self._channel = channel
+        self._front = front
+        self._clock = clock
+        self._reader = dns_tcp.MessageReader()
+        self._pending = 0
+        self._all_replied = trio.Event()
+
+    def _respond(self, reply: dns.message.Message) -> None:
+        self._pending -= 1
+        self._channel.write(dns_tcp.frame(encode_reply(reply, b"", over_udp=False)))
+        if not self._pending:
+            self._all_replied.set()
+
+    async def run(self) -> None:
+        """Takes queries until the client ends or is idle for too long, then waits for the pending replies."""
+        client = ("tcp", *self._channel.sock.getpeername())
+        with trio.CancelScope() as idle:
+            while True:
+                idle.deadline = self._clock.monotonic_at(self._clock.now() + IDLE_TIMEOUT_US)
+                data = await self._channel.receive()
+                if not data:
+                    break
+                for wire in self._reader.feed(data):
+                    self._pending += 1
+                    if not self._front.query(wire, client, self._respond):
+                        self._pending -= 1
+            self._all_replied = trio.Event()
+            # A client may close only its sending side; the idle timeout bounds this wait too.
+            if self._pending and not self._channel.broken:
+                await self._all_replied.wait()
--- a/rookbend/protocol/dns.py
+++ b/rookbend/protocol/dns.py
@@ -1,4 +1,4 @@
-"""DNS messages (by dnspython) as lookups and replies, and the framing over TCP. No socket here.
+"""DNS messages of the server (RFC 1035, RFC 6891, RFC 8914), by dnspython: queries parsed, replies built.
 
 A query name under the zone carries what a request needs, the most specific label first:
 
@@ -24,52 +24,68 @@
 
 from rookbend.protocol.errors import ProtocolError
 
-UDP_LEAST = 512  # what every client takes
-UDP_MOST = 1232  # what passes every network whole
-LONGEST_MESSAGE = 65_535
-ADDRESSES = (dns.rdatatype.A, dns.rdatatype.AAAA)
+MIN_UDP_BYTES = 512  # what every client takes (RFC 1035, 2.3.4)
+MAX_UDP_BYTES = 1232  # what passes every network without fragments
+MAX_MESSAGE_BYTES = 65_535
+HEADER_BYTES = 12
+RESPONSE_BIT = 0x80  # in the header's third byte
+OPCODE_AND_RD_BITS = 0x79
+MAX_GROUP = 255
+RECORD_TTL_S = 0  # nobody may go on naming a member that drains a moment later
+ADDRESS_TYPES = (dns.rdatatype.A, dns.rdatatype.AAAA)
 
 _PART = re.compile(r"p([0-9]{1,7})")
 _OBJECT = re.compile(r"[0-9a-f]{16}")
 _GROUP = re.compile(r"g([0-9]{1,3})")
-_RID = re.compile(r"r([0-9a-f]{16})")
+_REQUEST_ID = re.compile(r"r([0-9a-f]{16})")
+_READ_LABELS = 4
+_WRITE_LABELS = 5
 
 
-class NoAnswerError(ProtocolError):
-    """Bytes to which no reply may be sent: too short for an id, or themselves a reply."""
+class NoReplyError(ProtocolError):
+    """Bytes to which no reply may be sent: too short for an id, or themselves a response."""
 
 
 @dataclass(slots=True)
 class Lookup:
-    """A well-formed query under the zone."""
+    """A well-formed query under the zone; `request_id` is empty where the name carries none."""
 
     query: dns.message.Message
     class_name: str
     key: str
     part: int
     group: int
-    rid: str  # empty where the name carries none
+    request_id: str
 
     @property
     def name(self) -> str:
+        """The name in the question, in lower case."""
         return self.query.question[0].name.to_text().lower()
 
 
 @dataclass(slots=True)
-class Outcome:
-    """What a lookup came to; the same for every repeat of it. `server` is the member to be named."""
+class LookupOutcome:
+    """What a reply is built from, the same for every repeat of the lookup.
+
+    `server` is the number of the member that `target`, the CNAME's target, names; `note` is the text of an
+    extended error.
+    """
 
     rcode: dns.rcode.Rcode
     server: int = 0
-    box: str = ""
+    target: str = ""
     address: str = ""
     note: str = ""
 
 
-def read_query(wire: bytes, zone: dns.name.Name) -> Lookup | dns.message.Message:
-    """The lookup in a message, or the reply that it gets at once."""
-    if len(wire) < 12 or wire[2] & 0x80:
-        raise NoAnswerError
+def parse_query(wire: bytes, zone: dns.name.Name) -> Lookup | dns.message.Message:
+    """The lookup in a message, or the reply that it gets at once.
+
+    Raises:
+        NoReplyError: there is nothing to reply to.
+    """
+    if len(wire) < HEADER_BYTES or wire[2] & RESPONSE_BIT:
+        raise NoReplyError
     try:
         query = dns.message.from_wire(wire)
     except dns.exception.DNSException:
@@ -80,106 +96,87 @@
         return _bare_reply(wire, dns.rcode.FORMERR)
     question = query.question[0]
     if question.rdclass != dns.rdataclass.IN or not question.name.is_subdomain(zone):
-        return reply_to(query, Outcome(dns.rcode.REFUSED, note="not of this zone"))
+        return build_reply(query, LookupOutcome(dns.rcode.REFUSED, note="not of this zone"))
     labels = [label.decode("ascii", "replace").lower() for label in question.name.relativize(zone).labels]
     if not labels:
-        return reply_to(query, Outcome(dns.rcode.NOERROR))  # the zone itself: nothing to route
-    return _read_labels(query, labels) or reply_to(query, Outcome(dns.rcode.FORMERR, note="labels"))
-
-
-def _read_labels(query: dns.message.Message, labels: list[str]) -> Lookup | None:
-    rid = ""
-    if len(labels) == 5:
-        if not (match := _RID.fullmatch(labels[0])):
+        return build_reply(query, LookupOutcome(dns.rcode.NOERROR))  # the zone itself: nothing to route
+    lookup = _parse_labels(query, labels)
+    if lookup is None:
+        return build_reply(query, LookupOutcome(dns.rcode.FORMERR, note="labels"))
+    return lookup
+
+
+def _parse_labels(query: dns.message.Message, labels: list[str]) -> Lookup | None:
+    request_id = ""
+    if len(labels) == _WRITE_LABELS:
+        request_id_match = _REQUEST_ID.fullmatch(labels[0])
+        if request_id_match is None:
             return None
-        rid, labels = match[1], labels[1:]
-    if len(labels) != 4:
+        request_id = request_id_match[1]
+        labels = labels[1:]
+    if len(labels) != _READ_LABELS:
         return None
-    part, group = _PART.fullmatch(labels[0]), _GROUP.fullmatch(labels[2])
-    if not part or not group or int(group[1]) > 255 or not _OBJECT.fullmatch(labels[1]):
+    part_label, key, group_label, class_name = labels
+    part = _PART.fullmatch(part_label)
+    group = _GROUP.fullmatch(group_label)
+    if part is None or group is None or int(group[1]) > MAX_GROUP or not _OBJECT.fullmatch(key):
         return None
-    return Lookup(query, labels[3], labels[1], int(part[1]), int(group[1]), rid)
+    return Lookup(query, class_name, key, int(part[1]), int(group[1]), request_id)
 
 
-def _bare_reply(wire: bytes, rcode: int) -> dns.message.Message:
-    """A reply to what could not be read: its id and opcode, and no question."""
+def _bare_reply(wire: bytes, rcode: dns.rcode.Rcode) -> dns.message.Message:
+    """A reply to what could not be parsed: its id and opcode, and no question."""
     reply = dns.message.Message(id=int.from_bytes(wire[:2], "big"))
-    reply.flags = dns.flags.QR | (wire[2] & 0x79) << 8
+    reply.flags = dns.flags.Flag(dns.flags.QR | (wire[2] & OPCODE_AND_RD_BITS) << 8)
     reply.set_rcode(rcode)
     return reply
 
 
-def reply_to(query: dns.message.Message, outcome: Outcome) -> dns.message.Message:
-    """The reply. Every record has TTL 0: nobody may go on naming a box that drains a moment later."""
-    reply = dns.message.make_response(query, our_payload=UDP_MOST)
+def build_reply(query: dns.message.Message, outcome: LookupOutcome) -> dns.message.Message:
+    """The authoritative reply to a query."""
+    reply = dns.message.make_response(query, our_payload=MAX_UDP_BYTES)
     reply.flags |= dns.flags.AA
     reply.set_rcode(outcome.rcode)
     if outcome.note and query.edns >= 0:
         note = dns.edns.EDEOption(dns.edns.EDECode.OTHER, outcome.note)
-        reply.use_edns(0, 0, UDP_MOST, options=[note])
-    if outcome.box:
-        name, box = query.question[0].name, dns.name.from_text(outcome.box)
-        reply.answer.append(dns.rrset.from_text(name, 0, "IN", "CNAME", box.to_text()))
-        kind = "AAAA" if ":" in outcome.address else "A"
-        if outcome.address and query.question[0].rdtype == dns.rdatatype.from_text(kind):
-            reply.answer.append(dns.rrset.from_text(box, 0, "IN", kind, outcome.address))
+        reply.use_edns(0, 0, MAX_UDP_BYTES, options=[note])
+    if outcome.target:
+        _add_records(reply, query, outcome)
     return reply
 
 
-def to_wire(reply: dns.message.Message, query_wire: bytes, over_udp: bool) -> bytes:
-    """The reply's bytes; over UDP cut to what the client takes, with the truncation flag set."""
-    most = LONGEST_MESSAGE
-    if over_udp:
-        most = UDP_LEAST
-        try:
-            asked = dns.message.from_wire(query_wire)
-            most = min(max(UDP_LEAST, asked.payload), UDP_MOST) if asked.edns >= 0 else UDP_LEAST
-        except dns.exception.DNSException:
-            pass
+def _add_records(reply: dns.message.Message, query: dns.message.Message, outcome: LookupOutcome) -> None:
+    """The CNAME, and its target's address where the query asks for that type."""
+    question = query.question[0]
+    target = dns.name.from_text(outcome.target)
+    reply.answer.append(dns.rrset.from_text(question.name, RECORD_TTL_S, "IN", "CNAME", target.to_text()))
+    if not outcome.address:
+        return
+    record_type = address_type(outcome.address)
+    if question.rdtype == dns.rdatatype.from_text(record_type):
+        reply.answer.append(dns.rrset.from_text(target, RECORD_TTL_S, "IN", record_type, outcome.address))
+
+
+def address_type(address: str) -> str:
+    """The record type, A or AAAA, that holds an address."""
+    return "AAAA" if ":" in address else "A"
+
+
+def encode_reply(reply: dns.message.Message, query_wire: bytes, over_udp: bool) -> bytes:
+    """The reply's bytes; one that is longer than the client takes over UDP is truncated and flagged so."""
     try:
-        return reply.to_wire(max_size=most)
+        return reply.to_wire(max_size=_max_udp_bytes(query_wire) if over_udp else MAX_MESSAGE_BYTES)
     except dns.exception.TooBig:
         reply.answer.clear()
         reply.flags |= dns.flags.TC
         return reply.to_wire()
 
 
-class TcpMessages:
-    """Messages with their length before them, as DNS is framed over TCP."""
-
-    def __init__(self):
-        self._held = b""
-
-    def feed(self, data: bytes) -> list[bytes]:
-        held, out = self._held + data, []
-        while len(held) >= 2 and len(held) >= 2 + (size := held[0] << 8 | held[1]):
-            out.append(held[2 : 2 + size])
-            held = held[2 + size :]
-        self._held = held
-        return out
-
-
-def frame_tcp(message: bytes) -> bytes:
-    return len(message).to_bytes(2, "big") + message
-
-
-# The resolver's side
-
-
-def ask_address(box: str, kind: str, ident: int) -> dns.message.Message:
-    return dns.message.make_query(box, kind, id=ident)
-
-
-def read_addresses(question: dns.message.Message, wire: bytes) -> list[str] | None:
-    """The addresses that a resolver's reply holds; None where the reply is cut off.
-
-    A DNSException says that it is no answer: garbage, another question's, or an error.
-    """
-    reply = dns.message.from_wire(wire, ignore_trailing=True, raise_on_truncation=False)
-    if not question.is_response(reply):
-        raise dns.exception.FormError("the answer to another question")
-    if reply.flags & dns.flags.TC:
-        return None
-    if reply.rcode() != dns.rcode.NOERROR:
-        raise dns.exception.DNSException(dns.rcode.to_text(reply.rcode()))
-    return [record.address for rrset in reply.answer if rrset.rdtype in ADDRESSES for record in rrset]
+def _max_udp_bytes(query_wire: bytes) -> int:
+    try:
+        query = dns.message.from_wire(query_wire)
+    except dns.exception.DNSException:
+        return MIN_UDP_BYTES
+    if query.edns < 0:
+        return MIN_UDP_BYTES
+    return min(max(MIN_UDP_BYTES, query.payload), MAX_UDP_BYTES)
--- a/tests/dns_stand_ins.py
+++ b/tests/dns_stand_ins.py
@@ -5,9 +5,9 @@
 import dns.rrset
 import trio
 
-from rookbend.net.dns import open_both
+from rookbend.net.dns_server import open_both
 from rookbend.net.listeners import Listeners
-from rookbend.protocol import dns as dns_protocol
+from rookbend.protocol import dns_tcp
 from rookbend.testing.health_agents import HealthPeer, Manner, http_answer
 from tests.platform_stand_ins import Actor, pairs
 
@@ -31,7 +31,7 @@
         if words[0] != "tcp":
             return await self.udp.sendto(wire, self.stage.service.dns.address)
         stream = await trio.open_tcp_stream(*self.stage.service.dns.address)
-        await stream.send_all(dns_protocol.frame_tcp(wire))
+        await stream.send_all(dns_tcp.frame(wire))
         self.streams.append(stream)
         self.stage.nursery.start_soon(self.read_tcp, stream)
 
@@ -40,7 +40,7 @@
             self.take((await self.udp.recvfrom(65535))[0], "udp")
 
     async def read_tcp(self, stream):
-        messages = dns_protocol.TcpMessages()
+        messages = dns_tcp.MessageReader()
         async for data in stream:
             for wire in messages.feed(data):
                 self.take(wire, "tcp")
@@ -81,7 +81,7 @@
             self.take(wire)
 
     async def read_tcp(self, stream):
-        self.asker, (wire,) = stream, dns_protocol.TcpMessages().feed(await stream.receive_some())
+        self.asker, (wire,) = stream, dns_tcp.MessageReader().feed(await stream.receive_some())
         self.take(wire)
         await trio.sleep_forever()
 
@@ -98,7 +98,7 @@
         else:
             reply.answer.append(dns.rrset.from_text(self.query.question[0].name, 300, "IN", "A", *words))
         if isinstance(self.asker, trio.SocketStream):
-            await self.asker.send_all(dns_protocol.frame_tcp(reply.to_wire()))
+            await self.asker.send_all(dns_tcp.frame(reply.to_wire()))
         else:
             await self.udp.sendto(reply.to_wire(), self.asker)
 
--- a/tests/test_dns_front.py
+++ b/tests/test_dns_front.py
@@ -186,7 +186,7 @@
 
 def test_memory_is_bounded_and_full_of_writes_refuses_rather_than_forgets():
     async def check(stage):
-        stage.service.dns.front.remembered = 1
+        stage.service.dns.front.table.capacity = 1
         await stage.play(
             LIFE_BEFORE
             + f"""
@@ -202,7 +202,7 @@
             records expect do rid=8b1f03aa5c7e2d41
         """
         )
-        assert len(stage.service.dns.front.tries) == 1
+        assert len(stage.service.dns.front.table.by_key) == 1
 
     on_stage(check)
 
@@ -351,10 +351,10 @@
         stage.service.engine.membership_changed(MembershipChange(False, 3, [moved]))
         front = stage.service.dns.front
         told = []
-        front._resolved(next(iter(front.tries.values())), number, "cache1.example.org", ["127.0.0.11"])
-        told.append(next(iter(front.tries.values())).outcome.server)
-        front._resolved(next(iter(front.tries.values())), number, "cache1.example.org", ["127.0.0.12"])
-        told.append(next(iter(front.tries.values())).outcome.address)
+        front._resolved(next(iter(front.table.by_key.values())), number, "cache1.example.org", ["127.0.0.11"])
+        told.append(next(iter(front.table.by_key.values())).outcome.server)
+        front._resolved(next(iter(front.table.by_key.values())), number, "cache1.example.org", ["127.0.0.12"])
+        told.append(next(iter(front.table.by_key.values())).outcome.address)
         assert told == [0, "127.0.0.12"]
 
     on_stage(check)
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -7,9 +7,8 @@
 
 from rookbend.core.model import Attempt, MembershipChange, Purge, Request
 from rookbend.interface import AttemptDetail, AttemptStatus, MemberState
-from rookbend.protocol import cache_lines, client_frames
+from rookbend.protocol import cache_lines, client_frames, dns_tcp
 from rookbend.protocol.coordinator_stream import StreamError, Translator, Update, server_number
-from rookbend.protocol.dns import TcpMessages, frame_tcp
 from rookbend.protocol.event_stream import EventStream, StreamEnd, UnreadableEvent
 from tests.director_scenario import frame
 
@@ -22,7 +21,7 @@
     b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n:\n\r\n"
     b'3b\r\nid: 4\ndata: {"index":4,"evict":{"shard":17,"unix_ms":5}}\n\n\n\r\n0\r\n\r\n'
 )
-TCP = frame_tcp(b"one") + frame_tcp(b"") + frame_tcp(b"three")
+TCP = dns_tcp.frame(b"one") + dns_tcp.frame(b"") + dns_tcp.frame(b"three")
 
 
 def cut(data, seed):
@@ -37,7 +36,7 @@
     (client_frames.FrameParser, CLIENT, 3),
     (lambda: cache_lines.AnswerParser(("utilization", "inflight", "x1")), CACHE, 4),
     (lambda: EventStream("h", "/", 0), EVENTS, 2),
-    (TcpMessages, TCP, 3),
+    (dns_tcp.MessageReader, TCP, 3),
 ]
 
 
