--- a/rookbend/net/state.py
+++ b/rookbend/net/state.py
@@ -21,13 +21,13 @@
 
     descriptors = 8
 
-    def __init__(self, site: ComponentContext):
-        wanted = site.operators.state
+    def __init__(self, context: ComponentContext):
+        wanted = context.operators.state
         assert wanted is not None, "built only where the settings ask for it"
-        self.clock = site.clock
-        self.log = site.log
+        self.clock = context.clock
+        self.log = context.log
         try:
-            self._disk = Disk(Path(wanted.folder), Identity(site.config.name, wanted.fleet))
+            self._disk = Disk(Path(wanted.folder), Identity(context.config.name, wanted.fleet))
         except StateError as fault:
             raise ConfigError(str(fault)) from None
         self.ledger = Ledger(wanted.most, self._disk.rows)
@@ -37,7 +37,7 @@
         self._nursery: trio.Nursery | None = None
         self._writer: Writer | None = None
         self._was_degraded = False
-        site.gauges.append(self.gauges)
+        context.gauges.append(self.gauges)
         if self._disk.moved_aside:
             self.log("state_damaged", "error", moved=self._disk.moved_aside)
         row_count = sum(map(len, self.ledger.rows.values()))
