--- a/benchmarks/health.py
+++ b/benchmarks/health.py
@@ -207,15 +207,15 @@
     from rookbend.health.model import CheckPolicy, HealthPolicy
     from rookbend.health.registry import HealthRegistry
     from rookbend.interface import Member
-    from rookbend.scheduling.scheduler import Plan, Room
+    from rookbend.scheduling import Budget, Scheduler
 
     entries = [Endpoint(Member(i, zone=1), f"m{i}", ("127.0.0.1", i % 65536)) for i in range(1, count + 1)]
     registry = HealthRegistry(HealthPolicy((CheckPolicy("agent", True),)), lambda e: "cache")
-    plan = Plan(1, Room(1, 1))
+    scheduler = Scheduler(1, Budget(1, 1))
     tracemalloc.start()
     registry.handle(1, MembershipReceived(True, entries))
     for i in range(1, count + 1):
-        plan.put(("check", i, "agent"), i)
+        scheduler.schedule(("check", i, "agent"), i)
     registry._actions = []
     size, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
--- a/rookbend/components/admin.py
+++ b/rookbend/components/admin.py
@@ -85,9 +85,9 @@
     if health is not None:
         tables["/members"] = lambda: {"director": context.config.name, "members": health.service.table()}
         tables["/background"] = lambda: {
-            "jobs": len(health.runner.plan.jobs),
-            "running": health.runner.plan.running,
-            "started": health.runner.plan.started,
+            "jobs": len(health.runner.scheduler.jobs),
+            "running": health.runner.scheduler.running,
+            "started": health.runner.scheduler.started,
             "overtaken": health.service.registry.overtaken,
         }
     return tables
--- a/rookbend/components/health.py
+++ b/rookbend/components/health.py
@@ -10,8 +10,8 @@
 from rookbend.health.service import HealthService, role_namer
 from rookbend.net.checks import WATCH, CheckDriver
 from rookbend.net.component import Component, ComponentContext
-from rookbend.net.scheduling import Runner
-from rookbend.scheduling.scheduler import Plan, Room
+from rookbend.net.scheduling import JobRunner
+from rookbend.scheduling import Budget, Scheduler
 from rookbend.settings import Settings
 
 
@@ -29,18 +29,18 @@
         self.service = HealthService(engine, registry, context.log)
         has_watches = any(check.type == "grpc-watch" for check in settings.checks)
         self.descriptors = background.descriptors + (background.watches if has_watches else 0)
-        plan = Plan(
+        scheduler = Scheduler(
             background.rate,
-            Room(background.running, background.descriptors),
-            {WATCH: Room(background.watches, background.watches)},
+            Budget(background.running, background.descriptors),
+            {WATCH: Budget(background.watches, background.watches)},
             int(context.config.seed, 16),
         )
-        self.runner = Runner(plan, self.clock)
+        self.runner = JobRunner(scheduler, self.clock)
         self.driver = CheckDriver(self.service, self.runner, self.clock, settings.checks)
         self._due_earlier = trio.Event()
         self.service.on_due = lambda due_us: self._due_earlier.set()
         context.watch.membership_changed = self.service.membership_changed
-        context.gauges.append(lambda: {"background_jobs": len(plan.jobs), "background_running": plan.running})
+        context.gauges.append(lambda: {"background_jobs": len(scheduler.jobs), "background_running": scheduler.running})
         if settings.health.passive_fall:
             engine.attempts.on_attempt_end = self.service.attempt_ended
 
--- a/rookbend/health/check_schedule.py
+++ b/rookbend/health/check_schedule.py
@@ -7,7 +7,7 @@
 from rookbend.health.check_state import CheckState
 from rookbend.health.member_health import MemberHealth
 from rookbend.health.model import CheckPolicy
-from rookbend.scheduling.scheduler import IDLE, NORMAL, URGENT
+from rookbend.scheduling import IDLE, NORMAL, URGENT
 
 
 class Cadence(NamedTuple):
--- a/rookbend/net/checks.py
+++ b/rookbend/net/checks.py
@@ -16,8 +16,8 @@
 from rookbend.health.events import AgentReported, CheckCompleted
 from rookbend.health.service import HealthService
 from rookbend.net.connector import open_socket
-from rookbend.net.scheduling import Runner
-from rookbend.scheduling.scheduler import Plan
+from rookbend.net.scheduling import JobRunner
+from rookbend.scheduling import Scheduler
 from rookbend.settings import Check
 
 CHECK, WATCH = "check", "watch"  # kinds of background work
@@ -66,16 +66,17 @@
 class CheckDriver:
     """Keeps a job in the plan for each check of each member, and runs them."""
 
-    def __init__(self, health: HealthService, runner: Runner, clock: Clock, checks: tuple[Check, ...]):
+    def __init__(self, health: HealthService, runner: JobRunner, clock: Clock, checks: tuple[Check, ...]):
         self.health, self.runner, self.clock = health, runner, clock
-        self.plan: Plan = runner.plan
+        self.scheduler: Scheduler = runner.scheduler
         self.checks = {c.name: c for c in checks}
         self.made = 0
         self.no_watch: set[tuple] = set()  # keys of servers without a Watch; dropped with the member
         # Whose a member's checks are, where not all are our own: (whether to make one, the rest after it).
         self.rests: Callable[[int, int], tuple[bool, int]] = lambda server, interval_us: (True, 0)
         self.on_result: Callable[[int], None] = lambda server: None
-        runner.work[CHECK] = runner.work[WATCH] = self._run
+        runner.handlers[CHECK] = self._run
+        runner.handlers[WATCH] = self._run
         health.on_members = self.members_changed
 
     # Which checks there are
@@ -89,7 +90,7 @@
             for policy in policies_of(self.health.registry.members.get(server)):
                 # Spread over an interval: a thousand members that come in one event are not asked at once.
                 key = kind_of(self.checks[policy.name]), server, policy.name
-                self._put(key, now + self.plan.spread(key, policy.interval_us))
+                self._put(key, now + self.scheduler.jitter(key, policy.interval_us))
         if added or removed:
             self.runner.wake()
 
@@ -107,13 +108,13 @@
 
     def _drop(self, server: int, check: Check) -> None:
         key = kind_of(check), server, check.name
-        self.plan.drop(key)
+        self.scheduler.cancel(key)
         self.no_watch.discard(key)
 
     def _put(self, key: tuple, due_us: int) -> None:
         cadence = cadence_of(self.health.registry.members.get(key[1]), key[2])
         if cadence is not None:
-            self.plan.put(key, due_us, cadence[1], key[0])
+            self.scheduler.schedule(key, due_us, cadence[1], key[0])
 
     # A check
 
@@ -153,7 +154,7 @@
             rest = max(rest_us() or check.interval_us, least_us)
             # A twentieth either way: checks that began together don't stay together.
             self._put(
-                key, max(self.clock.now(), began + rest - rest // 20 + self.plan.spread((key, number), rest // 10))
+                key, max(self.clock.now(), began + rest - rest // 20 + self.scheduler.jitter((key, number), rest // 10))
             )
 
     async def _ask(
--- a/rookbend/net/scheduling.py
+++ b/rookbend/net/scheduling.py
@@ -1,48 +1,58 @@
-"""The driver of background work: starts what the plan says, when it says so."""
+"""The driver of background work: runs the jobs that the scheduler starts."""
 
 from __future__ import annotations
 
 from collections.abc import Awaitable, Callable
+from typing import Any
 
 import trio
 
 from rookbend.core.clock import Clock
-from rookbend.scheduling.scheduler import Key, Plan
+from rookbend.scheduling import Scheduler, StartedJob
 
+JobHandler = Callable[[Any], Awaitable[None]]  # given the job's key
 
-class Runner:
-    """A job's key is (kind, ...); `work[kind]` runs it, given the key. A job is put into the plan again by
-    whoever wants it again. Work that raises is a fault of the program."""
 
-    def __init__(self, plan: Plan, clock: Clock):
-        self.plan, self.clock = plan, clock
-        self.work: dict[str, Callable[[Key], Awaitable[None]]] = {}
+class JobRunner:
+    """Runs each job by the handler of its kind, the first item of its key.
+
+    A handler schedules its job again where that is wanted. One that raises is a fault of the program.
+    """
+
+    def __init__(self, scheduler: Scheduler, clock: Clock):
+        self.scheduler = scheduler
+        self.handlers: dict[str, JobHandler] = {}
+        self._clock = clock
         self._woken = trio.Event()
-        self._armed_us = 0
+        self._wake_at_us = 0  # 0 where no time is set
 
     def wake(self) -> None:
-        """The plan has changed. The loop is woken only if that brings its next turn forward: with each job
-        that ends, it would cost more than some jobs do."""
-        due = self.plan.due(self.clock.now())
-        if self.plan.waiting or (due and (not self._armed_us or due < self._armed_us)):
+        """To be called once the scheduler was given a job or a priority."""
+        # The loop is woken only if its next turn is earlier now: at each job's end that would cost more than some
+        # jobs do.
+        next_us = self.scheduler.next_start_us(self._clock.now())
+        is_earlier = next_us and (not self._wake_at_us or next_us < self._wake_at_us)
+        if self.scheduler.has_waiting or is_earlier:
             self._woken.set()
 
     async def run(self) -> None:
+        """Starts jobs for good."""
         async with trio.open_nursery() as nursery:
             while True:
-                now = self.clock.now()
-                for key, number in self.plan.take(now):
-                    nursery.start_soon(self._one, key, number)
+                now_us = self._clock.now()
+                for started in self.scheduler.start_due(now_us):
+                    nursery.start_soon(self._run_job, started)
                 self._woken = trio.Event()
-                due = self._armed_us = self.plan.due(now)
+                self._wake_at_us = self.scheduler.next_start_us(now_us)
                 with trio.CancelScope() as scope:
-                    if due:
-                        scope.deadline = self.clock.monotonic_at(due)
+                    if self._wake_at_us:
+                        scope.deadline = self._clock.monotonic_at(self._wake_at_us)
                     await self._woken.wait()
 
-    async def _one(self, key: Key, number: int) -> None:
+    async def _run_job(self, started: StartedJob) -> None:
+        key: Any = started.key
         try:
-            await self.work[key[0]](key)
+            await self.handlers[key[0]](key)
         finally:
-            self.plan.done(number)
+            self.scheduler.ended(started.sequence)
             self.wake()
--- a/rookbend/scheduling/scheduler.py
+++ b/rookbend/scheduling/scheduler.py
@@ -1,207 +1,185 @@
-"""The plan of background work: what may start now, by priority, due time and budgets. Pure.
+"""The scheduler of background work: which jobs start now, by priority, due time and budgets. Pure.
 
-A job has a key, a kind, a priority and a time from which it is due. `take` gives the jobs to start now; each
-holds its room until `done`. Among the jobs that are due the one with the least `due + priority * PATIENCE`
-goes first: a higher priority (a lower number) goes ahead, but what has waited for long enough goes ahead of
-it, so nothing starves.
+Among the due jobs the one with the lowest `due + priority * PATIENCE_US` goes first: a higher priority (a lower
+number) goes ahead, but what is overdue by enough goes ahead of it, so nothing starves.
 
-Budgets: starts a second (a token bucket that holds a tenth of a second's worth) for all kinds together; room,
-that is jobs running and descriptors held, for all kinds together but those that are given room of their own,
-such as jobs that last. Within a room the first in line is waited for, so a job that needs much is not passed
-over for good. `hold` keeps back all jobs beyond a priority, for a director that has better things to do.
+The rate of starts (a token bucket that holds a tenth of a second's worth) is for all kinds together. Jobs running
+and descriptors held have one shared budget; kinds such as jobs that last may have a budget of their own. Within a
+budget the first in the queue is waited for, so a job that needs many descriptors is not passed over for good.
 
-State: one row a job, dropped by `drop`; the owner of a job drops it with whatever it belongs to.
+State: one entry a job, dropped by `cancel`; the owner of a job cancels it with whatever it belongs to.
 """
 
 from __future__ import annotations
 
 import heapq
-from collections.abc import Hashable
-from dataclasses import dataclass
+from collections.abc import Iterator, Mapping
 from hashlib import blake2b
 
 from rookbend.core.token_bucket import TokenBucket
+from rookbend.scheduling.budget import Budget, BudgetUse
+from rookbend.scheduling.job import IDLE, NORMAL, Job, Key, QueuedJob, StartedJob
 
-URGENT, NORMAL, IDLE = range(3)
-PATIENCE_US = 2_000_000  # a job overdue by this much goes ahead of one of the next higher priority
-BUCKET_SHARE = 10  # the bucket holds a second's starts over this, and one at least
+BURST_DIVISOR = 10  # the bucket holds a second's starts over this, and one at least
+MIN_STALE_ENTRIES = 64
+JITTER_BITS = 64
+SEED_BYTES = 16
 
-Key = Hashable
 
+class Scheduler:
+    """Fed the time, it says which jobs start; times are in microseconds."""
 
-@dataclass(frozen=True, slots=True)
-class Room:
-    """What may be held at once: jobs running, and descriptors."""
-
-    running: int
-    descriptors: int
-
-
-class Held:
-    """What of a room is held, and the jobs in line for it."""
-
-    __slots__ = ("descriptors", "line", "room", "running")
-
-    def __init__(self, room: Room):
-        self.room = room
-        self.running = self.descriptors = 0
-        self.line: list[tuple[int, int, Key]] = []  # (rank, number, key): due
-
-    def fits(self, descriptors: int) -> bool:
-        """Whether a job that needs so many descriptors has room."""
-        return self.running < self.room.running and self.descriptors + descriptors <= self.room.descriptors
-
-    def change(self, jobs: int, descriptors: int) -> None:
-        """Takes room, or gives it back where the figures are negative."""
-        self.running += jobs
-        self.descriptors += descriptors
-
-
-class Job:
-    """A piece of background work that comes again at its interval."""
-
-    __slots__ = ("again", "descriptors", "due", "key", "kind", "number", "priority", "running")
-
-    def __init__(self, key: Key, kind: str, descriptors: int):
-        self.key, self.kind, self.descriptors = key, kind, descriptors
-        self.due = self.priority = self.number = 0
-        self.running = False
-        self.again = False  # put anew while it ran
+    def __init__(self, rate: int, budget: Budget, budgets_by_kind: Mapping[str, Budget] | None = None, seed: int = 0):
+        """`rate` is starts a second; kinds in `budgets_by_kind` do not use the shared `budget`."""
+        self.jobs: dict[Key, Job] = {}
+        self.started = 0
+        self.shared = BudgetUse(budget)
+        self.own = {kind: BudgetUse(own_budget) for kind, own_budget in (budgets_by_kind or {}).items()}
+        self._bucket = TokenBucket(rate, max(1, rate // BURST_DIVISOR))
+        self._running: dict[int, Job] = {}  # by sequence; cancelled ones stay within their budget
+        self._not_due: list[QueuedJob] = []  # a heap by due time
+        self._held_back: dict[Key, None] = {}  # due, of a lower priority than may start
+        self._lowest_priority = IDLE
+        self._sequence = 0
+        self._seed = seed.to_bytes(SEED_BYTES, "big")
 
     @property
-    def rank(self) -> int:
-        """The order in which jobs that are due start."""
-        return self.due + self.priority * PATIENCE_US
+    def running(self) -> int:
+        """How many jobs run now."""
+        return len(self._running)
 
+    @property
+    def has_waiting(self) -> bool:
+        """Whether a job that is due has not started."""
+        return any(use.queue for use in self._budget_uses())
 
-class Plan:
-    """What runs in the background, within budgets; fed the time, it says what starts."""
+    def jitter(self, key: Key, span_us: int) -> int:
+        """A part of the span, the same for a key at each call and in each process."""
+        digest = blake2b(repr(key).encode(), digest_size=JITTER_BITS // 8, key=self._seed).digest()
+        return int.from_bytes(digest, "big") * span_us >> JITTER_BITS
 
-    def __init__(self, rate: int, room: Room, own: dict[str, Room] | None = None, seed: int = 0):
-        self.bucket = TokenBucket(rate, max(1, rate // BUCKET_SHARE))
-        self.shared = Held(room)
-        self.own = {kind: Held(r) for kind, r in (own or {}).items()}
-        self.jobs: dict[Key, Job] = {}
-        self.started = 0
-        self._running: dict[int, Job] = {}  # by number; dropped ones keep their room
-        self._later: list[tuple[int, int, Key]] = []  # (due, number, key): not due yet
-        self._kept_back: dict[Key, None] = {}  # due, and beyond the priority that `hold` lets start
-        self._most = IDLE
-        self._number = 0
-        self._seed = seed.to_bytes(16, "big")
-
-    def spread(self, key: Key, span_us: int) -> int:
-        """A part of the span, the same for a key at each call and in each process: first runs and jitter."""
-        digest = blake2b(repr(key).encode(), digest_size=8, key=self._seed).digest()
-        return int.from_bytes(digest, "big") * span_us >> 64
-
-    def put(self, key: Key, due_us: int, priority: int = NORMAL, kind: str = "", descriptors: int = 1) -> None:
-        """Adds a job, or moves it. One that runs is due again once it is done."""
+    def schedule(self, key: Key, due_us: int, priority: int = NORMAL, kind: str = "", descriptors: int = 1) -> None:
+        """Adds a job, or moves it; one that runs is due again once it has ended."""
         job = self.jobs.get(key)
         if job is None:
-            job = self.jobs[key] = Job(key, kind, descriptors)
-        job.due, job.priority = due_us, priority
+            job = Job(key, kind, descriptors)
+            self.jobs[key] = job
+        job.due_us = due_us
+        job.priority = priority
         if job.running:
-            job.again = True
+            job.rescheduled = True
             return
-        self._number += 1
-        job.number = self._number
-        self._kept_back.pop(key, None)
-        heapq.heappush(self._later, (due_us, job.number, key))
-        # Rows of jobs that were moved stay behind until they come up; they must not grow without end.
-        if len(self._later) > 2 * len(self.jobs) + 64:
-            self._tidy()
-
-    def _tidy(self) -> None:
-        self._later = [(j.due, j.number, k) for k, j in self.jobs.items() if not j.running]
-        heapq.heapify(self._later)
-        self._kept_back.clear()
-        for held in (self.shared, *self.own.values()):
-            held.line.clear()
-
-    def drop(self, key: Key) -> None:
-        """Forgets a job. One that runs keeps its room until it is `done`."""
+        self._sequence += 1
+        job.sequence = self._sequence
+        self._held_back.pop(key, None)
+        heapq.heappush(self._not_due, QueuedJob(due_us, job.sequence, key))
+        # Entries of jobs that were moved stay until they come up; their number must stay bounded.
+        if len(self._not_due) > 2 * len(self.jobs) + MIN_STALE_ENTRIES:
+            self._rebuild_queues()
+
+    def cancel(self, key: Key) -> None:
+        """Forgets a job; one that runs stays within its budget until it has `ended`."""
         self.jobs.pop(key, None)
-        self._kept_back.pop(key, None)
-
-    def hold(self, most: int = IDLE) -> None:
-        """From now on nothing of a lower priority than this starts; what runs goes on."""
-        self._most = most
-        kept, self._kept_back = self._kept_back, {}
-        for key in kept:
+        self._held_back.pop(key, None)
+
+    def limit_priority(self, lowest: int = IDLE) -> None:
+        """From now on no job of a lower priority starts; what runs goes on."""
+        self._lowest_priority = lowest
+        held_back = self._held_back
+        self._held_back = {}
+        for key in held_back:
             job = self.jobs[key]
-            heapq.heappush(self._later, (job.due, job.number, key))
-
-    def _room_of(self, kind: str) -> Held:
-        return self.own.get(kind, self.shared)
-
-    def take(self, now: int) -> list[tuple[Key, int]]:
-        """The jobs to start now, each with the number by which it is `done`."""
-        while self._later and self._later[0][0] <= now:
-            _, number, key = heapq.heappop(self._later)
-            job = self.jobs.get(key)
-            if job is None or job.number != number or job.running:
-                continue
-            if job.priority > self._most:
-                self._kept_back[key] = None
-            else:
-                heapq.heappush(self._room_of(job.kind).line, (job.rank, number, key))
-        self.bucket.fill(now)
-        out = []
-        while self.bucket.has_one:
-            first = [held for held in (self.shared, *self.own.values()) if self._has_next(held)]
-            if not first:
+            heapq.heappush(self._not_due, QueuedJob(job.due_us, job.sequence, key))
+
+    def start_due(self, now_us: int) -> list[StartedJob]:
+        """The jobs to start now; each is to be reported to `ended`."""
+        self._queue_due(now_us)
+        self._bucket.fill(now_us)
+        started = []
+        while self._bucket.has_one:
+            ready = [use for use in self._budget_uses() if self._has_startable(use)]
+            if not ready:
                 break
-            held = min(first, key=lambda h: h.line[0])
-            _, number, key = heapq.heappop(held.line)
-            job = self.jobs[key]
-            self.bucket.spend()
-            held.change(1, job.descriptors)
-            job.running = True
-            self._running[number] = job
-            self.started += 1
-            out.append((key, number))
-        return out
-
-    def _has_next(self, held: Held) -> bool:
-        """Whether the first in line can start; rows of jobs moved or dropped are cleared on the way."""
-        while held.line:
-            _, number, key = held.line[0]
-            job = self.jobs.get(key)
-            if job is not None and job.number == number and not job.running:
-                if job.priority <= self._most:
-                    return held.fits(job.descriptors)
-                self._kept_back[key] = None
-            heapq.heappop(held.line)
-        return False
+            started.append(self._start_first(min(ready, key=_first_in_queue)))
+        return started
 
-    def done(self, number: int) -> None:
-        """A job that `take` gave has ended: its room is free. It runs again only if it is `put` again."""
-        job = self._running.pop(number)
-        self._room_of(job.kind).change(-1, -job.descriptors)
+    def ended(self, sequence: int) -> None:
+        """A started job has ended: its budget is free. It runs again only if it was scheduled again."""
+        job = self._running.pop(sequence)
+        self._budget_use_of(job.kind).release(job.descriptors)
         job.running = False
         if self.jobs.get(job.key) is not job:
             return
-        if job.again:
-            job.again = False
-            self.put(job.key, job.due, job.priority, job.kind, job.descriptors)
+        if job.rescheduled:
+            job.rescheduled = False
+            self.schedule(job.key, job.due_us, job.priority, job.kind, job.descriptors)
         else:
             del self.jobs[job.key]
 
-    @property
-    def running(self) -> int:
-        """How many jobs run now."""
-        return len(self._running)
+    def next_start_us(self, now_us: int) -> int:
+        """When `start_due` may next return a job; 0 if that depends on a call of another method."""
+        times_us = []
+        if self._not_due:
+            times_us.append(self._not_due[0].order_us)
+        if not self._bucket.has_one and any(self._has_startable(use) for use in self._budget_uses()):
+            times_us.append(max(now_us + 1, self._bucket.next_us()))
+        return min(times_us, default=0)
 
-    @property
-    def waiting(self) -> bool:
-        """Whether any job that is due has not started."""
-        return bool(self.shared.line) or any(held.line for held in self.own.values())
-
-    def due(self, now: int) -> int:
-        """When `take` may next have something to give, or 0 if only a `put`, a `done` or a `hold` can change
-        that."""
-        times = [self._later[0][0]] if self._later else []
-        if not self.bucket.has_one and any(map(self._has_next, (self.shared, *self.own.values()))):
-            times.append(max(now + 1, self.bucket.next_us()))
-        return min(times) if times else 0
+    def _budget_uses(self) -> Iterator[BudgetUse]:
+        yield self.shared
+        yield from self.own.values()
+
+    def _budget_use_of(self, kind: str) -> BudgetUse:
+        return self.own.get(kind, self.shared)
+
+    def _rebuild_queues(self) -> None:
+        self._not_due = [QueuedJob(job.due_us, job.sequence, key) for key, job in self.jobs.items() if not job.running]
+        heapq.heapify(self._not_due)
+        self._held_back.clear()
+        for use in self._budget_uses():
+            use.queue.clear()
+
+    def _current(self, entry: QueuedJob) -> Job | None:
+        """The job of an entry; None if it was moved, cancelled or started since."""
+        job = self.jobs.get(entry.key)
+        if job is None or job.sequence != entry.sequence or job.running:
+            return None
+        return job
+
+    def _queue_due(self, now_us: int) -> None:
+        while self._not_due and self._not_due[0].order_us <= now_us:
+            entry = heapq.heappop(self._not_due)
+            job = self._current(entry)
+            if job is None:
+                continue
+            if job.priority > self._lowest_priority:
+                self._held_back[entry.key] = None
+            else:
+                queue = self._budget_use_of(job.kind).queue
+                heapq.heappush(queue, QueuedJob(job.rank, entry.sequence, entry.key))
+
+    def _has_startable(self, use: BudgetUse) -> bool:
+        """Whether the first in the queue can start; drops entries that are out of date on the way."""
+        while use.queue:
+            entry = use.queue[0]
+            job = self._current(entry)
+            if job is not None:
+                if job.priority <= self._lowest_priority:
+                    return use.fits(job.descriptors)
+                self._held_back[entry.key] = None
+            heapq.heappop(use.queue)
+        return False
+
+    def _start_first(self, use: BudgetUse) -> StartedJob:
+        entry = heapq.heappop(use.queue)
+        job = self.jobs[entry.key]
+        self._bucket.spend()
+        use.acquire(job.descriptors)
+        job.running = True
+        self._running[entry.sequence] = job
+        self.started += 1
+        return StartedJob(entry.key, entry.sequence)
+
+
+def _first_in_queue(use: BudgetUse) -> QueuedJob:
+    return use.queue[0]
--- a/tests/test_health_agents.py
+++ b/tests/test_health_agents.py
@@ -112,7 +112,7 @@
         assert await where(stage, 1) == {"cache1", "cache2"} and trio.current_time() - before < 2
         health = stage.service.health
         assert all(c["trouble"] for row in health.service.table() for c in row["checks"]), "operators see it"
-        assert health.runner.plan.running <= 2 and health.service.table()[0]["checks"]
+        assert health.runner.scheduler.running <= 2 and health.service.table()[0]["checks"]
         for name in ("agent1", "agent2"):
             peer = stage.actors[name].peer
             # What it sent beyond a line's bound stayed in the sockets, and was never read.
--- a/tests/test_health_checks.py
+++ b/tests/test_health_checks.py
@@ -91,7 +91,7 @@
         stage.actors["agent1"].peer.manner.text = b"down\n"
         await trio.sleep(30)
         assert stage.state("cache1") == ("ready", 100, "nothing")
-        assert not stage.service.health.runner.plan.jobs
+        assert not stage.service.health.runner.scheduler.jobs
         asked = stage.actors["agent1"].peer.asked
         await trio.sleep(30)
         assert stage.actors["agent1"].peer.asked == asked
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -1,8 +1,8 @@
-"""The plan of background work: budgets, priorities, moves and drops."""
+"""The scheduler of background work: budgets, priorities, moves and drops."""
 
 import random
 
-from rookbend.scheduling.scheduler import IDLE, NORMAL, URGENT, Plan, Room
+from rookbend.scheduling import IDLE, NORMAL, URGENT, Budget, Scheduler
 
 SECOND = 1_000_000
 
@@ -12,18 +12,18 @@
 
 
 def test_a_thousand_checks_that_start_together_stay_within_the_budgets():
-    plan, now, running, counts, first = Plan(200, Room(32, 32), seed=7), 0, [], [], {}
+    scheduler, now, running, counts, first = Scheduler(200, Budget(32, 32), seed=7), 0, [], [], {}
     for box in range(1000):
-        plan.put(("check", box), 0)
+        scheduler.schedule(("check", box), 0)
     while len(first) < 1000:
-        started = plan.take(now)
+        started = scheduler.start_due(now)
         counts.append((now, len(started)))
         first.update((key, now) for key in keys(started))
         running += [number for _, number in started]
-        assert plan.running <= 32
+        assert scheduler.running <= 32
         now += SECOND // 100
         for number in running[:4]:  # four end each 10 ms: more than the rate allows to start
-            plan.done(number)
+            scheduler.ended(number)
         running = running[4:]
     for at, _ in counts:
         assert sum(n for t, n in counts if at <= t < at + SECOND) <= 200 + 20
@@ -31,71 +31,75 @@
 
 
 def test_first_runs_are_spread_alike_in_each_process():
-    plan, other, again = Plan(1, Room(1, 1), seed=7), Plan(1, Room(1, 1), seed=8), Plan(1, Room(1, 1), seed=7)
-    at = [plan.spread(("check", i), SECOND) for i in range(1000)]
-    assert at == [again.spread(("check", i), SECOND) for i in range(1000)]
-    assert at != [other.spread(("check", i), SECOND) for i in range(1000)]
+    scheduler, other, again = (
+        Scheduler(1, Budget(1, 1), seed=7),
+        Scheduler(1, Budget(1, 1), seed=8),
+        Scheduler(1, Budget(1, 1), seed=7),
+    )
+    at = [scheduler.jitter(("check", i), SECOND) for i in range(1000)]
+    assert at == [again.jitter(("check", i), SECOND) for i in range(1000)]
+    assert at != [other.jitter(("check", i), SECOND) for i in range(1000)]
     per_tenth = [sum(t * 10 // SECOND == n for t in at) for n in range(10)]
     assert max(per_tenth) < 150
 
 
 def test_urgent_goes_first_but_nothing_starves():
-    plan = Plan(1000, Room(1, 1))
-    plan.put("idle", 0, IDLE)
-    plan.put("normal", 0, NORMAL)
+    scheduler = Scheduler(1000, Budget(1, 1))
+    scheduler.schedule("idle", 0, IDLE)
+    scheduler.schedule("normal", 0, NORMAL)
     order, now = [], 0
     while "idle" not in order:
-        plan.put(f"urgent{now}", now, URGENT)
-        for key, number in plan.take(now):
+        scheduler.schedule(f"urgent{now}", now, URGENT)
+        for key, number in scheduler.start_due(now):
             order.append(key)
-            plan.done(number)
+            scheduler.ended(number)
         now += SECOND // 4
     assert order[0] == "urgent0" and order.index("normal") < order.index("idle") < 40
 
 
 def test_kinds_with_room_of_their_own_do_not_take_the_others():
-    plan = Plan(1000, Room(2, 2), {"watch": Room(3, 3)})
+    scheduler = Scheduler(1000, Budget(2, 2), {"watch": Budget(3, 3)})
     for i in range(9):
-        plan.put(("watch", i), 0, kind="watch")
-        plan.put(("check", i), 0)
-    started = plan.take(0)
+        scheduler.schedule(("watch", i), 0, kind="watch")
+        scheduler.schedule(("check", i), 0)
+    started = scheduler.start_due(0)
     assert sorted(k for k, _ in keys(started)) == ["check"] * 2 + ["watch"] * 3
-    plan.done(next(n for k, n in started if k[0] == "watch"))
-    assert [k[0] for k in keys(plan.take(0))] == ["watch"]
+    scheduler.ended(next(n for k, n in started if k[0] == "watch"))
+    assert [k[0] for k in keys(scheduler.start_due(0))] == ["watch"]
 
 
 def test_what_is_held_starts_only_once_the_hold_is_lifted():
-    plan = Plan(1000, Room(9, 9))
-    plan.put("a", 0, IDLE)
-    plan.put("b", 0, NORMAL)
-    plan.hold(NORMAL)
-    assert keys(plan.take(0)) == ["b"] and not plan.due(0)
-    plan.hold()
-    assert plan.due(0) == 0 or plan.due(0) <= SECOND
-    assert keys(plan.take(1)) == ["a"]
+    scheduler = Scheduler(1000, Budget(9, 9))
+    scheduler.schedule("a", 0, IDLE)
+    scheduler.schedule("b", 0, NORMAL)
+    scheduler.limit_priority(NORMAL)
+    assert keys(scheduler.start_due(0)) == ["b"] and not scheduler.next_start_us(0)
+    scheduler.limit_priority()
+    assert scheduler.next_start_us(0) == 0 or scheduler.next_start_us(0) <= SECOND
+    assert keys(scheduler.start_due(1)) == ["a"]
 
 
 def test_a_job_dropped_while_it_runs_keeps_its_room_and_one_put_again_runs_again():
-    plan = Plan(1000, Room(1, 1))
-    plan.put("a", 0)
-    ((_, number),) = plan.take(0)
-    plan.drop("a")
-    plan.put("a", 0)
-    assert plan.take(0) == []
-    plan.done(number)
-    ((_, number),) = plan.take(0)
-    plan.put("a", 5)
-    plan.done(number)
-    assert plan.due(0) == 5 and keys(plan.take(5)) == ["a"]
+    scheduler = Scheduler(1000, Budget(1, 1))
+    scheduler.schedule("a", 0)
+    ((_, number),) = scheduler.start_due(0)
+    scheduler.cancel("a")
+    scheduler.schedule("a", 0)
+    assert scheduler.start_due(0) == []
+    scheduler.ended(number)
+    ((_, number),) = scheduler.start_due(0)
+    scheduler.schedule("a", 5)
+    scheduler.ended(number)
+    assert scheduler.next_start_us(0) == 5 and keys(scheduler.start_due(5)) == ["a"]
 
 
 def test_any_order_of_calls_keeps_the_books():
-    rng, plan, running, now = random.Random(3), Plan(500, Room(5, 8), {"k": Room(2, 2)}), [], 0
+    rng, scheduler, running, now = random.Random(3), Scheduler(500, Budget(5, 8), {"k": Budget(2, 2)}), [], 0
     for _ in range(5000):
         now += rng.randrange(5000)
         call, key = rng.randrange(5), rng.randrange(40)
         if call < 2:
-            plan.put(
+            scheduler.schedule(
                 key,
                 now + rng.randrange(20_000),
                 rng.randrange(3),
@@ -103,15 +107,15 @@
                 1 + key % 3 if key % 4 else 1,
             )
         elif call == 2:
-            plan.drop(key)
+            scheduler.cancel(key)
         elif call == 3 and running:
-            plan.done(running.pop(rng.randrange(len(running))))
+            scheduler.ended(running.pop(rng.randrange(len(running))))
         else:
-            running += [number for _, number in plan.take(now)]
-        shared, own = plan.shared, plan.own["k"]
-        assert shared.running + own.running == len(running) == plan.running
+            running += [number for _, number in scheduler.start_due(now)]
+        shared, own = scheduler.shared, scheduler.own["k"]
+        assert shared.running + own.running == len(running) == scheduler.running
         assert shared.running <= 5 and shared.descriptors <= 8 and own.running <= 2
-        assert len(plan._later) <= 2 * len(plan.jobs) + 65
+        assert len(scheduler._not_due) <= 2 * len(scheduler.jobs) + 65
     for number in running:
-        plan.done(number)
-    assert plan.shared.descriptors == plan.own["k"].descriptors == plan.running == 0
+        scheduler.ended(number)
+    assert scheduler.shared.descriptors == scheduler.own["k"].descriptors == scheduler.running == 0
