--- a/rookbend/health/check_schedule.py
+++ b/rookbend/health/check_schedule.py
@@ -17,6 +17,13 @@
     priority: int
 
 
+class CheckAssignment(NamedTuple):
+    """Whether this director makes a check, and microseconds to wait at least until the next run or decision."""
+
+    is_ours: bool
+    min_interval_us: int
+
+
 def policies_of(member: MemberHealth | None) -> list[CheckPolicy]:
     """The policies of a member's checks."""
     return [check.policy for check in member.checks.values()] if member is not None else []
--- a/rookbend/net/shard_checks.py
+++ b/rookbend/net/shard_checks.py
@@ -5,6 +5,7 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
+from rookbend.health.check_schedule import CheckAssignment
 from rookbend.leases.actions import ApplyShardResults
 from rookbend.leases.coordinator import LeaseCoordinator
 from rookbend.leases.events import CheckResultsCollected
@@ -33,7 +34,7 @@
 
     def install(self) -> None:
         """Decides from now on which checks the health part makes."""
-        self._health.driver.rests = self.decide
+        self._health.driver.assign = self.decide
         self._health.driver.on_result = self.check_ended
 
     def _scope_of(self, member_number: int) -> int:
@@ -43,15 +44,15 @@
         rows = self._health.service.registry.members.items()
         return [row for member_number, row in rows if self._scope_of(member_number) == scope]
 
-    def decide(self, member_number: int, interval_us: int) -> tuple[bool, int]:
+    def decide(self, member_number: int, interval_us: int) -> CheckAssignment:
         """Whether a check of that member is made here now, and how long to rest at least until the next."""
         scope = self._scope_of(member_number)
         now_us = self._now()
         if self._coordinator.leases.held_token(now_us, scope):
-            return True, 0
+            return CheckAssignment(True, 0)
         if self._follower.is_fresh(now_us, scope):
-            return False, interval_us
-        return True, interval_us * UNLED_INTERVAL_FACTOR
+            return CheckAssignment(False, interval_us)
+        return CheckAssignment(True, interval_us * UNLED_INTERVAL_FACTOR)
 
     def check_ended(self, member_number: int) -> None:
         """A check of ours has ended: what changed is published at once."""
