--- a/rookbend/components/admin.py
+++ b/rookbend/components/admin.py
@@ -7,8 +7,9 @@
 
 from rookbend.health.events import OrderReceived
 from rookbend.health.model import Order
+from rookbend.net.bounded_server import BoundedServer
 from rookbend.net.component import Component, ComponentContext
-from rookbend.net.http_server import SmallServer, serve_http
+from rookbend.net.http_server import serve_http
 from rookbend.protocol.admin_api import AdminApi, CommandResult
 
 OK = 200
@@ -31,7 +32,7 @@
         recovery.command if recovery is not None else None,
         ownership,
     )
-    server = SmallServer(
+    server = BoundedServer(
         settings.listen, context.clock, context.outbox, lambda channel: serve_http(channel, api.answer)
     )
     context.built["admin"] = server
@@ -95,10 +96,11 @@
 
 def _metrics(context: ComponentContext) -> Callable[[], bytes]:
     """What renders the metrics. Imported here, since they need an optional package."""
-    from rookbend.net.metrics import Figures
+    from rookbend.net.metrics import MetricsCollector
 
     def gauges() -> dict[str, float]:
         return {name: value for gauge in context.gauges for name, value in gauge().items()}
 
     health = context.built.get("health")
-    return Figures(context.counters, health.service.table if health is not None else None, gauges).text
+    members = health.service.table if health is not None else None
+    return MetricsCollector(context.counters, members, gauges).text
--- a/rookbend/components/own_status.py
+++ b/rookbend/components/own_status.py
@@ -4,12 +4,13 @@
 
 from rookbend.health.own_status import OwnStatus, own_status
 from rookbend.health.spare_capacity import SpareCapacity
+from rookbend.net.capacity_sampler import CapacitySampler
 from rookbend.net.component import Component, ComponentContext
-from rookbend.net.health import GrpcServer, Measuring, agent_server, http_server
+from rookbend.net.status_servers import GrpcServer, agent_server, http_server
 
 
 def build_own_status(context: ComponentContext) -> list[Component]:
-    """The measuring and the servers that are enabled; the servers also in `context.built` as "balancer"."""
+    """The sampler and the servers that are enabled; the servers also in `context.built` as "balancer"."""
     settings = context.operators
     spare_capacity = SpareCapacity(settings.headroom.step, settings.headroom.rise_us, settings.headroom.least)
     context.gauges.append(lambda: {"headroom_percent": spare_capacity.weight})
@@ -17,7 +18,7 @@
     def current_status() -> OwnStatus:
         return own_status(context.phase(), spare_capacity, context.most_clients)
 
-    measuring = Measuring(spare_capacity, context.sample, context.clock)
+    sampler = CapacitySampler(spare_capacity, context.sample, context.clock)
     servers: list[Component] = []
     if settings.agent_server is not None:
         servers.append(agent_server(settings.agent_server.listen, context.clock, context.outbox, current_status))
@@ -25,7 +26,7 @@
         servers.append(http_server(settings.http_server.listen, context.clock, context.outbox, current_status))
     if settings.grpc_server is not None:
         grpc_server = GrpcServer(settings.grpc_server.listen, context.clock, context.outbox, current_status)
-        measuring.on_change.append(grpc_server.changed)
+        sampler.on_change.append(grpc_server.changed)
         servers.append(grpc_server)
     context.built["balancer"] = servers
-    return [measuring, *servers]
+    return [sampler, *servers]
--- /dev/null
+++ b/rookbend/net/bounded_server.py
@@ -0,0 +1,72 @@
+"""A TCP server for operators and balancers, with a bound on its clients and on the time that each may take."""
+
+from __future__ import annotations
+
+import socket
+from collections.abc import Awaitable, Callable
+
+import trio
+
+from rookbend.core.clock import Clock
+from rookbend.net.acceptor import accept
+from rookbend.net.buffered_socket import BufferedSocket, WriteScheduler, prepare
+from rookbend.net.component import Component
+from rookbend.net.listeners import Listeners
+
+MAX_CLIENTS = 32
+CLIENT_TIMEOUT_US = 10_000_000
+
+
+class BoundedServer(Component):
+    """Accepts up to `MAX_CLIENTS`; further ones are closed at once."""
+
+    descriptors = MAX_CLIENTS + 1
+
+    def __init__(
+        self,
+        address: tuple[str, int],
+        clock: Clock,
+        write_scheduler: WriteScheduler,
+        serve_client: Callable[[BufferedSocket], Awaitable[None]],
+        long_lived: bool = False,
+    ):
+        """`serve_client` serves one client to its end, within `CLIENT_TIMEOUT_US` unless clients are
+        `long_lived`; the connection is closed after it."""
+        self.clock = clock
+        self.clients = 0
+        self.address: tuple[str, int] | None = None  # once open
+        self._configured_address = address
+        self._write_scheduler = write_scheduler
+        self._serve_client = serve_client
+        self._long_lived = long_lived
+
+    def open(self, listeners: Listeners) -> None:
+        """Opens the listener."""
+        self._listener = listeners.tcp(self._configured_address)
+        self.address = self._listener.getsockname()[:2]
+
+    def start(self, nursery: trio.Nursery) -> None:
+        """Starts to accept clients."""
+        nursery.start_soon(self._serve)
+
+    async def _serve(self) -> None:
+        async with trio.open_nursery() as nursery:
+            await accept(self._listener, trio.CancelScope(), lambda sock: self._accepted(sock, nursery))
+
+    def _accepted(self, sock: socket.socket, nursery: trio.Nursery) -> None:
+        if self.clients >= MAX_CLIENTS:
+            sock.close()
+            return
+        self.clients += 1
+        nursery.start_soon(self._run_client, BufferedSocket(prepare(sock), nursery, self._write_scheduler))
+
+    async def _run_client(self, channel: BufferedSocket) -> None:
+        try:
+            with trio.CancelScope() as scope:
+                if not self._long_lived:
+                    scope.deadline = self.clock.monotonic_at(self.clock.now() + CLIENT_TIMEOUT_US)
+                await self._serve_client(channel)
+        finally:
+            self.clients -= 1
+            channel.send()
+            channel.close()
--- a/rookbend/net/metrics.py
+++ b/rookbend/net/metrics.py
@@ -1,48 +1,67 @@
-"""Figures for Prometheus, by prometheus-client. Imported only where an operators' listener gives them."""
+"""Metrics for Prometheus (its text format), by prometheus-client. Imported only where they are served."""
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterable
+from collections import Counter
+from collections.abc import Callable, Iterator, Sequence
+from typing import Any
 
-from prometheus_client import CollectorRegistry, generate_latest
+from prometheus_client import CollectorRegistry, Metric, generate_latest
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
+from prometheus_client.registry import Collector
 
 from rookbend.core.counters import Counters
 from rookbend.health.model import State
 
+PREFIX = "rookbend_"
+MemberTable = Sequence[dict[str, Any]]
 
-class Figures:
-    """Reads what there is when it is asked: nothing is counted twice, and nothing costs a request."""
+
+class MetricsCollector(Collector):
+    """Reads counters and tables when it is scraped: nothing is counted twice, and no request pays for it."""
 
     def __init__(
-        self, counters: Counters, members: Callable[[], list[dict]] | None, gauges: Callable[[], dict[str, float]]
+        self,
+        counters: Counters,
+        members: Callable[[], MemberTable] | None,
+        gauges: Callable[[], dict[str, float]],
     ):
-        self.counters, self.members, self.gauges = counters, members, gauges
-        self.registry = CollectorRegistry()
-        self.registry.register(self)
-
-    def collect(self) -> Iterable:
-        for name, value in self.counters.fields().items():
-            yield CounterMetricFamily(f"rookbend_{name}", f"see {name} in ONCALL", value=value)
-        for name, value in self.gauges().items():
-            yield GaugeMetricFamily(f"rookbend_{name}", name.replace("_", " "), value=value)
-        if self.members is None:
-            return
-        states = GaugeMetricFamily("rookbend_members", "members by role and effective state", labels=("role", "state"))
-        weights = GaugeMetricFamily(
-            "rookbend_member_weight", "percent of the membership's weight", labels=("member", "role")
-        )
-        table = self.members()
-        counts: dict[tuple[str, str], int] = {
-            (role, state.value): 0 for role in {row["role"] for row in table} for state in State
-        }
-        for row in table:
-            counts[row["role"], row["state"]] += 1
-            weights.add_metric((row["member"], row["role"]), row["weight"])
-        for labels, count in sorted(counts.items()):
-            states.add_metric(labels, count)
-        yield states
-        yield weights
+        """`members` returns the table of members, None where their health is off; `gauges` returns values by name."""
+        self._counters = counters
+        self._members = members
+        self._gauges = gauges
+        self._registry = CollectorRegistry()
+        self._registry.register(self)
 
     def text(self) -> bytes:
-        return generate_latest(self.registry)
+        """All metrics in Prometheus' text format."""
+        return generate_latest(self._registry)
+
+    def collect(self) -> Iterator[Metric]:
+        """The metrics, as prometheus-client requests them."""
+        for name, value in self._counters.fields().items():
+            yield CounterMetricFamily(f"{PREFIX}{name}", f"see {name} in ONCALL", value=value)
+        for name, level in self._gauges().items():
+            yield GaugeMetricFamily(f"{PREFIX}{name}", name.replace("_", " "), value=level)
+        if self._members is not None:
+            table = self._members()
+            yield _member_counts(table)
+            yield _member_weights(table)
+
+
+def _member_counts(table: MemberTable) -> Metric:
+    family = GaugeMetricFamily(f"{PREFIX}members", "members by role and effective state", labels=("role", "state"))
+    counts = Counter((member["role"], member["state"]) for member in table)
+    roles = {member["role"] for member in table}
+    for labels in sorted((role, state.value) for role in roles for state in State):
+        family.add_metric(labels, counts[labels])
+    return family
+
+
+def _member_weights(table: MemberTable) -> Metric:
+    family = GaugeMetricFamily(
+        f"{PREFIX}member_weight", "percent of the membership's weight", labels=("member", "role")
+    )
+    for member in table:
+        family.add_metric((member["member"], member["role"]), member["weight"])
+    return family
--- /dev/null
+++ b/rookbend/net/status_servers.py
@@ -0,0 +1,95 @@
+"""The servers that tell a balancer in front of this director's status: by agent check, HTTP and gRPC."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import TYPE_CHECKING
+
+import trio
+
+from rookbend.core.clock import Clock
+from rookbend.health.own_status import OwnStatus
+from rookbend.net.bounded_server import CLIENT_TIMEOUT_US, BoundedServer
+from rookbend.net.buffered_socket import BufferedSocket, WriteScheduler
+from rookbend.net.http_server import serve_http
+from rookbend.protocol import http_health
+from rookbend.protocol.agent_check import encode_line
+from rookbend.protocol.http_server import HttpRequest, HttpResponse
+
+if TYPE_CHECKING:
+    from rookbend.protocol.grpc_health_server import GrpcHealthServer
+
+CurrentStatus = Callable[[], OwnStatus]
+
+
+def agent_server(
+    address: tuple[str, int], clock: Clock, write_scheduler: WriteScheduler, current_status: CurrentStatus
+) -> BoundedServer:
+    """A server that sends its line to each client and closes."""
+
+    async def serve_client(channel: BufferedSocket) -> None:
+        status = current_status()
+        channel.write(encode_line(status.admin, status.up, status.weight, status.most_connections, status.reason))
+
+    return BoundedServer(address, clock, write_scheduler, serve_client)
+
+
+def http_server(
+    address: tuple[str, int], clock: Clock, write_scheduler: WriteScheduler, current_status: CurrentStatus
+) -> BoundedServer:
+    """A server that answers health requests over HTTP."""
+
+    def handle(request: HttpRequest) -> HttpResponse:
+        status = current_status()
+        return http_health.answer(request, status.taking, status.state)
+
+    async def serve_client(channel: BufferedSocket) -> None:
+        await serve_http(channel, handle)
+
+    return BoundedServer(address, clock, write_scheduler, serve_client)
+
+
+class GrpcServer(BoundedServer):
+    """A server of gRPC's Check and Watch; watchers stay and are notified of each change at once."""
+
+    def __init__(
+        self,
+        address: tuple[str, int],
+        clock: Clock,
+        write_scheduler: WriteScheduler,
+        current_status: CurrentStatus,
+    ):
+        super().__init__(address, clock, write_scheduler, self._serve_grpc, long_lived=True)
+        self._current_status = current_status
+        self._connections: dict[BufferedSocket, GrpcHealthServer] = {}
+
+    def changed(self) -> None:
+        """Notifies the watchers: the status may have changed."""
+        for channel, grpc in self._connections.items():
+            channel.write(grpc.changed())
+
+    async def _serve_grpc(self, channel: BufferedSocket) -> None:
+        # Imported here, since it needs optional packages.
+        from rookbend.protocol.grpc_health_messages import ServingStatus
+        from rookbend.protocol.grpc_health_server import GrpcHealthServer
+
+        def serving_status() -> ServingStatus:
+            return ServingStatus.SERVING if self._current_status().taking else ServingStatus.NOT_SERVING
+
+        grpc = GrpcHealthServer(serving_status)
+        self._connections[channel] = grpc
+        try:
+            channel.write(grpc.start())
+            await self._exchange(channel, grpc)
+        finally:
+            del self._connections[channel]
+
+    async def _exchange(self, channel: BufferedSocket, grpc: GrpcHealthServer) -> None:
+        """Serves calls until the connection ends, or is idle for too long without a Watch."""
+        while not grpc.ended:
+            with trio.CancelScope() as scope:
+                if not grpc.watched:
+                    scope.deadline = self.clock.monotonic_at(self.clock.now() + CLIENT_TIMEOUT_US)
+                channel.write(grpc.feed(await channel.receive()))
+            if scope.cancelled_caught:
+                return
--- a/rookbend/protocol/operator_api.py
+++ b/rookbend/protocol/operator_api.py
@@ -9,25 +9,15 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import NamedTuple
 from urllib.parse import parse_qs
 
-from rookbend.protocol.http_server import HttpRequest
+from rookbend.protocol.http_server import HttpRequest, HttpResponse
 
-TEXT = "text/plain"
 MAX_QUOTED_PATH = 200
 
 
-class Reply(NamedTuple):
-    """An HTTP answer: status, body, content type."""
-
-    status: int
-    body: bytes
-    content_type: str = TEXT
-
-
-def _line(status: int, line: str) -> Reply:
-    return Reply(status, line.encode() + b"\n")
+def _line(status: int, line: str) -> HttpResponse:
+    return HttpResponse(status, line.encode() + b"\n")
 
 
 class OperatorApi:
@@ -39,14 +29,14 @@
         self._phase = phase
         self._metrics = metrics
         self._set_excluded = set_excluded
-        self._calls: dict[str, tuple[str, Callable[[HttpRequest], Reply]]] = {
+        self._calls: dict[str, tuple[str, Callable[[HttpRequest], HttpResponse]]] = {
             "/status": ("GET", self._status),
-            "/status/metrics": ("GET", lambda request: Reply(200, self._metrics())),
+            "/status/metrics": ("GET", lambda request: HttpResponse(200, self._metrics())),
             "/maintenance/enter": ("PUT", lambda request: self._maintenance(request, True)),
             "/maintenance/exit": ("PUT", lambda request: self._maintenance(request, False)),
         }
 
-    def answer(self, request: HttpRequest) -> Reply:
+    def answer(self, request: HttpRequest) -> HttpResponse:
         """The answer to one call."""
         call = self._calls.get(request.path)
         if call is None:
@@ -56,11 +46,11 @@
             return _line(405, f"{request.path} is called with {method}")
         return handler(request)
 
-    def _status(self, request: HttpRequest) -> Reply:
+    def _status(self, request: HttpRequest) -> HttpResponse:
         phase = self._phase()
         return _line(200 if phase == "ready" else 503, phase)
 
-    def _maintenance(self, request: HttpRequest, exclude: bool) -> Reply:
+    def _maintenance(self, request: HttpRequest, exclude: bool) -> HttpResponse:
         members = parse_qs(request.query, keep_blank_values=True).get("member", [])
         if len(members) != 1 or not members[0]:
             return _line(400, "exactly one member=ID is needed")
--- a/tests/test_balancer_status.py
+++ b/tests/test_balancer_status.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from rookbend.protocol.health import answer
+from rookbend.protocol.http_health import answer
 from rookbend.protocol.http_server import HttpServerConnection
 from tests.director_scenario import play
 from tests.health_scenarios import health
