--- a/rookbend/net/peers.py
+++ b/rookbend/net/peers.py
@@ -4,50 +4,64 @@
 
 import contextlib
 import socket
+from collections.abc import Sequence
 
 import trio
 
 from rookbend.core.engine import Engine
 
-MOST_BYTES = 256
+MAX_DATAGRAM_BYTES = 256
 
 
 class PeerSocket:
-    """A datagram that can't go out at once is lost, as one on the way may be."""
+    """Sends and receives datagrams; one that can't be sent at once is lost, as one on the way may be."""
 
     def __init__(
-        self, engine: Engine, sock: socket.socket, peers: list[tuple[str, int]], everyone: tuple[str, int] | None
+        self,
+        engine: Engine,
+        sock: socket.socket,
+        peers: Sequence[tuple[str, int]],
+        broadcast: tuple[str, int] | None,
     ):
-        self.engine, self.sock, self.peers, self.everyone = engine, sock, peers, everyone
-        self.numbers = {address: i for i, address in enumerate(peers)}
-        self._listening = trio.Event()
-        self._listening.set()
-
-    def listen(self, on: bool) -> None:
-        """Whether what comes is ours: while two processes hold the socket, it is the next one's."""
-        if on:
-            self._listening.set()
-        elif self._listening.is_set():
-            self._listening = trio.Event()
+        """`peers` are the directors' addresses by number; `broadcast` reaches all, None where nothing does."""
+        self._engine = engine
+        self._sock = sock
+        self._peers = peers
+        self._broadcast = broadcast
+        self._numbers = {address: number for number, address in enumerate(peers)}
+        self._receiving = trio.Event()
+        self._receiving.set()
+
+    def set_receiving(self, receiving: bool) -> None:
+        """Whether to receive: while two processes hold the socket, datagrams are for the newer one."""
+        if receiving:
+            self._receiving.set()
+        elif self._receiving.is_set():
+            self._receiving = trio.Event()
 
     def send(self, peer: int | None, data: bytes) -> None:
-        """Sends a datagram to one director by its number, or to all; lost where it can't be sent."""
-        address = self.everyone if peer is None else self.peers[peer] if peer < len(self.peers) else None
-        if address is not None and len(data) <= MOST_BYTES:
+        """Sends a datagram to one director by its number, or with None to all."""
+        address = self._address_of(peer)
+        if address is not None and len(data) <= MAX_DATAGRAM_BYTES:
             with contextlib.suppress(OSError):
-                self.sock.sendto(data, address)
+                self._sock.sendto(data, address)
+
+    def _address_of(self, peer: int | None) -> tuple[str, int] | None:
+        if peer is None:
+            return self._broadcast
+        return self._peers[peer] if peer < len(self._peers) else None
 
     async def run(self) -> None:
-        """Receives datagrams from known directors."""
+        """Receives datagrams from known directors, for good."""
         while True:
-            await self._listening.wait()
-            await trio.lowlevel.wait_readable(self.sock)
-            if not self._listening.is_set():
+            await self._receiving.wait()
+            await trio.lowlevel.wait_readable(self._sock)
+            if not self._receiving.is_set():
                 continue
             try:
-                data, address = self.sock.recvfrom(MOST_BYTES + 1)
+                data, address = self._sock.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except OSError:
                 continue  # an earlier datagram of ours was refused
-            sender = self.numbers.get(address[:2])
-            if sender is not None and len(data) <= MOST_BYTES:
-                self.engine.peer_message(sender, data)
+            sender = self._numbers.get(address[:2])
+            if sender is not None and len(data) <= MAX_DATAGRAM_BYTES:
+                self._engine.peer_message(sender, data)
--- a/rookbend/net/upgrade.py
+++ b/rookbend/net/upgrade.py
@@ -97,7 +97,7 @@
                 raise upgrade_protocol.UpgradeError("the process before has ended")
             for message in link.reader.feed(data):
                 names = message.listeners if isinstance(message, upgrade_protocol.GiveListeners) else names
-        self.listeners.take(names, list(found))
+        self.listeners.inherit(names, list(found))
         self.predecessor = link
         self.handover.listeners_inherited()
         self.log("upgrade_inherited", listeners=len(names))
@@ -202,7 +202,7 @@
     def _take_message(self, number: int, link: Link, message: upgrade_protocol.Message) -> None:
         if isinstance(message, upgrade_protocol.RequestListeners):
             fits = message.version == upgrade_protocol.VERSION and message.name == self.name
-            names, descriptors = self.listeners.offer() if fits else ([], [])
+            names, descriptors = self.listeners.transferable() if fits else ([], [])
             rights = [(socket.SOL_SOCKET, socket.SCM_RIGHTS, array.array("i", descriptors))] if names else []
             link.send(upgrade_protocol.GiveListeners(names), rights)
             if fits:
--- a/rookbend/service.py
+++ b/rookbend/service.py
@@ -224,7 +224,7 @@
         self.engine.set_active_processes(handover.active_processes)
         self.front.most_unsent = self.budget.max_unsent_bytes(handover.processes)
         if self.peers is not None:
-            self.peers.listen(not handover.taken_over)
+            self.peers.set_receiving(not handover.taken_over)
 
     async def _handle_signals(self, signals: AsyncIterator[int]) -> None:
         async for number in signals:
