--- a/rookbend/components/health_policy.py
+++ b/rookbend/components/health_policy.py
@@ -5,7 +5,7 @@
 from rookbend import interface as api
 from rookbend.health.model import CheckPolicy, HealthPolicy, SlowStartPolicy
 from rookbend.settings import Check, Settings
-from rookbend.settings.schema import Health
+from rookbend.settings.sections import Health
 
 # The capacity share at which slow start begins where the platform's rules know no cold members, but operators do.
 DEFAULT_START_RATIO = 0.1
--- a/rookbend/net/leases.py
+++ b/rookbend/net/leases.py
@@ -29,7 +29,7 @@
 from rookbend.protocol.leases import is_lease_datagram
 from rookbend.recovery.actions import ApplyOrder
 from rookbend.recovery.origin_ramp import SAMPLE_VALID_US
-from rookbend.settings.schema import Settings, default_voters
+from rookbend.settings.sections import Settings, default_voters
 
 if TYPE_CHECKING:
     from rookbend.net.recovery import RecoveryPart
--- a/rookbend/settings/__init__.py
+++ b/rookbend/settings/__init__.py
@@ -1,7 +1,13 @@
-"""The operators' settings: a line-based language (`reader`), its kinds of values (`values`) and what may be
-set (`schema`)."""
+"""The operators' settings.
 
+`reader` splits the line-based language into sections and directives, `values` are its kinds of values, `schema` is
+what may be set, `sections` what becomes of it; `consistency` checks directives against each other, `parser` does
+all of it.
+"""
+
+from rookbend.settings.consistency import check_permits
+from rookbend.settings.parser import load, parse
 from rookbend.settings.reader import Place, SettingsError
-from rookbend.settings.schema import Check, Settings, check_permits, load, parse
+from rookbend.settings.sections import Check, Settings
 
 __all__ = ["Check", "SettingsError", "Place", "Settings", "check_permits", "load", "parse"]
--- a/rookbend/settings/values.py
+++ b/rookbend/settings/values.py
@@ -1,6 +1,6 @@
-"""The kinds of values a directive takes: words to typed values, with the unit where one is required.
+"""The kinds of values that a directive takes, with the unit where one is required.
 
-Each reader takes one word and gives a value, or raises `ValueError` with what is wrong in plain words.
+Each reader turns one word into a value, or raises `ValueError` with what is wrong with it.
 """
 
 from __future__ import annotations
@@ -9,33 +9,38 @@
 import re
 from collections.abc import Callable
 from dataclasses import dataclass
+from typing import Any, TypeVar
 
 TIME_UNITS = {"us": 1, "ms": 1_000, "s": 1_000_000, "m": 60_000_000, "h": 3_600_000_000}
 SIZE_UNITS = {"b": 1, "kb": 1 << 10, "mb": 1 << 20, "gb": 1 << 30}
+MAX_PORT = 65_535
+MIN_STATUS = 100
+MAX_STATUS = 599
 NUMBER = re.compile(r"(\d+(?:\.\d+)?)([a-zA-Z%]*)")
 
-Reader = Callable[[str], object]
+Reader = Callable[[str], Any]
+Number = TypeVar("Number", int, float)
 
 
-def _measured(word: str, units: dict[str, int], what: str) -> int:
+def _measured(word: str, units: dict[str, int], quantity: str) -> int:
     match = NUMBER.fullmatch(word)
     if match is None:
-        raise ValueError(f"no {what}: {word!r}")
+        raise ValueError(f"no {quantity}: {word!r}")
     unit = match[2].lower()
     if unit not in units:
-        named = ", ".join(units)
-        raise ValueError(
-            f"a {what} needs its unit ({named}): {word!r}"
-            if not unit
-            else f"{match[2]!r} is no unit of a {what} ({named}): {word!r}"
-        )
+        known = ", ".join(units)
+        if not unit:
+            raise ValueError(f"a {quantity} needs its unit ({known}): {word!r}")
+        raise ValueError(f"{match[2]!r} is no unit of a {quantity} ({known}): {word!r}")
     return int(float(match[1]) * units[unit])
 
 
-def bounded(read: Reader, least, most, show: Callable[[object], str] = str) -> Reader:
-    """The same value, within bounds."""
+def bounded(
+    read: Callable[[str], Number], least: Number, most: Number, show: Callable[[Number], str] = str
+) -> Callable[[str], Number]:
+    """A reader of the same values that accepts only those from `least` to `most`."""
 
-    def within(word: str):
+    def within(word: str) -> Number:
         value = read(word)
         if not least <= value <= most:
             raise ValueError(f"{word} is outside {show(least)} to {show(most)}")
@@ -45,6 +50,7 @@
 
 
 def show_time(us: int) -> str:
+    """A time in the largest unit that divides it."""
     for unit, size in reversed(TIME_UNITS.items()):
         if us and us % size == 0:
             return f"{us // size}{unit}"
@@ -52,13 +58,13 @@
 
 
 def time(least_us: int = 0, most_us: int = 24 * TIME_UNITS["h"]) -> Reader:
-    """Microseconds."""
+    """A time, in microseconds."""
     return bounded(lambda word: _measured(word, TIME_UNITS, "time"), least_us, most_us, show_time)
 
 
 def size(least: int, most: int) -> Reader:
-    """Bytes."""
-    return bounded(lambda word: _measured(word, SIZE_UNITS, "size"), least, most, lambda n: f"{n}b")
+    """A size, in bytes."""
+    return bounded(lambda word: _measured(word, SIZE_UNITS, "size"), least, most, lambda size_bytes: f"{size_bytes}b")
 
 
 def _whole(word: str) -> int:
@@ -68,6 +74,7 @@
 
 
 def whole(least: int, most: int) -> Reader:
+    """A whole number."""
     return bounded(_whole, least, most)
 
 
@@ -84,12 +91,15 @@
 
 
 def yes_or_no(word: str) -> bool:
+    """A switch."""
     if word not in ("yes", "no"):
         raise ValueError(f"yes or no, not {word!r}")
     return word == "yes"
 
 
 def one_of(*choices: str) -> Reader:
+    """One of some words."""
+
     def read(word: str) -> str:
         if word not in choices:
             raise ValueError(f"{word!r} is none of {', '.join(choices)}")
@@ -99,6 +109,8 @@
 
 
 def text(least: int = 0, most: int = 1024) -> Reader:
+    """Text of so many characters."""
+
     def read(word: str) -> str:
         if not least <= len(word) <= most:
             raise ValueError(f"{least} to {most} characters, not {len(word)}")
@@ -116,31 +128,32 @@
         number = _whole(port)
     except ValueError:
         number = -1
-    if not 0 <= number <= 65535:
+    if not 0 <= number <= MAX_PORT:
         raise ValueError(f"no HOST:PORT with a numeric host: {word!r}")
     return host, number
 
 
 def loopback(word: str) -> tuple[str, int]:
-    """The same on this machine alone."""
-    where = address(word)
-    if not ipaddress.ip_address(where[0]).is_loopback:
+    """HOST:PORT on the loopback."""
+    host, port = address(word)
+    if not ipaddress.ip_address(host).is_loopback:
         raise ValueError(f"only an address of the loopback, not {word!r}: whoever reaches it may give orders")
-    return where
+    return host, port
 
 
 def status_range(word: str) -> tuple[int, int]:
     """An HTTP status or a range of them, as 204 or 200-299."""
     first, dash, last = word.partition("-")
-    low, high = _whole(first), _whole(last if dash else first)
-    if not 100 <= low <= high <= 599:
+    lowest = _whole(first)
+    highest = _whole(last if dash else first)
+    if not MIN_STATUS <= lowest <= highest <= MAX_STATUS:
         raise ValueError(f"no HTTP status or range of them: {word!r}")
-    return low, high
+    return lowest, highest
 
 
 @dataclass(frozen=True, slots=True)
 class Form:
-    """What a directive holds: one value, or several words each read alike."""
+    """What a directive takes: one value, or with `many` several, each read alike."""
 
     read: Reader
     many: bool = False
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -10,7 +10,6 @@
     "rookbend/testing/measurement_fleet.py": 307,
     "rookbend/testing/invariant_checker.py": 364,
     "rookbend/testing/cluster/scenario.py": 272,
-    "rookbend/settings/schema.py": 461,
     "tests/test_dns_front.py": 360,
     "tests/test_leases_processes.py": 260,
     "tests/test_recovery.py": 355,
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -113,9 +113,9 @@
 
     root = Path(__file__).parent.parent
     page = (root / "docs" / "SETTINGS.md").read_text()
-    for kind, (_, _, directives) in SECTIONS.items():
+    for kind, schema in SECTIONS.items():
         assert f"`[{kind}" in page
-        assert not [name for name in directives if f"`{name}`" not in page], kind
+        assert not [name for name in schema.directives if f"`{name}`" not in page], kind
     shipped = (root / "deploy" / "rookbend.conf").read_text()
     assert parse(shipped, "x") == Settings(), "everything is off on the platform"
     # The examples in it are right too, once the comment signs are gone.
