--- a/rookbend/net/leases.py
+++ b/rookbend/net/leases.py
@@ -28,7 +28,7 @@
 from rookbend.protocol.leases import is_lease_datagram
 from rookbend.recovery.actions import ApplyOrder
 from rookbend.recovery.origin_ramp import SAMPLE_VALID_US
-from rookbend.settings.schema import Settings, default_voters
+from rookbend.settings.sections import Settings, default_voters
 
 if TYPE_CHECKING:
     from rookbend.net.recovery import RecoveryComponent
