--- a/rookbend/testing/cluster/clients.py
+++ b/rookbend/testing/cluster/clients.py
@@ -16,9 +16,9 @@
 from rookbend.testing.cluster.shared_state import digest, group_of
 from rookbend.testing.cluster.traffic_classes import KINDS, Kind
 from rookbend.testing.cluster.workload import Line, Target, Wish
-from rookbend.testing.invariant_checker import Answered, Asked, Left
+from rookbend.testing.invariant_events import ClientClosed, RequestSent, ResponseReceived
 from rookbend.testing.measurement_fleet import frame
-from rookbend.testing.weighted_score import Ended, earned
+from rookbend.testing.weighted_score import RequestOutcome, earned_weight
 
 GONE = OSError, trio.BrokenResourceError, trio.ClosedResourceError
 VERDICTS = {0: "served", 14: "refused", 2: "failed"}
@@ -110,7 +110,7 @@
             target.lines.remove(line)
             for rid, wish in line.open.values():
                 # The process, or the way to it, has gone: that it left them unanswered is no breach.
-                self.record.see(Left(now_us(), rid))
+                self.record.see(ClientClosed(now_us(), rid))
                 wish.verdicts.append("lost")
                 self._again(wish, 0.1)
             line.open.clear()
@@ -148,7 +148,7 @@
             fields[data[at + 1 : n].decode()] = data[n + 2 : v].decode()
             at = v
         body = data[at:]
-        self.record.see(Answered(now_us(), rid or f"stream {stream}", verdict, digest(body) if body else ""))
+        self.record.see(ResponseReceived(now_us(), rid or f"stream {stream}", verdict, digest(body) if body else ""))
         self.record.note("answer", verdict)
         if wish is None:
             return
@@ -198,7 +198,9 @@
         line.open[line.last] = rid, wish
         now = now_us()
         self.record.see(
-            Asked(now, rid, target.name, kind.write, now + kind.deadline_us, (wish.key, wish.part), group_of(wish.key))
+            RequestSent(
+                now, rid, target.name, kind.write, now + kind.deadline_us, (wish.key, wish.part), group_of(wish.key)
+            )
         )
         line.write(frame(7, line.last, fields, b"form" if kind.write else b""))
 
@@ -227,8 +229,12 @@
 
     # What came of them
 
-    def ended(self, since_us: int = 0, until_us: int = 1 << 62) -> list[Ended]:
-        return [Ended(w.first_us, w.kind, w.done_us or None) for w in self.wishes if since_us <= w.first_us < until_us]
+    def ended(self, since_us: int = 0, until_us: int = 1 << 62) -> list[RequestOutcome]:
+        return [
+            RequestOutcome(w.first_us, w.kind, w.done_us or None)
+            for w in self.wishes
+            if since_us <= w.first_us < until_us
+        ]
 
     def by_second(self, began_us: int, until_us: int = 1 << 62) -> dict[int, tuple[float, float]]:
         """Worth earned and asked for, by the second in which it was first asked."""
@@ -236,6 +242,6 @@
         for e in self.ended(began_us, until_us):
             second = (e.sent_us - began_us) // 1_000_000
             got, asked = out.get(second, (0.0, 0.0))
-            worth = self.kinds[e.cls].worth
-            out[second] = got + earned(worth, e), asked + worth.worth
+            worth = self.kinds[e.traffic_class].worth
+            out[second] = got + earned_weight(worth, e), asked + worth.priority_weight
         return out
--- a/rookbend/testing/cluster/members.py
+++ b/rookbend/testing/cluster/members.py
@@ -3,7 +3,7 @@
 lines.
 
 Work is seconds of sending. A member does `capacity` of it a second once it is warm, from a share of that
-after a start (`rules.Warmth`). Asked within a window for more than `multiple` times what it could do, it
+after a start (`SlowStart`). Asked within a window for more than `multiple` times what it could do, it
 falls: its connections are reset, and it takes none for `down_s`; a cache then returns cold and empty. What it
 can't begin within `queue_s` it refuses. Objects are drawn from their names, so each copy of one version is
 the same bytes everywhere, and a copy says in its bytes when it left the origin.
@@ -16,20 +16,21 @@
 
 import trio
 
-from rookbend.testing.cache_store import Copy, Store
+from rookbend.testing.cache_store import CacheStore, Copy
 from rookbend.testing.cluster.member_wire import Wire
 from rookbend.testing.cluster.record import now_us
 from rookbend.testing.cluster.relay import reset
 from rookbend.testing.cluster.shared_state import Got, Make, World
-from rookbend.testing.invariant_checker import Fill, Started, Warmth
+from rookbend.testing.invariant_events import FillReceived, MemberStarted
+from rookbend.testing.slow_start_budget import SlowStart
 
 
 class Box(Wire):
     def __init__(self, name: str, role: str, host: str, zone: str, world: World, make: Make):
         self.name, self.role, self.host, self.zone = name, role, host, zone
         self.world, self.record, self.make = world, world.record, make
-        self.store = Store(make.memory)
-        self.warmth = Warmth(make.capacity, make.cold_capacity_ratio, make.warm_up_us, make.multiple)
+        self.store = CacheStore(make.memory)
+        self.slow_start = SlowStart(make.capacity, make.cold_capacity_ratio, make.warm_up_us, make.multiple)
         self.up_since_us = 0  # 0: it has run for long, and is warm
         self.port, self.down, self.falls = 0, False, 0
         self.draining = False
@@ -64,7 +65,7 @@
     def die(self) -> None:
         """Its process ends: connections are reset, what it held is lost."""
         self.down = True
-        self.store = Store(self.make.memory)
+        self.store = CacheStore(self.make.memory)
         for stream in list(self._streams):
             reset(stream)
         self._streams.clear()
@@ -76,7 +77,7 @@
         self._log.clear()
         self._total, self._free_us = 0.0, 0
         if self.role != "origin":
-            self.record.see(Started(now_us(), self.name, self.warmth))
+            self.record.see(MemberStarted(now_us(), self.name, self.slow_start))
         self.record.note("start", self.name)
 
     def _fall(self) -> None:
@@ -93,7 +94,7 @@
     # Work
 
     def capacity(self, at: int) -> float:
-        return self.warmth.at(at - self.up_since_us) if self.up_since_us else self.make.capacity
+        return self.slow_start.capacity_at(at - self.up_since_us) if self.up_since_us else self.make.capacity
 
     def admit(self, work: float) -> float | None:
         """Takes work; the seconds until it is done, or None where it is refused or the member falls."""
@@ -143,7 +144,7 @@
         now = now_us()
         if self.role == "origin":
             return await self._made(key, part, group)
-        held = self.valid(key, group, self.store.use((key, part), keep), oldest_us)
+        held = self.valid(key, group, self.store.get((key, part), keep), oldest_us)
         takes = self.admit(self.work_of(key, part))
         if takes is None:
             return Got("refused", "crowded")
@@ -155,7 +156,7 @@
             return Got("nothing")
         if join and (event := self._fetching.get((key, part))) is not None:
             await event.wait()
-            held = self.valid(key, group, self.store.look((key, part)), oldest_us)
+            held = self.valid(key, group, self.store.peek((key, part)), oldest_us)
             if held is not None:
                 return Got("ok", "shared", held)
         event = self._fetching[key, part] = trio.Event()
@@ -169,7 +170,7 @@
             note = {"refused": "denied", "nothing": "absent"}.get(got.word, "unreached")
             return Got("error", "behind" if got.note == "behind" else note)
         if keep or self.role == "parent":
-            self.store.keep((key, part), Copy(got.copy.size, got.copy.t0_us, group, keep or 1))
+            self.store.put((key, part), Copy(got.copy.size, got.copy.t0_us, group, keep or 1))
         await trio.sleep(takes)
         note = "origin" if source.role == "origin" or got.note in ("origin", "parent") else "parent"
         return Got("ok", note, got.copy, (now_us() - now) / 1e6)
@@ -179,7 +180,7 @@
         if self.down:
             return Got("error", "unreached")
         if self.role != "origin":
-            self.record.see(Fill(now_us(), self.name, self.work_of(key, part)))
+            self.record.see(FillReceived(now_us(), self.name, self.work_of(key, part)))
         origin = next(b for b in self.world.members.values() if b.role == "origin")
         got = await self.get(key, part, group, oldest_us, origin, 0, True)
         if got.copy is None and self.role == "parent" and got.note in ("denied", "unreached"):
