--- a/rookbend/leases/sharded_checks.py
+++ b/rookbend/leases/sharded_checks.py
@@ -12,9 +12,11 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from rookbend.core.check_result import Outcome, Words
-from rookbend.health.member import Opinion, Row
-from rookbend.health.model import FULL, AgentHeard, CheckEnded
+from rookbend.core.check_result import AgentReport, CheckOutcome
+from rookbend.health.check_state import CheckState
+from rookbend.health.events import AgentReported, CheckCompleted
+from rookbend.health.member_health import MemberHealth
+from rookbend.health.model import FULL
 from rookbend.protocol.lease_messages import Finding, ShardResults
 
 SILENT_US = 2_000_000
@@ -28,22 +30,22 @@
 FLAGS_BY_ADMIN = {"drain": FLAG_DRAIN, "maint": FLAG_MAINTENANCE}
 REASON = "by its owner"
 
-Evidence = CheckEnded | AgentHeard
+Evidence = CheckCompleted | AgentReported
 
 
-def finding_of(member: int, check: int, opinion: Opinion) -> Finding:
+def finding_of(member: int, check: int, opinion: CheckState) -> Finding:
     """The finding of one check on one member."""
     flags = FLAG_DOWN * opinion.down | FLAG_DEGRADED * opinion.degraded | FLAGS_BY_ADMIN.get(opinion.admin, 0)
     return Finding(member, check, flags, opinion.weight)
 
 
-def collect_findings(rows: Iterable[Row], checks: list[str]) -> tuple[list[Finding], int]:
+def collect_findings(rows: Iterable[MemberHealth], checks: list[str]) -> tuple[list[Finding], int]:
     """What a leader publishes of these members: findings, and the exclusive or of the members with all results."""
     findings: list[Finding] = []
     covered = 0
     for row in rows:
-        member = row.entry.member.server
-        opinions = [(checks.index(name), opinion) for name, opinion in row.opinions.items() if name in checks]
+        member = row.endpoint.member.server
+        opinions = [(checks.index(name), opinion) for name, opinion in row.checks.items() if name in checks]
         if opinions and all(opinion.heard or opinion.outcome is not None for _, opinion in opinions):
             covered ^= member
         for check, opinion in opinions:
@@ -111,7 +113,9 @@
             return False
         return shard.received_us > 0 and now_us - shard.received_us < SILENT_US
 
-    def evidence(self, now_us: int, scope: int, rows: Iterable[Row], checks: list[str], number: int) -> list[Evidence]:
+    def evidence(
+        self, now_us: int, scope: int, rows: Iterable[MemberHealth], checks: list[str], number: int
+    ) -> list[Evidence]:
         """The newest publication as events of our registry: changes, and now and then a refresh.
 
         `rows` are our own of the shard's members; `number` is that of a check that begins now.
@@ -120,13 +124,13 @@
         rows = list(rows)
         covered = 0
         for row in rows:
-            if any(name in checks for name in row.opinions):
-                covered ^= row.entry.member.server
+            if any(name in checks for name in row.checks):
+                covered ^= row.endpoint.member.server
         shard.is_complete = covered == shard.covered
         events: list[Evidence] = []
         for row in rows:
-            member = row.entry.member.server
-            for name, opinion in row.opinions.items():
+            member = row.endpoint.member.server
+            for name, opinion in row.checks.items():
                 finding = shard.findings.get((member, checks.index(name))) if name in checks else None
                 if finding is None and not shard.is_complete:
                     continue  # the leader may not know of it
@@ -135,7 +139,7 @@
 
 
 def _evidence_of(
-    now_us: int, member: int, name: str, opinion: Opinion, finding: Finding | None, number: int
+    now_us: int, member: int, name: str, opinion: CheckState, finding: Finding | None, number: int
 ) -> list[Evidence]:
     flags = finding.flags if finding is not None else 0
     needs_refresh = not opinion.heard or now_us - opinion.heard_us >= opinion.policy.stale_us // STALE_FRACTION
@@ -145,21 +149,21 @@
     down = bool(flags & FLAG_DOWN)
     degraded = bool(flags & FLAG_DEGRADED)
     if down and not opinion.down:
-        return [CheckEnded(member, name, number, Outcome.DISMISSED, REASON)]  # counts at once
-    healthy = Outcome.DEGRADED if degraded else Outcome.PASSED
+        return [CheckCompleted(member, name, number, CheckOutcome.DISMISSED, REASON)]  # counts at once
+    healthy = CheckOutcome.DEGRADED if degraded else CheckOutcome.PASSED
     if not down and opinion.down:
-        return [CheckEnded(member, name, number, healthy, REASON)] * opinion.policy.rise
+        return [CheckCompleted(member, name, number, healthy, REASON)] * opinion.policy.rise
     if needs_refresh or degraded is not opinion.degraded:
-        return [CheckEnded(member, name, number, Outcome.FAILED if down else healthy, REASON)]
+        return [CheckCompleted(member, name, number, CheckOutcome.FAILED if down else healthy, REASON)]
     return []
 
 
 def _agent_evidence(
-    member: int, name: str, opinion: Opinion, flags: int, weight: int, needs_refresh: bool, number: int
+    member: int, name: str, opinion: CheckState, flags: int, weight: int, needs_refresh: bool, number: int
 ) -> list[Evidence]:
     down = bool(flags & FLAG_DOWN)
     admin = "drain" if flags & FLAG_DRAIN else "maint" if flags & FLAG_MAINTENANCE else ""
     if not needs_refresh and (opinion.down, opinion.admin, opinion.weight) == (down, admin, weight):
         return []
-    words = Words(up=not down, admin=admin or "ready", weight=weight, reason=REASON)
-    return [AgentHeard(member, name, number, words)]
+    words = AgentReport(up=not down, admin=admin or "ready", weight=weight, reason=REASON)
+    return [AgentReported(member, name, number, words)]
--- a/rookbend/model_checking/candidate_steps.py
+++ b/rookbend/model_checking/candidate_steps.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 from collections.abc import Iterator
-from typing import TYPE_CHECKING
 
 from rookbend.leases.lease import Phase
 from rookbend.model_checking.lease_state import (
@@ -18,14 +17,12 @@
     Violation,
     lease_state,
 )
-
-if TYPE_CHECKING:
-    from rookbend.model_checking.lease import LeaseModel
+from rookbend.model_checking.rules import ModelRules
 
 TOKENS_PER_TICK = 8
 
 
-def steps(model: LeaseModel, state: State, number: int) -> Iterator[tuple[str, State]]:
+def steps(model: ModelRules, state: State, number: int) -> Iterator[tuple[str, State]]:
     """What the candidate may do: request, check an act, release, restart."""
     candidate = state.candidates[number]
     budget = state.budget
@@ -49,7 +46,7 @@
         yield f"restart c{number}", spent.with_candidate(number, restarted)
 
 
-def _request(model: LeaseModel, state: State, number: int, scope: int) -> State:
+def _request(model: ModelRules, state: State, number: int, scope: int) -> State:
     """Sends a round of requests: a renewal, another round or a new try."""
     candidate = state.candidates[number]
     local = state.now + candidate.drift
@@ -67,7 +64,7 @@
     return sent.with_candidate(number, candidate)
 
 
-def _release(model: LeaseModel, state: State, number: int, scope: int) -> State:
+def _release(model: ModelRules, state: State, number: int, scope: int) -> State:
     candidate = state.candidates[number]
     lease = model.lease(state, number, scope)
     token = lease.token
@@ -82,7 +79,7 @@
     return state._replace(voters=voters)
 
 
-def vote_received(model: LeaseModel, state: State, voter: int, vote: Message) -> State:
+def vote_received(model: ModelRules, state: State, voter: int, vote: Message) -> State:
     """The candidate counts a vote; one for an earlier incarnation changes nothing."""
     candidate = state.candidates[vote.candidate]
     if candidate.incarnation != vote.incarnation:
@@ -111,7 +108,7 @@
     return Violation.NONE
 
 
-def refused(model: LeaseModel, state: State, request: Message, highest_token: int) -> State:
+def refused(model: ModelRules, state: State, request: Message, highest_token: int) -> State:
     """The candidate learns the highest token of a voter that refused."""
     candidate = state.candidates[request.candidate]
     if candidate.incarnation != request.incarnation:
--- a/rookbend/model_checking/receiver_steps.py
+++ b/rookbend/model_checking/receiver_steps.py
@@ -3,16 +3,13 @@
 from __future__ import annotations
 
 from collections.abc import Iterator
-from typing import TYPE_CHECKING
 
 from rookbend.leases.fencing import FencingGuard
 from rookbend.model_checking.lease_state import Act, ReceiverState, State, Violation, replaced
+from rookbend.model_checking.rules import ModelRules
 
-if TYPE_CHECKING:
-    from rookbend.model_checking.lease import LeaseModel
 
-
-def steps(model: LeaseModel, state: State, scope: int) -> Iterator[tuple[str, State]]:
+def steps(model: ModelRules, state: State, scope: int) -> Iterator[tuple[str, State]]:
     """What may happen at the receiver of a scope: an act arrives, it restarts."""
     for number, candidate in enumerate(state.candidates):
         for token in sorted({act.token for act in candidate.acts if act.scope == scope}):
@@ -24,7 +21,7 @@
         yield f"restart r{scope}", spent._replace(receivers=replaced(state.receivers, scope, restarted))
 
 
-def _act_arrived(model: LeaseModel, state: State, number: int, act: Act) -> State:
+def _act_arrived(model: ModelRules, state: State, number: int, act: Act) -> State:
     receiver = state.receivers[act.scope]
     guard = FencingGuard({act.scope: receiver.highest})
     accepted = guard.accept(act.scope, act.token)
--- a/rookbend/model_checking/voter_steps.py
+++ b/rookbend/model_checking/voter_steps.py
@@ -3,18 +3,15 @@
 from __future__ import annotations
 
 from collections.abc import Iterator
-from typing import TYPE_CHECKING
 
 from rookbend.leases.lease import Holder
 from rookbend.leases.voter import Voter
 from rookbend.model_checking import candidate_steps
 from rookbend.model_checking.lease_state import RELEASE, VOTE, Disk, Message, State
+from rookbend.model_checking.rules import ModelRules
 
-if TYPE_CHECKING:
-    from rookbend.model_checking.lease import LeaseModel
 
-
-def steps(model: LeaseModel, state: State, number: int) -> Iterator[tuple[str, State]]:
+def steps(model: ModelRules, state: State, number: int) -> Iterator[tuple[str, State]]:
     """What may happen at the voter: a message arrives or its vote does, it restarts."""
     voter = state.voters[number]
     for index, message in enumerate(voter.inbox):
@@ -39,7 +36,7 @@
     return state.with_voter(number, voter._replace(inbox=inbox))
 
 
-def _restarts(model: LeaseModel, state: State, number: int) -> Iterator[tuple[str, State]]:
+def _restarts(model: ModelRules, state: State, number: int) -> Iterator[tuple[str, State]]:
     voter = state.voters[number]
     budget = state.budget
     if budget.with_disk:
@@ -53,7 +50,7 @@
         yield f"restart v{number} old", _restarted(model, spent, number, voter.stale_disk, model.recalls_tokens)
 
 
-def _restarted(model: LeaseModel, state: State, number: int, disk: Disk, recalls_tokens: bool) -> State:
+def _restarted(model: ModelRules, state: State, number: int, disk: Disk, recalls_tokens: bool) -> State:
     row = state.voters[number]
     voter = Voter(model.terms, state.now + row.drift, dict(disk))
     if recalls_tokens:
@@ -63,7 +60,7 @@
     return state.with_voter(number, row.with_voter(voter)._replace(disk=disk))
 
 
-def _received(model: LeaseModel, state: State, number: int, message: Message) -> State:
+def _received(model: ModelRules, state: State, number: int, message: Message) -> State:
     row = state.voters[number]
     local = state.now + row.drift
     voter = row.voter(model.terms)
--- a/rookbend/net/health.py
+++ b/rookbend/net/health.py
@@ -8,21 +8,21 @@
 import trio
 
 from rookbend.core.clock import Clock
-from rookbend.health.own_status import Standing
-from rookbend.health.spare_capacity import Headroom, Sample
-from rookbend.net.buffered_socket import Channel, Outbox
-from rookbend.net.component import Part
+from rookbend.health.own_status import OwnStatus
+from rookbend.health.spare_capacity import Sample, SpareCapacity
+from rookbend.net.buffered_socket import BufferedSocket, WriteScheduler
+from rookbend.net.component import Component
 from rookbend.net.http_server import IDLE_US, SmallServer, serve_http
 from rookbend.protocol import health as http_health
-from rookbend.protocol.agent import write_line
+from rookbend.protocol.agent_check import encode_line
 
 MEASURE_US = 250_000
 
 
-class Measuring(Part):
+class Measuring(Component):
     """Takes a sample of ourselves every `MEASURE_US`, and tells who follows us when it matters."""
 
-    def __init__(self, headroom: Headroom, sample: Callable[[], Sample], clock: Clock):
+    def __init__(self, headroom: SpareCapacity, sample: Callable[[], Sample], clock: Clock):
         self.headroom, self.sample, self.clock = headroom, sample, clock
         self.on_change: list[Callable[[], None]] = []
 
@@ -46,25 +46,25 @@
 
 
 def agent_server(
-    address: tuple[str, int], clock: Clock, outbox: Outbox, standing: Callable[[], Standing]
+    address: tuple[str, int], clock: Clock, outbox: WriteScheduler, standing: Callable[[], OwnStatus]
 ) -> SmallServer:
     """Says one line to each who connects, and closes."""
 
-    async def client(channel: Channel) -> None:
+    async def client(channel: BufferedSocket) -> None:
         s = standing()
-        channel.write(write_line(s.admin, s.up, s.weight, s.most_connections, s.reason))
+        channel.write(encode_line(s.admin, s.up, s.weight, s.most_connections, s.reason))
 
     return SmallServer(address, clock, outbox, client)
 
 
 def http_server(
-    address: tuple[str, int], clock: Clock, outbox: Outbox, standing: Callable[[], Standing]
+    address: tuple[str, int], clock: Clock, outbox: WriteScheduler, standing: Callable[[], OwnStatus]
 ) -> SmallServer:
     def handle(request) -> tuple[int, bytes, str]:
         s = standing()
         return (*http_health.answer(request, s.taking, s.state), "text/plain")
 
-    async def client(channel: Channel) -> None:
+    async def client(channel: BufferedSocket) -> None:
         await serve_http(channel, handle)
 
     return SmallServer(address, clock, outbox, client)
@@ -73,15 +73,18 @@
 class GrpcServer(SmallServer):
     """Check and Watch. Watchers stay, and hear of each change at once."""
 
-    def __init__(self, address: tuple[str, int], clock: Clock, outbox: Outbox, standing: Callable[[], Standing]):
+    def __init__(
+        self, address: tuple[str, int], clock: Clock, outbox: WriteScheduler, standing: Callable[[], OwnStatus]
+    ):
         super().__init__(address, clock, outbox, self._grpc, lasting=True)
         self.standing = standing
-        self.open_now: dict[Channel, object] = {}
+        self.open_now: dict[BufferedSocket, object] = {}
 
-    async def _grpc(self, channel: Channel) -> None:
-        from rookbend.protocol.grpc_health import NOT_SERVING, SERVING, GrpcServe
+    async def _grpc(self, channel: BufferedSocket) -> None:
+        from rookbend.protocol.grpc_health_messages import ServingStatus
+        from rookbend.protocol.grpc_health_server import GrpcHealthServer
 
-        grpc = GrpcServe(lambda: SERVING if self.standing().taking else NOT_SERVING)
+        grpc = GrpcHealthServer(lambda: ServingStatus.SERVING if self.standing().taking else ServingStatus.NOT_SERVING)
         self.open_now[channel] = grpc
         try:
             channel.write(grpc.start())
--- a/rookbend/net/http_server.py
+++ b/rookbend/net/http_server.py
@@ -10,16 +10,16 @@
 
 from rookbend.core.clock import Clock
 from rookbend.net.acceptor import accept
-from rookbend.net.buffered_socket import Channel, Outbox, prepare
-from rookbend.net.component import Part
+from rookbend.net.buffered_socket import BufferedSocket, WriteScheduler, prepare
+from rookbend.net.component import Component
 from rookbend.net.listeners import Listeners
-from rookbend.protocol.http_serve import HttpRequest, HttpServe
+from rookbend.protocol.http_server import HttpRequest, HttpServerConnection
 
 CLIENTS = 32
 IDLE_US = 10_000_000
 
 
-class SmallServer(Part):
+class SmallServer(Component):
     """`client(channel)` speaks to one client, to its end; `lasting` for one whose clients stay."""
 
     descriptors = CLIENTS + 1
@@ -28,8 +28,8 @@
         self,
         address: tuple[str, int],
         clock: Clock,
-        outbox: Outbox,
-        client: Callable[[Channel], Awaitable[None]],
+        outbox: WriteScheduler,
+        client: Callable[[BufferedSocket], Awaitable[None]],
         lasting: bool = False,
     ):
         self.wanted, self.clock, self.outbox = address, clock, outbox
@@ -52,9 +52,9 @@
         if self.clients >= CLIENTS:
             return sock.close()
         self.clients += 1
-        nursery.start_soon(self._client, Channel(prepare(sock), nursery, self.outbox))
+        nursery.start_soon(self._client, BufferedSocket(prepare(sock), nursery, self.outbox))
 
-    async def _client(self, channel: Channel) -> None:
+    async def _client(self, channel: BufferedSocket) -> None:
         try:
             with trio.CancelScope() as scope:
                 if not self.lasting:
@@ -69,14 +69,14 @@
 Reply = tuple[int, bytes, str]
 
 
-async def serve_http(channel: Channel, handle: Callable[[HttpRequest], Reply | Awaitable[Reply]]) -> None:
+async def serve_http(channel: BufferedSocket, handle: Callable[[HttpRequest], Reply | Awaitable[Reply]]) -> None:
     """Answers each request of a connection by `handle`: (status, body, content type), or one to wait for."""
-    http = HttpServe()
+    http = HttpServerConnection()
     while not http.ended:
         request = http.feed(await channel.receive())
         while request is not None:
             reply = handle(request)
-            channel.write(http.answer(*(reply if isinstance(reply, tuple) else await reply)))
-            request = None if http.ended else http.next()
-        if http.refusal:
-            channel.write(http.refusal)
+            channel.write(http.respond(*(reply if isinstance(reply, tuple) else await reply)))
+            request = None if http.ended else http.next_request()
+        if http.error_response:
+            channel.write(http.error_response)
--- a/rookbend/net/leases.py
+++ b/rookbend/net/leases.py
@@ -20,7 +20,7 @@
 from rookbend.leases.leader_tasks import LEASED_TASK_NAMES, REPORT_SCOPE, leader_task
 from rookbend.leases.lease import LeaseTerms
 from rookbend.leases.state import ROW_KINDS, Row
-from rookbend.net.component import Site
+from rookbend.net.component import ComponentContext
 from rookbend.net.fleet_orders import FleetOrders
 from rookbend.net.machine_driver import INCARNATION_BITS, ActionHandlers, MachineDriver
 from rookbend.net.report_writer import ReportWriter
@@ -37,12 +37,12 @@
 POLL_INTERVAL_US = 250_000
 
 
-def leased_tasks(site: Site) -> frozenset[str]:
+def leased_tasks(context: ComponentContext) -> frozenset[str]:
     """The leader tasks that the settings ask for."""
-    operators = site.operators
+    operators = context.operators
     wanted: Any = operators.ownership
     names = LEASED_TASK_NAMES
-    if site.built.get("health") is None or not operators.checks:
+    if context.built.get("health") is None or not operators.checks:
         names -= {"checks"}
     if wanted.report_ledger is None and not wanted.report_file:
         names -= {"report"}
@@ -50,20 +50,20 @@
     return names
 
 
-def coordinator_config(site: Site) -> CoordinatorConfig:
+def coordinator_config(context: ComponentContext) -> CoordinatorConfig:
     """What the settings say, for the coordinator."""
-    operators = site.operators
+    operators = context.operators
     wanted: Any = operators.ownership
     recovery: Any = operators.recovery
-    router = site.engine.settings
+    router = context.engine.settings
     return CoordinatorConfig(
         director=router.router_index,
         director_count=router.router_count,
         fleet=operators.state.fleet if operators.state is not None else recovery.fleet,
-        seed=int(site.config.seed, 16),
+        seed=int(context.config.seed, 16),
         voters=frozenset(wanted.voters or default_voters(router.router_count)),
         terms=LeaseTerms(wanted.lease_us, wanted.drift),
-        tasks=leased_tasks(site),
+        tasks=leased_tasks(context),
         shards=wanted.shards,
         report_period_us=wanted.report_every_us,
     )
@@ -82,27 +82,27 @@
     descriptors = 2  # the ledger
     machine: LeaseCoordinator
 
-    def __init__(self, site: Site):
-        super().__init__(site)
-        self.recovery = cast("RecoveryPart", site.built["recovery"])
-        config = coordinator_config(site)
+    def __init__(self, context: ComponentContext):
+        super().__init__(context)
+        self.recovery = cast("RecoveryPart", context.built["recovery"])
+        config = coordinator_config(context)
         incarnation = secrets.randbits(INCARNATION_BITS) + 1
         self.machine = LeaseCoordinator(config, self.now(), incarnation, persisted_rows(self.state))
-        check_names = [check.name for check in site.operators.checks]
-        self.shard_checks = ShardChecks(site.built.get("health"), self.machine, check_names, self.now, self.feed)
+        check_names = [check.name for check in context.operators.checks]
+        self.shard_checks = ShardChecks(context.built.get("health"), self.machine, check_names, self.now, self.feed)
         self._orders = FleetOrders(self.machine, self.now, self.feed)
-        wanted: Any = site.operators.ownership
+        wanted: Any = context.operators.ownership
         self._report_writer = ReportWriter(
             wanted.report_ledger, wanted.report_file, self.machine.leases, self.now, self.log, self.feed
         )
         self._nursery: trio.Nursery | None = None
-        self._forward_datagram = site.engine.on_peer
-        site.engine.on_peer = self._datagram_received
+        self._forward_datagram = context.engine.on_peer
+        context.engine.on_peer = self._datagram_received
         self.recovery.on_boot_raised = lambda: self.feed(events.StaleStorageDetected())
         self.recovery.machine.admission.assigned_quota = self.machine.parts.ramp_allocator.share.ratio
         if "checks" in config.tasks:
             self.shard_checks.install()
-        site.gauges.append(self.gauges)
+        context.gauges.append(self.gauges)
         self.begin()
 
     def now(self) -> int:
@@ -126,7 +126,7 @@
 
     def describe(self, without: int = -1) -> dict[str, object]:
         """Scopes and their holders, for operators; see `LeaseCoordinator.describe`."""
-        return {"director": self.site.config.name, **self.machine.describe(self.now(), without)}
+        return {"director": self.context.config.name, **self.machine.describe(self.now(), without)}
 
     # Operators
 
@@ -182,7 +182,7 @@
         self.recovery.apply_order(ApplyOrder(action.target, action.order, action.operator))
 
     def _collect_counters(self, _action: actions.CollectCounters) -> None:
-        counters = self.site.counters
+        counters = self.context.counters
         self.feed(events.CountersCollected((counters.requests, counters.served, counters.refused, counters.failed)))
 
     def _write_report_line(self, action: actions.WriteReportLine) -> None:
--- a/rookbend/net/machine_driver.py
+++ b/rookbend/net/machine_driver.py
@@ -13,7 +13,7 @@
 
 from rookbend.coordination.actions import DeleteRow, PersistRow, SendDatagram, WriteLogLine
 from rookbend.coordination.events import TimerExpired
-from rookbend.net.component import Part, Site
+from rookbend.net.component import Component, ComponentContext
 
 if TYPE_CHECKING:
     from rookbend.net.state import StatePart
@@ -37,7 +37,7 @@
         """The actions that answer an event."""
 
 
-class MachineDriver(Part, Generic[EventT]):
+class MachineDriver(Component, Generic[EventT]):
     """Base of the two drivers.
 
     A subclass sets `machine` and calls `begin` once it is complete, adds its own actions in `action_handlers`, and
@@ -47,11 +47,11 @@
 
     machine: StateMachine[EventT | TimerExpired]
 
-    def __init__(self, site: Site):
-        self.site = site
-        self.engine = site.engine
-        self.log = site.log
-        self.state: StatePart | None = site.built.get("state")  # type: ignore[assignment]
+    def __init__(self, context: ComponentContext):
+        self.context = context
+        self.engine = context.engine
+        self.log = context.log
+        self.state: StatePart | None = context.built.get("state")
         self.datagrams_sent = 0
         self._due_earlier = trio.Event()
         self._handlers: ActionHandlers = {
--- a/rookbend/net/report_writer.py
+++ b/rookbend/net/report_writer.py
@@ -13,7 +13,7 @@
 from rookbend.leases.leader_tasks import REPORT_SCOPE
 from rookbend.leases.lease_table import LeaseTable
 from rookbend.logs import Log
-from rookbend.net.member_connection import open_socket
+from rookbend.net.connector import open_socket
 
 FILE_MARGIN_US = 200_000  # a file has no fencing: a write begins so long before the lease ends
 MAX_REPLY_BYTES = 4096
--- a/rookbend/net/shard_checks.py
+++ b/rookbend/net/shard_checks.py
@@ -40,7 +40,7 @@
         return checks_scope_of(member_number, self._coordinator.config.shards)
 
     def _registry_rows(self, scope: int) -> list[Any]:
-        rows = self._health.desk.board.rows.items()
+        rows = self._health.service.registry.members.items()
         return [row for member_number, row in rows if self._scope_of(member_number) == scope]
 
     def decide(self, member_number: int, interval_us: int) -> tuple[bool, int]:
@@ -74,8 +74,8 @@
 
     def apply(self, action: ApplyShardResults) -> None:
         """Feeds what a shard's leader published to our registry."""
-        desk = self._health.desk
-        number = desk.board.begin_check()
+        service = self._health.service
+        number = service.registry.begin_check()
         rows = self._registry_rows(action.scope)
         for event in self._follower.evidence(self._now(), action.scope, rows, self._check_names, number):
-            desk.feed(event)
+            service.feed(event)
--- a/rookbend/routing/fill_concurrency.py
+++ b/rookbend/routing/fill_concurrency.py
@@ -1,105 +1,56 @@
-"""What may be sent at most: to cold servers, and as fills over the location's link."""
+"""How many fills this router has in flight at most: fewer when they come late."""
 
-import math
-from collections import deque
-
-from rookbend.interface import AttemptDetail
-from rookbend.routing.membership import mix
-
-COLD_MARGIN, COLD_CAP = 0.7, 1.7  # share of the cold budget used; at most, in the present capacity
-RESTART_SHARE = 0.5  # of those budgets while this router does not know what its past life sent
-LATE_SHARE = 0.06  # of fills may come late before fewer are let out at once
-LIMIT_STEP = 0.05  # share by which it falls with a late one, times the root of the location's routers
-LIMIT_GAIN = 0.06  # fills it gains for each timely one while it is low
-# Fills a router may always have out, at first, and at most, in transfers of its share of the caches.
-LIMIT_LEAST, LIMIT_START, LIMIT_MOST = 0.08, 1.0, 4.0
-PACE_BURST = 0.5  # under a limit from outside: seconds of fills at once
-
-
-class ColdBudget:
-    """Work sent to each server over the fall window. A cold one gets no more than its share allows."""
-
-    def __init__(self, settings, members):
-        self.s, self.members, self.sent, self.born, self.senders = settings, members, {}, None, 1
-
-    def charge(self, server, now, work):
-        log = self.sent.setdefault(server, deque())
-        log.append((now, work))
-        while log[0][0] < now - self.s.overload_window_us:
-            log.popleft()
-
-    def spent(self, server, now):
-        return sum(work for at, work in self.sent.get(server, ()) if at >= now - self.s.overload_window_us)
-
-    def warmth(self, m, now):
-        """Share of its capacity that a server is sure to have, the slowest stated ramp assumed."""
-        least, whole = self.s.cold_capacity_ratio, self.s.warm_up_us
-        if m.kind == self.s.parent_kind:
-            least, whole = self.s.parent_cold_capacity_ratio, self.s.parent_warm_up_us
-        age = now - m.started_us
-        if not m.started_us or m.kind == self.s.origin_kind or age >= whole:
-            return 1.0
-        return least + (1 - least) * max(age, 0) / whole
+from __future__ import annotations
 
-    def allows(self, m, now, work):
-        if not m.started_us or self.warmth(m, now) >= 1.0:
-            return True
-        multiple, sharing = self.s.overload_multiple, self.location_routers()
-        if m.kind == self.s.parent_kind:
-            multiple, sharing = self.s.parent_overload_multiple, self.s.router_count
-        # The oldest moment of the window counts: what it could do then, not what it can do now.
-        share = self.warmth(m, max(now - self.s.overload_window_us, m.started_us))
-        share *= self.members.weight(m) / (sharing * self.senders)
-        budget = min(multiple * COLD_MARGIN, COLD_CAP) * share * self.s.overload_window_us
-        budget *= RESTART_SHARE if now - self.born < self.s.overload_window_us else 1.0
-        if m.kind == self.s.parent_kind and budget < work:
-            # Less than one fill for each router: those whose turn it is hold whole ones, more as it warms.
-            turn = (self.s.router_index + mix(m.server)) % sharing + 1
-            budget = work if turn * work <= budget * sharing else 0.0
-        return self.spent(m.server, now) + work <= budget
-
-    def location_routers(self):
-        seats = self.s.routers_by_zone
-        return max(1, seats[self.s.zone] if self.s.zone < len(seats) else self.s.router_count)
-
-
-class FillLimit:
-    """How many fills this router lets out at once: fewer when they come late. The others look, then wait."""
-
-    def __init__(self):
-        self.late = {
-            AttemptDetail.FILLED: 0.0,
-            AttemptDetail.ORIGIN_ASKED: 0.0,
-        }  # share late: held there, and asked for
-        self.out, self.limit, self.whole, self.step = 0, None, 1.0, LIMIT_STEP
-        self.per_s, self.tokens, self.at = None, 0.0, 0  # from outside: how many a second
-        self.failed = -math.inf  # when the origin last failed an attempt of this router
-
-    def resize(self, transfers, routers):  # what the location's caches carry, and how many routers share it
-        whole = transfers / routers
-        self.whole, self.step = max(whole, 1.0), min(LIMIT_STEP * math.sqrt(routers), 0.5)
-        self.limit = LIMIT_START * whole if self.limit is None else self.limit
-        self.limit = min(max(self.limit, LIMIT_LEAST * self.whole), LIMIT_MOST * self.whole)
-
-    def has_place(self, now):
-        return self.out < self.limit and (self.per_s is None or self.filled(now) >= 1)
-
-    def filled(self, now):
-        most = max(1.0, PACE_BURST * self.per_s)
-        self.tokens = min(most, self.tokens + (now - self.at) * self.per_s / 1e6)
-        self.at = now
-        return self.tokens
-
-    def pace(self, now, per_s, first):
-        if self.per_s is None:
-            self.tokens, self.at = first, now  # a draw: routers limited together don't begin in step
-        elif per_s is not None:
-            self.filled(now)
-        self.per_s = per_s
+import math
 
-    def observe(self, late):
+from rookbend.routing.fill_rate import FillRateLimiter
+
+TARGET_LATE_RATIO = 0.06  # share of fills that may come late before the limit falls
+DECREASE_RATIO = 0.05  # of the limit with each late fill, times the root of the location's routers
+MAX_DECREASE_RATIO = 0.5
+MIN_INCREASE_FILLS = 0.06  # with each timely fill
+MIN_LIMIT_CAPACITY_RATIO = 0.08  # of this router's share of what the caches carry
+INITIAL_LIMIT_CAPACITY_RATIO = 1.0
+MAX_LIMIT_CAPACITY_RATIO = 4.0
+MIN_CAPACITY_TRANSFERS = 1.0
+
+
+class FillConcurrencyLimit:
+    """Fills in flight and their limit: additive increase with timely fills, multiplicative decrease with late ones.
+
+    `capacity` is this router's share of what the location's caches carry, in transfers.
+    """
+
+    def __init__(self, rate: FillRateLimiter) -> None:
+        self.rate = rate
+        self.in_flight = 0
+        self.limit = 0.0
+        self.is_sized = False  # until the first membership there is no limit to speak of
+        self.capacity = MIN_CAPACITY_TRANSFERS
+        self.decrease_ratio = DECREASE_RATIO
+
+    def resize(self, cache_capacity: float, router_count: int) -> None:
+        """Fit the limit to the location: what its caches carry in transfers, shared by so many routers."""
+        share = cache_capacity / router_count
+        self.capacity = max(share, MIN_CAPACITY_TRANSFERS)
+        self.decrease_ratio = min(DECREASE_RATIO * math.sqrt(router_count), MAX_DECREASE_RATIO)
+        if not self.is_sized:
+            self.limit = INITIAL_LIMIT_CAPACITY_RATIO * share
+            self.is_sized = True
+        least = MIN_LIMIT_CAPACITY_RATIO * self.capacity
+        self.limit = min(max(self.limit, least), MAX_LIMIT_CAPACITY_RATIO * self.capacity)
+
+    def has_capacity(self, now_us: int) -> bool:
+        """Whether another fill may start now."""
+        return self.in_flight < self.limit and self.rate.has_token(now_us)
+
+    def observe(self, late: bool) -> None:
+        """Adjust the limit to a fill that has ended."""
         if late:
-            self.limit = max(LIMIT_LEAST * self.whole, self.limit * (1 - self.step))
-        elif self.out + 1 > self.limit / 2:
-            gain = max(LIMIT_GAIN, self.limit * self.step * LATE_SHARE / (1 - LATE_SHARE))
-            self.limit = min(LIMIT_MOST * self.whole, self.limit + gain)
+            least = MIN_LIMIT_CAPACITY_RATIO * self.capacity
+            self.limit = max(least, self.limit * (1 - self.decrease_ratio))
+        elif self.in_flight + 1 > self.limit / 2:
+            balanced = self.limit * self.decrease_ratio * TARGET_LATE_RATIO / (1 - TARGET_LATE_RATIO)
+            increase = max(MIN_INCREASE_FILLS, balanced)
+            self.limit = min(MAX_LIMIT_CAPACITY_RATIO * self.capacity, self.limit + increase)
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -33,8 +33,8 @@
     bench.engine.finished(bench.sent[0], AttemptResult(AttemptStatus.OK, body=b"x"))
     bench.ask(rid="a" * 16)
     assert len(bench.sent) == 2 and bench.verdicts()[1:] == [FinalOutcome.SERVED]
-    bench.engine.cancel(next(iter(bench.engine._open.values())))
-    assert not bench.engine._request_ids
+    bench.engine.cancel(next(iter(bench.engine.requests.by_id.values())))
+    assert not bench.engine.requests.request_ids
 
 
 def test_one_attempt_at_a_time_and_six_at_most():
@@ -72,7 +72,7 @@
     open_request = bench.ask(cls=3)
     bench.is_out = lambda attempt: False
     bench.undo = lambda attempt: undone
-    bench.engine.client_left(open_request)
+    bench.engine.client_half_closed(open_request)
     bench.engine.finished(bench.sent[0], AttemptResult(AttemptStatus.OK))
     assert bench.verdicts() == [verdict] and bench.engine.open_requests == 0
 
@@ -141,7 +141,7 @@
 def test_settling_brings_every_deadline_forward():
     bench = Bench(Script([fetch()], [fetch(2)]))
     bench.ask(seconds=5)
-    bench.engine.settle_by(101 * SECOND)
+    bench.engine.finish_all_by(101 * SECOND)
     bench.ask(seconds=5)
     bench.run_until(101.01)
     assert bench.verdicts() == [FinalOutcome.FAILED] * 2 and bench.undone == bench.sent
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -6,19 +6,11 @@
 MOST_LINES = 250
 # Files that are longer still, and how long each may be: a file that shrinks takes its figure along.
 EXCEPTIONS = {
-    "rookbend/health/registry.py": 353,
-    "rookbend/health/member.py": 304,
     "rookbend/testing/measurement_fleet.py": 307,
-    "rookbend/testing/recovery_simulation.py": 313,
     "rookbend/testing/invariant_checker.py": 364,
     "rookbend/testing/cluster/scenario.py": 272,
-    "rookbend/components.py": 258,
-    "rookbend/protocol/grpc_health.py": 297,
     "rookbend/settings/schema.py": 461,
-    "tests/test_health_registry.py": 276,
-    "tests/test_operations.py": 252,
     "tests/test_dns_front.py": 360,
-    "tests/test_health.py": 503,
     "tests/test_leases_processes.py": 260,
     "tests/test_recovery.py": 355,
     "tests/test_recovery_processes.py": 386,
--- a/tests/test_member_connections.py
+++ b/tests/test_member_connections.py
@@ -64,9 +64,9 @@
             cache1 send stall rid=0000000000000001
         """)
         engine = stage.service.engine
-        (open_request,) = engine._open.values()
-        engine.backend.undo(open_request.flight)  # as the module does where the source is silent
-        engine.finished(open_request.flight, AttemptResult(AttemptStatus.CANCELLED))
+        (open_request,) = engine.requests.by_id.values()
+        engine.backend.undo(open_request.current_attempt)  # as the module does where the source is silent
+        engine.finished(open_request.current_attempt, AttemptResult(AttemptStatus.CANCELLED))
         await stage.play("""
             cache1 expect nothing
             director wait 0.6
@@ -100,7 +100,7 @@
 
     async def check(stage):
         await stage.play("director wait 0.1")
-        stage.service.engine.backend.sent = 1000
+        stage.service.engine.backend.sent_this_second = 1000
         await stage.play("""
             client send request 1 video chunk=1 budget=5000
             cache1 expect do rid=0000000000000001
