--- a/benchmarks/recovery_sweep.py
+++ b/benchmarks/recovery_sweep.py
@@ -349,7 +349,7 @@
     return out
 
 
-PROCESS_TESTS = "test_stage.py", "test_recovery_processes.py", "test_ownership_processes.py"
+PROCESS_TESTS = "test_process_cluster.py", "test_recovery_processes.py", "test_leases_processes.py"
 
 
 def tests(times: int, jobs: int) -> int:
