--- a/rookbend/leases/election.py
+++ b/rookbend/leases/election.py
@@ -123,7 +123,7 @@
         return STAGGER_US * self._placement.rank(scope)
 
     def _hears_majority(self) -> bool:
-        """Keeps out a director that is heard and hears nothing: its requests would be granted for ever unnoticed."""
+        """Keeps out a director that can send and not receive: its requests would be granted for ever unnoticed."""
         live = self._placement.live_members
         return all(len(voters & live) > len(voters) // 2 for voters in self._voters.quorums)
 
--- a/rookbend/leases/fenced_requests.py
+++ b/rookbend/leases/fenced_requests.py
@@ -28,7 +28,7 @@
         return self._guard.highest.get(scope, 0)
 
     def accept(self, now_us: int, sender: int, scope: int, token: int) -> bool:
-        """Whether a request with that token may take effect; else its sender is told."""
+        """Whether a request with that token may take effect; else its sender gets the higher one."""
         if self._guard.raises_highest(scope, token):
             if token > highest_believable_token(now_us):
                 self.implausible += 1
--- a/rookbend/leases/handover.py
+++ b/rookbend/leases/handover.py
@@ -1,4 +1,4 @@
-"""Hands a scope to a successor: the work under it stops first, then the voters are told, then the successor."""
+"""Hands a scope to a successor: the work under it stops first, then voters are notified, then the successor."""
 
 from __future__ import annotations
 
