--- a/rookbend/health/check_schedule.py
+++ b/rookbend/health/check_schedule.py
@@ -7,7 +7,7 @@
 from rookbend.health.check_state import CheckState
 from rookbend.health.member_health import MemberHealth
 from rookbend.health.model import CheckPolicy
-from rookbend.scheduling.scheduler import IDLE, NORMAL, URGENT
+from rookbend.scheduling import IDLE, NORMAL, URGENT
 
 
 class Cadence(NamedTuple):
@@ -17,6 +17,13 @@
     priority: int
 
 
+class CheckAssignment(NamedTuple):
+    """Whether this director makes a check, and microseconds to wait at least until the next run or decision."""
+
+    is_ours: bool
+    min_interval_us: int
+
+
 def policies_of(member: MemberHealth | None) -> list[CheckPolicy]:
     """The policies of a member's checks."""
     return [check.policy for check in member.checks.values()] if member is not None else []
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -6,9 +6,7 @@
 MOST_LINES = 250
 # Files that are longer still, and how long each may be: a file that shrinks takes its figure along.
 EXCEPTIONS = {
-    "rookbend/model_checking/lease.py": 366,
     "rookbend/testing/cluster/scenario.py": 272,
-    "rookbend/settings/schema.py": 461,
     "tests/test_dns_front.py": 360,
     "tests/test_leases_processes.py": 260,
     "tests/test_recovery.py": 355,
