--- a/rookbend/health/check_schedule.py
+++ b/rookbend/health/check_schedule.py
@@ -35,7 +35,7 @@
     if member is None or check is None:
         return None
     if check.in_doubt():
-        return Cadence(check.policy.fast_us, URGENT)
+        return Cadence(check.policy.doubt_interval_us, URGENT)
     if check.down:
-        return Cadence(check.policy.down_us, IDLE)
+        return Cadence(check.policy.down_interval_us, IDLE)
     return Cadence(check.policy.interval_us, URGENT if member.in_doubt() else NORMAL)
--- a/rookbend/health/check_state.py
+++ b/rookbend/health/check_state.py
@@ -13,7 +13,7 @@
 class CheckState:
     """The state of one check of one member.
 
-    `streak` counts results in a row against the present state. `admin` is an agent's drain or maint. `heard_us` is
+    `streak` counts results in a row against the present state. `admin` is an agent's drain or maint. `received_us` is
     when the check last gave something that counts. `trouble` says why the newest run gave nothing. A result whose
     number is below `number` is ignored: it belongs to a run that began before the newest one that was received.
     """
@@ -22,8 +22,8 @@
         "admin",
         "degraded",
         "down",
-        "heard",
-        "heard_us",
+        "has_result",
+        "received_us",
         "number",
         "outcome",
         "policy",
@@ -41,15 +41,15 @@
         self.streak = 0
         self.admin = ""
         self.weight = FULL
-        self.heard = False
-        self.heard_us = 0
+        self.has_result = False
+        self.received_us = 0
         self.outcome: CheckOutcome | None = None
         self.reason = ""
         self.trouble = ""
 
     def is_stale(self, now_us: int) -> bool:
         """Whether what was received last is too old to count."""
-        return self.heard and now_us - self.heard_us >= self.policy.stale_us
+        return self.has_result and now_us - self.received_us >= self.policy.stale_us
 
     def is_down(self, now_us: int) -> bool:
         """Whether the check counts as failed; a stale failure does not, since nothing has renewed it."""
@@ -67,8 +67,8 @@
         """Takes an agent's report: it counts at once, in both directions."""
         report = event.report
         self.number = event.number
-        self.heard = True
-        self.heard_us = now_us
+        self.has_result = True
+        self.received_us = now_us
         self.trouble = ""
         if report.up is not None:
             self.down = not report.up
@@ -88,8 +88,8 @@
             # The last report holds until it is stale: an agent that is silent proves nothing about its member.
             self.trouble = f"{event.outcome.value} {event.reason}".strip()[:MAX_REASON_LENGTH]
             return
-        self.heard = True
-        self.heard_us = now_us
+        self.has_result = True
+        self.received_us = now_us
         self.degraded = event.outcome is CheckOutcome.DEGRADED
         if event.outcome.passes is not self.down:
             self.streak = 0
--- a/rookbend/health/log_lines.py
+++ b/rookbend/health/log_lines.py
@@ -38,6 +38,6 @@
         "zone": tier.zone,
         "against": len(tier.failing),
         "eligible": len(tier.eligible),
-        "limit": tier.limit(policy.max_out),
+        "limit": tier.limit(policy.max_ejected_ratio),
     }
     return WriteLogLine("panic_began" if tier.panic else "panic_ended", "error", fields)
--- a/rookbend/health/member_health.py
+++ b/rookbend/health/member_health.py
@@ -93,12 +93,12 @@
         if status in ANSWERED_STATUSES:
             self.failed_attempts = 0
             self.passive_until_us = 0
-        elif status in FAILED_STATUSES and policy.passive_fall:
+        elif status in FAILED_STATUSES and policy.passive_failure_threshold:
             self.failed_attempts += 1
-            if self.failed_attempts >= policy.passive_fall:
+            if self.failed_attempts >= policy.passive_failure_threshold:
                 self.failed_attempts = 0
                 self.passive_since_us = now_us
-                self.passive_until_us = now_us + policy.passive_hold_us
+                self.passive_until_us = now_us + policy.passive_ejection_us
                 self.was_refused |= status is AttemptStatus.CONNECT_FAILED
 
     def apply_order(self, now_us: int, order: Order, by: str) -> None:
@@ -122,7 +122,7 @@
             for name, check in self.checks.items():
                 if check.admin == word:
                     reason = f"{name}: {word} {check.reason}".rstrip()
-                    return Verdict(state, 0, Cause.AGENT, reason, check.heard_us)
+                    return Verdict(state, 0, Cause.AGENT, reason, check.received_us)
         return None
 
     def zero_weight_verdict(self, now_us: int) -> Verdict | None:
@@ -130,7 +130,7 @@
         for name, check in self.checks.items():
             if not check.weight_at(now_us):
                 reason = f"{name}: 0% {check.reason}".rstrip()
-                return Verdict(State.DRAINING, 0, Cause.AGENT, reason, check.heard_us)
+                return Verdict(State.DRAINING, 0, Cause.AGENT, reason, check.received_us)
         return None
 
     # Causes 5 and 6: checks, failed attempts, hold
@@ -140,7 +140,7 @@
         for name, check in self.checks.items():
             if check.is_down(now_us):
                 cause = Cause.AGENT if check.policy.is_agent else Cause.CHECK
-                return Verdict(State.DOWN, 0, cause, f"{name}: {check.reason or 'down'}", check.heard_us)
+                return Verdict(State.DOWN, 0, cause, f"{name}: {check.reason or 'down'}", check.received_us)
         if now_us < self.passive_until_us:
             return Verdict(State.DOWN, 0, Cause.PASSIVE, "attempts failed in a row", self.passive_since_us)
         return None
@@ -172,8 +172,8 @@
             self.flaps = max(0, self.flaps - quiet_windows)
         self.ejected = True
         self.ejected_us = now_us
-        hold_us = policy.hold_us << min(self.flaps, MAX_HOLD_DOUBLINGS)
-        self.hold_until_us = now_us + min(hold_us, policy.hold_most_us)
+        min_ejection_us = policy.min_ejection_us << min(self.flaps, MAX_HOLD_DOUBLINGS)
+        self.hold_until_us = now_us + min(min_ejection_us, policy.max_ejection_us)
 
     # Cause 7: the weight of a member in use
 
@@ -194,12 +194,12 @@
         for name, check in self.checks.items():
             if check.weight_at(now_us) == weight < FULL:
                 reason = f"{name}: {weight}% {check.reason}".rstrip()
-                return self._degraded(weight, Cause.AGENT, reason, check.heard_us)
+                return self._degraded(weight, Cause.AGENT, reason, check.received_us)
         for name, check in self.checks.items():
             if check.degraded and not check.is_stale(now_us):
-                return self._degraded(weight, Cause.CHECK, f"{name}: {check.reason or 'degraded'}", check.heard_us)
-        heard_us = max((check.heard_us for check in self.checks.values()), default=0) or self.membership_us
-        return Verdict(State.READY, weight, Cause.NOTHING, "", heard_us, self.cold_since_us)
+                return self._degraded(weight, Cause.CHECK, f"{name}: {check.reason or 'degraded'}", check.received_us)
+        received_us = max((check.received_us for check in self.checks.values()), default=0) or self.membership_us
+        return Verdict(State.READY, weight, Cause.NOTHING, "", received_us, self.cold_since_us)
 
     def _degraded(self, weight: int, cause: Cause, reason: str, since_us: int) -> Verdict:
         return Verdict(State.DEGRADED, weight, cause, reason, since_us, self.cold_since_us)
@@ -211,9 +211,9 @@
     def next_change_us(self, now_us: int, policy: SlowStartPolicy) -> int:
         """When time alone next changes the verdict, or 0."""
         times = [
-            check.heard_us + check.policy.stale_us
+            check.received_us + check.policy.stale_us
             for check in self.checks.values()
-            if check.heard and (check.down or check.weight < FULL) and not check.is_stale(now_us)
+            if check.has_result and (check.down or check.weight < FULL) and not check.is_stale(now_us)
         ]
         if self.ejected:
             times.append(self.hold_until_us)
--- a/rookbend/health/member_table.py
+++ b/rookbend/health/member_table.py
@@ -53,6 +53,6 @@
         "outcome": check.outcome.value if check.outcome else "",
         "reason": check.reason,
         "trouble": check.trouble,
-        "age_us": now_us - check.heard_us if check.heard else None,
+        "age_us": now_us - check.received_us if check.has_result else None,
         "stale": check.is_stale(now_us),
     }
--- a/rookbend/health/model.py
+++ b/rookbend/health/model.py
@@ -62,17 +62,17 @@
 class CheckPolicy:
     """How often one check is made and how its results count.
 
-    `tier` is cache, parent, origin or all. `interval_us` holds for a healthy member, `fast_us` while its state is in
-    doubt, `down_us` while it is down. `rise` and `fall` are results in a row that change the state. A result older
-    than `stale_us` counts no more.
+    `tier` is cache, parent, origin or all. `interval_us` holds for a healthy member, `doubt_interval_us` while its
+    state is in doubt, `down_interval_us` while it is down. `rise` and `fall` are results in a row that change the
+    state. A result older than `stale_us` counts no more.
     """
 
     name: str
     is_agent: bool = False
     tier: str = "cache"
     interval_us: int = 2_000_000
-    fast_us: int = 500_000
-    down_us: int = 5_000_000
+    doubt_interval_us: int = 500_000
+    down_interval_us: int = 5_000_000
     rise: int = 2
     fall: int = 3
     stale_us: int = 10_000_000
@@ -83,30 +83,30 @@
     """Slow start of a tier: percent of the weight at first, and microseconds until all of it."""
 
     start: int = FULL
-    takes_us: int = 0
+    duration_us: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class HealthPolicy:
     """The operators' settings for all members.
 
-    `max_out` is the share of a tier that checks may eject; beyond it they are ignored (panic), until the tier has been
-    within the limit for `panic_hold_us`. An ejection lasts `hold_us` at least, doubled with each flap within
-    `flap_window_us`, `hold_most_us` at most. `passive_fall` attempts in a row that failed to connect or were reset
-    eject for `passive_hold_us`; 0 counts none. `weigh` says whose weight reaches the decision module: caches,
-    all or none. `ramps` is the slow start by role.
+    `max_ejected_ratio` is the share of a tier that checks may eject; beyond it they are ignored (panic), until the
+    tier has been within the limit for `panic_hold_us`. An ejection lasts `min_ejection_us` at least, doubled with
+    each flap within `flap_window_us`, `max_ejection_us` at most. `passive_failure_threshold` attempts in a row that
+    failed to connect or were reset eject for `passive_ejection_us`; 0 counts none. `weighted_roles` says whose weight
+    reaches the decision module: caches, all or none. `slow_start` is the slow start by role.
     """
 
     checks: tuple[CheckPolicy, ...] = ()
-    max_out: float = 0.5
+    max_ejected_ratio: float = 0.5
     panic_hold_us: int = 5_000_000
-    hold_us: int = 2_000_000
-    hold_most_us: int = 120_000_000
+    min_ejection_us: int = 2_000_000
+    max_ejection_us: int = 120_000_000
     flap_window_us: int = 60_000_000
-    passive_fall: int = 10
-    passive_hold_us: int = 5_000_000
-    weigh: str = "caches"
-    ramps: tuple[tuple[str, SlowStartPolicy], ...] = ()
+    passive_failure_threshold: int = 10
+    passive_ejection_us: int = 5_000_000
+    weighted_roles: str = "caches"
+    slow_start: tuple[tuple[str, SlowStartPolicy], ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
--- a/rookbend/health/registry.py
+++ b/rookbend/health/registry.py
@@ -4,10 +4,10 @@
 work of one member; a whole tier is looked at only when its panic begins or ends.
 
 The limit on a tier (its members of one kind and zone): of those that neither the membership nor orders have taken
-out, checks may eject `max_out` of the count, rounded down. Would they eject more, they are all ignored for that tier
-(panic), and that is logged: when everything seems to fail at once, the fault is more likely this director's. Panic
-ends once the count has stayed within the limit for `panic_hold_us`. An agent's drain or maint and an operator's order
-count in panic too.
+out, checks may eject `max_ejected_ratio` of the count, rounded down. Would they eject more, they are all ignored for
+that tier (panic), and that is logged: when everything seems to fail at once, the fault is more likely this
+director's. Panic ends once the count has stayed within the limit for `panic_hold_us`. An agent's drain or maint and
+an operator's order count in panic too.
 """
 
 from __future__ import annotations
@@ -53,7 +53,7 @@
         self.members: dict[int, MemberHealth] = {}
         self.tiers: dict[tuple[int, int], Tier] = {}
         self.overtaken = 0
-        self._slow_start = dict(policy.ramps)
+        self._slow_start = dict(policy.slow_start)
         self._newest_check = 0
         self._actions: list[Action] = []
         self.timers = MemberTimers()
@@ -158,7 +158,7 @@
     def _on_policy(self, now: int, event: PolicyChanged) -> None:
         """Other checks and limits. What a check of the same name and kind has found is retained."""
         self.policy = event.policy
-        self._slow_start = dict(event.policy.ramps)
+        self._slow_start = dict(event.policy.slow_start)
         for member in self.members.values():
             checks = check_states(member.role, event.policy, self._newest_check)
             for name, new in checks.items():
@@ -191,7 +191,7 @@
         self._publish(now, member, tier, requested, failing, forced)
 
     def _update_panic(self, now: int, tier: Tier) -> None:
-        change = tier.update_panic(now, self.policy.max_out, self.policy.panic_hold_us)
+        change = tier.update_panic(now, self.policy.max_ejected_ratio, self.policy.panic_hold_us)
         if change is PanicChange.CALMED:
             self.timers.arm_tier(now + self.policy.panic_hold_us)
         if change not in (PanicChange.BEGAN, PanicChange.ENDED):
--- a/rookbend/health/service.py
+++ b/rookbend/health/service.py
@@ -152,8 +152,8 @@
         return Endpoint(applied, health.endpoint.name, health.endpoint.address)
 
     def _weighs(self, role: str) -> bool:
-        weigh = self.registry.policy.weigh
-        return weigh == "all" or (weigh == "caches" and role == "cache")
+        weighted_roles = self.registry.policy.weighted_roles
+        return weighted_roles == "all" or (weighted_roles == "caches" and role == "cache")
 
     def table(self) -> list[dict[str, object]]:
         """The table of members that operators read."""
--- a/rookbend/health/slow_start.py
+++ b/rookbend/health/slow_start.py
@@ -46,9 +46,9 @@
 
     def cap_at(self, now_us: int, policy: SlowStartPolicy) -> int:
         """The highest weight that slow start allows, in percent, rounded down to a step while it rises."""
-        if self.from_percent >= FULL or not policy.takes_us or policy.start >= FULL:
+        if self.from_percent >= FULL or not policy.duration_us or policy.start >= FULL:
             return FULL
-        risen = self.from_percent + (FULL - policy.start) * (now_us - self.began_us) // policy.takes_us
+        risen = self.from_percent + (FULL - policy.start) * (now_us - self.began_us) // policy.duration_us
         return FULL if risen >= FULL else max(self.from_percent, risen // STEP_PERCENT * STEP_PERCENT)
 
     def next_step_us(self, now_us: int, policy: SlowStartPolicy) -> int:
@@ -58,4 +58,4 @@
             return 0
         goal = min(FULL, level // STEP_PERCENT * STEP_PERCENT + STEP_PERCENT)
         span = FULL - policy.start
-        return max(now_us + 1, self.began_us + -(-(goal - self.from_percent) * policy.takes_us // span))
+        return max(now_us + 1, self.began_us + -(-(goal - self.from_percent) * policy.duration_us // span))
--- a/rookbend/leases/sharded_checks.py
+++ b/rookbend/leases/sharded_checks.py
@@ -33,10 +33,10 @@
 Evidence = CheckCompleted | AgentReported
 
 
-def finding_of(member: int, check: int, opinion: CheckState) -> Finding:
+def finding_of(member: int, check: int, state: CheckState) -> Finding:
     """The finding of one check on one member."""
-    flags = FLAG_DOWN * opinion.down | FLAG_DEGRADED * opinion.degraded | FLAGS_BY_ADMIN.get(opinion.admin, 0)
-    return Finding(member, check, flags, opinion.weight)
+    flags = FLAG_DOWN * state.down | FLAG_DEGRADED * state.degraded | FLAGS_BY_ADMIN.get(state.admin, 0)
+    return Finding(member, check, flags, state.weight)
 
 
 def collect_findings(rows: Iterable[MemberHealth], checks: list[str]) -> tuple[list[Finding], int]:
@@ -45,11 +45,11 @@
     covered = 0
     for row in rows:
         member = row.endpoint.member.server
-        opinions = [(checks.index(name), opinion) for name, opinion in row.checks.items() if name in checks]
-        if opinions and all(opinion.heard or opinion.outcome is not None for _, opinion in opinions):
+        states = [(checks.index(name), state) for name, state in row.checks.items() if name in checks]
+        if states and all(state.has_result or state.outcome is not None for _, state in states):
             covered ^= member
-        for check, opinion in opinions:
-            finding = finding_of(member, check, opinion)
+        for check, state in states:
+            finding = finding_of(member, check, state)
             if finding.flags or finding.weight != FULL:
                 findings.append(finding)
     return findings, covered
@@ -130,40 +130,40 @@
         events: list[Evidence] = []
         for row in rows:
             member = row.endpoint.member.server
-            for name, opinion in row.checks.items():
+            for name, state in row.checks.items():
                 finding = shard.findings.get((member, checks.index(name))) if name in checks else None
                 if finding is None and not shard.is_complete:
                     continue  # the leader may not know of it
-                events += _evidence_of(now_us, member, name, opinion, finding, number)
+                events += _evidence_of(now_us, member, name, state, finding, number)
         return events
 
 
 def _evidence_of(
-    now_us: int, member: int, name: str, opinion: CheckState, finding: Finding | None, number: int
+    now_us: int, member: int, name: str, state: CheckState, finding: Finding | None, number: int
 ) -> list[Evidence]:
     flags = finding.flags if finding is not None else 0
-    needs_refresh = not opinion.heard or now_us - opinion.heard_us >= opinion.policy.stale_us // STALE_FRACTION
-    if opinion.policy.is_agent:
+    needs_refresh = not state.has_result or now_us - state.received_us >= state.policy.stale_us // STALE_FRACTION
+    if state.policy.is_agent:
         weight = finding.weight if finding is not None else FULL
-        return _agent_evidence(member, name, opinion, flags, weight, needs_refresh, number)
+        return _agent_evidence(member, name, state, flags, weight, needs_refresh, number)
     down = bool(flags & FLAG_DOWN)
     degraded = bool(flags & FLAG_DEGRADED)
-    if down and not opinion.down:
+    if down and not state.down:
         return [CheckCompleted(member, name, number, CheckOutcome.DISMISSED, REASON)]  # counts at once
     healthy = CheckOutcome.DEGRADED if degraded else CheckOutcome.PASSED
-    if not down and opinion.down:
-        return [CheckCompleted(member, name, number, healthy, REASON)] * opinion.policy.rise
-    if needs_refresh or degraded is not opinion.degraded:
+    if not down and state.down:
+        return [CheckCompleted(member, name, number, healthy, REASON)] * state.policy.rise
+    if needs_refresh or degraded is not state.degraded:
         return [CheckCompleted(member, name, number, CheckOutcome.FAILED if down else healthy, REASON)]
     return []
 
 
 def _agent_evidence(
-    member: int, name: str, opinion: CheckState, flags: int, weight: int, needs_refresh: bool, number: int
+    member: int, name: str, state: CheckState, flags: int, weight: int, needs_refresh: bool, number: int
 ) -> list[Evidence]:
     down = bool(flags & FLAG_DOWN)
     admin = "drain" if flags & FLAG_DRAIN else "maint" if flags & FLAG_MAINTENANCE else ""
-    if not needs_refresh and (opinion.down, opinion.admin, opinion.weight) == (down, admin, weight):
+    if not needs_refresh and (state.down, state.admin, state.weight) == (down, admin, weight):
         return []
     words = AgentReport(up=not down, admin=admin or "ready", weight=weight, reason=REASON)
     return [AgentReported(member, name, number, words)]
--- a/tests/health_harness.py
+++ b/tests/health_harness.py
@@ -18,9 +18,9 @@
 START, RAMP_US = 20, 10 * SECOND
 POLICY = HealthPolicy(
     checks=(CheckPolicy("agent", True, stale_us=5 * SECOND), CheckPolicy("page", rise=2, fall=3)),
-    max_out=0.5,
-    hold_us=SECOND,
-    ramps=(("cache", SlowStartPolicy(START, RAMP_US)),),
+    max_ejected_ratio=0.5,
+    min_ejection_us=SECOND,
+    slow_start=(("cache", SlowStartPolicy(START, RAMP_US)),),
 )
 
 
--- a/tests/test_health_properties.py
+++ b/tests/test_health_properties.py
@@ -60,7 +60,7 @@
                 assert not row.verdict.state.in_use
         eligible = [r for r in rows if r.requested_verdict() is None]
         out = [r for r in eligible if r.verdict.state is State.DOWN]
-        assert len(out) <= len(eligible) * POLICY.max_out
+        assert len(out) <= len(eligible) * POLICY.max_ejected_ratio
         for server, verdict in b.told.items():
             row = b.registry.members.get(server)
             assert (row is None) is (verdict is None)
--- a/tests/test_health_registry.py
+++ b/tests/test_health_registry.py
@@ -104,7 +104,7 @@
 
 def test_new_settings_keep_what_a_check_has_found_and_forget_what_is_no_more():
     b = Watched().checked(1, times=3).words(2, admin="drain")
-    kept = HealthPolicy(checks=POLICY.checks[1:], max_out=0.5, hold_us=SECOND)
+    kept = HealthPolicy(checks=POLICY.checks[1:], max_ejected_ratio=0.5, min_ejection_us=SECOND)
     b.feed(PolicyChanged(kept))
     assert b.state(1)[0] == "down" and b.state(2)[0] == "ready"
 
