--- a/rookbend/components/own_status.py
+++ b/rookbend/components/own_status.py
@@ -16,7 +16,7 @@
     context.gauges.append(lambda: {"headroom_percent": spare_capacity.weight})
 
     def current_status() -> OwnStatus:
-        return own_status(context.phase(), spare_capacity, context.most_clients)
+        return own_status(context.phase(), spare_capacity, context.max_clients)
 
     sampler = CapacitySampler(spare_capacity, context.sample, context.clock)
     servers: list[Component] = []
--- a/rookbend/core/check_result.py
+++ b/rookbend/core/check_result.py
@@ -41,6 +41,6 @@
     up: bool | None = None
     admin: str | None = None
     weight: int | None = None
-    most_connections: int | None = None
+    max_connections: int | None = None
     reason: str = ""
     unknown: int = 0  # how many tokens of the line are unknown
--- a/rookbend/drain.py
+++ b/rookbend/drain.py
@@ -55,7 +55,7 @@
         context = self._context
         self._began_us = context.clock.now()
         self._prepare_upgrade(accepting)
-        context.front.say_closing()
+        context.front.announce_closing()
         answered_by_us = self._began_us + self._time_to_answer_us()
         context.engine.finish_all_by(answered_by_us)
         for component in context.components:
@@ -63,7 +63,7 @@
         await trio.sleep_until(context.clock.monotonic_at(self._began_us + GRACE_US))
         await self._stop_accepting(accepting)
         while self._is_busy() and context.clock.now() < answered_by_us + TIMER_STEP_US:
-            context.front.end_idle()
+            context.front.close_idle_clients()
             await trio.sleep(POLL_INTERVAL_S)
 
     def _prepare_upgrade(self, accepting: trio.CancelScope) -> None:
--- a/rookbend/health/own_status.py
+++ b/rookbend/health/own_status.py
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnStatus:
-    """`admin` is ready, drain or maint; `weight` percent; `most_connections` 0 where not limited.
+    """`admin` is ready, drain or maint; `weight` percent; `max_connections` 0 where not limited.
 
     `state` is one word for people: the lifecycle's phase, or what keeps the director from serving.
     """
@@ -18,7 +18,7 @@
     admin: str
     up: bool
     weight: int
-    most_connections: int
+    max_connections: int
     state: str
     reason: str = ""
 
@@ -28,13 +28,13 @@
         return self.up and self.admin == "ready"
 
 
-def own_status(phase: str, capacity: SpareCapacity, most_connections: int) -> OwnStatus:
+def own_status(phase: str, capacity: SpareCapacity, max_connections: int) -> OwnStatus:
     """The status in a lifecycle phase: from SIGTERM on `drain`, whatever capacity is spare."""
     if phase == "draining":
-        return OwnStatus("drain", True, 0, most_connections, phase)
+        return OwnStatus("drain", True, 0, max_connections, phase)
     if phase != "ready":
         return OwnStatus("ready", False, 0, 0, phase, phase)
     if not capacity.up:
         return OwnStatus("ready", False, 0, 0, "no-member", "no member in use")
     reason = f"{capacity.limited_by} at {capacity.weight}%" if capacity.weight < FULL else ""
-    return OwnStatus("ready", True, capacity.weight, most_connections, phase, reason)
+    return OwnStatus("ready", True, capacity.weight, max_connections, phase, reason)
--- a/rookbend/net/client_listener.py
+++ b/rookbend/net/client_listener.py
@@ -24,14 +24,19 @@
     """Bounds what clients may take: connections, and unsent bytes of one and of all together."""
 
     def __init__(
-        self, front: PlatformFront, most_clients: int, most_unsent: int, counters: Counters, scheduler: WriteScheduler
+        self,
+        front: PlatformFront,
+        max_clients: int,
+        max_unsent_bytes: int,
+        counters: Counters,
+        scheduler: WriteScheduler,
     ) -> None:
-        """`most_clients` connections are accepted at most; `most_unsent` is bytes, of all of them."""
+        """`max_clients` connections are accepted at most; `max_unsent_bytes` is bytes, of all of them."""
         self.front = front
         self.counters = counters
         self.scheduler = scheduler
-        self.most_clients = most_clients
-        self.most_unsent = most_unsent
+        self.max_clients = max_clients
+        self.max_unsent_bytes = max_unsent_bytes
         self.open: dict[ClientConnection, None] = {}  # in the order in which they came
         self.closing = False
         self.accepted_all = trio.Event()  # the listener is closed, and what waited in its backlog was accepted
@@ -62,13 +67,13 @@
         them out; and a newcomer has sent nothing yet because its request is still on the way: evicted first, it
         would never get to send it. Where nobody can go, the newcomer waits unaccepted, its request behind it.
         """
-        if len(self.open) < self.most_clients:
+        if len(self.open) < self.max_clients:
             return True
         newcomers_since_us = self.front.engine.clock.now() - NEWCOMER_US
         idle = self._idle_clients(newcomers_since_us)
         idle.sort(key=lambda client: (client.session.has_received_frame, client.session.last_activity_us))
         evicted = 0
-        for client in idle[: max(1, self.most_clients // EVICTED_AT_ONCE_DIVISOR)]:
+        for client in idle[: max(1, self.max_clients // EVICTED_AT_ONCE_DIVISOR)]:
             if client.session.last_activity_us > newcomers_since_us:
                 break
             # Its last answer is long delivered, so a close takes nothing along: the place is free at once.
@@ -113,7 +118,7 @@
         total_bytes = sum(client.buffered_bytes for client in by_size)
         for client in reversed(by_size):
             stalled = client.socket.backlog_bytes and client.socket.last_progress_s < stalled_since_s
-            if stalled or total_bytes > self.most_unsent:
+            if stalled or total_bytes > self.max_unsent_bytes:
                 total_bytes -= client.buffered_bytes
                 self.counters.clients_dropped += 1
                 client.socket.abort()
@@ -126,13 +131,13 @@
             self.connection_closed(client)  # it closes within this turn of the loop
         return finished
 
-    def end_idle(self) -> None:
+    def close_idle_clients(self) -> None:
         """Ends the connections on which nothing is owed: the director leaves. The request of a client that
         has just connected is on its way, and is still answered."""
         for client in self._idle_clients(self.front.engine.clock.now() - CROSSING_US):
             client.finish_if_idle()
 
-    def say_closing(self) -> None:
+    def announce_closing(self) -> None:
         """Notifies all clients, and those who come from now on, to send no new request."""
         self.closing = True
         for client in self.open:
--- a/rookbend/net/component.py
+++ b/rookbend/net/component.py
@@ -36,7 +36,7 @@
     counters: Counters
     log: Log
     outbox: WriteScheduler
-    most_clients: int
+    max_clients: int
     phase: Callable[[], str]  # of the lifecycle, by its name
     sample: Callable[[], Sample]  # the director's load now
     listeners: Listeners
--- a/rookbend/net/connection_set.py
+++ b/rookbend/net/connection_set.py
@@ -38,7 +38,7 @@
         context = self.context
         return (
             len(self.open) + self.connecting < MAX_CONNECTIONS
-            and context.open_connections < context.most_connections
+            and context.open_connections < context.max_connections
             and context.engine.clock.now() >= self.backoff_until_us
         )
 
--- a/rookbend/net/pool.py
+++ b/rookbend/net/pool.py
@@ -28,9 +28,9 @@
         scheduler: WriteScheduler,
         max_streams: int,
         idle_close_us: int,
-        most_connections: int,
+        max_connections: int,
     ) -> None:
-        """`max_streams` bounds the attempts on one connection, `most_connections` the connections to all members;
+        """`max_streams` bounds the attempts on one connection, `max_connections` the connections to all members;
         `idle_close_us` is the time after which members close idle connections."""
         self.engine = engine
         self.counters = counters
@@ -41,7 +41,7 @@
         self.sent_this_second = 0
         self.sent_last_second = 0
         self.open_connections = 0  # open or being opened, to all members
-        self.most_connections = most_connections
+        self.max_connections = max_connections
 
     def adopt(self, max_streams: int, idle_close_us: int) -> None:
         """Applies other settings, also to connections that are open."""
--- a/rookbend/net/pool_context.py
+++ b/rookbend/net/pool_context.py
@@ -22,7 +22,7 @@
     connect_timeout_us: int
     load_report_fields: tuple[str, ...]
     open_connections: int  # open or being opened, to all members
-    most_connections: int  # their limit
+    max_connections: int  # their limit
 
     @property
     def attempt_rate_per_s(self) -> int:
--- a/rookbend/net/status_servers.py
+++ b/rookbend/net/status_servers.py
@@ -29,7 +29,7 @@
 
     async def serve_client(channel: BufferedSocket) -> None:
         status = current_status()
-        channel.write(encode_line(status.admin, status.up, status.weight, status.most_connections, status.reason))
+        channel.write(encode_line(status.admin, status.up, status.weight, status.max_connections, status.reason))
 
     return BoundedServer(address, clock, write_scheduler, serve_client)
 
--- a/rookbend/net/watch.py
+++ b/rookbend/net/watch.py
@@ -79,14 +79,14 @@
         self.last_index = 0
         self._call_scope = trio.CancelScope()  # the call under way, or the pause before the next
 
-    def move(self, address: tuple[str, int] | None) -> None:
+    def change_coordinator(self, address: tuple[str, int] | None) -> None:
         """Calls another coordinator, at once. Its numbers go on where those of the old one ended."""
         self.address = address
         # Guards the time that an event may take: the old stream stays open and silent for a while, and is not
         # waited for.
         self._call_scope.cancel()
 
-    def take_known(self, known: Known) -> None:
+    def apply_known_events(self, known: Known) -> None:
         """Applies the events that the configuration brings along."""
         for update in known.updates:
             self._apply(update)
--- a/rookbend/protocol/agent_check.py
+++ b/rookbend/protocol/agent_check.py
@@ -37,7 +37,7 @@
     up: bool | None = None
     admin: str | None = None
     weight: int | None = None
-    most_connections: int | None = None
+    max_connections: int | None = None
     unknown: int = 0
 
     def add(self, word: str) -> None:
@@ -51,7 +51,7 @@
         elif match := WEIGHT.fullmatch(word):
             self.weight = min(int(match[1]), MAX_WEIGHT_PERCENT)
         elif match := MAX_CONNECTIONS.fullmatch(word):
-            self.most_connections = int(match[1])
+            self.max_connections = int(match[1])
         else:
             self.unknown += 1
 
@@ -72,7 +72,7 @@
         if word:
             parser.add(word.lower())
     return AgentReport(
-        parser.up, parser.admin, parser.weight, parser.most_connections, _printable(reason), parser.unknown
+        parser.up, parser.admin, parser.weight, parser.max_connections, _printable(reason), parser.unknown
     )
 
 
@@ -125,23 +125,23 @@
 def _result_of(line: bytes) -> AgentReport | CheckResult:
     text = _decode(line)
     report = parse_line(text)
-    fields = (report.up, report.admin, report.weight, report.most_connections)
+    fields = (report.up, report.admin, report.weight, report.max_connections)
     if all(value is None for value in fields):
         quoted = "".join(char if char.isascii() and char.isprintable() else "." for char in text[:MAX_QUOTED_CHARS])
         return CheckResult(CheckOutcome.BROKEN, f"nothing to go by in {quoted!r}")
     return report
 
 
-def encode_line(admin: str, up: bool, weight: int, most_connections: int, reason: str = "") -> bytes:
+def encode_line(admin: str, up: bool, weight: int, max_connections: int, reason: str = "") -> bytes:
     """The line that this director's own agent sends.
 
-    `weight` is percent; `most_connections` 0 leaves the limit out.
+    `weight` is percent; `max_connections` 0 leaves the limit out.
     """
     words = [UP if up else "down", admin]
     if up and admin == "ready":
         words.append(f"{weight}%")
-        if most_connections:
-            words.append(f"maxconn:{min(most_connections, MAX_ADVERTISED_CONNECTIONS)}")
+        if max_connections:
+            words.append(f"maxconn:{min(max_connections, MAX_ADVERTISED_CONNECTIONS)}")
     if reason:
         words.append(f"#{reason}")
     return " ".join(words).encode("ascii", "replace") + b"\n"
--- a/rookbend/reload.py
+++ b/rookbend/reload.py
@@ -74,7 +74,7 @@
         not_applied += fixed_settings
         context.config = msgspec.structs.replace(old, coordinator=new.coordinator, settings=new.settings, keys=new.keys)
         if new.coordinator != old.coordinator:
-            context.watch.move(coordinator_address(new))
+            context.watch.change_coordinator(coordinator_address(new))
         not_applied += self._apply_operators_settings(operators)
         context.log(
             "reloaded",
--- a/rookbend/service.py
+++ b/rookbend/service.py
@@ -102,7 +102,7 @@
             self.counters,
             self.log,
             self.outbox,
-            self.front.most_clients,
+            self.front.max_clients,
             self.reported_phase,
             self.metrics.sample,
             self.listeners,
@@ -189,7 +189,7 @@
         self.metrics.pool = pool
         self.engine.backend = pool
         self._divide_budget()
-        self.watch.take_known(self.config.known)
+        self.watch.apply_known_events(self.config.known)
         if signals is not None:
             nursery.start_soon(self._handle_signals, signals)
         if self.peers is not None:
@@ -220,9 +220,9 @@
         if self.upgrade is None or self.pool is None:
             return
         handover = self.upgrade.handover
-        self.pool.most_connections = self.budget.max_member_connections(handover.processes)
+        self.pool.max_connections = self.budget.max_member_connections(handover.processes)
         self.engine.set_active_processes(handover.active_processes)
-        self.front.most_unsent = self.budget.max_unsent_bytes(handover.processes)
+        self.front.max_unsent_bytes = self.budget.max_unsent_bytes(handover.processes)
         if self.peers is not None:
             self.peers.set_receiving(not handover.taken_over)
 
--- a/tests/director_scenario.py
+++ b/tests/director_scenario.py
@@ -77,7 +77,7 @@
             "size": 50.0,
         }
 
-    async def open(self, members, most_connections=None, operators="", dns="", settings=SETTINGS, operator=""):
+    async def open(self, members, max_connections=None, operators="", dns="", settings=SETTINGS, operator=""):
         for name in (*HOSTS, "coordinator", "coordinator2", "dns", "resolver"):
             await self.actors[name].open()
         agents = [a.peer for a in self.actors.values() if isinstance(a, Agent)]
@@ -103,8 +103,8 @@
             OPERATORS.format(resolver=self.actors["resolver"].address[1], more=operators, dns=dns), "test"
         )
         self.service = Service(config, self.operators, self.unix, lambda before: (self.config, self.operators))
-        if most_connections is not None:
-            self.service.budget.max_member_connections = lambda processes=1: most_connections
+        if max_connections is not None:
+            self.service.budget.max_member_connections = lambda processes=1: max_connections
         self.done = trio.Event()
         self.nursery.start_soon(self.run)
         await self.service.ready.wait()
--- a/tests/test_client_port.py
+++ b/tests/test_client_port.py
@@ -98,7 +98,7 @@
     """Guards the usual clients: hundreds that only connected had the newcomers turned away."""
 
     async def check(stage):
-        stage.service.front.most_clients = 3
+        stage.service.front.max_clients = 3
         client = stage.actors["client"]
         await stage.play("other send request 1 video chunk=1 budget=5000\ncache1 expect do rid=0000000000000001")
         for _ in range(5):
@@ -125,7 +125,7 @@
     """Guards the newcomer: it was let go before it could ask, by the next one, in its first milliseconds."""
 
     async def check(stage):
-        stage.service.front.most_clients = 2
+        stage.service.front.max_clients = 2
         client, other = stage.actors["client"], stage.actors["other"]
         await stage.play("other send ready? 1\nother expect ready\nother send ready? 2\nother expect ready")
         await client.open()
--- a/tests/test_health_agents.py
+++ b/tests/test_health_agents.py
@@ -57,14 +57,14 @@
     """Guards the 500 ms: the bytes of what was placed before must not go out after."""
 
     async def steps(stage):
-        stage.service.pool.most_connections = 0  # nothing can go out: the attempt waits
+        stage.service.pool.max_connections = 0  # nothing can go out: the attempt waits
         await stage.play("client send request 1 video\n all wait 0.05")
         waiting = [
             n for n in ("cache1", "cache2") if stage.service.pool.members.get(stage.service.health.service.find(n))
         ]
         agent, other = ("agent1", "cache2") if waiting == ["cache1"] else ("agent2", "cache1")
         await stage.play(f"{agent} send drain\n {waiting[0]} wait draining")
-        stage.service.pool.most_connections = 8
+        stage.service.pool.max_connections = 8
         member_pool = stage.service.pool.members[stage.service.health.service.find(waiting[0])]
         member_pool.dispatch_waiting()
         await stage.play(f"""
--- a/tests/test_health_protocols.py
+++ b/tests/test_health_protocols.py
@@ -28,7 +28,7 @@
         ("75%", AgentReport(weight=75)),
         ("0%", AgentReport(weight=0)),
         ("250%", AgentReport(weight=100)),
-        ("maxconn:30", AgentReport(most_connections=30)),
+        ("maxconn:30", AgentReport(max_connections=30)),
         ("up,ready\t75% maxconn:9", AgentReport(True, "ready", 75, 9)),
         (" , up ,, ready", AgentReport(True, "ready")),
         ("up down", AgentReport(up=False)),
--- a/tests/test_member_connections.py
+++ b/tests/test_member_connections.py
@@ -125,6 +125,6 @@
         client send request 3 video chunk=3
         cache1 expect do rid=0000000000000003
     """,
-        most_connections=2,
+        max_connections=2,
     )
     assert service.counters.connects == 2
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -21,7 +21,7 @@
 
 def test_a_connection_in_the_backlog_is_answered_before_the_listener_closes():
     async def check(stage):
-        stage.service.front.most_clients = 0  # nobody is accepted: it waits in the listener's backlog
+        stage.service.front.max_clients = 0  # nobody is accepted: it waits in the listener's backlog
         client = await RawClient(stage).connect()
         await client.send(request(1))
         stage.service.stop()
