--- a/rookbend/assembly.py
+++ b/rookbend/assembly.py
@@ -54,13 +54,13 @@
     engine: Engine,
     counters: Counters,
     nursery: trio.Nursery,
-    outbox: WriteScheduler,
+    write_scheduler: WriteScheduler,
     budget: ResourceBudget,
 ) -> Pool:
     """The connections to members; their tasks run in `nursery`."""
     limits = config.settings.limits
     max_connections = budget.max_member_connections()
-    return Pool(engine, counters, nursery, outbox, limits.max_streams, limits.idle_close_us, max_connections)
+    return Pool(engine, counters, nursery, write_scheduler, limits.max_streams, limits.idle_close_us, max_connections)
 
 
 def open_sockets(config: Config, engine: Engine, listeners: Listeners, components: Sequence[Component]) -> OpenSockets:
--- a/rookbend/components/__init__.py
+++ b/rookbend/components/__init__.py
@@ -55,7 +55,7 @@
     from rookbend.net.leases import LeaseComponent
 
     ownership = LeaseComponent(context)
-    context.built["ownership"] = ownership
+    context.built["leases"] = ownership
     return [ownership]
 
 
--- a/rookbend/components/admin.py
+++ b/rookbend/components/admin.py
@@ -24,7 +24,7 @@
     assert settings is not None
     health = context.built.get("health")
     recovery = context.built.get("recovery")
-    ownership = context.built.get("ownership")
+    ownership = context.built.get("leases")
     api = AdminApi(
         _tables(context),
         MemberOrders(health, recovery, ownership).give if health is not None else None,
@@ -33,7 +33,7 @@
         ownership,
     )
     server = BoundedServer(
-        settings.listen, context.clock, context.outbox, lambda channel: serve_http(channel, api.answer)
+        settings.listen, context.clock, context.write_scheduler, lambda channel: serve_http(channel, api.answer)
     )
     context.built["admin"] = server
     return server
@@ -77,7 +77,7 @@
     tables: dict[str, Callable[[], object]] = {}
     health = context.built.get("health")
     recovery = context.built.get("recovery")
-    ownership = context.built.get("ownership")
+    ownership = context.built.get("leases")
     if ownership is not None:
         tables["/owners"] = ownership.describe
     if recovery is not None:
--- a/rookbend/components/dns.py
+++ b/rookbend/components/dns.py
@@ -28,7 +28,7 @@
         seed,
         names=_issued_names(context),
     )
-    server = DnsServer(front, resolver, context.clock, settings.listen, context.outbox)
+    server = DnsServer(front, resolver, context.clock, settings.listen, context.write_scheduler)
     context.built["dns"] = server
     return server
 
--- a/rookbend/core/engine.py
+++ b/rookbend/core/engine.py
@@ -19,7 +19,7 @@
 from rookbend.core.model import Answer, AttemptResult, Endpoint, FinalOutcome, MembershipChange, Purge, Request
 from rookbend.core.open_request import OpenRequest, OpenRequestTable
 from rookbend.core.ports import Backend, PeerTransport, RoutingPolicy
-from rookbend.core.purge_log import PurgeLog
+from rookbend.core.received_purges import ReceivedPurges
 from rookbend.core.rejection import rejection, retry_after_us
 from rookbend.core.router_driver import RouterDriver
 from rookbend.core.send_guard import SendGuard
@@ -57,7 +57,7 @@
         self.requests = OpenRequestTable(counters)
         self.traffic_classes = TrafficClassIndex(settings, clock)
         self.membership = MembershipView(settings, clock, lambda server: self.backend.forget(server))
-        self.purges = PurgeLog(settings, clock)
+        self.purges = ReceivedPurges(settings, clock)
         self._driver = RouterDriver(router, clock)
         self.attempts = AttemptRunner(
             settings, self.requests, self.membership.endpoints, self._driver, self.timers, clock, counters
--- a/rookbend/core/purge_log.py
+++ b/rookbend/core/received_purges.py
@@ -7,7 +7,7 @@
 from rookbend.interface import PurgeReceived, Settings
 
 
-class PurgeLog:
+class ReceivedPurges:
     """The time at which the latest purge of an object, or of a group of objects, was received."""
 
     def __init__(self, settings: Settings, clock: Clock) -> None:
--- a/rookbend/core/send_guard.py
+++ b/rookbend/core/send_guard.py
@@ -5,7 +5,7 @@
 from rookbend.core.clock import Clock
 from rookbend.core.membership_view import MembershipView
 from rookbend.core.model import Attempt
-from rookbend.core.purge_log import PurgeLog
+from rookbend.core.received_purges import ReceivedPurges
 
 
 class SendGuard:
@@ -13,7 +13,7 @@
 
     __slots__ = ("_clock", "_membership", "_purges")
 
-    def __init__(self, membership: MembershipView, purges: PurgeLog, clock: Clock) -> None:
+    def __init__(self, membership: MembershipView, purges: ReceivedPurges, clock: Clock) -> None:
         self._membership = membership
         self._purges = purges
         self._clock = clock
--- a/rookbend/drain.py
+++ b/rookbend/drain.py
@@ -34,7 +34,7 @@
 
     clock: Clock
     engine: Engine
-    front: ClientListener
+    client_listener: ClientListener
     components: Sequence[Component]
     upgrade: Upgrade | None
 
@@ -55,7 +55,7 @@
         context = self._context
         self._began_us = context.clock.now()
         self._prepare_upgrade(accepting)
-        context.front.announce_closing()
+        context.client_listener.announce_closing()
         answered_by_us = self._began_us + self._time_to_answer_us()
         context.engine.finish_all_by(answered_by_us)
         for component in context.components:
@@ -63,7 +63,7 @@
         await trio.sleep_until(context.clock.monotonic_at(self._began_us + GRACE_US))
         await self._stop_accepting(accepting)
         while self._is_busy() and context.clock.now() < answered_by_us + TIMER_STEP_US:
-            context.front.close_idle_clients()
+            context.client_listener.close_idle_clients()
             await trio.sleep(POLL_INTERVAL_S)
 
     def _prepare_upgrade(self, accepting: trio.CancelScope) -> None:
@@ -77,7 +77,7 @@
 
     async def _stop_accepting(self, accepting: trio.CancelScope) -> None:
         accepting.cancel()
-        await self._context.front.accepted_all.wait()
+        await self._context.client_listener.accepted_all.wait()
         for component in self._context.components:
             component.stop_taking()
 
@@ -89,6 +89,6 @@
 
     def _is_busy(self) -> bool:
         context = self._context
-        if context.engine.open_requests or context.front.open:
+        if context.engine.open_requests or context.client_listener.open:
             return True
         return any(component.busy for component in context.components)
--- a/rookbend/health/check_state.py
+++ b/rookbend/health/check_state.py
@@ -29,7 +29,7 @@
         "policy",
         "reason",
         "streak",
-        "trouble",
+        "last_run_error",
         "weight",
     )
 
@@ -45,7 +45,7 @@
         self.received_us = 0
         self.outcome: CheckOutcome | None = None
         self.reason = ""
-        self.trouble = ""
+        self.last_run_error = ""
 
     def is_stale(self, now_us: int) -> bool:
         """Whether what was received last is too old to count."""
@@ -69,7 +69,7 @@
         self.number = event.number
         self.has_result = True
         self.received_us = now_us
-        self.trouble = ""
+        self.last_run_error = ""
         if report.up is not None:
             self.down = not report.up
         if report.admin is not None:
@@ -83,10 +83,10 @@
         """Takes the result of a run; `rise` or `fall` results in a row change the state."""
         self.number = event.number
         self.outcome = event.outcome
-        self.trouble = ""
+        self.last_run_error = ""
         if self.policy.is_agent:
             # The last report holds until it is stale: an agent that is silent proves nothing about its member.
-            self.trouble = f"{event.outcome.value} {event.reason}".strip()[:MAX_REASON_LENGTH]
+            self.last_run_error = f"{event.outcome.value} {event.reason}".strip()[:MAX_REASON_LENGTH]
             return
         self.has_result = True
         self.received_us = now_us
--- a/rookbend/health/member_health.py
+++ b/rookbend/health/member_health.py
@@ -11,7 +11,7 @@
 from rookbend.health.check_state import check_states
 from rookbend.health.events import AgentReported, CheckCompleted
 from rookbend.health.model import FULL, Cause, HealthPolicy, Order, SlowStartPolicy, State, Verdict
-from rookbend.health.slow_start import SlowStart
+from rookbend.health.weight_ramp import WeightRamp
 from rookbend.interface import AttemptStatus, MemberState
 
 MAX_HOLD_DOUBLINGS = 20
@@ -68,7 +68,7 @@
         self.returned_us = 0
         self.was_refused = False
         self.cold_since_us = 0
-        self.slow_start = SlowStart()
+        self.slow_start = WeightRamp()
         self.verdict: Verdict | None = None
 
     # Evidence
--- a/rookbend/health/member_table.py
+++ b/rookbend/health/member_table.py
@@ -52,7 +52,7 @@
         "weight": check.weight,
         "outcome": check.outcome.value if check.outcome else "",
         "reason": check.reason,
-        "trouble": check.trouble,
+        "trouble": check.last_run_error,
         "age_us": now_us - check.received_us if check.has_result else None,
         "stale": check.is_stale(now_us),
     }
--- a/rookbend/health/model.py
+++ b/rookbend/health/model.py
@@ -94,7 +94,7 @@
     tier has been within the limit for `panic_hold_us`. An ejection lasts `min_ejection_us` at least, doubled with
     each flap within `flap_window_us`, `max_ejection_us` at most. `passive_failure_threshold` attempts in a row that
     failed to connect or were reset eject for `passive_ejection_us`; 0 counts none. `weighted_roles` says whose weight
-    reaches the decision module: caches, all or none. `slow_start` is the slow start by role.
+    reaches the router: caches, all or none. `slow_start` is the slow start by role.
     """
 
     checks: tuple[CheckPolicy, ...] = ()
--- a/rookbend/health/service.py
+++ b/rookbend/health/service.py
@@ -1,6 +1,6 @@
 """Passes evidence to the health registry, and changed verdicts to the engine as changes of members.
 
-The decision module is told of a member what the membership and health add up to. An ejected member is told as draining:
+The router is told of a member what the membership and health add up to. An ejected member is told as draining:
 nothing new goes there, what is in flight ends by itself, and its place in the hash order stays. That reaches the
 engine within the call that brought the evidence, so `may_write` holds back what waits in a queue. What only raises a
 weight is gathered for `GATHER_US`: a thousand slow starts would else make the module sort its lists a thousand times.
--- a/rookbend/health/slow_start.py
+++ b/rookbend/health/weight_ramp.py
@@ -7,7 +7,7 @@
 STEP_PERCENT = 5  # a rising weight is published in such steps
 
 
-class SlowStart:
+class WeightRamp:
     """The weight of one member while it is in use.
 
     It rises evenly from `from_percent` at `began_us`. `level_percent` is the weight now; `limits` tells whether slow
--- a/rookbend/leases/config.py
+++ b/rookbend/leases/config.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CoordinatorConfig:
+class LeaseConfig:
     """`director` is this one's index of `director_count`; `tasks` are the leader tasks that run."""
 
     director: int
--- a/rookbend/leases/election.py
+++ b/rookbend/leases/election.py
@@ -124,7 +124,7 @@
 
     def _hears_majority(self) -> bool:
         """Keeps out a director that can send and not receive: its requests would be granted for ever unnoticed."""
-        live = self._placement.live_members
+        live = self._placement.live_directors
         return all(len(voters & live) > len(voters) // 2 for voters in self._voters.quorums)
 
     # Votes
--- a/rookbend/leases/events.py
+++ b/rookbend/leases/events.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(slots=True)
-class LiveMembersChanged:
+class LiveDirectorsChanged:
     """Directors that were heard of lately, this one among them."""
 
     directors: frozenset[int]
@@ -96,7 +96,7 @@
     TimerExpired
     | DatagramReceived
     | RowPersisted
-    | LiveMembersChanged
+    | LiveDirectorsChanged
     | ShutdownRequested
     | VotersChanged
     | StaleStorageDetected
--- a/rookbend/leases/order_replication.py
+++ b/rookbend/leases/fleet_order_log.py
@@ -47,7 +47,7 @@
     generator: random.Random
 
 
-class OrderReplication:
+class FleetOrderLog:
     """The parts that replicate orders, and their common timer."""
 
     def __init__(self, inputs: ReplicationInputs):
--- a/rookbend/leases/handover.py
+++ b/rookbend/leases/handover.py
@@ -27,7 +27,7 @@
     announcements_left: int = ANNOUNCEMENTS
 
 
-class Handover:
+class LeaseHandover:
     """Ends leases through `election`; successors come from `placement`."""
 
     def __init__(
@@ -79,7 +79,7 @@
         """An operator's wish; ignored where the scope is not held, or the successor not live."""
         if not self._leases.held_token(now_us, event.scope) or event.director == self._director:
             return
-        if event.director in self._placement.live_members:
+        if event.director in self._placement.live_directors:
             self.hand_over(now_us, event.scope, event.director)
 
     def offer_received(self, now_us: int, _sender: int, message: LeaseOffer) -> None:
--- a/rookbend/leases/coordinator.py
+++ b/rookbend/leases/machine.py
@@ -14,7 +14,7 @@
 from rookbend.coordination.events import DatagramReceived, TimerExpired
 from rookbend.leases import events
 from rookbend.leases.actions import Action
-from rookbend.leases.config import CoordinatorConfig
+from rookbend.leases.config import LeaseConfig
 from rookbend.leases.leader_tasks import REPORT_SCOPE
 from rookbend.leases.parts import CoordinatorParts
 from rookbend.leases.state import GRANT_KIND, LOG_KIND, Row, restore
@@ -26,13 +26,13 @@
 Actions = list[Action | SendDatagram | WriteLogLine]
 
 
-class LeaseCoordinator:
+class LeaseMachine:
     """One incarnation of a director; `rows` are those that earlier ones persisted.
 
     `due_us` is when the next TimerExpired is wanted. What drives it may read `parts` and must not change them.
     """
 
-    def __init__(self, config: CoordinatorConfig, now_us: int, incarnation: int, rows: Iterable[Row] = ()):
+    def __init__(self, config: LeaseConfig, now_us: int, incarnation: int, rows: Iterable[Row] = ()):
         self.config = config
         self.incarnation = incarnation
         self.began_us = now_us
@@ -71,7 +71,7 @@
             TimerExpired: self._timer_expired,
             DatagramReceived: self._datagram_received,
             events.RowPersisted: self._row_persisted,
-            events.LiveMembersChanged: self._live_members_changed,
+            events.LiveDirectorsChanged: self._live_members_changed,
             events.ShutdownRequested: parts.handover.shut_down,
             events.VotersChanged: parts.reconfiguration.begin,
             events.StaleStorageDetected: self._storage_is_stale,
@@ -107,7 +107,7 @@
         elif event.kind == LOG_KIND:
             self.parts.orders.follower.entry_persisted(now_us, event)
 
-    def _live_members_changed(self, _now_us: int, event: events.LiveMembersChanged) -> None:
+    def _live_members_changed(self, _now_us: int, event: events.LiveDirectorsChanged) -> None:
         self.parts.placement.set_live_members(event.directors)
 
     def _storage_is_stale(self, now_us: int, _event: events.StaleStorageDetected) -> None:
--- a/rookbend/leases/message_dispatcher.py
+++ b/rookbend/leases/message_dispatcher.py
@@ -6,10 +6,10 @@
 from typing import Any
 
 from rookbend.leases.election import Election
+from rookbend.leases.fleet_order_log import FleetOrderLog
 from rookbend.leases.fleet_report import ReportTask
-from rookbend.leases.handover import Handover
+from rookbend.leases.handover import LeaseHandover
 from rookbend.leases.messenger import Messenger
-from rookbend.leases.order_replication import OrderReplication
 from rookbend.leases.ramp_allocation import RampAllocator
 from rookbend.leases.shard_results import ShardResultsExchange
 from rookbend.leases.tokens import TokenCounter
@@ -29,9 +29,9 @@
         reconfiguration: Reconfiguration,
         voting: Voting,
         election: Election,
-        handover: Handover,
+        handover: LeaseHandover,
         tokens: TokenCounter,
-        orders: OrderReplication,
+        orders: FleetOrderLog,
         report: ReportTask,
         ramp_allocator: RampAllocator,
         shard_results: ShardResultsExchange,
--- a/rookbend/leases/order_requests.py
+++ b/rookbend/leases/order_requests.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(slots=True)
-class OpenRequest:
+class SubmittedOrder:
     """An order without an outcome yet."""
 
     event: OrderRequested
@@ -47,15 +47,15 @@
         self._voters = voters
         self._messenger = messenger
         self._actions = actions
-        self._open: dict[int, OpenRequest] = {}
+        self._open: dict[int, SubmittedOrder] = {}
 
     def request(self, now_us: int, event: OrderRequested, leader: OrderLeader) -> None:
         """A new order of an operator."""
-        request = OpenRequest(event, now_us)
+        request = SubmittedOrder(event, now_us)
         self._open[event.id] = request
         self._send(now_us, request, leader)
 
-    def _send(self, now_us: int, request: OpenRequest, leader: OrderLeader) -> None:
+    def _send(self, now_us: int, request: SubmittedOrder, leader: OrderLeader) -> None:
         request.sent_us = now_us
         event = request.event
         if self._leases.held_token(now_us, ORDERS_SCOPE):
--- a/rookbend/leases/parts.py
+++ b/rookbend/leases/parts.py
@@ -6,12 +6,13 @@
 
 from rookbend.coordination.action_queue import ActionQueue
 from rookbend.leases.actions import Action
-from rookbend.leases.config import CoordinatorConfig
+from rookbend.leases.config import LeaseConfig
 from rookbend.leases.election import Election
 from rookbend.leases.fenced_requests import FencedRequests
 from rookbend.leases.fencing import FencingGuard
+from rookbend.leases.fleet_order_log import FleetOrderLog, ReplicationInputs
 from rookbend.leases.fleet_report import FleetReport, ReportTask
-from rookbend.leases.handover import Handover
+from rookbend.leases.handover import LeaseHandover
 from rookbend.leases.jitter import Jitter
 from rookbend.leases.leader_discovery import DISCOVERY_INTERVAL_US, LeaderDiscovery
 from rookbend.leases.leader_tasks import ORDERS_SCOPE, REPORT_SCOPE, scopes_of
@@ -20,7 +21,6 @@
 from rookbend.leases.message_dispatcher import MessageDispatcher
 from rookbend.leases.messenger import Messenger
 from rookbend.leases.order_log import OrderLog
-from rookbend.leases.order_replication import OrderReplication, ReplicationInputs
 from rookbend.leases.ramp_allocation import RampAllocator
 from rookbend.leases.rebalancing import Rebalancer, ScopePlacement
 from rookbend.leases.shard_results import ShardResultsExchange
@@ -42,7 +42,7 @@
     All draws of random numbers are of one generator, in the order in which the parts need them.
     """
 
-    def __init__(self, config: CoordinatorConfig, now_us: int, incarnation: int, state: RestoredState):
+    def __init__(self, config: LeaseConfig, now_us: int, incarnation: int, state: RestoredState):
         self.config = config
         self.incarnation = incarnation
         self.began_us = now_us
@@ -87,14 +87,16 @@
             self._lease_acquired,
             self._lease_lost,
         )
-        self.handover = Handover(director, config.terms, leases, self.placement, self.election, self.tokens, messenger)
+        self.handover = LeaseHandover(
+            director, config.terms, leases, self.placement, self.election, self.tokens, messenger
+        )
         self.rebalancer = Rebalancer(director, config.shards, leases, self.placement, self.handover.hand_over)
         discovery_began_us = now_us - self.jitter.up_to(DISCOVERY_INTERVAL_US)
         self.discovery = LeaderDiscovery(director, discovery_began_us, leases, self.voters, messenger, self.random)
 
     def _build_task_parts(self, state: RestoredState) -> None:
         config, leases, fenced, messenger = self.config, self.leases, self.fenced, self.messenger
-        self.orders = OrderReplication(
+        self.orders = FleetOrderLog(
             ReplicationInputs(
                 config.director,
                 OrderLog(state.entries, state.committed),
--- a/rookbend/leases/rebalancing.py
+++ b/rookbend/leases/rebalancing.py
@@ -15,7 +15,7 @@
 
     def __init__(self, director: int):
         self._director = director
-        self.live_members = frozenset({director})
+        self.live_directors = frozenset({director})
         self.pins: dict[int, int] = {}
         self._rankings: dict[int, list[int]] = {}
 
@@ -23,9 +23,9 @@
         """The live members, first the one that should hold the scope."""
         ranking = self._rankings.get(scope)
         if ranking is None:
-            ranking = rendezvous_ranking(scope, self.live_members)
+            ranking = rendezvous_ranking(scope, self.live_directors)
             pin = self.pins.get(scope)
-            if pin is not None and pin in self.live_members:
+            if pin is not None and pin in self.live_directors:
                 ranking = [pin, *(director for director in ranking if director != pin)]
             self._rankings[scope] = ranking
         return ranking
@@ -41,8 +41,8 @@
     def set_live_members(self, directors: frozenset[int]) -> None:
         """Other directors are live now; this one always is."""
         directors = directors | {self._director}
-        if directors != self.live_members:
-            self.live_members = directors
+        if directors != self.live_directors:
+            self.live_directors = directors
             self._rankings = {}
 
     def pin(self, scope: int, director: int) -> None:
@@ -88,13 +88,13 @@
         placement = self._placement
         for scope in held:
             pin = placement.pins.get(scope)
-            if pin is not None and pin != self._director and pin in placement.live_members:
+            if pin is not None and pin != self._director and pin in placement.live_directors:
                 return scope, pin
         return None
 
     def _excess_shard(self, held: list[int]) -> tuple[int, int] | None:
         shards = [scope for scope in held if scope >= FIRST_CHECKS_SCOPE and scope not in self._placement.pins]
-        even_part = -(-self._shards // len(self._placement.live_members))
+        even_part = -(-self._shards // len(self._placement.live_directors))
         if len(shards) <= even_part:
             return None
         for scope in shards:
--- a/rookbend/leases/status.py
+++ b/rookbend/leases/status.py
@@ -12,14 +12,14 @@
     `next` is who should hold each scope if the director `without` were gone.
     """
     voters = parts.voters
-    live_members = parts.placement.live_members
-    candidates = live_members - {without}
+    live_directors = parts.placement.live_directors
+    candidates = live_directors - {without}
     return {
         "me": parts.config.director,
         "voters": sorted(voters.current),
         "voters_before": sorted(voters.previous) if voters.previous else None,
         "voters_differ": voters.disagreeing(),
-        "living": sorted(live_members),
+        "living": sorted(live_directors),
         "quiet_ms": max(0, parts.voter.quarantine_until_us - now_us) // 1000,
         "owners": [_scope_status(now_us, scope, candidates, parts) for scope in parts.leases.scopes],
         "orders": {"stand": parts.orders.log.committed, "in_effect": parts.orders.log.applied},
--- a/rookbend/model_checking/lease.py
+++ b/rookbend/model_checking/lease.py
@@ -122,12 +122,14 @@
     def _without_lost_votes(state: State) -> State:
         """Drops the votes for incarnations that have ended."""
         for number, voter in enumerate(state.voters):
-            if not voter.outbox:
+            if not voter.write_scheduler:
                 continue
-            outbox = tuple(
-                vote for vote in voter.outbox if state.candidates[vote.candidate].incarnation == vote.incarnation
+            write_scheduler = tuple(
+                vote
+                for vote in voter.write_scheduler
+                if state.candidates[vote.candidate].incarnation == vote.incarnation
             )
-            if len(outbox) < len(voter.outbox):
-                voters = replaced(state.voters, number, voter._replace(outbox=outbox))
+            if len(write_scheduler) < len(voter.write_scheduler):
+                voters = replaced(state.voters, number, voter._replace(write_scheduler=write_scheduler))
                 state = state._replace(voters=voters)
         return state
--- a/rookbend/net/client_listener.py
+++ b/rookbend/net/client_listener.py
@@ -44,7 +44,7 @@
     async def serve(self, listener: socket.socket, accepting: trio.CancelScope) -> None:
         """Accepts until `accepting` is cancelled, and serves until the last client has left."""
         async with trio.open_nursery() as nursery:
-            await accept(listener, accepting, lambda sock: self._accepted(sock, nursery), self._has_capacity)
+            await accept(listener, accepting, lambda sock: self._accepted(sock, nursery), self._make_capacity)
             self.accepted_all.set()
 
     def _accepted(self, sock: socket.socket, nursery: trio.Nursery) -> None:
@@ -59,7 +59,7 @@
         """See `ClientConnectionOwner`."""
         self.open.pop(client, None)
 
-    def _has_capacity(self) -> bool:
+    def _make_capacity(self) -> bool:
         """Whether one more client can be accepted. Where all places are taken the idle ones that matter least are
         evicted: those that have sent nothing, else those idle for longest.
 
--- a/rookbend/net/component.py
+++ b/rookbend/net/component.py
@@ -35,13 +35,13 @@
     clock: Clock
     counters: Counters
     log: Log
-    outbox: WriteScheduler
+    write_scheduler: WriteScheduler
     max_clients: int
     phase: Callable[[], str]  # of the lifecycle, by its name
     sample: Callable[[], Sample]  # the director's load now
     listeners: Listeners
     # Whether the director may report that it is ready; a component that holds that back replaces it.
-    admits: Callable[[], bool] = lambda: True
+    may_report_ready: Callable[[], bool] = lambda: True
     # What returns gauges for the metrics, by name; components append theirs.
     gauges: list[Callable[[], dict[str, float]]] = field(default_factory=list)
     # What components offer to those that are built after them, by name.
--- a/rookbend/net/fleet_orders.py
+++ b/rookbend/net/fleet_orders.py
@@ -8,9 +8,9 @@
 import trio
 
 from rookbend.leases.actions import CompleteOrder
-from rookbend.leases.coordinator import LeaseCoordinator
 from rookbend.leases.events import MoveRequested, OrderRequested
 from rookbend.leases.leader_tasks import UnknownTaskError, parse_scope
+from rookbend.leases.machine import LeaseMachine
 from rookbend.leases.order_store import PIN_PREFIX, SCOPE_PREFIX
 
 MAX_OPERATOR_LENGTH = 40
@@ -29,7 +29,7 @@
 
     def __init__(
         self,
-        coordinator: LeaseCoordinator,
+        coordinator: LeaseMachine,
         now: Callable[[], int],
         feed: Callable[[OrderRequested | MoveRequested], None],
     ):
--- a/rookbend/net/leases.py
+++ b/rookbend/net/leases.py
@@ -15,10 +15,10 @@
 from rookbend.coordination.actions import PersistRow
 from rookbend.coordination.events import DatagramReceived
 from rookbend.leases import actions, events
-from rookbend.leases.config import CoordinatorConfig
-from rookbend.leases.coordinator import LeaseCoordinator
+from rookbend.leases.config import LeaseConfig
 from rookbend.leases.leader_tasks import LEASED_TASK_NAMES, REPORT_SCOPE, leader_task
 from rookbend.leases.lease import LeaseTerms
+from rookbend.leases.machine import LeaseMachine
 from rookbend.leases.state import ROW_KINDS, Row
 from rookbend.net.component import ComponentContext
 from rookbend.net.fleet_orders import FleetOrders
@@ -50,13 +50,13 @@
     return names
 
 
-def coordinator_config(context: ComponentContext) -> CoordinatorConfig:
+def coordinator_config(context: ComponentContext) -> LeaseConfig:
     """What the settings say, for the coordinator."""
     operators = context.operators
     wanted: Any = operators.ownership
     recovery: Any = operators.recovery
     router = context.engine.settings
-    return CoordinatorConfig(
+    return LeaseConfig(
         director=router.router_index,
         director_count=router.router_count,
         fleet=operators.state.fleet if operators.state is not None else recovery.fleet,
@@ -80,14 +80,14 @@
     """One director's leases; `machine` is the coordinator."""
 
     descriptors = 2  # the ledger
-    machine: LeaseCoordinator
+    machine: LeaseMachine
 
     def __init__(self, context: ComponentContext):
         super().__init__(context)
         self.recovery = cast("RecoveryComponent", context.built["recovery"])
         config = coordinator_config(context)
         incarnation = secrets.randbits(INCARNATION_BITS) + 1
-        self.machine = LeaseCoordinator(config, self.now(), incarnation, persisted_rows(self.state))
+        self.machine = LeaseMachine(config, self.now(), incarnation, persisted_rows(self.state))
         check_names = [check.name for check in context.operators.checks]
         self.shard_checks = ShardChecks(context.built.get("health"), self.machine, check_names, self.now, self.feed)
         self._orders = FleetOrders(self.machine, self.now, self.feed)
@@ -125,7 +125,7 @@
         }
 
     def describe(self, without: int = -1) -> dict[str, object]:
-        """Scopes and their holders, for operators; see `LeaseCoordinator.describe`."""
+        """Scopes and their holders, for operators; see `LeaseMachine.describe`."""
         return {"director": self.context.config.name, **self.machine.describe(self.now(), without)}
 
     # Operators
@@ -205,7 +205,7 @@
         while True:
             now_us = self.now()
             recovery = self.recovery.machine
-            self.feed(events.LiveMembersChanged(recovery.peers.live_members(now_us)))
+            self.feed(events.LiveDirectorsChanged(recovery.peers.live_directors(now_us)))
             self.feed(events.OriginCallsReported(self._origin_calls(now_us)))
             self.shard_checks.collect()
             await trio.sleep(POLL_INTERVAL_US / 1e6)
--- a/rookbend/net/listeners.py
+++ b/rookbend/net/listeners.py
@@ -41,7 +41,7 @@
 
     def __init__(self) -> None:
         self.shared = False
-        self.predecessor = False
+        self.has_predecessor = False
         self._inherited: dict[str, socket.socket] = {}
         self._open: dict[str, socket.socket] = {}
 
@@ -56,7 +56,7 @@
     def _get(self, transport: str, address: Address, bind: Callable[[Address, bool], socket.socket]) -> socket.socket:
         sock = self._inherited.pop(_name(transport, address), None)
         if sock is None:
-            if self.shared and not self.predecessor:
+            if self.shared and not self.has_predecessor:
                 bind(address, False).close()
             sock = bind(address, self.shared)
         self._open[_name(transport, sock.getsockname()[:2])] = sock
--- a/rookbend/net/member_pool.py
+++ b/rookbend/net/member_pool.py
@@ -35,7 +35,7 @@
 
     def send(self, attempt: Attempt) -> None:
         """Writes the attempt on a connection that accepts it, or queues it for one."""
-        if attempt.number and self._cancel_unconfirmed(attempt.request.request_id):
+        if attempt.number and self._drain_unconfirmed_cancels(attempt.request.request_id):
             return self.awaiting_cancel.append(attempt)
         connection = self.connections.select(attempt)
         if connection is not None:
@@ -43,7 +43,7 @@
         self.waiting.append(attempt)
         self._connect_as_needed()
 
-    def _cancel_unconfirmed(self, request_id: str) -> bool:
+    def _drain_unconfirmed_cancels(self, request_id: str) -> bool:
         """Whether the member may still be at work on an earlier attempt of this request.
 
         Guards against a second copy: a cancel on one connection and a command on the next have no order
@@ -206,7 +206,7 @@
         attempts, self.awaiting_cancel = self.awaiting_cancel, []
         for attempt in attempts:
             if not attempt.is_finished:
-                unconfirmed = self._cancel_unconfirmed(attempt.request.request_id)
+                unconfirmed = self._drain_unconfirmed_cancels(attempt.request.request_id)
                 (self.awaiting_cancel if unconfirmed else self.waiting).append(attempt)
 
     def _finish_if_unused(self, connection: MemberConnection) -> None:
--- a/rookbend/net/operator_endpoint.py
+++ b/rookbend/net/operator_endpoint.py
@@ -30,11 +30,11 @@
 
     descriptors = MAX_CALLERS + 2
 
-    def __init__(self, listener: socket.socket, api: OperatorApi, clock: Clock, outbox: WriteScheduler):
+    def __init__(self, listener: socket.socket, api: OperatorApi, clock: Clock, write_scheduler: WriteScheduler):
         self.listener = listener
         self.api = api
         self.clock = clock
-        self.outbox = outbox
+        self.write_scheduler = write_scheduler
         self.address = listener.getsockname()[:2]
         self.callers: dict[BufferedSocket, trio.CancelScope] = {}
         self.answered = 0
@@ -52,7 +52,7 @@
             oldest = next(iter(self.callers))
             self.callers.pop(oldest).cancel()
             oldest.close()  # its descriptor at once: the newcomer's is there already
-        channel = BufferedSocket(prepare(sock), nursery, self.outbox)
+        channel = BufferedSocket(prepare(sock), nursery, self.write_scheduler)
         scope = trio.CancelScope(deadline=self._deadline_in(CALL_US))
         self.callers[channel] = scope
         nursery.start_soon(self._serve_caller, channel, scope)
--- a/rookbend/net/recovery.py
+++ b/rookbend/net/recovery.py
@@ -26,7 +26,6 @@
     RaiseBootNumber,
     SetAdmissionLimits,
 )
-from rookbend.recovery.coordinator import RecoveryCoordinator
 from rookbend.recovery.events import (
     Event,
     MembershipReceived,
@@ -39,6 +38,7 @@
     RecoveryCommand,
     StreamActive,
 )
+from rookbend.recovery.machine import RecoveryMachine
 from rookbend.recovery.status import fleet_status, recovery_status
 
 ORIGIN_FAILURE_DETAILS = frozenset(
@@ -59,7 +59,7 @@
 class RecoveryComponent(MachineDriver[Event]):
     """`limits` are those in force; `on_boot_raised` is called when peers knew a later incarnation than the disk."""
 
-    machine: RecoveryCoordinator
+    machine: RecoveryMachine
 
     def __init__(self, context: ComponentContext):
         super().__init__(context)
@@ -69,15 +69,13 @@
         boot_number = self.state.boot_number if self.state is not None else 1
         self.config = recovery_config(context)
         incarnation = secrets.randbits(INCARNATION_BITS) + 1
-        self.machine = RecoveryCoordinator(
-            self.config, self.now(), boot_number, incarnation, persisted_rows(self.state)
-        )
+        self.machine = RecoveryMachine(self.config, self.now(), boot_number, incarnation, persisted_rows(self.state))
         self.limits: SetAdmissionLimits | None = None
         self.on_boot_raised: Callable[[], None] = lambda: None
         self._orders_to_apply: dict[str, ApplyOrder] = {}  # by member; it may be added to the membership later
         self._pending_orders: dict[str, PendingOrder] = {}
         self._forward_membership = context.watch.membership_changed
-        context.admits = lambda: self.limits is not None and self.limits.ready
+        context.may_report_ready = lambda: self.limits is not None and self.limits.ready
         context.watch.membership_changed = self._membership_received
         context.watch.purged = self._purge_received
         context.watch.stream_received = lambda: self.feed(StreamActive())
--- a/rookbend/net/shard_checks.py
+++ b/rookbend/net/shard_checks.py
@@ -7,9 +7,9 @@
 
 from rookbend.health.check_schedule import CheckAssignment
 from rookbend.leases.actions import ApplyShardResults
-from rookbend.leases.coordinator import LeaseCoordinator
 from rookbend.leases.events import CheckResultsCollected
 from rookbend.leases.leader_tasks import FIRST_CHECKS_SCOPE, checks_scope_of
+from rookbend.leases.machine import LeaseMachine
 from rookbend.leases.sharded_checks import UNLED_INTERVAL_FACTOR, collect_findings
 
 
@@ -19,7 +19,7 @@
     def __init__(
         self,
         health: Any,
-        coordinator: LeaseCoordinator,
+        coordinator: LeaseMachine,
         check_names: Sequence[str],
         now: Callable[[], int],
         feed: Callable[[CheckResultsCollected], None],
--- a/rookbend/net/upgrade.py
+++ b/rookbend/net/upgrade.py
@@ -19,7 +19,7 @@
 
 from rookbend.core.clock import Clock
 from rookbend.net.listeners import Listeners
-from rookbend.operations.handover import Handover
+from rookbend.operations.handover import ProcessHandover
 from rookbend.protocol import upgrade as upgrade_protocol
 
 RETRY_S = 1
@@ -54,7 +54,7 @@
     def __init__(self, folder: str, name: str, clock: Clock, log: Callable[..., None], listeners: Listeners):
         self.path = Path(folder) / f"rookbend.{name}.sock"
         self.name, self.clock, self.log, self.listeners = name, clock, log, listeners
-        self.handover = Handover()
+        self.handover = ProcessHandover()
         self.links: dict[int, Link] = {}
         self.predecessor: Link | None = None
         self.on_exclusion: Callable[[str, bool], bool] = lambda member, out: False
@@ -68,7 +68,7 @@
         """Asks the process before for its sockets, if there is one."""
         if not self.path.exists() or len(os.fsencode(self.path)) > MAX_PATH_BYTES:
             return
-        self.listeners.predecessor = True
+        self.listeners.has_predecessor = True
         due = self.clock.now() + GIVE_TIMEOUT_US
         link, reason = Link(socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)), "it stands still"
         try:
@@ -78,7 +78,7 @@
                 await self._request_listeners(link)
         except CONNECTION_ERRORS as error:
             # Nobody listens at a path that a crash has left behind: there is no predecessor.
-            self.listeners.predecessor = not isinstance(error, ConnectionRefusedError)
+            self.listeners.has_predecessor = not isinstance(error, ConnectionRefusedError)
             reason = str(error) or type(error).__name__
         if self.predecessor is None:
             link.sock.close()
--- a/rookbend/operations/exclusions.py
+++ b/rookbend/operations/exclusions.py
@@ -1,6 +1,6 @@
 """Members excluded by an operator: whatever the membership says, nothing new goes there.
 
-The engine and the decision module see an excluded member as the membership gives it, with its state made `draining`: no
+The engine and the router see an excluded member as the membership gives it, with its state made `draining`: no
 request, no fill, no retry, and what waits in a queue is held back as its first byte goes out (`may_write`). So its
 place in the hash order stays, and the membership's own drain still wins. Exclusions are by name, not by address: a
 member that leaves the membership and comes back stays excluded.
--- a/rookbend/operations/handover.py
+++ b/rookbend/operations/handover.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(slots=True)
-class Handover:
+class ProcessHandover:
     """Fed by its methods, one an event. Successors are named by the number of their connection.
 
     `successors` says of each whether it serves.
--- a/rookbend/operations/reload_validation.py
+++ b/rookbend/operations/reload_validation.py
@@ -4,7 +4,7 @@
 (config.check), and if it names every key that the start's did: a key with a default, left out by a file that was
 truncated, would else change what the director does without a trace.
 
-The decision module is not built anew: it gets the new settings and keeps what it has learned (which cache holds what,
+The router is not built anew: it gets the new settings and keeps what it has learned (which cache holds what,
 which server fails, what was sent to warming members). Its classes keep their numbers: one that is no longer named
 stays in its place as retired, a new one is appended, so a request in flight is never looked up under another.
 """
--- a/rookbend/process_metrics.py
+++ b/rookbend/process_metrics.py
@@ -25,9 +25,11 @@
 class ProcessMetrics:
     """`pool` is there once the director serves. `full_lag_us` is the loop lag that counts as full load."""
 
-    def __init__(self, engine: Engine, front: ClientListener, budget: ResourceBudget, full_lag_us: int) -> None:
+    def __init__(
+        self, engine: Engine, client_listener: ClientListener, budget: ResourceBudget, full_lag_us: int
+    ) -> None:
         self.engine = engine
-        self.front = front
+        self.client_listener = client_listener
         self.budget = budget
         self.full_lag_us = full_lag_us
         self.pool: Pool | None = None
@@ -70,7 +72,7 @@
 
         engine = self.engine
         local_caches = [endpoint for endpoint in engine.endpoints.values() if self._is_local_cache(endpoint)]
-        descriptors = self._open_member_connections() + len(self.front.open) + OWN_DESCRIPTORS
+        descriptors = self._open_member_connections() + len(self.client_listener.open) + OWN_DESCRIPTORS
         return Sample(
             engine.lag_us / self.full_lag_us,
             engine.open_requests / engine.settings.max_requests_in_flight,
@@ -94,7 +96,7 @@
             "loop_lag_seconds": self.engine.lag_us / 1e6,
             "open_requests": self.engine.open_requests,
             "member_connections": self._open_member_connections(),
-            "clients_open": len(self.front.open),
+            "clients_open": len(self.client_listener.open),
         }
 
 
--- a/rookbend/recovery/order_replication.py
+++ b/rookbend/recovery/director_orders.py
@@ -19,7 +19,7 @@
         self.key = key
 
 
-class OrderReplication:
+class DirectorOrders:
     """Keeps the rows of orders, of this director and of all others."""
 
     def __init__(
--- a/rookbend/recovery/gossip_receiver.py
+++ b/rookbend/recovery/gossip_receiver.py
@@ -7,7 +7,6 @@
 from rookbend.coordination.events import DatagramReceived
 from rookbend.protocol import gossip
 from rookbend.recovery.actions import Action, RaiseBootNumber
-from rookbend.recovery.admission_control import AdmissionControl
 from rookbend.recovery.config import LocalIdentity
 from rookbend.recovery.gossip_sender import GossipSender
 from rookbend.recovery.missed_purges import MissedPurgeWindow
@@ -15,6 +14,7 @@
 from rookbend.recovery.peer_rows import PeerRowIntake
 from rookbend.recovery.peers import Peers, Phase, Rejection
 from rookbend.recovery.replicated_rows import PURGE
+from rookbend.recovery.startup_admission import StartupAdmission
 
 MAX_CALLS_OF_PEER = 200  # of one sample: a faulty one must not outweigh all others
 MAX_BOOT_NUMBER_STEP = 1_000_000
@@ -32,7 +32,7 @@
         intake: PeerRowIntake,
         missed_purges: MissedPurgeWindow,
         ramp: OriginRamp,
-        admission: AdmissionControl,
+        admission: StartupAdmission,
         actions: ActionQueue[Action],
     ):
         self._unreadable_datagrams = 0
--- a/rookbend/recovery/coordinator.py
+++ b/rookbend/recovery/machine.py
@@ -15,19 +15,19 @@
 from rookbend.protocol import gossip
 from rookbend.recovery import events, state_validity
 from rookbend.recovery.actions import Action
-from rookbend.recovery.admission_control import HINT_KIND, ORIGIN_HINT_KEY, AdmissionControl
 from rookbend.recovery.config import LocalIdentity, RecoveryConfig
+from rookbend.recovery.director_orders import DirectorOrders
 from rookbend.recovery.failure_classification import FailureClass, FailureClassifier
 from rookbend.recovery.gossip_receiver import PEER_KIND, GossipReceiver
 from rookbend.recovery.gossip_sender import GossipSender, LocalStatus
 from rookbend.recovery.membership import MembershipFilter
 from rookbend.recovery.missed_purges import MissedPurgeWindow
-from rookbend.recovery.order_replication import OrderReplication
 from rookbend.recovery.origin_ramp import OriginRamp
 from rookbend.recovery.peer_rows import PeerRowIntake
 from rookbend.recovery.peers import Peers, Phase
 from rookbend.recovery.purge_replication import PurgeReplication
 from rookbend.recovery.replicated_rows import DRAIN, ORDER, PURGE, ReplicatedState
+from rookbend.recovery.startup_admission import HINT_KIND, ORIGIN_HINT_KEY, StartupAdmission
 from rookbend.recovery.startup_stages import Stage
 from rookbend.recovery.state_validity import PersistedRow
 
@@ -38,7 +38,7 @@
 DATAGRAM_BURST = 40
 
 
-class RecoveryCoordinator:
+class RecoveryMachine:
     """Holds the parts. `due_us` is when the next `TimerExpired` is wanted; `persisted` are the rows found on disk;
     `sequence` has the present stage."""
 
@@ -63,8 +63,8 @@
         self.ramp = OriginRamp(_initial_rate(config, persisted, now), config.full_origin_rate, now)
         self.membership = MembershipFilter(config, now, self.rows.drains, self.actions)
         self.purges = PurgeReplication(config.purge_propagation_us, self.rows.purges, self.actions)
-        self.orders = OrderReplication(self.identity, config.director_count, self.rows.orders, self.actions)
-        self.admission = AdmissionControl(
+        self.orders = DirectorOrders(self.identity, config.director_count, self.rows.orders, self.actions)
+        self.admission = StartupAdmission(
             config, now, self.classifier, self.peers, self.ramp, self.membership, self.missed_purges, self.actions
         )
         self.sequence = self.admission.sequence
@@ -218,15 +218,15 @@
     return rate
 
 
-_HANDLERS: dict[type, Callable[[RecoveryCoordinator, int, Any], None]] = {
-    TimerExpired: RecoveryCoordinator._timer_expired,
-    DatagramReceived: RecoveryCoordinator._datagram_received,
-    events.MembershipReceived: RecoveryCoordinator._membership_received,
-    events.PurgeReceived: RecoveryCoordinator._purge_received,
-    events.StreamActive: RecoveryCoordinator._stream_active,
-    events.OriginCallStarted: RecoveryCoordinator._origin_call_started,
-    events.OriginCallEnded: RecoveryCoordinator._origin_call_ended,
-    events.OrderRequested: RecoveryCoordinator._order_requested,
-    events.OrderPersisted: RecoveryCoordinator._order_persisted,
-    events.OperatorCommand: RecoveryCoordinator._operator_command,
+_HANDLERS: dict[type, Callable[[RecoveryMachine, int, Any], None]] = {
+    TimerExpired: RecoveryMachine._timer_expired,
+    DatagramReceived: RecoveryMachine._datagram_received,
+    events.MembershipReceived: RecoveryMachine._membership_received,
+    events.PurgeReceived: RecoveryMachine._purge_received,
+    events.StreamActive: RecoveryMachine._stream_active,
+    events.OriginCallStarted: RecoveryMachine._origin_call_started,
+    events.OriginCallEnded: RecoveryMachine._origin_call_ended,
+    events.OrderRequested: RecoveryMachine._order_requested,
+    events.OrderPersisted: RecoveryMachine._order_persisted,
+    events.OperatorCommand: RecoveryMachine._operator_command,
 }
--- a/rookbend/recovery/peer_rows.py
+++ b/rookbend/recovery/peer_rows.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
+from rookbend.recovery.director_orders import DirectorOrders, MalformedOrderKeyError
 from rookbend.recovery.membership import MembershipFilter
 from rookbend.recovery.missed_purges import MissedPurgeWindow
-from rookbend.recovery.order_replication import MalformedOrderKeyError, OrderReplication
 from rookbend.recovery.peers import Peers
 from rookbend.recovery.purge_replication import MalformedPurgeKeyError, PurgeReplication
 from rookbend.recovery.replicated_rows import DRAIN, ORDER, PURGE, QuorumVotes, ReplicatedState, decode_value
@@ -19,7 +19,7 @@
         peers: Peers,
         membership: MembershipFilter,
         purges: PurgeReplication,
-        orders: OrderReplication,
+        orders: DirectorOrders,
         missed_purges: MissedPurgeWindow,
     ):
         self.rows = rows
--- a/rookbend/recovery/peers.py
+++ b/rookbend/recovery/peers.py
@@ -146,9 +146,9 @@
 
     def live_count(self, now: int) -> int:
         """How many directors show a sign of life, this one included."""
-        return len(self.live_members(now))
+        return len(self.live_directors(now))
 
-    def live_members(self, now: int) -> frozenset[int]:
+    def live_directors(self, now: int) -> frozenset[int]:
         """The numbers of the directors with a sign of life within `LIVE_US`, this one included."""
         signs = ((peer.number, max(peer.last_received_us, peer.relayed_us)) for peer in self.rows.values())
         live = (number for number, sign_us in signs if sign_us and now - sign_us <= LIVE_US)
--- a/rookbend/recovery/admission_control.py
+++ b/rookbend/recovery/startup_admission.py
@@ -66,7 +66,7 @@
         return frozenset(self._order[self._open if stage is Stage.READS else 0 :])
 
 
-class AdmissionControl:
+class StartupAdmission:
     """`assigned_quota(now)` is the quota that the leader of the ramp assigned, None while there is none; `limits` are
     the last that were set."""
 
--- a/rookbend/recovery/status.py
+++ b/rookbend/recovery/status.py
@@ -4,12 +4,12 @@
 
 from typing import Any
 
-from rookbend.recovery.coordinator import RecoveryCoordinator
+from rookbend.recovery.machine import RecoveryMachine
 from rookbend.recovery.peers import Peer
 from rookbend.recovery.startup_stages import Stage
 
 
-def fleet_status(coordinator: RecoveryCoordinator, now: int) -> dict[str, Any]:
+def fleet_status(coordinator: RecoveryMachine, now: int) -> dict[str, Any]:
     """This director and what it knows of the others; ages in milliseconds."""
     identity = coordinator.identity
     directors = [_own_row(coordinator, now)]
@@ -22,7 +22,7 @@
     }
 
 
-def _own_row(coordinator: RecoveryCoordinator, now: int) -> dict[str, Any]:
+def _own_row(coordinator: RecoveryMachine, now: int) -> dict[str, Any]:
     identity = coordinator.identity
     return {
         "number": identity.number,
@@ -50,7 +50,7 @@
     }
 
 
-def recovery_status(coordinator: RecoveryCoordinator, now: int) -> dict[str, Any]:
+def recovery_status(coordinator: RecoveryMachine, now: int) -> dict[str, Any]:
     """Why this director is in its stage, and what it waits for."""
     conditions = coordinator.admission.conditions(now)
     sequence = coordinator.sequence
--- a/rookbend/routing/admission.py
+++ b/rookbend/routing/admission.py
@@ -23,7 +23,7 @@
         """Whether requests of the class, by its place in the settings, are taken at all."""
         return class_index not in self.rejected_classes
 
-    def refusal(self, request: Request) -> Reject | Fail:
+    def final_answer(self, request: Request) -> Reject | Fail:
         """The final answer to a request that gets no attempt: a rejection where the client may repeat it."""
         if not (self.settings.allows_retry_after and is_repeatable(request)):
             return Fail(request.id)
--- a/rookbend/routing/read_sending.py
+++ b/rookbend/routing/read_sending.py
@@ -22,7 +22,7 @@
 TIMEOUT_TRANSFER_RATIO = 6.0
 RETENTION_RANK = 1
 MIN_MAX_AGE_US = 1  # 0 would mean the class's fresh time
-CLASS_FRESH_TIME = 0
+DEFAULT_MAX_AGE_US = 0
 
 
 class ReadSender:
@@ -106,7 +106,7 @@
                 attempt.timeout_us,
                 member.server if source_server is None else source_server,
                 RETENTION_RANK,
-                CLASS_FRESH_TIME if purged_us is None else self._max_age_us(request, purged_us, now_us),
+                DEFAULT_MAX_AGE_US if purged_us is None else self._max_age_us(request, purged_us, now_us),
                 self.settings.supports_joined_fills and purged_us is None,
                 parent_only,
             )
--- a/rookbend/routing/request_lifecycle.py
+++ b/rookbend/routing/request_lifecycle.py
@@ -153,7 +153,7 @@
             self._release_waiters(request, attempt)
         elif step is NextStep.FAILED:
             del self.open_requests[request.id]
-            self.hand_over(request)
+            self.promote_waiter(request)
         elif step is NextStep.BACK_OFF:
             self.actions.append(self.timers.start(self.retry_policy.write_backoff_us(request), request))
         elif step is NextStep.REJECT:
@@ -166,7 +166,7 @@
             request.cache_missed = True
             self.send(request, attempt.server)
         elif step is NextStep.HAND_OVER_AND_RETRY:
-            self.hand_over(request)
+            self.promote_waiter(request)
             self.join_or_lead(request)
         else:
             self.send(request)
@@ -178,7 +178,7 @@
             waiter.collapsed_fill = None
             self.send(waiter, attempt.server, attempt.source)
 
-    def hand_over(self, leader: Request) -> None:
+    def promote_waiter(self, leader: Request) -> None:
         """A leader goes without having been served: the oldest waiter leads, and chooses for itself."""
         fill = self.collapser.end(leader)
         if fill is not None and fill.waiters:
@@ -188,7 +188,7 @@
         """Take a request out of the queue and away from the fill that it leads or waits for."""
         self.fill_queue.discard(request)
         if request.is_leader:
-            self.hand_over(request)
+            self.promote_waiter(request)
         else:
             self.collapser.stop_waiting(request)
 
@@ -207,5 +207,5 @@
     def reject(self, request: Request) -> None:
         """The final answer at once, where no attempt can be made."""
         self.open_requests.pop(request.id, None)
-        self.actions.append(self.admission.refusal(request))
+        self.actions.append(self.admission.final_answer(request))
         self.detach(request)
--- a/rookbend/service.py
+++ b/rookbend/service.py
@@ -69,7 +69,7 @@
         self.peers: PeerSocket | None = None
         self._stopping = trio.Event()
         self.counters = Counters()
-        self.outbox = WriteScheduler()
+        self.write_scheduler = WriteScheduler()
         self.listeners = Listeners()
         self.budget = ResourceBudget(config.limits)
         self.clock = Clock(trio.lowlevel.current_clock().current_time, unix)
@@ -82,14 +82,14 @@
         """The engine, and what stands between it and the coordinator and the clients."""
         self.engine = build_engine(self.config, self.clock, self.counters, self.log)
         self.watch = build_watch(self.config, self.engine)
-        self.front = ClientListener(
+        self.client_listener = ClientListener(
             PlatformFront(self.engine, self.is_ready, self.is_closed),
             self.budget.max_clients,
             self.budget.max_unsent_bytes(),
             self.counters,
-            self.outbox,
+            self.write_scheduler,
         )
-        self.metrics = ProcessMetrics(self.engine, self.front, self.budget, self.operators.headroom.lag_us)
+        self.metrics = ProcessMetrics(self.engine, self.client_listener, self.budget, self.operators.headroom.lag_us)
 
     def _build_components(self) -> None:
         """What the operators' settings enable; what is off is None."""
@@ -101,8 +101,8 @@
             self.clock,
             self.counters,
             self.log,
-            self.outbox,
-            self.front.max_clients,
+            self.write_scheduler,
+            self.client_listener.max_clients,
             self.reported_phase,
             self.metrics.sample,
             self.listeners,
@@ -136,15 +136,15 @@
             ),
             read_config,
         )
-        self.drain = Drain(DrainContext(self.clock, self.engine, self.front, self.components, self.upgrade))
+        self.drain = Drain(DrainContext(self.clock, self.engine, self.client_listener, self.components, self.upgrade))
 
     def is_ready(self) -> bool:
         """Whether requests can be served: not before one member is known to be in service."""
-        return self.phase is Phase.READY and self.engine.has_member_in_service() and self.context.admits()
+        return self.phase is Phase.READY and self.engine.has_member_in_service() and self.context.may_report_ready()
 
     def reported_phase(self) -> str:
         """The phase as balancers in front read it: not ready while a component holds it back."""
-        is_held_back = self.phase is Phase.READY and not self.context.admits()
+        is_held_back = self.phase is Phase.READY and not self.context.may_report_ready()
         return (Phase.STARTING if is_held_back else self.phase).value
 
     def is_closed(self) -> bool:
@@ -184,7 +184,7 @@
         self, nursery: trio.Nursery, listener: socket, signals: AsyncIterator[int] | None
     ) -> trio.CancelScope:
         """Starts what every director runs; returns the scope that accepts clients."""
-        pool = build_pool(self.config, self.engine, self.counters, nursery, self.outbox, self.budget)
+        pool = build_pool(self.config, self.engine, self.counters, nursery, self.write_scheduler, self.budget)
         self.pool = pool
         self.metrics.pool = pool
         self.engine.backend = pool
@@ -194,14 +194,14 @@
             nursery.start_soon(self._handle_signals, signals)
         if self.peers is not None:
             nursery.start_soon(self.peers.run)
-        nursery.start_soon(self.outbox.run)
+        nursery.start_soon(self.write_scheduler.run)
         nursery.start_soon(self.metrics.run_timers)
         nursery.start_soon(self.metrics.measure_lag)
-        nursery.start_soon(self.front.watch_clients)
+        nursery.start_soon(self.client_listener.watch_clients)
         nursery.start_soon(self.watch.run)
         nursery.start_soon(pool.close_idle_connections)
         accepting = trio.CancelScope()
-        nursery.start_soon(self.front.serve, listener, accepting)
+        nursery.start_soon(self.client_listener.serve, listener, accepting)
         return accepting
 
     def _enter(self, phase: Phase) -> None:
@@ -222,7 +222,7 @@
         handover = self.upgrade.handover
         self.pool.max_connections = self.budget.max_member_connections(handover.processes)
         self.engine.set_active_processes(handover.active_processes)
-        self.front.max_unsent_bytes = self.budget.max_unsent_bytes(handover.processes)
+        self.client_listener.max_unsent_bytes = self.budget.max_unsent_bytes(handover.processes)
         if self.peers is not None:
             self.peers.set_receiving(not handover.taken_over)
 
--- a/rookbend/testing/lease_simulation.py
+++ b/rookbend/testing/lease_simulation.py
@@ -14,10 +14,10 @@
 from rookbend.coordination.actions import DeleteRow, PersistRow, SendDatagram, WriteLogLine
 from rookbend.coordination.events import DatagramReceived, TimerExpired
 from rookbend.leases import actions, events
-from rookbend.leases.config import CoordinatorConfig
-from rookbend.leases.coordinator import LeaseCoordinator
+from rookbend.leases.config import LeaseConfig
 from rookbend.leases.leader_tasks import LEASED_TASK_NAMES, scopes_of
 from rookbend.leases.lease import Holder, LeaseTerms
+from rookbend.leases.machine import LeaseMachine
 from rookbend.testing.lease_invariants import LeaseInvariants, SimulatedLedger
 from rookbend.testing.lease_simulation_parts import EPOCH_US, SECOND_US, Schedule, SimulatedDirector, SimulatedNetwork
 
@@ -96,9 +96,9 @@
         director.starts += 1
         incarnation = self.random.getrandbits(INCARNATION_BITS) + 1
         shape = director.number, self.count, "sim", self.seed, self.voters
-        config = CoordinatorConfig(*shape, LeaseTerms(), self.tasks, self.shards, self.report_period_us)
+        config = LeaseConfig(*shape, LeaseTerms(), self.tasks, self.shards, self.report_period_us)
         rows = tuple((kind, key, value) for (kind, key), value in director.storage.items())
-        coordinator = LeaseCoordinator(config, self.clock(director), incarnation, rows)
+        coordinator = LeaseMachine(config, self.clock(director), incarnation, rows)
         director.coordinator = coordinator
         director.applied_orders = []
         director.order_outcomes = {}
@@ -125,7 +125,7 @@
             for event in delayed:
                 self.feed(director, event)
 
-    def _timer_expired(self, director: SimulatedDirector, coordinator: LeaseCoordinator) -> None:
+    def _timer_expired(self, director: SimulatedDirector, coordinator: LeaseMachine) -> None:
         if director.coordinator is not coordinator:
             return
         if not director.frozen:
@@ -133,13 +133,13 @@
         wait_us = max(LEAST_TIMER_US, coordinator.due_us - self.clock(director))
         self.schedule.after(wait_us, self._timer_expired, director, coordinator)
 
-    def _poll_liveness(self, director: SimulatedDirector, coordinator: LeaseCoordinator) -> None:
+    def _poll_liveness(self, director: SimulatedDirector, coordinator: LeaseMachine) -> None:
         """Who is up, as recovery's gossip reports it: a little late, and not across a cut link."""
         if director.coordinator is not coordinator:
             return
         if not director.frozen:
             live = frozenset(peer.number for peer in self.directors if self._hears(director, peer))
-            event = events.LiveMembersChanged(live)
+            event = events.LiveDirectorsChanged(live)
             self.schedule.after(LIVENESS_DELAY_US, self._feed_incarnation, director, coordinator, event)
         self.schedule.after(POLL_INTERVAL_US, self._poll_liveness, director, coordinator)
 
@@ -150,7 +150,7 @@
         return is_up and (peer.number, director.number) not in self.network.cut_links
 
     def _feed_incarnation(
-        self, director: SimulatedDirector, coordinator: LeaseCoordinator | None, event: events.Event
+        self, director: SimulatedDirector, coordinator: LeaseMachine | None, event: events.Event
     ) -> None:
         if director.coordinator is coordinator:
             self.feed(director, event)
--- a/rookbend/testing/lease_simulation_parts.py
+++ b/rookbend/testing/lease_simulation_parts.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from rookbend.leases import events
-from rookbend.leases.coordinator import LeaseCoordinator
+from rookbend.leases.machine import LeaseMachine
 
 SECOND_US = 1_000_000
 EPOCH_US = 1_764_576_000 * SECOND_US
@@ -25,7 +25,7 @@
     clock_step_us: int = 0  # by which its clock was set at its last start
     storage: dict[tuple[str, str], bytes] = field(default_factory=dict)
     storage_fails: bool = False
-    coordinator: LeaseCoordinator | None = None
+    coordinator: LeaseMachine | None = None
     starts: int = 0
     frozen: bool = False
     delayed_events: list[events.Event] = field(default_factory=list)  # while frozen
--- a/rookbend/testing/recovery_node.py
+++ b/rookbend/testing/recovery_node.py
@@ -9,8 +9,8 @@
 from rookbend.core.model import Endpoint
 from rookbend.recovery.actions import ApplyOrder, ForwardMembership, RaiseBootNumber, SetAdmissionLimits
 from rookbend.recovery.config import TrafficClassCost
-from rookbend.recovery.coordinator import RecoveryCoordinator
 from rookbend.recovery.events import Event
+from rookbend.recovery.machine import RecoveryMachine
 from rookbend.recovery.state_validity import PersistedRow
 from rookbend.state.ledger import Ledger
 
@@ -32,7 +32,7 @@
     number: int
     disk: Ledger = field(default_factory=empty_disk)
     boot_number: int = 0
-    machine: RecoveryCoordinator | None = None
+    machine: RecoveryMachine | None = None
     limits: SetAdmissionLimits | None = None
     tokens: float = 0.0
     tokens_us: int = 0
--- a/rookbend/testing/recovery_simulation.py
+++ b/rookbend/testing/recovery_simulation.py
@@ -22,7 +22,7 @@
 from rookbend.recovery import events
 from rookbend.recovery.actions import SetAdmissionLimits
 from rookbend.recovery.config import RecoveryConfig
-from rookbend.recovery.coordinator import RecoveryCoordinator
+from rookbend.recovery.machine import RecoveryMachine
 from rookbend.state.ledger import Key, Ledger
 from rookbend.state.model import Row
 from rookbend.testing.recovery_demand import STEP_US, Demand
@@ -148,7 +148,7 @@
             number, self.count, "sim", self.seed, CLASSES, 0, PARENT, ORIGIN, 6 * SECOND, gossip_enabled=self.gossip
         )
         incarnation = self.random.getrandbits(INCARNATION_BITS) + 1
-        machine = RecoveryCoordinator(config, self.now, node.boot_number, incarnation, node.persisted_rows())
+        machine = RecoveryMachine(config, self.now, node.boot_number, incarnation, node.persisted_rows())
         node.machine = machine
         node.incarnations.append((node.boot_number, incarnation))
         node.tokens = self.random.random()
@@ -160,7 +160,7 @@
         if self.recovery:
             self._push(self.now, self._timer, number, machine)
 
-    def _timer(self, number: int, machine: RecoveryCoordinator) -> None:
+    def _timer(self, number: int, machine: RecoveryMachine) -> None:
         node = self.nodes[number]
         if node.machine is not machine:
             return
--- a/tests/test_client_leaves.py
+++ b/tests/test_client_leaves.py
@@ -206,7 +206,7 @@
         for i in range(1, count):
             await stage.play(f"cache1 send ok rid={i:016x} note=mem body={BIG}")
         await stage.play("director wait 0.1")
-        (client,) = stage.service.front.open
+        (client,) = stage.service.client_listener.open
         assert client.socket.backlog_bytes > PAUSE_ABOVE_BYTES
         await sock.send(request(count + 1))  # waits: its answer could not be taken
         await stage.play("cache1 expect nothing")
--- a/tests/test_client_port.py
+++ b/tests/test_client_port.py
@@ -76,7 +76,7 @@
         assert least <= trio.current_time() - began < most
         if heard != "closed":
             await stage.play("client expect closed")
-        return stage.service.front
+        return stage.service.client_listener
 
     assert not on_stage(check).open
 
@@ -98,7 +98,7 @@
     """Guards the usual clients: hundreds that only connected had the newcomers turned away."""
 
     async def check(stage):
-        stage.service.front.max_clients = 3
+        stage.service.client_listener.max_clients = 3
         client = stage.actors["client"]
         await stage.play("other send request 1 video chunk=1 budget=5000\ncache1 expect do rid=0000000000000001")
         for _ in range(5):
@@ -125,7 +125,7 @@
     """Guards the newcomer: it was let go before it could ask, by the next one, in its first milliseconds."""
 
     async def check(stage):
-        stage.service.front.max_clients = 2
+        stage.service.client_listener.max_clients = 2
         client, other = stage.actors["client"], stage.actors["other"]
         await stage.play("other send ready? 1\nother expect ready\nother send ready? 2\nother expect ready")
         await client.open()
@@ -145,7 +145,7 @@
         with socket.create_server(("127.0.0.1", 0)) as listener:
             theirs = socket.create_connection(listener.getsockname())
             ours, _ = listener.accept()
-        front, size = stage.service.front, 4 << 20
+        front, size = stage.service.client_listener, 4 << 20
         theirs.setblocking(False)
         theirs.send(b"x")
         theirs.shutdown(socket.SHUT_WR)  # the byte and the end are read in one turn of the loop
@@ -163,7 +163,7 @@
     async def check(stage):
         ours, theirs = socket.socketpair()
         ours.setblocking(False)
-        channel = BufferedSocket(ours, stage.nursery, stage.service.outbox)
+        channel = BufferedSocket(ours, stage.nursery, stage.service.write_scheduler)
         parts = [bytes([i % 256]) * size for i in range(count)]
         for part in parts:
             channel.write(part)
--- a/tests/test_operations_settings.py
+++ b/tests/test_operations_settings.py
@@ -1,4 +1,4 @@
-"""Settings that change: which files are turned down, and what a change means to the decision module."""
+"""Settings that change: which files are turned down, and what a change means to the router."""
 
 import copy
 import json
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -12,7 +12,7 @@
 from rookbend.core.model import Endpoint, MembershipChange, Purge
 from rookbend.interface import AdmissionLimitsChanged, Member, MemberState, RequestArrived
 from rookbend.protocol import gossip as wire
-from rookbend.recovery import actions, coordinator, events, replicated_rows
+from rookbend.recovery import actions, events, machine, replicated_rows
 from rookbend.recovery.config import RecoveryConfig, TrafficClassCost
 from rookbend.recovery.failure_classification import FailureClass
 from rookbend.recovery.startup_stages import Stage
@@ -83,7 +83,7 @@
         6 * SECOND,
         **more,
     )
-    d = coordinator.RecoveryCoordinator(config, now, boot, 77, tuple(PersistedRow(*row) for row in kept))
+    d = machine.RecoveryMachine(config, now, boot, 77, tuple(PersistedRow(*row) for row in kept))
     d.started_with = d.begin(now)
     return d
 
@@ -182,10 +182,10 @@
     ask = wire.encode(wire.RowRequest(wire.fleet_number("f"), 1, 5, 0, ""))
     for i in range(1000):
         sent += sum(type(a) is SendDatagram for a in d.feed(NOW + i * 1000, DatagramReceived(1, ask)))
-    assert sent <= coordinator.DATAGRAM_BURST + coordinator.DATAGRAMS_PER_S + 1 and d.actions.suppressed > 900
+    assert sent <= machine.DATAGRAM_BURST + machine.DATAGRAMS_PER_S + 1 and d.actions.suppressed > 900
 
 
-# The decision module under limits
+# The router under limits
 
 
 def test_the_module_refuses_a_closed_class_at_once_with_spread_times():
@@ -222,7 +222,7 @@
         sim.run(45 * SECOND)
         assert sim.stages() == {"serving": count} and sim.origin.falls == 0 and sim.origin.most < 0.95
         most = max(sim.datagrams.values()) / count
-        assert most <= coordinator.DATAGRAMS_PER_S + coordinator.DATAGRAM_BURST
+        assert most <= machine.DATAGRAMS_PER_S + machine.DATAGRAM_BURST
 
 
 def test_the_same_rush_without_recovery_does_push_it_over():
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -21,7 +21,7 @@
 
 def test_a_connection_in_the_backlog_is_answered_before_the_listener_closes():
     async def check(stage):
-        stage.service.front.max_clients = 0  # nobody is accepted: it waits in the listener's backlog
+        stage.service.client_listener.max_clients = 0  # nobody is accepted: it waits in the listener's backlog
         client = await RawClient(stage).connect()
         await client.send(request(1))
         stage.service.stop()
@@ -44,7 +44,7 @@
             await unread.wait()
             return await real()
 
-        (connection,) = stage.service.front.open
+        (connection,) = stage.service.client_listener.open
         real, connection.socket.receive = connection.socket.receive, paused
         await client.send(request(1))  # read by the receive under way
         await client.send(request(2, chunk=1))  # lies unread from here on
@@ -116,7 +116,7 @@
         for stream in range(1, count + 1):
             await stage.play(f"cache1 send ok rid={stream:016x} note=mem body={'x' * 200_000}")
         await trio.testing.wait_all_tasks_blocked()
-        (connection,) = stage.service.front.open
+        (connection,) = stage.service.client_listener.open
         assert connection.socket.backlog_bytes
         stage.service.stop()
         await trio.sleep(LATECOMERS_S + 0.1)
@@ -138,7 +138,7 @@
         await client.send(request(1))
         await stage.play("cache1 expect do rid=0000000000000001\ncache1 send ok note=mem body=hello")
         stage.service.stop()
-        (connection,) = stage.service.front.open
+        (connection,) = stage.service.client_listener.open
         real = connection.socket.finish
 
         def crossed():
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -17,8 +17,8 @@
 from rookbend.recovery import replicated_rows
 from rookbend.recovery.actions import ApplyOrder, ApplyPurge, SetAdmissionLimits
 from rookbend.recovery.config import RecoveryConfig, TrafficClassCost
-from rookbend.recovery.coordinator import RecoveryCoordinator
 from rookbend.recovery.issued_names import IssuedNames
+from rookbend.recovery.machine import RecoveryMachine
 from rookbend.recovery.state_validity import PersistedRow
 from rookbend.state.disk import Disk
 from rookbend.state.ledger import Ledger
@@ -81,7 +81,7 @@
     classes = (TrafficClassCost(True, 8.0, 1.0), TrafficClassCost(False, 1.0, 1.0))
     propagation_us = NOW - min(values_of("purge").values()) * 1000
     config = RecoveryConfig(0, 3, "sim", 7, classes, 0, 1, 2, propagation_us)
-    coordinator = RecoveryCoordinator(config, NOW, EXPECTED["boot"] + 1, 5, persisted)
+    coordinator = RecoveryMachine(config, NOW, EXPECTED["boot"] + 1, 5, persisted)
     actions = coordinator.begin(NOW)
     orders = values_of("order")
     assert [a for a in actions if isinstance(a, ApplyOrder)] == [
--- a/tests/test_upgrade_handover.py
+++ b/tests/test_upgrade_handover.py
@@ -3,7 +3,7 @@
 import pytest
 
 from rookbend.operations import persisted_state
-from rookbend.operations.handover import Handover, HandoverPhase
+from rookbend.operations.handover import HandoverPhase, ProcessHandover
 from rookbend.protocol import upgrade as messages
 
 
@@ -40,7 +40,7 @@
 
 
 def test_the_parts_of_both_processes_never_add_up_to_more_than_one():
-    predecessor, successor = Handover(), Handover()
+    predecessor, successor = ProcessHandover(), ProcessHandover()
     assert (predecessor.phase, predecessor.active_processes, predecessor.processes) == (HandoverPhase.ALONE, 1, 1)
     predecessor.successor_asked(1)
     successor.listeners_inherited()
@@ -62,7 +62,7 @@
 
 
 def test_a_word_of_a_process_that_never_asked_takes_nothing_over():
-    predecessor = Handover()
+    predecessor = ProcessHandover()
     predecessor.successor_serves(1)
     assert not predecessor.taken_over
     predecessor.successor_asked(2)
