--- a/rookbend/core/engine.py
+++ b/rookbend/core/engine.py
@@ -108,7 +108,10 @@
     # Called by the fronts
 
     def submit(self, request: Request, reply: Callable[[Answer], None]) -> OpenRequest | None:
-        """Takes a request; `reply` is called exactly once, unless the request is cancelled first."""
+        """Takes a request; `reply` is called exactly once, unless the request is cancelled first.
+
+        Returns None where it was answered within the call.
+        """
         self.counters.requests += 1
         self.counters.retries += request.is_retry
         finish_all_at_us = self._deadlines.finish_all_at_us
--- a/rookbend/core/received_purges.py
+++ b/rookbend/core/received_purges.py
@@ -6,6 +6,8 @@
 from rookbend.core.model import Purge
 from rookbend.interface import PurgeReceived, Settings
 
+RETENTION_PROPAGATION_TIMES = 2  # once the stated time for the copies to go, once as margin
+
 
 class ReceivedPurges:
     """The time at which the latest purge of an object, or of a group of objects, was received."""
@@ -29,7 +31,7 @@
         """Records one purge as the newest, and drops those that no copy is older than any more."""
         received_us.pop(purged, None)
         received_us[purged] = now_us
-        expired_us = now_us - 2 * self.settings.purge_propagation_us
+        expired_us = now_us - RETENTION_PROPAGATION_TIMES * self.settings.purge_propagation_us
         while (oldest := next(iter(received_us))) != purged and received_us[oldest] < expired_us:
             del received_us[oldest]
 
--- a/rookbend/core/retry_safety.py
+++ b/rookbend/core/retry_safety.py
@@ -31,7 +31,11 @@
 
 
 def may_retry(open_request: OpenRequest, member: Member, settings: Settings, now_us: int) -> bool:
-    """Whether an attempt at `member` may begin, as far as earlier ones may have run."""
+    """Whether an attempt at `member` may begin, as far as earlier ones may have run.
+
+    The engine's rule is stricter than the router's (`routing/retry_policy.py`) and wins: no write counts as
+    idempotent, and the window of an idempotency key ends `WINDOW_MARGIN_US` early.
+    """
     if open_request.is_idempotent or not open_request.may_have_run:
         return True
     traffic_class = settings.classes[open_request.request.traffic_class]
--- a/rookbend/core/token_bucket.py
+++ b/rookbend/core/token_bucket.py
@@ -1,4 +1,4 @@
-"""A token bucket: the one way to state a rate limit. Pure; times are microseconds."""
+"""A token bucket: the rate limit everywhere but in routing, which refills in floats. Pure; times are microseconds."""
 
 from __future__ import annotations
 
--- a/rookbend/drain.py
+++ b/rookbend/drain.py
@@ -23,7 +23,7 @@
     from rookbend.net.upgrade import Upgrade
 
 GRACE_US = 700_000  # after SIGTERM new requests still arrive for this long, and are served
-LONGEST_DEADLINE_US = 3_000_000  # SIGKILL follows after the longest deadline, at least this, and 0.7 s more
+MAX_ANSWER_TIME_US = 3_000_000  # longer deadlines are cut to this: SIGKILL may come 0.7 s after it
 KILL_MARGIN_US = 200_000  # everything is answered so long before SIGKILL
 POLL_INTERVAL_S = 0.01
 
@@ -85,7 +85,7 @@
         """How long after SIGTERM everything accepted has its answer: before SIGKILL may come."""
         classes = self._context.engine.settings.classes
         longest_us = max(traffic_class.deadline_us for traffic_class in classes)
-        return min(longest_us, LONGEST_DEADLINE_US) + GRACE_US - KILL_MARGIN_US
+        return min(longest_us, MAX_ANSWER_TIME_US) + GRACE_US - KILL_MARGIN_US
 
     def _is_busy(self) -> bool:
         context = self._context
--- a/rookbend/health/spare_capacity.py
+++ b/rookbend/health/spare_capacity.py
@@ -18,7 +18,7 @@
 class Sample:
     """What a director measures of itself: shares of what is allowed, 0 to 1.
 
-    `lag` is of the loop lag at which new requests are rejected; `open` of requests in flight. `members` are the
+    `lag` is of the loop lag that `[headroom] lag` counts as full; `open` of requests in flight. `members` are the
     director's own caches in the membership, `in_use` those of them that serve.
     """
 
--- a/rookbend/interface/settings.py
+++ b/rookbend/interface/settings.py
@@ -18,16 +18,17 @@
     """How an attempt ended."""
 
     OK = 1
-    ERROR = 2
-    FULL = 3
+    ERROR = 2  # answered with an error
+    FULL = 3  # rejected by the member: no capacity
     TIMEOUT = 4
-    CONNECT_FAILED = 5
+    CONNECT_FAILED = 5  # not sent whole
     RESET = 6
     CANCELLED = 7
-    MOOT = 8
-    MISS = 9
+    MOOT = 8  # never sent, or no longer wanted
+    MISS = 9  # a cache-only attempt found no copy
 
 
+# The request did not run there: a write may be repeated freely after these.
 NEVER_EXECUTED = frozenset({AttemptStatus.FULL, AttemptStatus.CONNECT_FAILED, AttemptStatus.MOOT, AttemptStatus.MISS})
 
 
@@ -36,14 +37,14 @@
 
     NONE = 0
     HIT = 1
-    FILLED = 2
-    ORIGIN_ASKED = 3
-    JOINED = 4
+    FILLED = 2  # from a copy of the parent
+    ORIGIN_ASKED = 3  # filled from the origin
+    JOINED = 4  # with a fill that was in flight
     STALE = 5
     SOURCE_REFUSED = 6
     SOURCE_UNREACHABLE = 7
-    SOURCE_LACKS = 8
-    NO_FILL_PLACE = 9
+    SOURCE_LACKS = 8  # the parent has no copy, and was not to ask the origin
+    NO_FILL_PLACE = 9  # the cache's own capacity for fills is in use
     ORIGIN_FAILED = 10
 
 
--- a/rookbend/leases/election.py
+++ b/rookbend/leases/election.py
@@ -204,5 +204,6 @@
             return
         if min(highest_token, highest_believable_token(now_us)) > lease.token:
             token = lease.token
-            self.lose(now_us, scope, f"director {informant} knows a newer owner")
+            source = "the ledger" if informant == NO_DIRECTOR else f"director {informant}"
+            self.lose(now_us, scope, f"{source} knows a newer owner")
             self._messenger.send_release(now_us, scope, token)
--- a/rookbend/leases/handover.py
+++ b/rookbend/leases/handover.py
@@ -50,7 +50,7 @@
         self._departures: list[Departure] = []
 
     def hand_over(self, now_us: int, scope: int, successor: int) -> None:
-        """Gives a held scope to that director, or to whom it may concern."""
+        """Gives a held scope to that director or, with NO_DIRECTOR, to any."""
         token = self._leases.leases[scope].token
         self._election.lose(now_us, scope, f"handed to {successor}")
         wait_us = self._terms.handover_us + self._election.stagger_us(scope)
--- a/rookbend/leases/voter_configuration.py
+++ b/rookbend/leases/voter_configuration.py
@@ -9,7 +9,7 @@
 from rookbend.leases.events import VotersChanged
 from rookbend.leases.lease import Quorums
 
-DIGEST_MODULUS = 0xFFFB
+DIGEST_MODULUS = 0xFFFB  # the digest has two bytes on the wire; two sets of voters may share one
 
 
 class VoterConfiguration:
--- a/rookbend/leases/voting.py
+++ b/rookbend/leases/voting.py
@@ -108,7 +108,7 @@
         return VoteRow(scope, round_number, vote.granted, vote.token, vote.director, vote.remaining_us // 1000)
 
     def grant_persisted(self, now_us: int, event: RowPersisted) -> None:
-        """The row of a grant was written, or refused: then this voter would forget it in a restart, and votes not."""
+        """The row of a grant was written, or refused: this voter would forget it in a restart, so it does not vote."""
         pending = self._pending.pop(event.key)
         if pending is None:
             return
--- a/rookbend/net/leases.py
+++ b/rookbend/net/leases.py
@@ -46,6 +46,7 @@
         names -= {"checks"}
     if wanted.report_ledger is None and not wanted.report_file:
         names -= {"report"}
+    # Raises UnknownTaskError where the table of leader tasks has no guard for the report.
     leader_task("report" if wanted.report_ledger is not None else "report-file")
     return names
 
--- a/rookbend/net/pool.py
+++ b/rookbend/net/pool.py
@@ -18,7 +18,7 @@
 
 
 class Pool:
-    """The engine's backend on sockets: see `rookbend.core.open_request.Backend`."""
+    """The engine's backend on sockets: see `rookbend.core.ports.Backend`."""
 
     def __init__(
         self,
--- a/rookbend/net/recovery.py
+++ b/rookbend/net/recovery.py
@@ -222,7 +222,7 @@
     # The timer
 
     def timer_handled(self) -> None:
-        """Refreshes the rate: requests that wait in the engine for their turn see time pass by this alone."""
+        """Refreshes the rate: requests in the router's fill queue start only when an event comes."""
         if self.limits is not None and self.limits.origin_rate is not None:
             self.engine.set_admission_limits(self.limits.closed_classes, self.limits.origin_rate)
 
--- a/rookbend/recovery/actions.py
+++ b/rookbend/recovery/actions.py
@@ -36,8 +36,8 @@
     """Limits for the router.
 
     `ready`: whether the director admits requests at all; `closed_classes`: traffic classes that are rejected;
-    `origin_rate`: calls a second towards the origin, None: unlimited; `oldest_copy_us`: copies that left the origin
-    before this Unix microsecond are not used, 0: any.
+    `origin_rate`: this director's calls a second towards the origin, None: unlimited; `oldest_copy_us`: copies that
+    left the origin before this Unix microsecond are not used, 0: any.
     """
 
     ready: bool
--- a/rookbend/recovery/events.py
+++ b/rookbend/recovery/events.py
@@ -10,7 +10,7 @@
 
 
 class RecoveryCommand(Enum):
-    """What an operator may order: stay in this stage, go on, enter the next stage without its preferred conditions."""
+    """What an operator may order: enter no later stage, go on, enter the next without its preferred conditions."""
 
     HOLD = "hold"
     RESUME = "resume"
--- a/rookbend/recovery/failure_classification.py
+++ b/rookbend/recovery/failure_classification.py
@@ -3,7 +3,7 @@
     unsure      too few peers have been heard of
     alone       the peers were up during this director's outage: the fleet is well, return quickly
     part        some were up, some started when this director did: return slowly
-    whole       the peers started when this director did: the fleet lost power, return slowly
+    whole       the peers started when this director did: the fleet lost power, return slowly; so without any peers
     cut-off     no peer is heard: reported as isolation, not taken for a power loss; return slowly
 
 One faulty peer changes nothing: `alone`, the only class that permits more, needs two thirds of the active peers, and
--- a/rookbend/recovery/peers.py
+++ b/rookbend/recovery/peers.py
@@ -22,7 +22,7 @@
 
 
 class Phase(IntEnum):
-    """How far a director has returned to service."""
+    """How far a director has returned to service; SERVING begins at the stage BACKGROUND."""
 
     DARK = 0
     RECOVERING = 1
--- a/rookbend/recovery/startup_stages.py
+++ b/rookbend/recovery/startup_stages.py
@@ -140,7 +140,10 @@
         self._skip = False
 
     def skip(self) -> None:
-        """Enters the next stage without its preferred conditions, minimum time and deadline."""
+        """Enters the next stage without its preferred conditions, minimum time and deadline.
+
+        It does so once nothing required is missing, and stays pending until then.
+        """
         self._skip = True
 
     def update(self, now: int, conditions: StartupConditions) -> bool:
--- a/rookbend/routing/write_sending.py
+++ b/rookbend/routing/write_sending.py
@@ -56,7 +56,7 @@
 
 
 def timeout_us(request: Request) -> float:
-    """Time-out of a write, before it is doubled as that of any attempt.
+    """Time-out of a write in microseconds, before it is doubled once more as that of any attempt: four times each time.
 
     What must not run twice gets no other attempt, and no time-out but its deadline: one would only drop answers.
     """
