--- a/rookbend/leases/actions.py
+++ b/rookbend/leases/actions.py
@@ -1,4 +1,4 @@
-"""Actions of the lease coordinator, which its driver carries out in order."""
+"""Actions of the lease state machine, which its driver carries out in order."""
 
 from __future__ import annotations
 
--- a/rookbend/leases/config.py
+++ b/rookbend/leases/config.py
@@ -1,4 +1,4 @@
-"""The configuration of a lease coordinator."""
+"""The configuration of a lease state machine."""
 
 from __future__ import annotations
 
--- a/rookbend/leases/events.py
+++ b/rookbend/leases/events.py
@@ -1,4 +1,4 @@
-"""Events of the lease coordinator, which its driver feeds."""
+"""Events of the lease state machine, which its driver feeds."""
 
 from __future__ import annotations
 
--- a/rookbend/leases/jitter.py
+++ b/rookbend/leases/jitter.py
@@ -6,7 +6,7 @@
 
 
 class Jitter:
-    """Draws from a generator that the whole coordinator shares: the order of draws is part of its behaviour."""
+    """Draws from a generator that the whole state machine shares: the order of draws is part of its behaviour."""
 
     def __init__(self, generator: random.Random):
         self._generator = generator
--- a/rookbend/leases/parts.py
+++ b/rookbend/leases/parts.py
@@ -1,4 +1,4 @@
-"""The parts of a lease coordinator, each built with its inputs."""
+"""The parts of a lease state machine, each built with its inputs."""
 
 from __future__ import annotations
 
--- a/rookbend/leases/state.py
+++ b/rookbend/leases/state.py
@@ -1,4 +1,4 @@
-"""What a lease coordinator keeps in durable storage: rows of (kind, key, msgpack).
+"""What a lease state machine keeps in durable storage: rows of (kind, key, msgpack).
 
 promise  scope      the newest grant of this voter: (director, incarnation, token)
 token    scope      the highest fencing token seen
--- a/rookbend/leases/voting.py
+++ b/rookbend/leases/voting.py
@@ -65,7 +65,7 @@
         return self._director in self._voters.all_voters
 
     def detect_pause(self, now_us: int) -> None:
-        """To be called at each step of the coordinator."""
+        """To be called at each step of the state machine."""
         if now_us - self._stepped_us > PAUSE_US:
             self._ignore_until_us = now_us + IGNORE_AFTER_PAUSE_US
         self._stepped_us = now_us
--- a/rookbend/net/leases.py
+++ b/rookbend/net/leases.py
@@ -1,4 +1,4 @@
-"""The driver of leases: feeds the coordinator (leases/coordinator.py) what comes in, carries out its actions.
+"""The driver of leases: feeds the state machine (leases/machine.py) what comes in, carries out its actions.
 
 It uses recovery's live members, clock and orders to members, durable storage where there is one, and the health
 registry. Whatever is sent under a lease is sent right behind a last check of it; work under a lease runs in a cancel
@@ -52,7 +52,7 @@
 
 
 def coordinator_config(context: ComponentContext) -> LeaseConfig:
-    """What the settings say, for the coordinator."""
+    """What the settings say, for the state machine."""
     operators = context.operators
     wanted: Any = operators.ownership
     recovery: Any = operators.recovery
@@ -71,14 +71,14 @@
 
 
 def persisted_rows(state: StateComponent | None) -> tuple[Row, ...]:
-    """The coordinator's rows found on disk; none without a disk."""
+    """The state machine's rows found on disk; none without a disk."""
     if state is None:
         return ()
     return tuple((kind, key, row.value) for kind in ROW_KINDS for key, row in state.ledger.all(kind).items())
 
 
 class LeaseComponent(MachineDriver[events.Event]):
-    """One director's leases; `machine` is the coordinator."""
+    """One director's leases; `machine` is its state machine."""
 
     descriptors = 2  # the ledger
     machine: LeaseMachine
@@ -164,7 +164,7 @@
     # Actions
 
     def action_handlers(self) -> ActionHandlers:
-        """What the coordinator's own actions do to the director."""
+        """What the state machine's own actions do to the director."""
         return {
             actions.LeaseAcquired: lambda action: None,
             actions.LeaseLost: self._lease_lost,
--- a/rookbend/net/recovery.py
+++ b/rookbend/net/recovery.py
@@ -1,4 +1,4 @@
-"""The driver of recovery: feeds the coordinator (recovery/coordinator.py) what comes in, carries out its actions.
+"""The driver of recovery: feeds the state machine (recovery/machine.py) what comes in, carries out its actions.
 
 The machine's clock is monotonic from the Unix time of the start, so that a stepped system clock changes no age.
 """
--- a/rookbend/net/recovery_setup.py
+++ b/rookbend/net/recovery_setup.py
@@ -1,4 +1,4 @@
-"""What the recovery coordinator is built from: the director's settings and the rows found on disk."""
+"""What the recovery's state machine is built from: the director's settings and the rows found on disk."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def recovery_config(context: ComponentContext) -> RecoveryConfig:
-    """What the settings say, for the coordinator."""
+    """What the settings say, for the state machine."""
     operators = context.operators
     wanted = operators.recovery
     assert wanted is not None, "recovery is built only where the settings ask for it"
--- a/rookbend/recovery/__init__.py
+++ b/rookbend/recovery/__init__.py
@@ -1,6 +1,6 @@
 """Recovery of a director, and with it of the fleet, from a power loss; a state machine without I/O.
 
-    coordinator             wires the parts; fed `(now, event)`, answers with actions
+    machine                 wires the parts; fed `(now, event)`, answers with actions
     events, actions         what it is fed, and what it answers
     config                  configuration and identity of one director
     state_validity          what persisted state is good for after a power loss, as one table
