--- /dev/null
+++ b/benchmarks/mixed_versions.py
@@ -0,0 +1,197 @@
+"""Two versions of the program side by side: stored data, a mixed fleet, upgrades, and the interface for operators.
+
+    python -m benchmarks.mixed_versions OLD_CHECKOUT [--seed SEED] [--smallest]
+
+The old version is the program in OLD_CHECKOUT, the new one that of this checkout. All processes run with the Python
+environment of this command.
+
+    stored     old, new and old again start with the same state folders and settings. Orders that one version stored
+               are in effect under the next, and the fencing tokens grow.
+    fleet      three directors, the first one of the old version. The lease for the fleet's orders moves to the old
+               version and back; an order that either version's leader commits reaches all directors.
+    exclusions old, new and old again start with the same file of exclusions; what one version excluded stays excluded.
+    upgrade    from old to new and from new to old, under requests. No request is lost, an exclusion stays in force.
+    interface  metrics with their labels, keys of the admin API's JSON, help texts and events of the log are compared.
+
+Exits with 1 where a check fails or the interfaces differ. A difference of log events is printed only, since it
+depends on timing which events a short run logs.
+"""
+
+from __future__ import annotations
+
+import argparse
+import signal
+import sys
+from collections.abc import Callable
+from pathlib import Path
+from typing import Any
+
+import trio
+
+from benchmarks.measure import figures, machine
+from benchmarks.operator_interface import (
+    ANSWERS_BETWEEN_STEPS,
+    REQUESTS_PER_S,
+    SETTINGS,
+    TIMEOUT_S,
+    VersionMismatchError,
+    differences_by_kind,
+    leader_of,
+    order_for_fleet,
+    require,
+    until_member_state,
+    use_version,
+)
+from rookbend.testing.cluster import allow_probes, stage
+from rookbend.testing.cluster.process import CHECKOUT
+
+MEMBERS = ("c0", "c1", "c2")
+
+
+async def check_stored_data(old: Path, new: Path, seed: int, steps: int) -> int:
+    """Versions in turn start from what the one before stored; the number of starts."""
+    async with stage(directors=3, caches=3, seed=seed, operators=SETTINGS) as scene:
+        scene.change = allow_probes
+        tokens: dict[str, int] = {}
+        for step in range(steps):
+            use_version(scene, new if step % 2 else old)
+            await scene.start()
+            for name in scene.names:
+                await scene.nodes[name].said("ready")
+                for member in MEMBERS[:step]:
+                    await until_member_state(scene, name, member, "maintenance")
+            leader = await leader_of(scene, "orders")
+            held = (await scene.ask(leader, "/owners"))["owners"]
+            for row in held:
+                if row["ours"]:
+                    require(row["token"] > tokens.get(row["scope"], 0), f"the token of {row['scope']} did not grow")
+            await order_for_fleet(scene, "n0", MEMBERS[step], "maintain")
+            tokens.update({row["scope"]: row["token"] for row in held})
+            for name in scene.names:
+                scene.nodes[name].signal(signal.SIGTERM)
+            for name in scene.names:
+                require(await scene.nodes[name].ended() == 0, f"{name} did not end with 0")
+        scene.verdict()
+    return steps
+
+
+async def check_mixed_fleet(old: Path, new: Path, seed: int) -> int:
+    """n0 of the old version, n1 and n2 of the new one; the number of leases handed over."""
+    async with stage(directors=3, caches=3, seed=seed, operators=SETTINGS) as scene:
+        scene.change = allow_probes
+        use_version(scene, new)
+        use_version(scene, old, "n0")
+        await scene.start()
+        for name in scene.names:
+            await scene.nodes[name].said("ready")
+        moved = 0
+        for target in (0, 1, 0, 2):
+            leader = await leader_of(scene, "orders")
+            if leader != f"n{target}":
+                body = {"order": "move", "scope": "orders", "place": target}
+                answer = await scene.ask(leader, "/owners", "POST", body)
+                require(answer["status"] == 200, f"the move to n{target} was answered with {answer}")
+                with trio.fail_after(TIMEOUT_S):
+                    while await leader_of(scene, "orders") != f"n{target}":
+                        await trio.sleep(0.05)
+                moved += 1
+            await order_for_fleet(scene, "n1" if target == 0 else "n0", "c1", "maintain" if target == 0 else "ready")
+        # The lease also moves where its holder ends by SIGTERM.
+        leader = await leader_of(scene, "orders")
+        scene.nodes[leader].signal(signal.SIGTERM)
+        lost = await scene.nodes[leader].said("lease_lost", scope="orders")
+        require(lost["why"].startswith("handed to"), f"{leader} ended without handing over its lease: {lost['why']}")
+        require(await scene.nodes[leader].ended() == 0, f"{leader} did not end with 0")
+        scene.verdict()
+    return moved + 1
+
+
+async def check_exclusions(old: Path, new: Path, seed: int) -> int:
+    """Versions in turn start with the file of exclusions that the one before wrote; the number of starts."""
+    async with stage(directors=1, caches=3, seed=seed, operators="[health]\n") as scene:
+        scene.doors = True
+        node = scene.nodes["n0"]
+        excluded: list[str] = []
+        for checkout, member in ((old, "c1"), (new, "c2"), (old, "c0")):
+            use_version(scene, checkout)
+            # Not `scene.start`, since that empties the folder with the file.
+            node.start(scene.nursery, scene.config("n0"), scene.settings_text("n0"))
+            await node.said("ready")
+            for known in excluded:
+                await until_member_state(scene, "n0", known, "draining")
+            status, text = await scene.call("n0", "PUT", f"/maintenance/enter?member={member}")
+            require(status == 200, f"the exclusion of {member} was answered with {status} {text}")
+            excluded.append(member)
+            node.signal(signal.SIGTERM)
+            require(await node.ended() == 0, "the director did not end with 0")
+        scene.verdict()
+    return len(excluded)
+
+
+async def check_upgrades(old: Path, new: Path, seed: int, steps: int) -> dict[str, int]:
+    """Upgrades under requests, between the versions in turn; what clients saw."""
+    async with stage(directors=1, caches=3, seed=seed, rate=REQUESTS_PER_S, operators="[health]\n") as scene:
+        use_version(scene, old)
+        await scene.serve_with_doors()
+        status, _ = await scene.call("n0", "PUT", "/maintenance/enter?member=c1")
+        require(status == 200, f"the exclusion was answered with {status}")
+        for step in range(steps):
+            await scene.served_more(ANSWERS_BETWEEN_STEPS)
+            use_version(scene, old if step % 2 else new)
+            predecessor = await scene.upgrade("n0")
+            await scene.until_yes("n0")
+            await scene.served_more(ANSWERS_BETWEEN_STEPS)
+            require(await scene.retire(predecessor) == 0, f"the process before upgrade {step + 1} did not end with 0")
+            await until_member_state(scene, "n0", "c1", "draining")
+        await scene.served_more(ANSWERS_BETWEEN_STEPS)
+        verdicts = [verdict for request in scene.front.wishes for verdict in request.verdicts]
+        require("lost" not in verdicts, f"{verdicts.count('lost')} requests were lost in upgrades")
+        scene.verdict()
+        return {"upgrades": steps, "requests": len(verdicts), "lost": verdicts.count("lost")}
+
+
+def run_check(name: str, check: Callable[..., Any], *arguments: Any) -> Any:
+    """The result of one check, or None where it failed; prints a failure."""
+    result = None
+    try:
+        result = trio.run(check, *arguments)
+    except* (VersionMismatchError, AssertionError, trio.TooSlowError) as group:
+        print(f"{name}: failed: {group.exceptions[0]!r:.2000}")
+    print(f"{name}: {'failed' if result is None else 'passed'}", flush=True)
+    return result
+
+
+def main(argv: list[str] | None = None) -> int:
+    parser = argparse.ArgumentParser(prog="benchmarks.mixed_versions", description=__doc__.splitlines()[0])
+    parser.add_argument("old", type=Path, metavar="OLD_CHECKOUT", help="a checkout of the version that runs now")
+    parser.add_argument("--seed", type=int, default=7)
+    parser.add_argument("--smallest", action="store_true", help="one step of stored data and one upgrade")
+    args = parser.parse_args(argv)
+    old, new, steps = args.old.resolve(), CHECKOUT, 1 if args.smallest else 3
+    print(machine())
+    stored = run_check("stored", check_stored_data, old, new, args.seed, steps)
+    moved = run_check("fleet", check_mixed_fleet, old, new, args.seed)
+    exclusions = run_check("exclusions", check_exclusions, old, new, args.seed)
+    upgrades = run_check("upgrade", check_upgrades, old, new, args.seed, 1 if args.smallest else 4)
+    differences = run_check("interface", differences_by_kind, old, new, args.seed)
+    for kind, lines in (differences or {}).items():
+        for line in lines:
+            print(f"  {kind}: {line}")
+    same = differences is not None and not any(lines for kind, lines in differences.items() if kind != "log")
+    passed = same and None not in (stored, moved, exclusions, upgrades)
+    counts = {kind: len(lines) for kind, lines in (differences or {}).items()}
+    print(
+        figures(
+            passed=passed,
+            starts=stored,
+            exclusion_starts=exclusions,
+            leases_moved=moved,
+            upgrades=upgrades,
+            differences=counts,
+        )
+    )
+    return 0 if passed else 1
+
+
+if __name__ == "__main__":
+    sys.exit(main())
--- /dev/null
+++ b/benchmarks/operator_interface.py
@@ -0,0 +1,151 @@
+"""What operators and their tools see of a director, read from short runs of two versions and compared."""
+
+from __future__ import annotations
+
+import os
+import signal
+import subprocess
+import sys
+from pathlib import Path
+from typing import Any
+
+import trio
+
+from rookbend.testing.cluster import allow_probes, stage
+from rookbend.testing.cluster.scenario import Scene
+
+REQUESTS_PER_S = 40.0
+TIMEOUT_S = 60.0
+ANSWERS_BETWEEN_STEPS = 40
+COMMANDS = ([], ["serve"], ["check-config"], ["members"], ["demo"], ["fleet"], ["recovery"], ["version"])
+ADMIN_PATHS = ("/members", "/background", "/fleet", "/recovery", "/owners")
+SETTINGS = """
+[state]
+    folder {state}
+    fleet  f1
+[recovery]
+    ready-by 2s
+[ownership]
+    lease         1500ms
+    shards        4
+    voters        0 1 2
+    report-ledger {ledger}
+    report-every  1s
+[health]
+    hold 500ms
+[check web]
+    type     http
+    port     9777
+    tier     all
+    interval 1s
+    fast     200ms
+    fall     2
+    stale    4s
+"""
+
+
+class VersionMismatchError(Exception):
+    """The two versions do not work together; the message says where."""
+
+
+def require(holds: bool, message: str) -> None:
+    """Raises `VersionMismatchError` with the message unless the condition holds."""
+    if not holds:
+        raise VersionMismatchError(message)
+
+
+def use_version(scene: Scene, checkout: Path, *names: str) -> None:
+    """The named directors, or all of them, start from this checkout from now on."""
+    for name in names or scene.names:
+        scene.nodes[name].checkout = checkout
+
+
+async def leader_of(scene: Scene, scope: str) -> str:
+    """The director that holds the lease of the scope; waits until there is one."""
+    with trio.fail_after(TIMEOUT_S):
+        while True:
+            for name in scene.names:
+                owners = (await scene.ask(name, "/owners")).get("owners", ())
+                if any(row["ours"] and row["scope"] == scope for row in owners):
+                    return name
+            await trio.sleep(0.05)
+
+
+async def until_member_state(scene: Scene, name: str, member: str, state: str) -> None:
+    """Waits until a director reports this state of the member."""
+    await scene.until_told(
+        name,
+        "/members",
+        lambda answer: any(row["member"] == member and row["state"] == state for row in answer["members"]),
+    )
+
+
+async def order_for_fleet(scene: Scene, name: str, member: str, order: str) -> None:
+    """An order for all directors, given at one of them, and in effect at each."""
+    body = {"member": member, "order": order, "by": "kim", "fleet": True}
+    answer = await scene.ask(name, "/orders", "POST", body)
+    require(answer["status"] == 200, f"the order on {member} at {name} was answered with {answer}")
+    for director in scene.names:
+        await until_member_state(scene, director, member, "maintenance" if order == "maintain" else "ready")
+
+
+def keys_of(value: Any, path: str = "") -> set[str]:
+    """The paths of all keys of a decoded JSON value; elements of lists count as one."""
+    if isinstance(value, dict):
+        return {f"{path}.{key}" for key in value}.union(*(keys_of(v, f"{path}.{key}") for key, v in value.items()))
+    if isinstance(value, list):
+        return set().union(*(keys_of(v, f"{path}[]") for v in value))
+    return set()
+
+
+def metric_names(text: str) -> set[str]:
+    """Names and labels of Prometheus samples, without values."""
+    return {line.rpartition(" ")[0] for line in text.splitlines() if line and not line.startswith("#")}
+
+
+def help_texts(checkout: Path) -> set[str]:
+    """The usage and options of each sub-command, a line each."""
+    lines = set()
+    for command in COMMANDS:
+        words = [sys.executable, "-m", "rookbend", *command, "--help"]
+        ended = subprocess.run(
+            words, cwd=checkout, text=True, capture_output=True, env={**os.environ, "COLUMNS": "200"}
+        )
+        lines |= {f"{' '.join(command)}: {line.strip()}" for line in ended.stdout.splitlines() if line.strip()}
+    return lines
+
+
+async def interface_of(checkout: Path, seed: int) -> dict[str, set[str]]:
+    """What operators and their tools see of a director in a short run."""
+    async with stage(
+        directors=1, caches=3, seed=seed, rate=REQUESTS_PER_S, operators=SETTINGS.replace("0 1 2", "0")
+    ) as scene:
+        scene.change = allow_probes
+        use_version(scene, checkout)
+        await scene.serve_with_doors()
+        await scene.served_more(ANSWERS_BETWEEN_STEPS)
+        await order_for_fleet(scene, "n0", "c1", "maintain")
+        await scene.call("n0", "PUT", "/maintenance/enter?member=c2")
+        for number in (signal.SIGHUP, signal.SIGUSR1):
+            scene.nodes["n0"].signal(number)
+        await scene.nodes["n0"].said("reloaded")
+        await scene.nodes["n0"].said("counters")
+        json_keys = {f"{path} {key}" for path in ADMIN_PATHS for key in keys_of(await scene.ask("n0", path))}
+        metrics = metric_names((await scene.ask("n0", "/metrics"))["text"])
+        operator_metrics = set(await scene.figures("n0"))
+        scene.nodes["n0"].signal(signal.SIGTERM)
+        await scene.nodes["n0"].ended()
+        events = {f"{line['event']} {key}" for line in scene.nodes["n0"].lines[-1] for key in line}
+    for name, found in (("JSON keys", json_keys), ("metrics", metrics), ("operators' metrics", operator_metrics)):
+        require(bool(found), f"the run of {checkout.name} has no {name}")
+    return {"json": json_keys, "metrics": metrics, "operator metrics": operator_metrics, "log": events}
+
+
+async def differences_by_kind(old: Path, new: Path, seed: int) -> dict[str, list[str]]:
+    """The differences by kind, each with its sign: - only in the old version, + only in the new one."""
+    before, after = await interface_of(old, seed), await interface_of(new, seed)
+    before["help"], after["help"] = help_texts(old), help_texts(new)
+    return {
+        kind: sorted([f"- {e}" for e in before[kind] - after[kind]] + [f"+ {e}" for e in after[kind] - before[kind]])
+        for kind in before
+    }
--- a/tests/test_benchmarks.py
+++ b/tests/test_benchmarks.py
@@ -9,7 +9,8 @@
 
 HERE = Path(__file__).parent.parent
 MEASUREMENTS = sorted(p.stem for p in (HERE / "benchmarks").glob("*.py") if "__main__" in p.read_text(encoding="utf-8"))
-MORE = {"fleet": ["--before", "HEAD"]}  # a checkout may hold no older revision
+# A checkout may hold no older revision.
+MORE = {"fleet": ["--before", "HEAD"], "mixed_versions": ["."]}
 
 
 @pytest.mark.parametrize("name", MEASUREMENTS)
