--- a/rookbend/leases/lease.py
+++ b/rookbend/leases/lease.py
@@ -2,7 +2,7 @@
 
 A scope is held by the director to which a majority of the voters has granted it. A voter grants a scope to one
 holder at a time, for `lease_us` by its own clock from the moment of granting (`voter`). A holder counts from
-*before* it sent its request, and `holder_us` only: less by what two clocks may drift apart. So of any two
+*before* it sent its request, and `holder_lease_us` only: less by what two clocks may drift apart. So of any two
 majorities the voter they share is never within two grants at once, whatever is lost, late or duplicated.
 """
 
@@ -37,7 +37,7 @@
     handover_us: int = 500_000
 
     @property
-    def holder_us(self) -> int:
+    def holder_lease_us(self) -> int:
         """The holder's time by its own clock, from before its request: over while the fastest voter still grants."""
         return int(self.lease_us * (1 - self.drift_ratio) / (1 + self.drift_ratio))
 
@@ -133,7 +133,7 @@
 
     def _update_expiry(self, now_us: int) -> bool:
         since_us = majority_granted_since(self.quorums, self.granted_us)
-        expires_us = since_us + self.terms.holder_us if since_us else 0
+        expires_us = since_us + self.terms.holder_lease_us if since_us else 0
         if self.phase is Phase.HELD and now_us >= self.expires_us:
             return False  # expired: a late vote does not revive it
         self.expires_us = expires_us
@@ -161,4 +161,4 @@
         self.quorums = quorums
         if self.phase is Phase.HELD:
             since_us = majority_granted_since(quorums, self.granted_us)
-            self.expires_us = min(self.expires_us, since_us + self.terms.holder_us) if since_us else 0
+            self.expires_us = min(self.expires_us, since_us + self.terms.holder_lease_us) if since_us else 0
--- a/rookbend/leases/sharded_checks.py
+++ b/rookbend/leases/sharded_checks.py
@@ -20,7 +20,7 @@
 from rookbend.protocol.lease_messages import Finding, ShardResults
 
 SILENT_US = 2_000_000
-UNLED_INTERVAL_FACTOR = 4  # by which checks are rarer that each director makes itself
+LEADERLESS_INTERVAL_FACTOR = 4  # by which checks are rarer that each director makes itself
 STALE_FRACTION = 3  # results are refreshed once they are this part of their time old
 MAX_PARTS = 64  # datagrams of one publication
 FLAG_DOWN = 1
@@ -113,7 +113,7 @@
             return False
         return shard.received_us > 0 and now_us - shard.received_us < SILENT_US
 
-    def evidence(
+    def health_events(
         self, now_us: int, scope: int, rows: Iterable[MemberHealth], checks: list[str], number: int
     ) -> list[Evidence]:
         """The newest publication as events of our registry: changes, and now and then a refresh.
--- a/rookbend/model_checking/faults.py
+++ b/rookbend/model_checking/faults.py
@@ -52,7 +52,7 @@
     @dataclass(frozen=True)
     class Whole(TickTerms):
         @property
-        def holder_us(self) -> int:
+        def holder_lease_us(self) -> int:
             return self.lease_us
 
     return LeaseModel(bounds, Whole(), first_prompt_candidate=0)
--- a/rookbend/net/shard_checks.py
+++ b/rookbend/net/shard_checks.py
@@ -10,7 +10,7 @@
 from rookbend.leases.events import CheckResultsCollected
 from rookbend.leases.leader_tasks import FIRST_CHECKS_SCOPE, checks_scope_of
 from rookbend.leases.machine import LeaseMachine
-from rookbend.leases.sharded_checks import UNLED_INTERVAL_FACTOR, collect_findings
+from rookbend.leases.sharded_checks import LEADERLESS_INTERVAL_FACTOR, collect_findings
 
 
 class ShardChecks:
@@ -52,7 +52,7 @@
             return CheckAssignment(True, 0)
         if self._follower.is_fresh(now_us, scope):
             return CheckAssignment(False, interval_us)
-        return CheckAssignment(True, interval_us * UNLED_INTERVAL_FACTOR)
+        return CheckAssignment(True, interval_us * LEADERLESS_INTERVAL_FACTOR)
 
     def check_ended(self, member_number: int) -> None:
         """A check of ours has ended: what changed is published at once."""
@@ -78,5 +78,5 @@
         service = self._health.service
         number = service.registry.begin_check()
         rows = self._registry_rows(action.scope)
-        for event in self._follower.evidence(self._now(), action.scope, rows, self._check_names, number):
+        for event in self._follower.health_events(self._now(), action.scope, rows, self._check_names, number):
             service.feed(event)
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -83,8 +83,8 @@
     round_ = t.request(NOW, 5)
     assert not t.record_grant(NOW + SECOND, 0, round_, 5) and not t.is_held(NOW + SECOND)
     assert t.record_grant(NOW + SECOND, 1, round_, 5)
-    assert t.is_held(NOW + TERMS.holder_us - 1) and not t.is_held(NOW + TERMS.holder_us)
-    assert TERMS.holder_us / (1 - TERMS.drift_ratio) <= TERMS.lease_us / (1 + TERMS.drift_ratio)
+    assert t.is_held(NOW + TERMS.holder_lease_us - 1) and not t.is_held(NOW + TERMS.holder_lease_us)
+    assert TERMS.holder_lease_us / (1 - TERMS.drift_ratio) <= TERMS.lease_us / (1 + TERMS.drift_ratio)
 
 
 def test_votes_of_one_voter_of_other_tries_and_for_other_tokens_count_for_nothing():
@@ -105,8 +105,8 @@
     round_ = t.request(NOW, 5)
     t.record_grant(NOW, 0, round_, 5)
     t.record_grant(NOW, 1, round_, 5)
-    renewal = t.next_round(NOW + TERMS.holder_us - 1)
-    late = NOW + TERMS.holder_us + 1
+    renewal = t.next_round(NOW + TERMS.holder_lease_us - 1)
+    late = NOW + TERMS.holder_lease_us + 1
     assert not t.record_grant(late, 0, renewal, 5) and not t.record_grant(late, 1, renewal, 5)
     assert not t.is_held(late) and t.expire(late) and t.phase is Phase.IDLE and not t.expire(late)
 
