--- a/rookbend/leases/election.py
+++ b/rookbend/leases/election.py
@@ -13,15 +13,15 @@
 from rookbend.leases.messenger import Messenger
 from rookbend.leases.rebalancing import ScopePlacement
 from rookbend.leases.renewal import renewal_request
-from rookbend.leases.tokens import TokenCounter, highest_believable_token
+from rookbend.leases.tokens import TokenCounter, highest_plausible_token
 from rookbend.leases.voter import NO_DIRECTOR
 from rookbend.leases.voter_configuration import VoterConfiguration
 from rookbend.protocol.lease_messages import LeaseRelease, LeaseRow, LeaseVote, ReleaseRow, VoteRow
 from rookbend.protocol.leases import encode_rows
 
 RETRY_INTERVAL_US = 200_000  # of a round whose votes were lost
-TRY_TIMEOUT_US = 1_000_000  # then it lets others try
-RETRY_OFFER_US = 50_000
+ATTEMPT_TIMEOUT_US = 1_000_000  # then it lets others try
+OFFER_RETRY_DELAY_US = 50_000
 MAX_CANDIDATES = 2  # that request a scope at once
 MAX_BACKOFF = 4
 
@@ -84,7 +84,7 @@
             return self._retry(now_us, scope)
         if now_us < candidacy.next_attempt_us:
             return None
-        if self._placement.rank(scope) >= MAX_CANDIDATES or not self._hears_majority():
+        if self._placement.rank(scope) >= MAX_CANDIDATES or not self._is_majority_live():
             candidacy.next_attempt_us = now_us + STAGGER_US
             return None
         return self.begin(now_us, scope)
@@ -92,7 +92,7 @@
     def _retry(self, now_us: int, scope: int) -> LeaseRow | None:
         lease = self._leases.leases[scope]
         candidacy = self._leases.candidacies[scope]
-        if now_us - candidacy.began_us >= TRY_TIMEOUT_US:
+        if now_us - candidacy.began_us >= ATTEMPT_TIMEOUT_US:
             self._time_out(now_us, scope)
         elif now_us - candidacy.sent_us >= RETRY_INTERVAL_US:
             candidacy.sent_us = now_us
@@ -122,7 +122,7 @@
         """How much longer this director waits than the first in the ranking."""
         return STAGGER_US * self._placement.rank(scope)
 
-    def _hears_majority(self) -> bool:
+    def _is_majority_live(self) -> bool:
         """Keeps out a director that can send and not receive: its requests would be granted for ever unnoticed."""
         live = self._placement.live_directors
         return all(len(voters & live) > len(voters) // 2 for voters in self._voters.quorums)
@@ -180,7 +180,7 @@
 
     def _wait_after_refusal_us(self, now_us: int, scope: int, candidacy: Candidacy) -> int:
         if 0 <= now_us - candidacy.offer_accepted_us < self._terms.handover_us:
-            return RETRY_OFFER_US  # the release of the holder before is on its way to the voters
+            return OFFER_RETRY_DELAY_US  # the release of the holder before is on its way to the voters
         until_free_us = min(min(candidacy.refusals.values()), self._terms.lease_us)
         return until_free_us + self.stagger_us(scope) + self._jitter.up_to(STAGGER_US)
 
@@ -196,14 +196,14 @@
         self._actions.log("lease_lost", "warning", scope=scope_name(scope), why=reason)
         self._on_lost(scope)
 
-    def step_down(self, now_us: int, scope: int, highest_token: int, informant: int) -> None:
+    def step_down(self, now_us: int, scope: int, highest_token: int, reporter: int) -> None:
         """A receiver rejected our token as stale: another holds the scope."""
         self._tokens.observe(now_us, highest_token)
         lease = self._leases.leases.get(scope)
         if lease is None or lease.phase is not Phase.HELD:
             return
-        if min(highest_token, highest_believable_token(now_us)) > lease.token:
+        if min(highest_token, highest_plausible_token(now_us)) > lease.token:
             token = lease.token
-            source = "the ledger" if informant == NO_DIRECTOR else f"director {informant}"
+            source = "the ledger" if reporter == NO_DIRECTOR else f"director {reporter}"
             self.lose(now_us, scope, f"{source} knows a newer owner")
             self._messenger.send_release(now_us, scope, token)
--- a/rookbend/leases/fenced_requests.py
+++ b/rookbend/leases/fenced_requests.py
@@ -8,7 +8,7 @@
 from rookbend.leases.leader_tasks import scope_name
 from rookbend.leases.messenger import Messenger
 from rookbend.leases.state import token_row
-from rookbend.leases.tokens import TokenCounter, highest_believable_token
+from rookbend.leases.tokens import TokenCounter, highest_plausible_token
 from rookbend.protocol.lease_messages import TokenRejected
 
 
@@ -30,7 +30,7 @@
     def accept(self, now_us: int, sender: int, scope: int, token: int) -> bool:
         """Whether a request with that token may take effect; else its sender gets the higher one."""
         if self._guard.raises_highest(scope, token):
-            if token > highest_believable_token(now_us):
+            if token > highest_plausible_token(now_us):
                 self.implausible += 1
                 return False
             self._actions.append(token_row(scope, token))
@@ -48,7 +48,7 @@
         )
         self._messenger.send(now_us, sender, TokenRejected(*self._messenger.header, scope, highest))
 
-    def bind_own(self, scope: int, token: int) -> None:
+    def record_own_token(self, scope: int, token: int) -> None:
         """The token of a lease that is acquired here binds this director as a receiver too."""
         if self._guard.raises_highest(scope, token):
             self._actions.append(token_row(scope, token))
--- a/rookbend/leases/handover.py
+++ b/rookbend/leases/handover.py
@@ -14,17 +14,17 @@
 from rookbend.leases.voter import NO_DIRECTOR
 from rookbend.protocol.lease_messages import LeaseOffer, OfferRow
 
-ANNOUNCEMENTS = 4  # of a hand-over, one a tick
+ANNOUNCEMENTS_PER_HANDOVER = 4  # of a hand-over, one a tick
 
 
 @dataclass(slots=True)
-class Departure:
+class HandoverAnnouncement:
     """A scope that was handed over and is announced so often yet."""
 
     scope: int
     token: int
     successor: int
-    announcements_left: int = ANNOUNCEMENTS
+    sends_left: int = ANNOUNCEMENTS_PER_HANDOVER
 
 
 class LeaseHandover:
@@ -47,7 +47,7 @@
         self._election = election
         self._tokens = tokens
         self._messenger = messenger
-        self._departures: list[Departure] = []
+        self._announcements: list[HandoverAnnouncement] = []
 
     def hand_over(self, now_us: int, scope: int, successor: int) -> None:
         """Gives a held scope to that director or, with NO_DIRECTOR, to any."""
@@ -55,18 +55,18 @@
         self._election.lose(now_us, scope, f"handed to {successor}")
         wait_us = self._terms.handover_us + self._election.stagger_us(scope)
         self._leases.candidacies[scope].next_attempt_us = now_us + wait_us
-        self._departures.append(Departure(scope, token, successor))
+        self._announcements.append(HandoverAnnouncement(scope, token, successor))
         self.announce(now_us)
 
     def announce(self, now_us: int) -> None:
         """Announces departures again: where a datagram is lost, the scope waits for the end of the lease."""
-        for departure in self._departures:
-            departure.announcements_left -= 1
-            self._messenger.send_release(now_us, departure.scope, departure.token, departure.successor)
-            if departure.successor >= 0:
-                row = OfferRow(departure.scope, departure.token)
-                self._messenger.send(now_us, departure.successor, LeaseOffer(*self._messenger.header, (row,)))
-        self._departures = [departure for departure in self._departures if departure.announcements_left > 0]
+        for announcement in self._announcements:
+            announcement.sends_left -= 1
+            self._messenger.send_release(now_us, announcement.scope, announcement.token, announcement.successor)
+            if announcement.successor >= 0:
+                row = OfferRow(announcement.scope, announcement.token)
+                self._messenger.send(now_us, announcement.successor, LeaseOffer(*self._messenger.header, (row,)))
+        self._announcements = [announcement for announcement in self._announcements if announcement.sends_left > 0]
 
     def shut_down(self, now_us: int, _event: ShutdownRequested) -> None:
         """Hands over all that is held; nothing is requested or held any more."""
--- a/rookbend/leases/machine.py
+++ b/rookbend/leases/machine.py
@@ -21,7 +21,7 @@
 from rookbend.leases.status import lease_status
 
 TICK_US = 100_000
-LEAST_TICK_RATIO, TICK_SPREAD_RATIO = 0.85, 0.3
+MIN_TICK_RATIO, TICK_JITTER_RATIO = 0.85, 0.3
 
 Actions = list[Action | SendDatagram | WriteLogLine]
 
@@ -40,7 +40,7 @@
         self.parts = LeaseParts(config, now_us, incarnation, restore(rows))
         self.leases = self.parts.leases
         self.actions = self.parts.actions
-        self._event_handlers = self._handlers_of_events()
+        self._event_handlers = self._build_event_handlers()
 
     def begin(self, _now_us: int) -> Actions:
         """What was committed before takes effect again. To be called once, before anything else."""
@@ -65,13 +65,13 @@
 
     # Events
 
-    def _handlers_of_events(self) -> dict[type, Callable[[int, Any], None]]:
+    def _build_event_handlers(self) -> dict[type, Callable[[int, Any], None]]:
         parts = self.parts
         return {
             TimerExpired: self._timer_expired,
             DatagramReceived: self._datagram_received,
             events.RowPersisted: self._row_persisted,
-            events.LiveDirectorsChanged: self._live_members_changed,
+            events.LiveDirectorsChanged: self._live_directors_changed,
             events.ShutdownRequested: parts.handover.shut_down,
             events.VotersChanged: parts.reconfiguration.begin,
             events.StaleStorageDetected: self._storage_is_stale,
@@ -89,14 +89,14 @@
         parts = self.parts
         parts.election.tick(now_us)
         parts.handover.announce(now_us)
-        parts.voting.recall_tokens(now_us)
+        parts.voting.request_highest_tokens(now_us)
         parts.discovery.run(now_us)
         parts.rebalancer.run(now_us)
         parts.shard_results.tick(now_us)
         parts.ramp_allocator.tick(now_us)
         parts.report.tick(now_us)
         parts.orders.tick(now_us)
-        self.due_us = now_us + int(TICK_US * (LEAST_TICK_RATIO + TICK_SPREAD_RATIO * parts.random.random()))
+        self.due_us = now_us + int(TICK_US * (MIN_TICK_RATIO + TICK_JITTER_RATIO * parts.random.random()))
 
     def _datagram_received(self, now_us: int, event: DatagramReceived) -> None:
         self.parts.dispatcher.datagram_received(now_us, event.sender, event.data)
@@ -107,8 +107,8 @@
         elif event.kind == LOG_KIND:
             self.parts.orders.follower.entry_persisted(now_us, event)
 
-    def _live_members_changed(self, _now_us: int, event: events.LiveDirectorsChanged) -> None:
-        self.parts.placement.set_live_members(event.directors)
+    def _live_directors_changed(self, _now_us: int, event: events.LiveDirectorsChanged) -> None:
+        self.parts.placement.set_live_directors(event.directors)
 
     def _storage_is_stale(self, now_us: int, _event: events.StaleStorageDetected) -> None:
         self.parts.voting.storage_is_stale(now_us)
@@ -117,4 +117,4 @@
     def _report_line_written(self, now_us: int, event: events.ReportLineWritten) -> None:
         self.parts.report.line_written(event.number, event.accepted)
         if event.highest_token:
-            self.parts.election.step_down(now_us, REPORT_SCOPE, event.highest_token, informant=-1)
+            self.parts.election.step_down(now_us, REPORT_SCOPE, event.highest_token, reporter=-1)
--- a/rookbend/leases/message_dispatcher.py
+++ b/rookbend/leases/message_dispatcher.py
@@ -87,11 +87,11 @@
         self._reconfiguration.report(sender, message.voters)
         self._tokens.observe(now_us, message.highest_token)
         if message.to_incarnation == self._incarnation:
-            self._voting.learn_token(now_us, sender, message.highest_token)
+            self._voting.record_highest_token(now_us, sender, message.highest_token)
             self._election.vote_received(now_us, sender, message)
 
     def _token_rejected(self, now_us: int, sender: int, message: messages.TokenRejected) -> None:
-        self._election.step_down(now_us, message.scope, message.highest_token, informant=sender)
+        self._election.step_down(now_us, message.scope, message.highest_token, reporter=sender)
 
     def _entries_fetched(self, now_us: int, sender: int, message: messages.EntriesFetched) -> None:
         if message.to_incarnation == self._incarnation:
--- a/rookbend/leases/order_follower.py
+++ b/rookbend/leases/order_follower.py
@@ -78,7 +78,7 @@
             elif self._log.entries[message.entry.number] == message.entry and key not in self._pending:
                 self._acknowledge(now_us, ack)
         if sender != self._director:
-            self._log.commit_run(message.committed, message.token)
+            self._log.commit_contiguous(message.committed, message.token)
             self._store.apply_committed()
 
     def entry_persisted(self, now_us: int, event: RowPersisted) -> None:
--- a/rookbend/leases/order_log.py
+++ b/rookbend/leases/order_log.py
@@ -52,7 +52,7 @@
         """The entries with numbers above `after`, up to `last`."""
         return [self.entries[number] for number in sorted(self.entries) if after < number <= last]
 
-    def commit_run(self, number: int, token: int) -> None:
+    def commit_contiguous(self, number: int, token: int) -> None:
         """The writer with that token says that all up to a number is committed.
 
         Of the entries held here only a run with its own token is known to be what is committed. What an earlier
--- a/rookbend/leases/order_writer.py
+++ b/rookbend/leases/order_writer.py
@@ -89,9 +89,9 @@
         """What one of these voters knows to be committed is. What they hold beyond that may be: it is stored again
         under our token, and so is an empty entry in each gap that none of them fills."""
         self.reading = False
-        best = max(voters, key=lambda voter: self._committed[voter])
-        committed = max(self._committed[best], self._first_unread)
-        known = [entry for number, entry in sorted(self._entries[best].items()) if number <= committed]
+        most_advanced = max(voters, key=lambda voter: self._committed[voter])
+        committed = max(self._committed[most_advanced], self._first_unread)
+        known = [entry for number, entry in sorted(self._entries[most_advanced].items()) if number <= committed]
         self._log.adopt_committed(known, committed)
         newest: dict[int, Entry] = {}
         for voter in voters:
--- a/rookbend/leases/parts.py
+++ b/rookbend/leases/parts.py
@@ -135,7 +135,7 @@
     # What one part tells others
 
     def _lease_acquired(self, scope: int, token: int) -> None:
-        self.fenced.bind_own(scope, token)
+        self.fenced.record_own_token(scope, token)
         if scope == ORDERS_SCOPE:
             self.orders.leader.lease_acquired(token)
 
--- a/rookbend/leases/ramp_allocation.py
+++ b/rookbend/leases/ramp_allocation.py
@@ -16,7 +16,7 @@
 from rookbend.leases.messenger import Messenger
 from rookbend.protocol.lease_messages import RampShare
 
-LEAST_SHARE_RATIO = 0.25  # of an even share
+MIN_SHARE_RATIO = 0.25  # of an even share
 SHARE_VALID_US = 3_000_000
 ALLOCATION_INTERVAL_US = 1_000_000
 MILLION = 1_000_000
@@ -28,16 +28,16 @@
     `calls` are the recent calls of each director that is heard of, the leader among them. Together with the even
     shares of the others they never exceed the whole.
     """
-    heard_count = len(calls)
-    if not heard_count:
+    live_count = len(calls)
+    if not live_count:
         return {}
-    whole = MILLION * heard_count // director_count
-    least = int(LEAST_SHARE_RATIO * MILLION / director_count)
-    free = whole - least * heard_count
+    whole = MILLION * live_count // director_count
+    minimum = int(MIN_SHARE_RATIO * MILLION / director_count)
+    remainder = whole - minimum * live_count
     total_calls = sum(calls.values())
     if not total_calls:
-        return dict.fromkeys(calls, least + free // heard_count)
-    return {director: least + free * count // total_calls for director, count in calls.items()}
+        return dict.fromkeys(calls, minimum + remainder // live_count)
+    return {director: minimum + remainder * count // total_calls for director, count in calls.items()}
 
 
 class AllocatedShare:
--- a/rookbend/leases/rebalancing.py
+++ b/rookbend/leases/rebalancing.py
@@ -38,7 +38,7 @@
         """The ranking without this director."""
         return [director for director in self.ranking(scope) if director != self._director]
 
-    def set_live_members(self, directors: frozenset[int]) -> None:
+    def set_live_directors(self, directors: frozenset[int]) -> None:
         """Other directors are live now; this one always is."""
         directors = directors | {self._director}
         if directors != self.live_directors:
@@ -94,11 +94,11 @@
 
     def _excess_shard(self, held: list[int]) -> tuple[int, int] | None:
         shards = [scope for scope in held if scope >= FIRST_CHECKS_SCOPE and scope not in self._placement.pins]
-        even_part = -(-self._shards // len(self._placement.live_directors))
-        if len(shards) <= even_part:
+        fair_share = -(-self._shards // len(self._placement.live_directors))
+        if len(shards) <= fair_share:
             return None
         for scope in shards:
-            first = self._placement.ranking(scope)[0]
-            if first != self._director:
-                return scope, first
+            preferred = self._placement.ranking(scope)[0]
+            if preferred != self._director:
+                return scope, preferred
         return None
--- a/rookbend/leases/sharded_checks.py
+++ b/rookbend/leases/sharded_checks.py
@@ -19,21 +19,21 @@
 from rookbend.health.model import FULL
 from rookbend.protocol.lease_messages import Finding, ShardResults
 
-SILENT_US = 2_000_000
+RESULTS_VALID_US = 2_000_000
 LEADERLESS_INTERVAL_FACTOR = 4  # by which checks are rarer that each director makes itself
-STALE_FRACTION = 3  # results are refreshed once they are this part of their time old
+REFRESHES_PER_EXPIRY = 3  # results are refreshed once they are this part of their time old
 MAX_PARTS = 64  # datagrams of one publication
 FLAG_DOWN = 1
 FLAG_DEGRADED = 2
 FLAG_DRAIN = 4
 FLAG_MAINTENANCE = 8
 FLAGS_BY_ADMIN = {"drain": FLAG_DRAIN, "maint": FLAG_MAINTENANCE}
-REASON = "by its owner"
+LEADER_REPORT_REASON = "by its owner"
 
-Evidence = CheckCompleted | AgentReported
+HealthEvent = CheckCompleted | AgentReported
 
 
-def finding_of(member: int, check: int, state: CheckState) -> Finding:
+def finding_from_state(member: int, check: int, state: CheckState) -> Finding:
     """The finding of one check on one member."""
     flags = FLAG_DOWN * state.down | FLAG_DEGRADED * state.degraded | FLAGS_BY_ADMIN.get(state.admin, 0)
     return Finding(member, check, flags, state.weight)
@@ -49,7 +49,7 @@
         if states and all(state.has_result or state.outcome is not None for _, state in states):
             covered ^= member
         for check, state in states:
-            finding = finding_of(member, check, state)
+            finding = finding_from_state(member, check, state)
             if finding.flags or finding.weight != FULL:
                 findings.append(finding)
     return findings, covered
@@ -81,7 +81,7 @@
     def receive(self, now_us: int, message: ShardResults) -> bool:
         """Whether a publication is whole with this part, whose token was accepted."""
         shard = self._shards.setdefault(message.scope, ShardView())
-        if not self._is_wanted(shard, message):
+        if not self._is_new_part(shard, message):
             self.outdated += 1
             return False
         shard.parts[message.part] = message.rows
@@ -94,7 +94,7 @@
         return True
 
     @staticmethod
-    def _is_wanted(shard: ShardView, message: ShardResults) -> bool:
+    def _is_new_part(shard: ShardView, message: ShardResults) -> bool:
         version = (message.token, message.sequence)
         newest = (shard.token, shard.sequence)
         if version < newest or not 0 <= message.part < message.parts <= MAX_PARTS:
@@ -111,11 +111,11 @@
         shard = self._shards.get(scope)
         if shard is None or not shard.is_complete:
             return False
-        return shard.received_us > 0 and now_us - shard.received_us < SILENT_US
+        return shard.received_us > 0 and now_us - shard.received_us < RESULTS_VALID_US
 
     def health_events(
         self, now_us: int, scope: int, rows: Iterable[MemberHealth], checks: list[str], number: int
-    ) -> list[Evidence]:
+    ) -> list[HealthEvent]:
         """The newest publication as events of our registry: changes, and now and then a refresh.
 
         `rows` are our own of the shard's members; `number` is that of a check that begins now.
@@ -127,43 +127,43 @@
             if any(name in checks for name in row.checks):
                 covered ^= row.endpoint.member.server
         shard.is_complete = covered == shard.covered
-        events: list[Evidence] = []
+        events: list[HealthEvent] = []
         for row in rows:
             member = row.endpoint.member.server
             for name, state in row.checks.items():
                 finding = shard.findings.get((member, checks.index(name))) if name in checks else None
                 if finding is None and not shard.is_complete:
                     continue  # the leader may not know of it
-                events += _evidence_of(now_us, member, name, state, finding, number)
+                events += _check_events(now_us, member, name, state, finding, number)
         return events
 
 
-def _evidence_of(
+def _check_events(
     now_us: int, member: int, name: str, state: CheckState, finding: Finding | None, number: int
-) -> list[Evidence]:
+) -> list[HealthEvent]:
     flags = finding.flags if finding is not None else 0
-    needs_refresh = not state.has_result or now_us - state.received_us >= state.policy.stale_us // STALE_FRACTION
+    needs_refresh = not state.has_result or now_us - state.received_us >= state.policy.stale_us // REFRESHES_PER_EXPIRY
     if state.policy.is_agent:
         weight = finding.weight if finding is not None else FULL
-        return _agent_evidence(member, name, state, flags, weight, needs_refresh, number)
+        return _agent_events(member, name, state, flags, weight, needs_refresh, number)
     down = bool(flags & FLAG_DOWN)
     degraded = bool(flags & FLAG_DEGRADED)
     if down and not state.down:
-        return [CheckCompleted(member, name, number, CheckOutcome.DISMISSED, REASON)]  # counts at once
+        return [CheckCompleted(member, name, number, CheckOutcome.DISMISSED, LEADER_REPORT_REASON)]  # counts at once
     healthy = CheckOutcome.DEGRADED if degraded else CheckOutcome.PASSED
     if not down and state.down:
-        return [CheckCompleted(member, name, number, healthy, REASON)] * state.policy.rise
+        return [CheckCompleted(member, name, number, healthy, LEADER_REPORT_REASON)] * state.policy.rise
     if needs_refresh or degraded is not state.degraded:
-        return [CheckCompleted(member, name, number, CheckOutcome.FAILED if down else healthy, REASON)]
+        return [CheckCompleted(member, name, number, CheckOutcome.FAILED if down else healthy, LEADER_REPORT_REASON)]
     return []
 
 
-def _agent_evidence(
+def _agent_events(
     member: int, name: str, state: CheckState, flags: int, weight: int, needs_refresh: bool, number: int
-) -> list[Evidence]:
+) -> list[HealthEvent]:
     down = bool(flags & FLAG_DOWN)
     admin = "drain" if flags & FLAG_DRAIN else "maint" if flags & FLAG_MAINTENANCE else ""
     if not needs_refresh and (state.down, state.admin, state.weight) == (down, admin, weight):
         return []
-    words = AgentReport(up=not down, admin=admin or "ready", weight=weight, reason=REASON)
-    return [AgentReported(member, name, number, words)]
+    report = AgentReport(up=not down, admin=admin or "ready", weight=weight, reason=LEADER_REPORT_REASON)
+    return [AgentReported(member, name, number, report)]
--- a/rookbend/leases/tokens.py
+++ b/rookbend/leases/tokens.py
@@ -9,7 +9,7 @@
 TOKENS_PER_SECOND_BITS = 16
 
 
-def highest_believable_token(now_us: int) -> int:
+def highest_plausible_token(now_us: int) -> int:
     """No token of a fleet whose clocks are right within a year is higher.
 
     Guards against one bad value that would use all tokens up.
@@ -31,7 +31,7 @@
 
     def observe(self, now_us: int, token: int) -> None:
         """A peer has named a token."""
-        self._highest_seen = max(self._highest_seen, min(token, highest_believable_token(now_us)))
+        self._highest_seen = max(self._highest_seen, min(token, highest_plausible_token(now_us)))
 
     def next(self, now_us: int) -> int:
         """A token above all known ones, and above those of an earlier second by the clock."""
--- a/rookbend/leases/voting.py
+++ b/rookbend/leases/voting.py
@@ -12,14 +12,14 @@
 from rookbend.leases.lease_table import LeaseTable
 from rookbend.leases.messenger import Messenger
 from rookbend.leases.state import grant_row
-from rookbend.leases.tokens import highest_believable_token
+from rookbend.leases.tokens import highest_plausible_token
 from rookbend.leases.voter import Voter
 from rookbend.leases.voter_configuration import VoterConfiguration
 from rookbend.protocol.lease_messages import LeaseRelease, LeaseRequest, LeaseRow, VoteRow
 
-RECALL_INTERVAL_US = 200_000
+TOKEN_REQUEST_INTERVAL_US = 200_000
 # After such a pause of the process the requests that it finds waiting are too old to be granted for a while.
-PAUSE_US = 1_000_000
+PAUSE_THRESHOLD_US = 1_000_000
 IGNORE_AFTER_PAUSE_US = 100_000
 
 
@@ -55,9 +55,9 @@
         self._actions = actions
         self._pending: AwaitedRows[PendingVote] = AwaitedRows()
         self._not_durable: set[tuple[int, int]] = set()  # grants that storage refused: (scope, token)
-        self._recalled: set[int] = set()  # voters that named their highest token since the start
-        self._recalled_us = 0
-        self._stepped_us = now_us
+        self._token_reporters: set[int] = set()  # voters that named their highest token since the start
+        self._tokens_requested_us = 0
+        self._last_step_us = now_us
         self._ignore_until_us = 0
 
     @property
@@ -66,9 +66,9 @@
 
     def detect_pause(self, now_us: int) -> None:
         """To be called at each step of the state machine."""
-        if now_us - self._stepped_us > PAUSE_US:
+        if now_us - self._last_step_us > PAUSE_THRESHOLD_US:
             self._ignore_until_us = now_us + IGNORE_AFTER_PAUSE_US
-        self._stepped_us = now_us
+        self._last_step_us = now_us
 
     # Requests
 
@@ -82,7 +82,7 @@
         holder = Holder(sender, message.incarnation)
         rows: list[VoteRow] = []
         for row in message.rows:
-            if row.scope in self._leases.leases and row.token <= highest_believable_token(now_us):
+            if row.scope in self._leases.leases and row.token <= highest_plausible_token(now_us):
                 vote_row = self._vote(now_us, holder, row)
                 if vote_row is not None:
                     rows.append(vote_row)
@@ -98,10 +98,10 @@
             self._actions.append(grant_row(scope, self._voter.persisted_grant(scope)))
             return None
         pending = self._pending.waiting(key)
-        if vote.granted and any(vote_due.token == token for vote_due in pending):
+        if vote.granted and any(pending_vote.token == token for pending_vote in pending):
             # Requested again before the grant is durable: the vote still waits.
-            for vote_due in pending:
-                vote_due.round = round_number
+            for pending_vote in pending:
+                pending_vote.round = round_number
             return None
         if vote.granted and (scope, token) in self._not_durable:
             return None
@@ -129,27 +129,27 @@
 
     # Quarantine
 
-    def recall_tokens(self, now_us: int) -> None:
+    def request_highest_tokens(self, now_us: int) -> None:
         """In quarantine, asks the other voters for the highest token."""
         if (
             not self._is_voter
             or now_us >= self._voter.quarantine_until_us
-            or now_us - self._recalled_us < RECALL_INTERVAL_US
+            or now_us - self._tokens_requested_us < TOKEN_REQUEST_INTERVAL_US
         ):
             return
-        self._recalled_us = now_us
-        for voter in self._voters.all_voters - {self._director} - self._recalled:
+        self._tokens_requested_us = now_us
+        for voter in self._voters.all_voters - {self._director} - self._token_reporters:
             self._messenger.send(now_us, voter, self._messenger.lease_request())
 
-    def learn_token(self, now_us: int, sender: int, highest_token: int) -> None:
+    def record_highest_token(self, now_us: int, sender: int, highest_token: int) -> None:
         """A peer has answered with its highest token."""
-        if now_us < self._voter.quarantine_until_us and sender not in self._recalled:
+        if now_us < self._voter.quarantine_until_us and sender not in self._token_reporters:
             # The first answer only: what is granted from here on has higher tokens, and must not be shut out.
-            self._recalled.add(sender)
-            self._voter.raise_token_floor(min(highest_token, highest_believable_token(now_us)))
+            self._token_reporters.add(sender)
+            self._voter.raise_token_floor(min(highest_token, highest_plausible_token(now_us)))
 
     def storage_is_stale(self, now_us: int) -> None:
         """Goes into quarantine again, as after a start without storage."""
         self._voter.quarantine(now_us)
-        self._recalled = set()
+        self._token_reporters = set()
         self._actions.log("lease_voter_quarantined", "warning", why="an older disk is under this voter")
