--- a/rookbend/coordination/__init__.py
+++ b/rookbend/coordination/__init__.py
@@ -1,6 +1,6 @@
-"""What the state machines of one director share (recovery, leases): events, actions and bounded sending.
+"""Events, actions and rate-limited sending that a director's state machines (recovery, leases) share.
 
-`events`        what the driver of any machine feeds
-`actions`       what the driver of any machine carries out
-`action_queue`  collects the actions of one step and keeps datagrams within their budget
+`events`        input events that the driver of every state machine feeds
+`actions`       output actions that the driver of every state machine carries out
+`action_queue`  collects the actions of one step and rate-limits datagrams
 """
--- a/rookbend/coordination/action_queue.py
+++ b/rookbend/coordination/action_queue.py
@@ -1,4 +1,4 @@
-"""The actions of one step of a state machine; datagrams go through a rate limit."""
+"""Queue of the actions that one step of a state machine produces, with a rate limit on datagrams."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 class ActionQueue(Generic[Action]):
     """Actions in the order in which the driver carries them out.
 
-    `datagrams_per_s` and `burst` bound what is sent; `sent` counts datagrams that were queued, `suppressed` those
-    that the rate limit dropped.
+    `datagrams_per_s` and `burst` configure the token bucket that limits datagrams. `sent` counts the datagrams that
+    were queued, `suppressed` those that the rate limit dropped.
     """
 
     def __init__(self, datagrams_per_s: float, burst: int):
@@ -24,11 +24,11 @@
         self.suppressed = 0
 
     def append(self, action: Action) -> None:
-        """Queues an action behind the others."""
+        """Appends an action to the queue."""
         self._actions.append(action)
 
     def send(self, now_us: int, peer: int, data: bytes) -> bool:
-        """Queues a datagram unless the rate limit is reached; tells whether it did."""
+        """Queues a datagram; returns False if the rate limit dropped it."""
         if not self._limit.take(now_us):
             self.suppressed += 1
             return False
@@ -37,11 +37,11 @@
         return True
 
     def log(self, event: str, level: str = "info", **fields: object) -> None:
-        """Queues a line for the structured log."""
+        """Queues a line of the structured log."""
         self._actions.append(WriteLogLine(event, level, fields))
 
     def take(self) -> list[Action | SendDatagram | WriteLogLine]:
-        """The actions queued since the last call."""
+        """Removes and returns the actions that were queued since the last call."""
         actions = self._actions
         self._actions = []
         return actions
--- a/rookbend/coordination/actions.py
+++ b/rookbend/coordination/actions.py
@@ -7,7 +7,7 @@
 
 @dataclass(slots=True)
 class SendDatagram:
-    """Send a datagram to one director, by its number."""
+    """Send a datagram to the director with the number `peer`."""
 
     peer: int
     data: bytes
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True)
 class PersistRow:
-    """Write a row to durable storage, where there is one; `awaited`: somebody waits for it to be durable."""
+    """Write a row to durable storage, if configured; `awaited` asks for an event once the row is durable."""
 
     kind: str
     key: str
--- a/rookbend/coordination/events.py
+++ b/rookbend/coordination/events.py
@@ -7,12 +7,12 @@
 
 @dataclass(slots=True)
 class TimerExpired:
-    """The machine's `due_us` has come."""
+    """The time in the state machine's `due_us` has been reached."""
 
 
 @dataclass(slots=True)
 class DatagramReceived:
-    """A datagram of another director, known by its number; lossy, late and doubled."""
+    """A datagram from the director with the number `sender`; datagrams may be lost, delayed or duplicated."""
 
     sender: int
     data: bytes
--- a/rookbend/leases/lease.py
+++ b/rookbend/leases/lease.py
@@ -1,9 +1,10 @@
-"""The lease of a scope, on its holder's side.
+"""The lease of a scope, as its holder tracks it.
 
 A scope is held by the director to which a majority of the voters has granted it. A voter grants a scope to one
-holder at a time, for `lease_us` by its own clock from the moment of granting (`voter`). A holder counts from
-*before* it sent its request, and `holder_lease_us` only: less by what two clocks may drift apart. So of any two
-majorities the voter they share is never within two grants at once, whatever is lost, late or duplicated.
+holder at a time, for `lease_us` by its own clock from the moment of granting (`voter`). A holder measures its lease
+from *before* it sent the request, and for `holder_lease_us` only, which is shorter than `lease_us` by the drift
+allowed between two clocks. Any two majorities share a voter, and that voter never has two grants in force at once,
+so there is one holder at a time even if messages are lost, late or duplicated.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 from enum import Enum
 from typing import NamedTuple
 
-MAX_COUNTED_ROUNDS = 8  # of requests, whose votes still count
+MAX_COUNTED_ROUNDS = 8  # most recent request rounds whose votes are accepted
 
 Quorums = tuple[frozenset[int], ...]
 
@@ -27,9 +28,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseTerms:
-    """`drift_ratio` is the most by which a clock may run fast or slow.
+    """Durations of a lease in µs, and the clock drift that they allow for.
 
-    A scope that was handed over is reserved for its successor for `handover_us`.
+    `drift_ratio` is the maximum relative error of a clock's rate, in either direction. After a hand-over a scope is
+    reserved for its successor for `handover_us`.
     """
 
     lease_us: int = 3_000_000
@@ -38,17 +40,20 @@
 
     @property
     def holder_lease_us(self) -> int:
-        """The holder's time by its own clock, from before its request: over while the fastest voter still grants."""
+        """Duration of the lease by the holder's clock, measured from before its request.
+
+        It ends before the grant of the voter with the fastest clock does.
+        """
         return int(self.lease_us * (1 - self.drift_ratio) / (1 + self.drift_ratio))
 
     @property
     def quarantine_us(self) -> int:
-        """For so long a voter grants nothing new after a start."""
+        """Time after a start during which a voter makes no new grants."""
         return self.lease_us
 
 
 class Phase(Enum):
-    """The state of a lease at one director."""
+    """State of a lease at one director."""
 
     IDLE = "idle"
     REQUESTING = "requesting"
@@ -56,9 +61,9 @@
 
 
 def majority_granted_since(quorums: Iterable[frozenset[int]], granted_us: Mapping[int, int]) -> int:
-    """The latest time since which a majority of every set of voters has granted; 0 where one set has none.
+    """Returns the latest time since which a majority of every voter set has granted; 0 if a set has no majority.
 
-    `granted_us`: by voter, when the request was sent that it granted.
+    `granted_us` maps each voter to the time at which the request that it granted was sent.
     """
     earliest_us = 0
     for number, voters in enumerate(quorums):
@@ -72,9 +77,9 @@
 
 
 class Lease:
-    """One scope at one director that holds it, or would.
+    """The lease of one scope at one director, which holds the scope or is a candidate for it.
 
-    A majority of each of `quorums` is needed (two sets while the voters change). Times by the director's clock.
+    A majority of each of `quorums` is needed (two sets while the voters change). Times are by the director's clock.
     """
 
     __slots__ = (
@@ -100,14 +105,14 @@
         self.expires_us = 0
         self.round = 0
         self.rounds_sent_us: dict[int, int] = {}
-        self.granted_us: dict[int, int] = {}  # by voter: when the newest round was sent that it granted
+        self.granted_us: dict[int, int] = {}  # by voter: send time of the newest round it granted
 
     def is_held(self, now_us: int) -> bool:
-        """Whether the holder may act right now."""
+        """Returns whether the lease is held at `now_us`."""
         return self.phase is Phase.HELD and now_us < self.expires_us
 
     def request(self, now_us: int, token: int) -> int:
-        """Begins anew with a token above all known ones; the number of the round."""
+        """Starts a new attempt with `token`, which must exceed all known ones; returns the round number."""
         self.phase = Phase.REQUESTING
         self.token = token
         self.expires_us = 0
@@ -116,7 +121,7 @@
         return self.next_round(now_us)
 
     def next_round(self, now_us: int) -> int:
-        """Another round with the same token: a renewal, or for votes that were lost."""
+        """Starts another round with the same token, to renew the lease or to retry after lost votes."""
         self.round += 1
         self.rounds_sent_us[self.round] = now_us
         while len(self.rounds_sent_us) > MAX_COUNTED_ROUNDS:
@@ -124,10 +129,10 @@
         return self.round
 
     def record_grant(self, now_us: int, voter: int, round_number: int, token: int) -> bool:
-        """Counts a vote in favour; whether the lease is held by it that was not before."""
+        """Counts a granting vote; returns whether the lease became held."""
         sent_us = self.rounds_sent_us.get(round_number)
         if sent_us is None or token != self.token or self.phase is Phase.IDLE:
-            return False  # of a round too old to count, or of an earlier try
+            return False  # from a round too old to count, or from an earlier attempt
         self.granted_us[voter] = max(self.granted_us.get(voter, 0), sent_us)
         return self._update_expiry(now_us)
 
@@ -135,7 +140,7 @@
         since_us = majority_granted_since(self.quorums, self.granted_us)
         expires_us = since_us + self.terms.holder_lease_us if since_us else 0
         if self.phase is Phase.HELD and now_us >= self.expires_us:
-            return False  # expired: a late vote does not revive it
+            return False  # expired: a late vote does not renew the lease
         self.expires_us = expires_us
         if self.phase is Phase.REQUESTING and now_us < expires_us:
             self.phase = Phase.HELD
@@ -143,21 +148,21 @@
         return False
 
     def expire(self, now_us: int) -> bool:
-        """Whether a held lease has run out; from then on it has to be requested anew."""
+        """Abandons a held lease that has expired, and returns whether it had; it then has to be requested anew."""
         if self.phase is Phase.HELD and now_us >= self.expires_us:
             self.abandon()
             return True
         return False
 
     def abandon(self) -> None:
-        """Neither holds nor requests the scope any more; its votes count no longer."""
+        """Stops holding or requesting the scope, and discards the votes received so far."""
         self.phase = Phase.IDLE
         self.expires_us = 0
         self.granted_us = {}
         self.rounds_sent_us = {}
 
     def change_quorums(self, quorums: Quorums) -> None:
-        """The voters change: a held lease lasts only while the new ones have granted it too."""
+        """Replaces the voter sets; a held lease stays valid only if a majority of each new set has granted it too."""
         self.quorums = quorums
         if self.phase is Phase.HELD:
             since_us = majority_granted_since(quorums, self.granted_us)
--- a/rookbend/leases/state.py
+++ b/rookbend/leases/state.py
@@ -1,8 +1,8 @@
-"""What a lease state machine keeps in durable storage: rows of (kind, key, msgpack).
+"""Rows of a lease state machine in durable storage: (kind, key, msgpack value).
 
 promise  scope      the newest grant of this voter: (director, incarnation, token)
 token    scope      the highest fencing token seen
-log      number     an entry of the log of orders
+log      number     an entry of the order log
 log      "stands"   the number up to which entries are committed
 """
 
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True)
 class RestoredState:
-    """What durable storage holds; `has_log` is False where it never held a log of orders."""
+    """Decoded contents of durable storage; `has_log` is False if storage never held an order log."""
 
     grants: dict[int, PersistedGrant] = field(default_factory=dict)
     tokens: dict[int, int] = field(default_factory=dict)
@@ -39,12 +39,12 @@
 
     @property
     def highest_token(self) -> int:
-        """Of all grants and requests seen."""
+        """The highest token of all grants and requests seen."""
         return max([*self.tokens.values(), *(grant.token for grant in self.grants.values())], default=0)
 
 
 def restore(rows: Iterable[Row]) -> RestoredState:
-    """Reads the rows of an earlier process; one that can't be read counts as lost."""
+    """Decodes the rows of an earlier process; a row that can't be decoded counts as lost."""
     state = RestoredState()
     for kind, key, value in rows:
         if (kind, key) == (LOG_KIND, COMMITTED_KEY):
@@ -70,30 +70,30 @@
 
 
 def grant_row(scope: int, grant: PersistedGrant) -> PersistRow:
-    """The row of a grant, whose vote waits until it is durable."""
+    """Returns the row of a grant; the vote for the grant is sent once the row is durable."""
     return PersistRow(GRANT_KIND, str(scope), msgspec.msgpack.encode((*grant.holder, grant.token)), awaited=True)
 
 
 def token_row(scope: int, token: int) -> PersistRow:
-    """The row of the highest token seen of a scope."""
+    """Returns the row of the highest token seen for a scope."""
     return PersistRow(TOKEN_KIND, str(scope), msgspec.msgpack.encode(token))
 
 
 def entry_key(number: int) -> str:
-    """The key of an entry's row; keys sort as numbers do."""
+    """Returns the key of an entry's row, zero-padded so that keys sort in numeric order."""
     return f"{number:012d}"
 
 
 def entry_row(entry: Entry, awaited: bool = False) -> PersistRow:
-    """The row of an entry of the log of orders."""
+    """Returns the row of an entry of the order log."""
     return PersistRow(LOG_KIND, entry_key(entry.number), msgspec.msgpack.encode(entry), awaited)
 
 
 def delete_entry(number: int) -> DeleteRow:
-    """Drops the row of an entry."""
+    """Returns the action that deletes the row of an entry."""
     return DeleteRow(LOG_KIND, entry_key(number))
 
 
 def committed_row(number: int) -> PersistRow:
-    """The row of the number up to which entries are committed."""
+    """Returns the row of the number up to which entries are committed."""
     return PersistRow(LOG_KIND, COMMITTED_KEY, msgspec.msgpack.encode(number))
--- a/rookbend/leases/tokens.py
+++ b/rookbend/leases/tokens.py
@@ -1,4 +1,4 @@
-"""The highest fencing token that this director knows of, and the next one."""
+"""Allocation of fencing tokens, and the highest token known to this director."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 
 
 def highest_plausible_token(now_us: int) -> int:
-    """No token of a fleet whose clocks are right within a year is higher.
+    """Returns an upper bound of the tokens of a fleet whose clocks are right to within a year.
 
-    Guards against one bad value that would use all tokens up.
+    The bound keeps a single corrupt token from exhausting the token space.
     """
     return (now_us // SECOND_US + YEAR_S) << TOKENS_PER_SECOND_BITS
 
 
 class TokenCounter:
-    """`highest_seen` is what durable storage shows; `voter` adds what it has granted."""
+    """Tracks the highest token, from durable storage (`highest_seen`), from peers and from the grants of `voter`."""
 
     def __init__(self, highest_seen: int, voter: Voter):
         self._highest_seen = highest_seen
@@ -30,11 +30,11 @@
         return max(self._highest_seen, self._voter.highest_token)
 
     def observe(self, now_us: int, token: int) -> None:
-        """A peer has named a token."""
+        """Records a token received from a peer, capped at the highest plausible token."""
         self._highest_seen = max(self._highest_seen, min(token, highest_plausible_token(now_us)))
 
     def next(self, now_us: int) -> int:
-        """A token above all known ones, and above those of an earlier second by the clock."""
+        """Returns a new token above all known ones and above those issued in earlier seconds by the clock."""
         clock_token = (now_us // SECOND_US) << TOKENS_PER_SECOND_BITS
         self._highest_seen = max(self.highest, clock_token) + 1
         return self._highest_seen
