--- a/rookbend/leases/actions.py
+++ b/rookbend/leases/actions.py
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True)
 class ApplyOrder:
-    """A committed order takes effect on a member, here."""
+    """Apply a committed order to a member, at this director."""
 
     target: str
     order: str
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True)
 class CompleteOrder:
-    """Answer the operator whose order has that id; an empty `error` means that it is committed."""
+    """Answer the operator that requested the order `id`; an empty `error` means that the order is committed."""
 
     id: int
     error: str
@@ -43,19 +43,19 @@
 
 @dataclass(slots=True)
 class ApplyShardResults:
-    """The results of a shard have arrived whole: pass them to the health registry."""
+    """Pass the results of a shard, which have arrived completely, to the health registry."""
 
     scope: int
 
 
 @dataclass(slots=True)
 class CollectCounters:
-    """Answer with `CountersCollected`."""
+    """Collect this director's counters and answer with `CountersCollected`."""
 
 
 @dataclass(slots=True)
 class WriteReportLine:
-    """Write the line to the ledger or the file, before `expires_us`."""
+    """Write a report line to the report ledger or the file, before `expires_us`."""
 
     number: int
     token: int
--- a/rookbend/leases/config.py
+++ b/rookbend/leases/config.py
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseConfig:
-    """`director` is this one's index of `director_count`; `tasks` are the leader tasks that run."""
+    """`director` is the index of this director among `director_count`; `tasks` are the leader tasks that run."""
 
     director: int
     director_count: int
--- a/rookbend/leases/election.py
+++ b/rookbend/leases/election.py
@@ -1,4 +1,4 @@
-"""Requests the scopes that this director should hold, counts votes, and gives leases up."""
+"""Requests leases of the scopes that this director should hold, counts votes, and ends leases."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 from rookbend.protocol.lease_messages import LeaseRelease, LeaseRow, LeaseVote, ReleaseRow, VoteRow
 from rookbend.protocol.leases import encode_rows
 
-RETRY_INTERVAL_US = 200_000  # of a round whose votes were lost
-ATTEMPT_TIMEOUT_US = 1_000_000  # then it lets others try
+RETRY_INTERVAL_US = 200_000  # between the rounds of an attempt, in case votes were lost
+ATTEMPT_TIMEOUT_US = 1_000_000  # after which the attempt is given up in favour of other candidates
 OFFER_RETRY_DELAY_US = 50_000
-MAX_CANDIDATES = 2  # that request a scope at once
+MAX_CANDIDATES = 2  # directors that request the same scope at once
 MAX_BACKOFF = 4
 
 
 class Election:
-    """`on_acquired` gets (scope, token) of each lease that begins, `on_lost` the scope of each that ends."""
+    """Calls `on_acquired(scope, token)` for each lease that is acquired, and `on_lost(scope)` for each that is lost."""
 
     def __init__(
         self,
@@ -75,7 +75,7 @@
         lease = self._leases.leases[scope]
         candidacy = self._leases.candidacies[scope]
         if lease.expire(now_us):
-            self.lose(now_us, scope, "ran out")
+            self.lose(now_us, scope, "lease expired")
         if lease.phase is Phase.HELD:
             return renewal_request(now_us, lease, candidacy, self._jitter)
         if self._leases.shutting_down:
@@ -100,7 +100,7 @@
         return None
 
     def begin(self, now_us: int, scope: int) -> LeaseRow:
-        """A new try with a new token; the request to send."""
+        """Starts a new attempt with a new token; returns the request to send."""
         candidacy = self._leases.candidacies[scope]
         candidacy.began_us = now_us
         candidacy.sent_us = now_us
@@ -112,25 +112,29 @@
     def _time_out(self, now_us: int, scope: int) -> None:
         lease = self._leases.leases[scope]
         candidacy = self._leases.candidacies[scope]
-        # To all voters: one whose vote was lost would hold to its grant.
+        # All voters get the release: one whose vote was lost would otherwise keep its grant until it expires.
         self._messenger.send_release(now_us, scope, lease.token)
         lease.abandon()
         candidacy.backoff = min(candidacy.backoff + 1, MAX_BACKOFF)
         candidacy.next_attempt_us = now_us + self.stagger_us(scope) + self._jitter.up_to(candidacy.backoff * STAGGER_US)
 
     def stagger_us(self, scope: int) -> int:
-        """How much longer this director waits than the first in the ranking."""
+        """Returns how much longer this director waits than the first in the ranking of the scope."""
         return STAGGER_US * self._placement.rank(scope)
 
     def _is_majority_live(self) -> bool:
-        """Keeps out a director that can send and not receive: its requests would be granted for ever unnoticed."""
+        """Whether a majority of every voter set is live, as seen from this director.
+
+        Excludes a director that can send but not receive: its requests would be granted again and again, while it
+        never gets the votes.
+        """
         live = self._placement.live_directors
         return all(len(voters & live) > len(voters) // 2 for voters in self._voters.quorums)
 
     # Votes
 
     def vote_received(self, now_us: int, sender: int, message: LeaseVote) -> None:
-        """Counts the votes of a voter for this incarnation."""
+        """Counts the votes that a voter sent to this incarnation."""
         for row in message.rows:
             lease = self._leases.leases.get(row.scope)
             if lease is None or sender not in self._voters.all_voters:
@@ -163,7 +167,7 @@
             return
         candidacy.refusals[voter] = remaining_us
         if all(len(voters - candidacy.refusals.keys()) > len(voters) // 2 for voters in lease.quorums):
-            return  # a majority may still grant it
+            return  # a majority of every set may still grant the scope
         release = ReleaseRow(row.scope, lease.token, NO_DIRECTOR)
         for granted in lease.granted_us:
             self._messenger.send(now_us, granted, LeaseRelease(*self._messenger.header, (release,)))
@@ -180,14 +184,14 @@
 
     def _wait_after_refusal_us(self, now_us: int, scope: int, candidacy: Candidacy) -> int:
         if 0 <= now_us - candidacy.offer_accepted_us < self._terms.handover_us:
-            return OFFER_RETRY_DELAY_US  # the release of the holder before is on its way to the voters
+            return OFFER_RETRY_DELAY_US  # the release by the previous holder has not reached the voters yet
         until_free_us = min(min(candidacy.refusals.values()), self._terms.lease_us)
         return until_free_us + self.stagger_us(scope) + self._jitter.up_to(STAGGER_US)
 
     # Loss
 
     def lose(self, now_us: int, scope: int, reason: str) -> None:
-        """The scope is not held any more; this director may request it again later."""
+        """Ends the lease of a scope; this director may request it again after a delay."""
         self._leases.leases[scope].abandon()
         candidacy = self._leases.candidacies[scope]
         candidacy.next_attempt_us = now_us + self.stagger_us(scope) + self._jitter.up_to(STAGGER_US)
@@ -197,13 +201,16 @@
         self._on_lost(scope)
 
     def step_down(self, now_us: int, scope: int, highest_token: int, reporter: int) -> None:
-        """A receiver rejected our token as stale: another holds the scope."""
+        """Ends a held lease after a receiver rejected its token as stale: another director has a newer one.
+
+        `reporter` is the director that rejected the token, or NO_DIRECTOR for the report ledger.
+        """
         self._tokens.observe(now_us, highest_token)
         lease = self._leases.leases.get(scope)
         if lease is None or lease.phase is not Phase.HELD:
             return
         if min(highest_token, highest_plausible_token(now_us)) > lease.token:
             token = lease.token
-            source = "the ledger" if reporter == NO_DIRECTOR else f"director {reporter}"
-            self.lose(now_us, scope, f"{source} knows a newer owner")
+            source = "the report ledger" if reporter == NO_DIRECTOR else f"director {reporter}"
+            self.lose(now_us, scope, f"{source} has seen a newer token")
             self._messenger.send_release(now_us, scope, token)
--- a/rookbend/leases/events.py
+++ b/rookbend/leases/events.py
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True)
 class RowPersisted:
-    """A row with `awaited` set is durable, or could not be written."""
+    """A row with `awaited` set is durable, or its write failed."""
 
     kind: str
     key: str
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True)
 class LiveDirectorsChanged:
-    """Directors that were heard of lately, this one among them."""
+    """The set of live directors, which includes this one, has changed."""
 
     directors: frozenset[int]
 
@@ -32,19 +32,19 @@
 
 @dataclass(slots=True)
 class VotersChanged:
-    """The settings name other voters."""
+    """The voters in the settings have changed."""
 
     voters: frozenset[int]
 
 
 @dataclass(slots=True)
 class StaleStorageDetected:
-    """Peers know a later incarnation of this director than its storage does."""
+    """Peers report a later incarnation of this director than its storage holds."""
 
 
 @dataclass(slots=True)
 class OrderRequested:
-    """An operator's order for the whole fleet; `id` is this director's own."""
+    """An operator requests an order for the whole fleet; `id` is unique within this incarnation of this director."""
 
     id: int
     target: str
@@ -54,7 +54,10 @@
 
 @dataclass(slots=True)
 class CheckResultsCollected:
-    """Our check results of a shard: findings, and the exclusive or of the numbers of all members with a result."""
+    """This director's check results of a shard.
+
+    `covered` is the exclusive or of the numbers of all members that have a result of every check.
+    """
 
     scope: int
     findings: list[Finding]
@@ -63,21 +66,21 @@
 
 @dataclass(slots=True)
 class OriginCallsReported:
-    """Recent calls to the origin by director while the fleet's ramp lasts, else empty."""
+    """Recent calls to the origin by director during a ramp of the fleet; empty otherwise."""
 
     calls: Mapping[int, int]
 
 
 @dataclass(slots=True)
 class CountersCollected:
-    """Our own counters, in the order of `fleet_report.COUNTER_NAMES`."""
+    """This director's counters, in the order of `fleet_report.COUNTER_NAMES`."""
 
     counters: tuple[int, ...]
 
 
 @dataclass(slots=True)
 class ReportLineWritten:
-    """The outcome of a report line; `highest_token` is the ledger's where it rejected ours as stale, else 0."""
+    """The outcome of a report line; `highest_token` is the ledger's if it rejected ours as stale, else 0."""
 
     number: int
     accepted: bool
@@ -86,7 +89,7 @@
 
 @dataclass(slots=True)
 class MoveRequested:
-    """An operator moves a scope that is held here to another director."""
+    """An operator requests that a scope held by this director moves to another one."""
 
     scope: int
     director: int
--- a/rookbend/leases/fenced_requests.py
+++ b/rookbend/leases/fenced_requests.py
@@ -1,4 +1,4 @@
-"""The receiver's side of fencing: checks the tokens of requests, persists them, and answers stale ones."""
+"""The receiver's side of fencing: checks the tokens of requests, persists new ones and rejects stale ones."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class FencedRequests:
-    """`rejected` counts requests with a stale token, `implausible` those with one that can't be."""
+    """Checks requests; `rejected` counts those with a stale token, `implausible` those with an impossibly high one."""
 
     def __init__(self, guard: FencingGuard, tokens: TokenCounter, messenger: Messenger, actions: ActionQueue[Action]):
         self._guard = guard
@@ -24,11 +24,11 @@
         self.implausible = 0
 
     def highest_token(self, scope: int) -> int:
-        """The highest token seen of a scope, or 0."""
+        """Returns the highest token seen for a scope, or 0."""
         return self._guard.highest.get(scope, 0)
 
     def accept(self, now_us: int, sender: int, scope: int, token: int) -> bool:
-        """Whether a request with that token may take effect; else its sender gets the higher one."""
+        """Returns whether a request with that token may take effect; the sender of a stale one is told the highest."""
         if self._guard.raises_highest(scope, token):
             if token > highest_plausible_token(now_us):
                 self.implausible += 1
@@ -49,7 +49,7 @@
         self._messenger.send(now_us, sender, TokenRejected(*self._messenger.header, scope, highest))
 
     def record_own_token(self, scope: int, token: int) -> None:
-        """The token of a lease that is acquired here binds this director as a receiver too."""
+        """Records the token of a lease acquired by this director, which then rejects older tokens of the scope too."""
         if self._guard.raises_highest(scope, token):
             self._actions.append(token_row(scope, token))
         self._guard.accept(scope, token)
--- a/rookbend/leases/fencing.py
+++ b/rookbend/leases/fencing.py
@@ -1,6 +1,6 @@
-"""The fencing guard of a receiver: the highest token seen of each scope.
+"""The fencing check of a receiver, based on the highest token seen for each scope.
 
-A request with an older token is rejected, and its sender learns the higher one, so that it steps down at once.
+A request with a lower token is rejected. Its sender is told the higher token, so that it steps down at once.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 
 
 class FencingGuard:
-    """`highest` is what durable storage holds, by scope; `rejected` counts stale requests by scope."""
+    """The highest token by scope, initially as restored from durable storage; `rejected` counts stale requests."""
 
     __slots__ = ("highest", "rejected")
 
@@ -18,7 +18,7 @@
         self.rejected: dict[int, int] = {}
 
     def accept(self, scope: int, token: int) -> bool:
-        """Whether a request with that token may take effect; lower tokens are rejected from then on."""
+        """Returns whether a request with that token may take effect; if so, lower tokens are rejected from now on."""
         if token < self.highest.get(scope, 0):
             self.rejected[scope] = self.rejected.get(scope, 0) + 1
             return False
@@ -26,5 +26,5 @@
         return True
 
     def raises_highest(self, scope: int, token: int) -> bool:
-        """Whether that token would be a new highest, to be persisted before the request takes effect."""
+        """Returns whether that token is a new highest, which must be persisted before the request takes effect."""
         return token > self.highest.get(scope, 0)
--- a/rookbend/leases/handover.py
+++ b/rookbend/leases/handover.py
@@ -1,4 +1,4 @@
-"""Hands a scope to a successor: the work under it stops first, then voters are notified, then the successor."""
+"""Hands a scope over: its work stops first, then the voters are notified, then the successor."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from rookbend.leases.voter import NO_DIRECTOR
 from rookbend.protocol.lease_messages import LeaseOffer, OfferRow
 
-ANNOUNCEMENTS_PER_HANDOVER = 4  # of a hand-over, one a tick
+ANNOUNCEMENTS_PER_HANDOVER = 4  # sent at the hand-over and on the ticks after it
 
 
 @dataclass(slots=True)
 class HandoverAnnouncement:
-    """A scope that was handed over and is announced so often yet."""
+    """A scope that was handed over, and how many more times this is announced."""
 
     scope: int
     token: int
@@ -28,7 +28,7 @@
 
 
 class LeaseHandover:
-    """Ends leases through `election`; successors come from `placement`."""
+    """Hands over leases: `election` ends them, `placement` chooses the successors."""
 
     def __init__(
         self,
@@ -50,7 +50,7 @@
         self._announcements: list[HandoverAnnouncement] = []
 
     def hand_over(self, now_us: int, scope: int, successor: int) -> None:
-        """Gives a held scope to that director or, with NO_DIRECTOR, to any."""
+        """Hands a held scope over to `successor` or, with NO_DIRECTOR, to any director."""
         token = self._leases.leases[scope].token
         self._election.lose(now_us, scope, f"handed to {successor}")
         wait_us = self._terms.handover_us + self._election.stagger_us(scope)
@@ -59,7 +59,7 @@
         self.announce(now_us)
 
     def announce(self, now_us: int) -> None:
-        """Announces departures again: where a datagram is lost, the scope waits for the end of the lease."""
+        """Announces recent hand-overs again: a lost datagram would leave the scope unheld until the lease expires."""
         for announcement in self._announcements:
             announcement.sends_left -= 1
             self._messenger.send_release(now_us, announcement.scope, announcement.token, announcement.successor)
@@ -69,26 +69,26 @@
         self._announcements = [announcement for announcement in self._announcements if announcement.sends_left > 0]
 
     def shut_down(self, now_us: int, _event: ShutdownRequested) -> None:
-        """Hands over all that is held; nothing is requested or held any more."""
+        """Hands over all held scopes; from now on this director requests and holds none."""
         for scope in self._leases.held_scopes(now_us):
             successors = self._placement.successors(scope)
             self.hand_over(now_us, scope, successors[0] if successors else NO_DIRECTOR)
         self._leases.shutting_down = True
 
     def move(self, now_us: int, event: MoveRequested) -> None:
-        """An operator's wish; ignored where the scope is not held, or the successor not live."""
+        """Hands a scope over for an operator; ignored if the scope is not held here or the successor is not live."""
         if not self._leases.held_token(now_us, event.scope) or event.director == self._director:
             return
         if event.director in self._placement.live_directors:
             self.hand_over(now_us, event.scope, event.director)
 
     def offer_received(self, now_us: int, _sender: int, message: LeaseOffer) -> None:
-        """This director is the successor: it requests the scopes at once."""
+        """Requests the offered scopes at once: this director is their successor."""
         for scope, token in message.rows:
             candidacy = self._leases.candidacies.get(scope)
             if candidacy is None or self._leases.shutting_down:
                 continue
-            # A repeated offer counts once: the scope may have been held and lost since.
+            # A repeated offer is ignored: the scope may have been acquired and lost since the first one.
             if self._leases.leases[scope].phase is Phase.IDLE and token > candidacy.offered_token:
                 candidacy.offered_token = token
                 candidacy.offer_accepted_us = now_us
--- a/rookbend/leases/jitter.py
+++ b/rookbend/leases/jitter.py
@@ -1,4 +1,4 @@
-"""Seeded jitter of timers."""
+"""Seeded jitter for timers."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class Jitter:
-    """Draws from a generator that the whole state machine shares: the order of draws is part of its behaviour."""
+    """Draws from the random generator that the whole state machine shares; the order of draws affects its behaviour."""
 
     def __init__(self, generator: random.Random):
         self._generator = generator
 
     def up_to(self, span_us: int) -> int:
-        """An even draw of [0, `span_us`)."""
+        """Returns a uniformly distributed time in [0, `span_us`)."""
         return int(self._generator.random() * span_us)
--- a/rookbend/leases/machine.py
+++ b/rookbend/leases/machine.py
@@ -1,8 +1,7 @@
-"""The state machine of one director's leases: fed `(now, event)`, it answers with actions.
+"""The state machine of one director's leases: it takes `(now, event)`, returns actions and does no I/O.
 
-It passes events to its parts (`parts`) and runs their timer. Without input and output: `rookbend.net.leases` drives
-it, and the tests and benchmarks do so in simulated time. Times are µs of the director's monotonic clock, moved to Unix
-time at its start.
+It passes events to its parts (`parts`) and runs their timer. `rookbend.net.leases` drives it, and the tests and
+benchmarks do so in simulated time. Times are in µs of the director's monotonic clock, offset to Unix time at its start.
 """
 
 from __future__ import annotations
@@ -27,9 +26,10 @@
 
 
 class LeaseMachine:
-    """One incarnation of a director; `rows` are those that earlier ones persisted.
+    """The leases of one incarnation of a director; `rows` are those that earlier incarnations persisted.
 
-    `due_us` is when the next TimerExpired is wanted. What drives it may read `parts` and must not change them.
+    `due_us` is the time at which the driver must feed the next TimerExpired. The driver may read `parts` but must not
+    change them.
     """
 
     def __init__(self, config: LeaseConfig, now_us: int, incarnation: int, rows: Iterable[Row] = ()):
@@ -43,24 +43,24 @@
         self._event_handlers = self._build_event_handlers()
 
     def begin(self, _now_us: int) -> Actions:
-        """What was committed before takes effect again. To be called once, before anything else."""
+        """Applies the orders that were already committed. Must be called once, before any other method."""
         self.parts.orders.store.apply_committed()
         return self.actions.take()
 
     def feed(self, now_us: int, event: events.Event) -> Actions:
-        """One event; what the driver is to do, in order."""
-        self.actions.take()  # those of a step that raised
+        """Handles one event; returns the actions that the driver must carry out, in order."""
+        self.actions.take()  # discards actions left over from a step that raised
         self.parts.voting.detect_pause(now_us)
         self._event_handlers[type(event)](now_us, event)
         return self.actions.take()
 
     def describe(self, now_us: int, without: int = -1) -> dict[str, object]:
-        """Scopes and their holders as this director knows them, and who should hold each without that director."""
+        """Returns the JSON-ready status of all scopes; see `lease_status`."""
         return lease_status(now_us, self.parts, without)
 
     @property
     def unusable_datagrams(self) -> int:
-        """Datagrams that could not be decoded, or whose contents can't be."""
+        """Number of datagrams that could not be decoded, plus the requests with an implausible token."""
         return self.parts.dispatcher.undecodable + self.parts.fenced.implausible
 
     # Events
--- a/rookbend/leases/renewal.py
+++ b/rookbend/leases/renewal.py
@@ -1,4 +1,4 @@
-"""When a held lease is renewed."""
+"""Decides when a held lease is renewed."""
 
 from __future__ import annotations
 
@@ -12,9 +12,10 @@
 
 
 def renewal_request(now_us: int, lease: Lease, candidacy: Candidacy, jitter: Jitter) -> LeaseRow | None:
-    """The request that renews a held lease, when it is due.
+    """Returns the request that renews a held lease, or None if it is not due yet.
 
-    A third of the lease, less a jitter: renewals of scopes that were acquired together drift apart.
+    The interval is a third of the lease less a random jitter, which spreads the renewals of scopes that were acquired
+    together.
     """
     interval_us = lease.terms.lease_us // RENEWALS_PER_LEASE - jitter.up_to(RENEWAL_JITTER_US)
     if now_us - candidacy.renewed_us < interval_us:
--- a/rookbend/leases/voting.py
+++ b/rookbend/leases/voting.py
@@ -1,4 +1,4 @@
-"""The voter of a director: answers requests once grants are durable, and learns the highest token after a start."""
+"""The voting side of a director: answers lease requests, and asks for the highest token during quarantine."""
 
 from __future__ import annotations
 
@@ -18,14 +18,15 @@
 from rookbend.protocol.lease_messages import LeaseRelease, LeaseRequest, LeaseRow, VoteRow
 
 TOKEN_REQUEST_INTERVAL_US = 200_000
-# After such a pause of the process the requests that it finds waiting are too old to be granted for a while.
+# After the process was paused for longer than the threshold, queued requests are too old to be granted: requests are
+# ignored for a while.
 PAUSE_THRESHOLD_US = 1_000_000
 IGNORE_AFTER_PAUSE_US = 100_000
 
 
 @dataclass(slots=True)
 class PendingVote:
-    """A vote that waits until its grant is durable."""
+    """A vote that is sent once its grant is durable."""
 
     peer: int
     incarnation: int
@@ -35,7 +36,7 @@
 
 
 class Voting:
-    """`voter` decides; only scopes of `leases` are voted on, and only where `voters` names this director."""
+    """Votes as `voter` decides, on the scopes of `leases` only, and only while `voters` includes this director."""
 
     def __init__(
         self,
@@ -54,8 +55,8 @@
         self._messenger = messenger
         self._actions = actions
         self._pending: AwaitedRows[PendingVote] = AwaitedRows()
-        self._not_durable: set[tuple[int, int]] = set()  # grants that storage refused: (scope, token)
-        self._token_reporters: set[int] = set()  # voters that named their highest token since the start
+        self._not_durable: set[tuple[int, int]] = set()  # (scope, token) of grants that storage failed to write
+        self._token_reporters: set[int] = set()  # peers that reported their highest token in this quarantine
         self._tokens_requested_us = 0
         self._last_step_us = now_us
         self._ignore_until_us = 0
@@ -65,7 +66,7 @@
         return self._director in self._voters.all_voters
 
     def detect_pause(self, now_us: int) -> None:
-        """To be called at each step of the state machine."""
+        """Detects a pause of the process; must be called at each step of the state machine."""
         if now_us - self._last_step_us > PAUSE_THRESHOLD_US:
             self._ignore_until_us = now_us + IGNORE_AFTER_PAUSE_US
         self._last_step_us = now_us
@@ -73,7 +74,7 @@
     # Requests
 
     def request_received(self, now_us: int, sender: int, message: LeaseRequest) -> None:
-        """Answers at once, or once a new grant is durable."""
+        """Answers a lease request, at once or when the new grant is durable."""
         if not message.rows:
             self._messenger.send_votes(now_us, sender, message.incarnation, [])
             return
@@ -99,7 +100,7 @@
             return None
         pending = self._pending.waiting(key)
         if vote.granted and any(pending_vote.token == token for pending_vote in pending):
-            # Requested again before the grant is durable: the vote still waits.
+            # Requested again before the grant is durable: the pending vote answers the newest round.
             for pending_vote in pending:
                 pending_vote.round = round_number
             return None
@@ -108,7 +109,10 @@
         return VoteRow(scope, round_number, vote.granted, vote.token, vote.director, vote.remaining_us // 1000)
 
     def grant_persisted(self, now_us: int, event: RowPersisted) -> None:
-        """The row of a grant was written, or refused: this voter would forget it in a restart, so it does not vote."""
+        """Sends the pending vote once the row of its grant is durable.
+
+        If the write failed there is no vote: the voter would lose the grant in a restart.
+        """
         pending = self._pending.pop(event.key)
         if pending is None:
             return
@@ -122,7 +126,7 @@
             self._messenger.send_votes(now_us, pending.peer, pending.incarnation, [row])
 
     def release_received(self, now_us: int, sender: int, message: LeaseRelease) -> None:
-        """A holder or candidate has stopped."""
+        """Ends the grants that a holder or candidate has released."""
         holder = Holder(sender, message.incarnation)
         for scope, token, successor in message.rows:
             self._voter.release(now_us, scope, holder, token, successor)
@@ -130,7 +134,7 @@
     # Quarantine
 
     def request_highest_tokens(self, now_us: int) -> None:
-        """In quarantine, asks the other voters for the highest token."""
+        """During quarantine, asks the other voters for their highest token, at intervals."""
         if (
             not self._is_voter
             or now_us >= self._voter.quarantine_until_us
@@ -142,14 +146,14 @@
             self._messenger.send(now_us, voter, self._messenger.lease_request())
 
     def record_highest_token(self, now_us: int, sender: int, highest_token: int) -> None:
-        """A peer has answered with its highest token."""
+        """During quarantine, raises the token floor to the highest token reported by a peer."""
         if now_us < self._voter.quarantine_until_us and sender not in self._token_reporters:
-            # The first answer only: what is granted from here on has higher tokens, and must not be shut out.
+            # Only the first answer counts: later ones may include tokens of new attempts, which must stay grantable.
             self._token_reporters.add(sender)
             self._voter.raise_token_floor(min(highest_token, highest_plausible_token(now_us)))
 
     def storage_is_stale(self, now_us: int) -> None:
-        """Goes into quarantine again, as after a start without storage."""
+        """Starts the quarantine again, as after a start without storage."""
         self._voter.quarantine(now_us)
         self._token_reporters = set()
-        self._actions.log("lease_voter_quarantined", "warning", why="an older disk is under this voter")
+        self._actions.log("lease_voter_quarantined", "warning", why="durable storage is older than expected")
