--- a/rookbend/leases/fleet_order_log.py
+++ b/rookbend/leases/fleet_order_log.py
@@ -1,8 +1,8 @@
 """Operators' orders for the whole fleet, replicated in a log.
 
-The leader numbers them, a majority of the voters stores each before the operator's request completes, and every
-director applies them in order. Every director keeps the log, serves and fetches it (`order_follower`), the leader
-adds to it (`order_leader`), a voter without it catches up first (`order_catchup`).
+The leader numbers the orders, a majority of the voters stores each order before the operator's request completes, and
+every director applies them in order. Every director stores the log, serves it and fetches it (`order_follower`). The
+leader adds entries (`order_leader`). A voter without a log catches up first (`order_catchup`).
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicationInputs:
-    """What the parts of the replication work with; `log_is_lost` where durable storage never held a log."""
+    """Inputs shared by the parts of the replication; `log_is_lost` if durable storage never held a log."""
 
     director: int
     log: OrderLog
@@ -48,7 +48,7 @@
 
 
 class FleetOrderLog:
-    """The parts that replicate orders, and their common timer."""
+    """The parts that replicate orders, with a common timer."""
 
     def __init__(self, inputs: ReplicationInputs):
         director, messenger, voters = inputs.director, inputs.messenger, inputs.voters
@@ -63,11 +63,11 @@
 
     @property
     def log(self) -> OrderLog:
-        """The log at this director."""
+        """This director's copy of the log."""
         return self.store.log
 
     def tick(self, now_us: int) -> None:
-        """Catches up, writes or fetches, and sends open requests again."""
+        """Runs the catch-up, the leader or the follower, and resends open requests."""
         candidacy = self._leases.candidacies.get(ORDERS_SCOPE)
         if candidacy is None:
             return
@@ -79,18 +79,18 @@
         self.requests.tick(now_us, self.leader)
 
     def request(self, now_us: int, event: OrderRequested) -> None:
-        """An operator's order, here."""
+        """Takes an order that an operator requests at this director."""
         self.requests.request(now_us, event, self.leader)
 
     def submit_received(self, now_us: int, sender: int, message: SubmitOrder) -> None:
-        """An order of another director; ignored where the lease is not held."""
+        """Takes an order from another director; ignored if the lease is not held here."""
         if self._leases.held_token(now_us, ORDERS_SCOPE):
             origin = OrderOrigin(sender, message.incarnation, message.id)
             pending = PendingOrder(message.target, message.order, message.operator, origin)
             self.leader.submit(now_us, pending)
 
     def entries_received(self, now_us: int, sender: int, message: EntriesFetched) -> None:
-        """Entries for whichever part fetched them."""
+        """Passes entries to the part that fetched them."""
         if message.token == CATCH_UP_TOKEN:
             self.catch_up.entries_received(now_us, sender, message)
         elif message.token:
--- a/rookbend/leases/order_catchup.py
+++ b/rookbend/leases/order_catchup.py
@@ -1,4 +1,4 @@
-"""Catching up the log of a voter whose storage was lost or stale, before a writer may read it."""
+"""Catches up the order log of a voter whose storage was lost or stale, before a writer may read it."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 from rookbend.leases.voter_configuration import VoterConfiguration
 from rookbend.protocol.lease_messages import EntriesFetched, Entry, FetchEntries
 
-CATCH_UP_TOKEN = -1  # in place of a token: all entries are wanted
-NOTHING_COMMITTED = -1  # the sender catches up itself: what is committed is unknown there
+CATCH_UP_TOKEN = -1  # in place of a token: requests all entries, also uncommitted ones
+NOTHING_COMMITTED = -1  # the sender is catching up itself and does not know what is committed
 CATCH_UP_INTERVAL_US = 300_000
 
 
 class LogCatchUp:
-    """Reads all that the other voters hold: of any majority that stored an entry, one is among those read.
+    """Reads the entries of enough other voters that any majority that stored an entry includes one of them.
 
-    Where all others catch up too, there is nothing to read.
+    If all other voters are catching up too, there is nothing to read.
     """
 
     def __init__(self, director: int):
@@ -32,15 +32,15 @@
 
     @property
     def finished_voters(self) -> set[int]:
-        """Voters of which nothing more is to be read."""
+        """Voters that have been read completely or have no log."""
         return self._complete | self._without_log
 
     def read_after(self, voter: int) -> int:
-        """The number after which that voter's entries are to be fetched."""
+        """Returns the number after which that voter's entries must be fetched."""
         return self._read_up_to.get(voter, 0)
 
     def entries_read(self, voter: int, after: int, last: int, committed: int, entries: Sequence[Entry]) -> None:
-        """A piece of what a voter holds; pieces out of order don't count."""
+        """Records a batch of a voter's entries; batches out of order are ignored."""
         if voter == self._director or after != self.read_after(voter):
             return
         if committed == NOTHING_COMMITTED:
@@ -56,7 +56,10 @@
             self._complete.add(voter)
 
     def is_done(self, quorums: Quorums) -> bool:
-        """Whether a majority of each set that this director is in was read, or all others that have a log."""
+        """Returns whether enough was read of each voter set that includes this director.
+
+        Enough is a majority of the set, or all its other voters that have a log.
+        """
         return all(
             len(self._complete & voters) > len(voters) // 2 or voters - {self._director} <= self.finished_voters
             for voters in quorums
@@ -64,12 +67,12 @@
         )
 
     def entries(self) -> list[Entry]:
-        """The newest entry of each number."""
+        """Returns the newest entry of each number, in order."""
         return [entry for _, entry in sorted(self._entries.items())]
 
 
 class OrderCatchUp:
-    """Runs a catch-up into `store`; `needed` where durable storage never held a log."""
+    """Runs a catch-up into `store`; `needed` if durable storage never held a log."""
 
     def __init__(
         self, director: int, needed: bool, store: OrderStore, voters: VoterConfiguration, messenger: Messenger
@@ -83,15 +86,15 @@
 
     @property
     def in_progress(self) -> bool:
-        """Whether the log here may lack what this voter has stored before."""
+        """Whether the log may lack entries that this voter stored earlier."""
         return self._catch_up is not None
 
     def restart(self) -> None:
-        """Storage is stale: the log is read from the other voters anew."""
+        """Reads the log from the other voters again, because storage is stale."""
         self._catch_up = LogCatchUp(self._director)
 
     def tick(self, now_us: int) -> None:
-        """Fetches from the voters that are not read yet."""
+        """Fetches, at intervals, from the voters that have not been read completely."""
         catch_up = self._catch_up
         voters = self._voters.all_voters
         if catch_up is None or self._director not in voters or now_us - self._fetched_us < CATCH_UP_INTERVAL_US:
@@ -99,7 +102,7 @@
         self._fetched_us = now_us
         for voter in sorted(voters - {self._director} - catch_up.finished_voters):
             self._fetch(now_us, voter, catch_up)
-        if catch_up.is_done(self._voters.quorums):  # this is the only voter
+        if catch_up.is_done(self._voters.quorums):  # this director is the only voter
             self._catch_up = None
             self._store.save_committed()
 
@@ -108,7 +111,7 @@
         self._messenger.send(now_us, voter, FetchEntries(*self._messenger.header, CATCH_UP_TOKEN, after))
 
     def entries_received(self, now_us: int, sender: int, message: EntriesFetched) -> None:
-        """A piece of a voter's log; the last one that is needed ends the catch-up."""
+        """Records a batch of a voter's log; finishes the catch-up once enough has been read."""
         catch_up = self._catch_up
         if catch_up is None or sender not in self._voters.all_voters:
             return
--- a/rookbend/leases/order_follower.py
+++ b/rookbend/leases/order_follower.py
@@ -1,4 +1,4 @@
-"""The log of orders at a director that does not write it: stores entries as a voter, serves and fetches them."""
+"""The order log at a director that is not its writer: stores entries as a voter, serves and fetches entries."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 from rookbend.protocol.leases import LeaseProtocolError, encode
 
 FETCH_INTERVAL_US = 1_000_000
-FETCH_FROM_LEADER_RATIO = 0.5
+FETCH_FROM_LEADER_RATIO = 0.5  # share of fetches sent to a known leader; the others go to a random voter
 
 
 @dataclass(frozen=True, slots=True)
 class PendingAck:
-    """An acknowledgement that waits until the entry is durable."""
+    """An acknowledgement that is sent once the entry is durable."""
 
     peer: int
     incarnation: int
@@ -35,7 +35,7 @@
 
 
 class OrderFollower:
-    """Requests of writers pass `fenced`; a log that `catch_up` is filling is read by no writer."""
+    """Checks requests of writers with `fenced`; while `catch_up` is in progress, no writer may read the log."""
 
     def __init__(
         self,
@@ -66,7 +66,7 @@
     # Storing
 
     def append_received(self, now_us: int, sender: int, message: AppendEntry) -> None:
-        """Stores an entry, and acknowledges it once it is durable."""
+        """Stores an entry, acknowledges it once it is durable, and commits up to the writer's committed number."""
         if not self._accepts(now_us, sender, message.token):
             return
         if message.entry is not None:
@@ -82,7 +82,7 @@
             self._store.apply_committed()
 
     def entry_persisted(self, now_us: int, event: RowPersisted) -> None:
-        """The row of an entry was written, or refused: then the writer sends it again."""
+        """Acknowledges an entry whose row is durable; if the write failed, drops it, and the writer sends it again."""
         ack = self._pending.pop(event.key)
         if ack is None:
             return
@@ -98,7 +98,7 @@
     # Serving
 
     def fetch_received(self, now_us: int, sender: int, message: FetchEntries) -> None:
-        """Answers with as many entries as fit into a datagram."""
+        """Answers a fetch with as many entries as fit into one datagram."""
         committed = self._log.committed
         last = self._log.last
         if message.token == CATCH_UP_TOKEN:
@@ -108,7 +108,7 @@
             if not self._accepts(now_us, sender, message.token):
                 return
             if self._catch_up.in_progress or now_us < self._voter.quarantine_until_us:
-                return  # the log may lack what it has stored: no majority is to be read with it
+                return  # the log may lack entries that this voter acknowledged, so it can't count towards a majority
         else:
             last = committed
         reply = EntriesFetched(
@@ -129,7 +129,7 @@
     # Fetching
 
     def tick(self, now_us: int, leader: int) -> None:
-        """Fetches committed entries now and then, of the leader where it is known or of a random voter."""
+        """Fetches committed entries at intervals, from the leader if it is known or from a random voter."""
         if now_us - self._fetched_us < FETCH_INTERVAL_US:
             return
         self._fetched_us = now_us
@@ -143,11 +143,11 @@
             self._messenger.send(now_us, self._random.choice(sources), message)
 
     def entries_received(self, message: EntriesFetched) -> None:
-        """Committed entries, in order."""
+        """Adopts fetched committed entries that follow the last one committed here."""
         if message.after != self._log.committed or not message.entries:
             return
         up_to = message.entries[-1].number
         self._log.adopt_committed(message.entries, up_to)
         self._store.apply_committed()
         if up_to < message.last:
-            self._fetched_us = 0  # the next piece at once
+            self._fetched_us = 0  # fetch the next batch at the next tick
--- a/rookbend/leases/order_leader.py
+++ b/rookbend/leases/order_leader.py
@@ -1,4 +1,4 @@
-"""The leader of the orders: has voters store entries, commits them and answers their origins."""
+"""The leader of the order log: has voters store entries, commits them and answers the origins of the orders."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class OrderLeader:
-    """`complete` gets (id, error) of this director's own orders."""
+    """Runs the writer while the lease is held; calls `complete(id, error)` for orders requested at this director."""
 
     def __init__(
         self,
@@ -37,26 +37,29 @@
         self._sent_us = 0
 
     def lease_acquired(self, token: int) -> None:
-        """Begins a writer under that token."""
+        """Starts a writer under that token."""
         self._writer = OrderWriter(self._store.log, token, self._voters.quorums)
 
     def lease_lost(self) -> None:
-        """Origins of what is not committed ask the next leader."""
+        """Drops the writer; origins of uncommitted orders send them to the next leader."""
         self._writer = None
 
     def change_quorums(self, quorums: Quorums) -> None:
-        """The voters change."""
+        """Passes changed voter sets on to the writer."""
         if self._writer is not None:
             self._writer.quorums = quorums
 
     # Orders
 
     def submit(self, now_us: int, pending: PendingOrder) -> None:
-        """An order, perhaps again; its origin is answered once it is committed. The lease must be held."""
+        """Takes an order, possibly a repeated one; its origin is answered once it is committed.
+
+        The lease must be held.
+        """
         if self._store.log.has_committed(pending.origin):
-            self._answer(now_us, pending, "")  # the answer was lost
+            self._answer(now_us, pending, "")  # the earlier answer was lost
             return
-        assert self._writer is not None, "the lease is held"
+        assert self._writer is not None, "an order was submitted without the lease"
         if error := self._writer.submit(pending):
             self._answer(now_us, pending, error)
             return
@@ -73,14 +76,14 @@
     # The log
 
     def tick(self, now_us: int) -> None:
-        """Sends again what no majority has stored; while idle, what is committed."""
+        """Resends entries that no majority has stored yet; while idle, sends the committed number."""
         writer = self._writer
         is_idle = writer is not None and not writer.reading and not writer.uncommitted
         if now_us - self._sent_us >= (IDLE_INTERVAL_US if is_idle else RETRY_INTERVAL_US):
             self.advance(now_us)
 
     def advance(self, now_us: int) -> None:
-        """The writer's next step: read a majority, or have entries stored."""
+        """Runs the writer's next step: reads from a majority, or has entries stored."""
         writer = self._writer
         token = self._leases.held_token(now_us, ORDERS_SCOPE)
         if writer is None or not token:
@@ -101,7 +104,7 @@
         self._messenger.send(now_us, voter, FetchEntries(*self._messenger.header, token, writer.read_after(voter)))
 
     def ack_received(self, now_us: int, sender: int, message: AppendAck) -> None:
-        """A voter has stored an entry."""
+        """Records that a voter has stored an entry, and commits entries that a majority has stored."""
         writer = self._writer
         if writer is None or message.to_incarnation != self._messenger.header[2] or message.token != writer.token:
             return
@@ -113,10 +116,10 @@
             self._answer(now_us, pending, "")
         if committed:
             self._store.apply_committed()
-            self.advance(now_us)  # all learn at once that it is committed
+            self.advance(now_us)  # tells the voters at once that the entries are committed
 
     def entries_received(self, now_us: int, sender: int, message: EntriesFetched) -> None:
-        """A piece of what a voter holds, for the writer that reads."""
+        """Passes a batch of a voter's entries to the writer, and fetches the next batch while it is still reading."""
         writer = self._writer
         if writer is None or message.token != writer.token:
             return
--- a/rookbend/leases/order_log.py
+++ b/rookbend/leases/order_log.py
@@ -1,4 +1,4 @@
-"""The log of operators' orders at one director: numbered entries, committed and applied up to a number."""
+"""One director's copy of the log of operators' orders: numbered entries, committed and applied up to a number."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 from rookbend.protocol.lease_messages import Entry, OrderOrigin
 
-MAX_ENTRIES = 2_000  # committed ones, beyond the last of each target
-NO_ORIGIN = OrderOrigin(-1, 0, 0)  # of an entry that fills a gap
+MAX_ENTRIES = 2_000  # above it, entries that a later one on the same target supersedes are dropped
+NO_ORIGIN = OrderOrigin(-1, 0, 0)  # origin of an empty entry that fills a gap
 
 
 def supersedes(entries: Mapping[int, Entry], entry: Entry) -> bool:
-    """Whether there is no entry of that number yet, or one with an older token."""
+    """Returns whether `entries` has no entry of that number, or one with a lower token."""
     old = entries.get(entry.number)
     return old is None or entry.token > old.token
 
 
 class OrderLog:
-    """`entries` by number; all up to `committed` are committed, all up to `applied` took effect here."""
+    """Entries by number; those up to `committed` are committed, those up to `applied` have taken effect here."""
 
     def __init__(self, entries: Mapping[int, Entry], committed: int):
         self.entries: dict[int, Entry] = dict(sorted(entries.items()))
@@ -32,7 +32,7 @@
         return max(self.entries, default=0)
 
     def put(self, entry: Entry) -> bool:
-        """Stores an entry that may not be committed; whether it is new here."""
+        """Stores an entry that need not be committed; returns False if it does not supersede the one stored here."""
         if not supersedes(self.entries, entry):
             return False
         self._store(entry)
@@ -43,20 +43,20 @@
         self._number_by_origin[entry.origin] = entry.number
 
     def has_committed(self, origin: OrderOrigin) -> bool:
-        """Whether the order of that origin is committed already."""
+        """Returns whether the order of that origin is already committed."""
         number = self._number_by_origin.get(origin, 0)
         entry = self.entries.get(number)
         return 0 < number <= self.committed and entry is not None and entry.origin == origin
 
     def entries_between(self, after: int, last: int) -> list[Entry]:
-        """The entries with numbers above `after`, up to `last`."""
+        """Returns the entries with numbers above `after` and up to `last`, in order."""
         return [self.entries[number] for number in sorted(self.entries) if after < number <= last]
 
     def commit_contiguous(self, number: int, token: int) -> None:
-        """The writer with that token says that all up to a number is committed.
+        """Commits entries up to `number`, which the writer with `token` reports as committed.
 
-        Of the entries held here only a run with its own token is known to be what is committed. What an earlier
-        writer put here may be stored by no majority, and another committed in its place: that has to be fetched.
+        Stops at the first entry that is missing or has another token. An entry of an earlier writer may not be the
+        committed one: another entry may have been committed in its place, so the number has to be fetched.
         """
         while self.committed < number:
             entry = self.entries.get(self.committed + 1)
@@ -65,7 +65,7 @@
             self.committed += 1
 
     def adopt_committed(self, entries: Iterable[Entry], up_to: int) -> None:
-        """Takes committed entries of a director that knows them; they are unsaved."""
+        """Stores committed entries from another director's log or the writer; new ones count as unsaved."""
         for entry in entries:
             if self.committed < entry.number <= up_to and self.entries.get(entry.number) != entry:
                 self._store(entry)
@@ -73,19 +73,22 @@
         self.committed = max(self.committed, up_to)
 
     def take_unsaved(self) -> list[Entry]:
-        """Entries that were adopted since the last call."""
+        """Removes and returns the entries that were adopted since the last call."""
         unsaved = self._unsaved
         self._unsaved = []
         return unsaved
 
     def take_unapplied(self) -> list[Entry]:
-        """Committed entries that have not taken effect here, in order; they count as applied from now on."""
+        """Returns the committed entries that are not applied yet, in order, and marks them as applied."""
         entries = self.entries_between(self.applied, self.committed)
         self.applied = max(self.applied, self.committed)
         return entries
 
     def compact(self) -> list[int]:
-        """Drops old entries that a later one on the same target supersedes; their numbers."""
+        """Drops the oldest applied entries that a later one on the same target supersedes; returns their numbers.
+
+        Does nothing while there are at most `MAX_ENTRIES`.
+        """
         if len(self.entries) <= MAX_ENTRIES:
             return []
         in_order = sorted(self.entries.items())
--- a/rookbend/leases/order_requests.py
+++ b/rookbend/leases/order_requests.py
@@ -1,4 +1,4 @@
-"""Operators' orders that were requested at this director, until they are committed or given up."""
+"""Operators' orders that were requested at this director, until they are committed or time out."""
 
 from __future__ import annotations
 
@@ -22,7 +22,10 @@
 
 @dataclass(slots=True)
 class SubmittedOrder:
-    """An order without an outcome yet; `asked_voters`: the last try asked who the leader is, and sent no order."""
+    """An order without an outcome.
+
+    With `asked_voters`, the last attempt sent no order, but asked the voters for the leader.
+    """
 
     event: OrderRequested
     began_us: int
@@ -31,7 +34,7 @@
 
 
 class OrderRequests:
-    """Passes orders to the leader: `leader` where this director holds the lease."""
+    """Sends orders to the leader, or submits them to the local `leader` if this director holds the lease."""
 
     def __init__(
         self,
@@ -51,7 +54,7 @@
         self._open: dict[int, SubmittedOrder] = {}
 
     def request(self, now_us: int, event: OrderRequested, leader: OrderLeader) -> None:
-        """A new order of an operator."""
+        """Takes a new order of an operator."""
         request = SubmittedOrder(event, now_us)
         self._open[event.id] = request
         self._send(now_us, request, leader)
@@ -75,7 +78,7 @@
             self._find_leader(now_us)
 
     def _find_leader(self, now_us: int) -> None:
-        """Asks the voters, whose refusals name the holder, and this director's own voter."""
+        """Asks the other voters, whose refusals name the holder, and reads the grant of this director's own voter."""
         for voter in self._voters.all_voters - {self._director}:
             self._messenger.send(now_us, voter, self._messenger.lease_request(LeaseRow(ORDERS_SCOPE, 0, 0)))
         grant = self._voter.grants.get(ORDERS_SCOPE)
@@ -83,17 +86,17 @@
             self._leases.candidacies[ORDERS_SCOPE].known_holder = grant.holder.director
 
     def complete(self, order_id: int, error: str) -> None:
-        """The outcome of an order; later ones for the same order are ignored."""
+        """Reports the outcome of an order; later outcomes of the same order are ignored."""
         if self._open.pop(order_id, None) is not None:
             self._actions.append(CompleteOrder(order_id, error))
 
     def outcome_received(self, message: OrderOutcome) -> None:
-        """The leader's answer."""
+        """Takes the leader's answer to an order."""
         if message.to_incarnation == self._messenger.header[2]:
             self.complete(message.id, message.error)
 
     def tick(self, now_us: int, leader: OrderLeader) -> None:
-        """Sends orders again that have no outcome, and gives old ones up."""
+        """Resends orders that have no outcome, and reports a time-out for those older than `TIMEOUT_US`."""
         candidacy = self._leases.candidacies[ORDERS_SCOPE]
         for order_id, request in list(self._open.items()):
             if now_us - request.began_us >= TIMEOUT_US:
@@ -102,11 +105,11 @@
                 self._send(now_us, request, leader)  # the voters have answered
             elif now_us - request.sent_us >= RETRY_INTERVAL_US:
                 if not request.asked_voters and candidacy.known_holder != self._director:
-                    candidacy.known_holder = NO_DIRECTOR  # it does not answer: the voters know better
+                    candidacy.known_holder = NO_DIRECTOR  # it does not answer and may not be the leader: ask the voters
                 self._send(now_us, request, leader)
 
     @staticmethod
     def _timeout_error(known_holder: int) -> str:
         if known_holder >= 0:
-            return "no owner answered: whether it stands can't be told"
-        return "nobody owns the orders"
+            return "the leader did not answer in time: whether the order is committed can't be told"
+        return "no director owns the orders scope"
--- a/rookbend/leases/order_store.py
+++ b/rookbend/leases/order_store.py
@@ -1,4 +1,4 @@
-"""The log of orders with its durable rows, and the effects of what is committed."""
+"""The order log with its durable rows, and the effects of committed orders."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from rookbend.protocol.lease_messages import Entry
 from rookbend.protocol.order_limits import SCOPE_PREFIX
 
-PIN_PREFIX = "pin "  # an order on a scope in place of a member: `@checks/3`
+PIN_PREFIX = "pin "  # of an order that targets a scope, such as `@checks/3`, instead of a member
 
 
 class OrderStore:
-    """Orders on members become actions; pins of scopes go to `placement`."""
+    """Persists the log; applies orders on members as actions, and pins of scopes to `placement`."""
 
     def __init__(self, log: OrderLog, placement: ScopePlacement, actions: ActionQueue[Action]):
         self.log = log
@@ -24,7 +24,7 @@
         self._actions = actions
 
     def save_entry(self, entry: Entry, awaited: bool = False) -> None:
-        """Persists an entry."""
+        """Persists an entry; `awaited` asks for an event once it is durable."""
         self._actions.append(entry_row(entry, awaited))
 
     def save_committed(self) -> None:
@@ -32,8 +32,8 @@
         self._actions.append(committed_row(self.log.committed))
 
     def apply_committed(self) -> None:
-        """What is committed takes effect, in order."""
-        for entry in self.log.take_unsaved():  # before the number up to which they are committed
+        """Persists and applies newly committed entries, in order, and compacts the log."""
+        for entry in self.log.take_unsaved():  # persisted before the committed number that covers them
             self.save_entry(entry)
         entries = self.log.take_unapplied()
         for entry in entries:
@@ -45,7 +45,7 @@
 
     def _apply(self, entry: Entry) -> None:
         if not entry.target:
-            return  # fills a gap
+            return  # an empty entry that fills a gap
         if entry.target.startswith(SCOPE_PREFIX):
             self._apply_pin(entry.target.removeprefix(SCOPE_PREFIX), entry.order)
         else:
--- a/rookbend/leases/order_writer.py
+++ b/rookbend/leases/order_writer.py
@@ -1,7 +1,8 @@
-"""The writer of the log of orders: what the leader adds to it while it holds the lease.
+"""The writer of the order log: numbers and adds orders while the leader holds the lease.
 
-A new writer first reads what a majority holds beyond what it knows to be committed: of two entries with one number
-the one with the higher token may have been acknowledged. It is stored again under the new token before anything else.
+A new writer first reads from a majority all entries beyond those that it knows to be committed. Of two entries with
+the same number, the one with the higher token may have been acknowledged to an operator, so the writer has it stored
+again under its own token before any new entry.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 
 @dataclass(slots=True)
 class PendingOrder:
-    """An order that is not committed yet; its `origin` is answered. `stored_by` are voters that have its entry."""
+    """An order that is not committed yet; `origin` gets its outcome, `stored_by` are voters that stored its entry."""
 
     target: str
     order: str
@@ -30,15 +31,15 @@
 
 
 def has_majority(quorums: Quorums, voters: set[int]) -> bool:
-    """Whether these are a majority of every set."""
+    """Returns whether `voters` include a majority of every voter set."""
     return majority_granted_since(quorums, dict.fromkeys(voters, 1)) > 0
 
 
 def _last_plausible(committed: int, numbers: Iterable[int]) -> int:
-    """The highest number behind which no gap is wider than a writer leaves.
+    """Returns the highest number that is reached without a gap wider than a writer can leave.
 
-    Of what is committed a majority holds every number, so there is no gap in it. Numbers behind a wider one are a
-    faulty peer's, and filling the gap would take for ever.
+    A majority holds every committed number, so there are no gaps among those. Numbers after a wider gap come from a
+    faulty peer, and filling such a gap could take forever.
     """
     last = committed
     for number in sorted(numbers):
@@ -49,16 +50,16 @@
 
 
 class OrderWriter:
-    """Writes under one token: reads a majority first, then numbers orders as they come."""
+    """Writes under one token: first reads from a majority, then numbers orders as they arrive."""
 
     def __init__(self, log: OrderLog, token: int, quorums: Quorums):
         self._log = log
         self.token = token
         self.quorums = quorums
         self._first_unread = log.committed
-        self._read_up_to: dict[int, int] = {}  # by voter: the number up to which it has sent everything
-        self._last: dict[int, int] = {}  # by voter: the highest number it holds
-        self._committed: dict[int, int] = {}  # by voter: up to which it knows entries to be committed
+        self._read_up_to: dict[int, int] = {}  # by voter: number up to which its entries have been read
+        self._last: dict[int, int] = {}  # by voter: the highest number that it holds
+        self._committed: dict[int, int] = {}  # by voter: the number up to which it knows entries to be committed
         self._entries: dict[int, dict[int, Entry]] = {}  # by voter, by number
         self.reading = True
         self._next_number = 0
@@ -68,11 +69,11 @@
     # Reading
 
     def read_after(self, voter: int) -> int:
-        """The number after which that voter's entries are to be fetched."""
+        """Returns the number after which that voter's entries must be fetched."""
         return self._read_up_to.get(voter, self._first_unread)
 
     def entries_read(self, voter: int, after: int, last: int, committed: int, entries: Sequence[Entry]) -> bool:
-        """A piece of what a voter holds; whether with it a majority is read. Pieces out of order don't count."""
+        """Records a batch of a voter's entries; returns whether a majority is read. Ignores batches out of order."""
         if not self.reading or after != self.read_after(voter):
             return False
         self._entries.setdefault(voter, {}).update({entry.number: entry for entry in entries})
@@ -86,8 +87,11 @@
         return True
 
     def _adopt(self, voters: list[int]) -> None:
-        """What one of these voters knows to be committed is. What they hold beyond that may be: it is stored again
-        under our token, and so is an empty entry in each gap that none of them fills."""
+        """Adopts the entries that these voters hold.
+
+        Entries that one of the voters knows to be committed are committed. Entries beyond those may be committed, so
+        they are stored again under this writer's token, with an empty entry in each gap.
+        """
         self.reading = False
         most_advanced = max(voters, key=lambda voter: self._committed[voter])
         committed = max(self._committed[most_advanced], self._first_unread)
@@ -111,7 +115,7 @@
     # Writing
 
     def submit(self, pending: PendingOrder) -> str:
-        """Queues an order, once however often it comes; an error, or empty."""
+        """Queues an order, unless it is queued or written already; returns an error, empty on success."""
         if len(self._queue) + len(self.uncommitted) >= MAX_PENDING_ORDERS:
             return "too many orders wait"
         if not self._has_queued(pending.origin) and not self._has_written(pending.origin):
@@ -125,19 +129,19 @@
         return any(written.origin == origin for _, written in self.uncommitted.values())
 
     def entries_to_store(self) -> list[Entry]:
-        """Entries that the voters are to store: again and again, until a majority has."""
+        """Returns the entries that voters must store; each is returned until a majority has stored it."""
         if self.reading:
             return []
         while self._queue and len(self.uncommitted) < MAX_UNCOMMITTED_ENTRIES:
             pending = self._queue.popleft()
             if self._has_written(pending.origin) or self._log.has_committed(pending.origin):
-                continue  # an earlier writer wrote it; its origin is answered when it sends the order again
+                continue  # already written by an earlier writer; the origin is answered when it sends the order again
             self._write(self._next_number, pending)
             self._next_number += 1
         return [entry for entry, _ in self.uncommitted.values()]
 
     def acknowledged(self, voter: int, number: int) -> list[tuple[Entry, PendingOrder]]:
-        """A voter has stored an entry; what is committed with that, in order."""
+        """Records that a voter has stored an entry; returns the entries that this commits, in order."""
         if number in self.uncommitted:
             self.uncommitted[number][1].stored_by.add(voter)
         committed: list[tuple[Entry, PendingOrder]] = []
