--- a/rookbend/leases/awaited_rows.py
+++ b/rookbend/leases/awaited_rows.py
@@ -1,4 +1,4 @@
-"""What is sent once a row is durable."""
+"""Replies that are sent once a row is durable."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class AwaitedRows(Generic[Item]):
-    """Items by the key of the row that they wait for, in the order in which the rows were written."""
+    """Items queued by the key of the row that they wait for, in the order in which the rows were written."""
 
     def __init__(self) -> None:
         self._waiting: dict[str, deque[Item]] = {}
@@ -18,15 +18,15 @@
         return key in self._waiting
 
     def add(self, key: str, item: Item) -> None:
-        """The item waits for the row that was just written."""
+        """Queues an item that waits for the row just written under that key."""
         self._waiting.setdefault(key, deque()).append(item)
 
     def waiting(self, key: str) -> tuple[Item, ...]:
-        """All that wait for rows of that key."""
+        """Returns the items that wait for rows of that key, oldest first."""
         return tuple(self._waiting.get(key, ()))
 
     def pop(self, key: str) -> Item | None:
-        """Takes out what has waited longest for that key; None where nothing does."""
+        """Removes and returns the item that has waited longest for that key, or None."""
         waiting = self._waiting.get(key)
         if not waiting:
             return None
--- a/rookbend/leases/fleet_report.py
+++ b/rookbend/leases/fleet_report.py
@@ -1,8 +1,8 @@
 """The fleet's report: the leader collects the counters of all directors, adds them up and has a line written.
 
-A line's number is the number of its period since the Unix epoch, so the next leader goes on with the next number
-and a ledger recognizes a line that it has. Directors report counts since their start; the report forms differences,
-and a director that restarted counts from zero.
+A line's number is the number of its period since the Unix epoch, so the next leader continues with the next number,
+and a ledger recognizes a line that it already has. Directors report counts since their start. The report contains the
+differences to the previous collection; for a director that restarted, the difference to zero.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 
 class ReportLine(NamedTuple):
-    """A line, and the number of its period."""
+    """A line and the number of its period."""
 
     number: int
     line: str
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True)
 class CollectionRound:
-    """One collection; `received` by director."""
+    """A collection in progress, with the counters `received` so far by director."""
 
     number: int
     sequence: int
@@ -52,7 +52,7 @@
 
 
 class FleetReport:
-    """One line each `period_us`; `last_written` is the newest number that the ledger is known to have."""
+    """Builds one line per `period_us`; `last_written` is the highest line number known to be written."""
 
     def __init__(self, period_us: int):
         self._period_us = period_us
@@ -62,23 +62,23 @@
         self.last_written = 0
 
     def is_due(self, now_us: int) -> bool:
-        """Whether a collection begins now."""
+        """Returns whether a collection should begin now."""
         return self.round is None and now_us // self._period_us > self.last_written
 
     def begin(self, now_us: int) -> int:
-        """Begins a collection; the sequence number that replies carry."""
+        """Begins a collection; returns the sequence number that the replies must carry."""
         self._sequence += 1
         self.round = CollectionRound(now_us // self._period_us, self._sequence, now_us)
         return self._sequence
 
     def record(self, director: int, incarnation: int, sequence: int, counters: tuple[int, ...]) -> None:
-        """A director's counters; those of an earlier collection are ignored."""
+        """Records a director's counters; those of an earlier collection are ignored."""
         if self.round is None or self.round.sequence != sequence or len(counters) != len(COUNTER_NAMES):
             return
         self.round.received[director] = CounterSnapshot(incarnation, counters)
 
     def line(self, now_us: int, token: int, director_count: int) -> ReportLine | None:
-        """The line, once all have replied or the time is over."""
+        """Returns the line once all directors have replied or the collection has timed out, and ends the collection."""
         collection = self.round
         if collection is None:
             return None
@@ -102,20 +102,23 @@
         return ReportLine(collection.number, msgspec.json.encode(content).decode())
 
     def _baseline(self, director: int, snapshot: CounterSnapshot) -> tuple[int, ...]:
-        """What is subtracted: a director that is new to this leader counts from now on."""
+        """Returns the counters to subtract from a director's snapshot.
+
+        A director without an earlier snapshot contributes nothing until the next collection.
+        """
         previous = self._previous.get(director)
         if previous is None:
             return snapshot.counters
         return previous.counters if previous.incarnation == snapshot.incarnation else NO_COUNTS
 
     def line_written(self, number: int, accepted: bool) -> None:
-        """The outcome of a line."""
+        """Records the outcome of writing a line."""
         if accepted:
             self.last_written = max(self.last_written, number)
 
 
 class ReportTask:
-    """Runs the report while its lease is held, and answers collections of other leaders."""
+    """Runs the report while its lease is held, and answers collections of the leader elsewhere."""
 
     def __init__(
         self,
@@ -135,7 +138,7 @@
         self._counters: tuple[int, ...] = ()
 
     def tick(self, now_us: int) -> None:
-        """Begins a collection or has its line written, as they are due."""
+        """Begins a collection when it is due, and has the line written once it is ready."""
         token = self._leases.held_token(now_us, REPORT_SCOPE)
         if not token:
             return
@@ -150,28 +153,28 @@
             self._actions.append(WriteReportLine(line.number, token, line.line, expires_us))
 
     def lease_lost(self) -> None:
-        """The collection in progress is over."""
+        """Drops the collection in progress."""
         self._report.round = None
 
     def line_written(self, number: int, accepted: bool) -> None:
-        """The outcome of a line."""
+        """Passes the outcome of writing a line to the report."""
         self._report.line_written(number, accepted)
 
     def counters_collected(self, _now_us: int, event: CountersCollected) -> None:
-        """Our own counters, for our collection or another leader's."""
+        """Stores this director's counters, for its own collection or that of another leader."""
         self._counters = event.counters
         if self._report.round is not None:
             _, director, incarnation = self._messenger.header
             self._report.record(director, incarnation, self._report.round.sequence, event.counters)
 
     def counters_requested(self, now_us: int, sender: int, message: CountersRequest) -> None:
-        """Replies with the counters of the last collection, and has them collected for the next."""
+        """Replies with the counters that were last collected, and has them collected again for the next request."""
         if self._fenced.accept(now_us, sender, REPORT_SCOPE, message.token):
             self._actions.append(CollectCounters())
             reply = CountersReply(*self._messenger.header, message.incarnation, message.sequence, self._counters)
             self._messenger.send(now_us, sender, reply)
 
     def counters_received(self, sender: int, message: CountersReply) -> None:
-        """A director's counters."""
+        """Records the counters of another director."""
         if message.to_incarnation == self._messenger.header[2]:
             self._report.record(sender, message.incarnation, message.sequence, message.counters)
--- a/rookbend/leases/leader_discovery.py
+++ b/rookbend/leases/leader_discovery.py
@@ -1,4 +1,4 @@
-"""Learns who holds which scope from a random voter: a request that can't be granted is answered with the holder."""
+"""Learns the holders of scopes from a random voter, by requests that can't be granted: refusals name the holder."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class LeaderDiscovery:
-    """`began_us` is the time from which the first interval counts."""
+    """Asks voters at intervals; the first interval starts at `began_us`."""
 
     def __init__(
         self,
@@ -33,7 +33,10 @@
         self._asked_us = began_us
 
     def run(self, now_us: int) -> None:
-        """Asks one voter about all scopes that are not held here; during a change, the others for their voters."""
+        """Asks a random voter about all scopes that are not held here, at intervals.
+
+        During a change of the voters, also asks the peers that have not reported the newest voter set.
+        """
         others = sorted(self._voters.all_voters - {self._director})
         if not others or now_us - self._asked_us < DISCOVERY_INTERVAL_US:
             return
--- a/rookbend/leases/leader_tasks.py
+++ b/rookbend/leases/leader_tasks.py
@@ -1,10 +1,10 @@
-"""The tasks that one director does for the whole fleet, and what guards each against two leaders.
+"""The tasks that one director performs for the whole fleet, and the guard of each against two leaders.
 
-    idempotent  two directors doing it at once do no harm: no lease, a hash over the live members chooses one
-    fencing     each request carries a growing token, and its receiver rejects older ones
-    expiry      no receiver can check: the work and its effects end before the lease does, by the holder's clock.
-                A process may be stopped between that check and the system call, so this is only for work that
-                may be late (`tolerates_delay`)
+    idempotent  two directors may perform the task at once: no lease, a hash over the live directors chooses one
+    fencing     each request carries an increasing token, and its receiver rejects older ones
+    expiry      no receiver checks tokens: the work and its effects end before the lease does, by the holder's clock.
+                A process may be suspended between that check and the system call, so this guard is only for work
+                that may take effect late (`tolerates_delay`)
 
 A task that is not in the table can't run: `leader_task(name)` raises. docs/OWNERSHIP.md describes the table.
 """
@@ -21,12 +21,12 @@
 ORDERS_SCOPE = 0
 RAMP_ALLOCATION_SCOPE = 1
 REPORT_SCOPE = 2
-FIRST_CHECKS_SCOPE = 16  # lower scopes belong to tasks without shards
+FIRST_CHECKS_SCOPE = 16  # lower scopes are for tasks without shards
 NO_SCOPE = -1
 
 
 class Guard(Enum):
-    """What keeps two leaders of a task from doing harm."""
+    """Protection of a task against two leaders at once."""
 
     IDEMPOTENT = "idempotent"
     FENCING = "fencing"
@@ -35,9 +35,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaderTask:
-    """`scope` is that of its lease, the first of them for a sharded task.
+    """A task and the scope of its lease, or the first scope for a sharded task.
 
-    `receivers` tells who rejects stale tokens, `without_leader` what happens while nobody holds the lease.
+    `receivers` says which processes reject stale tokens, `without_leader` what happens while no director holds the
+    lease.
     """
 
     name: str
@@ -56,7 +57,7 @@
         ORDERS_SCOPE,
         False,
         "voters: an entry with an older token is not stored",
-        "orders for the whole fleet are refused by name",
+        "orders for the whole fleet are refused with an error",
     ),
     LeaderTask(
         "conductor",
@@ -64,7 +65,7 @@
         RAMP_ALLOCATION_SCOPE,
         False,
         "directors: an allocation with an older token is not used",
-        "each director keeps to an even share",
+        "each director uses an even share",
     ),
     LeaderTask(
         "report",
@@ -72,7 +73,7 @@
         REPORT_SCOPE,
         False,
         "the ledger: a line with an older token is rejected",
-        "no line is written; the numbers of the lines show the gap",
+        "no line is written; the line numbers show the gap",
     ),
     LeaderTask(
         "report-file", Guard.EXPIRY, REPORT_SCOPE, False, "none: a file", "no line is written", tolerates_delay=True
@@ -85,18 +86,18 @@
         "directors: results with an older token are not used",
         "each director checks the members itself, at a reduced rate",
     ),
-    LeaderTask("own-checks", Guard.IDEMPOTENT, NO_SCOPE, False, "none needed", "always done by each director"),
+    LeaderTask("own-checks", Guard.IDEMPOTENT, NO_SCOPE, False, "none needed", "every director always performs them"),
 )
 TASKS_BY_NAME = {task.name: task for task in LEADER_TASKS}
 LEASED_TASK_NAMES = frozenset({"orders", "conductor", "report", "checks"})
 
 
 class UnknownTaskError(Exception):
-    """Work on behalf of the fleet that is not in the table, or that its guard does not allow."""
+    """Raised for a task that is not in the table, or whose guard does not protect it."""
 
 
 def leader_task(name: str) -> LeaderTask:
-    """The task of that name. Raises UnknownTaskError."""
+    """Returns the task of that name. Raises UnknownTaskError."""
     task = TASKS_BY_NAME.get(name)
     if task is None:
         raise UnknownTaskError(name)
@@ -106,7 +107,7 @@
 
 
 def scopes_of(names: Set[str], shards: int) -> tuple[int, ...]:
-    """The scopes of all leases of these tasks, ascending. Raises UnknownTaskError."""
+    """Returns the scopes of all leases of these tasks, in ascending order. Raises UnknownTaskError."""
     scopes: list[int] = []
     for name in names:
         task = leader_task(name)
@@ -118,14 +119,14 @@
 
 
 def scope_name(scope: int) -> str:
-    """The scope as operators read and write it: `orders`, `checks/3`."""
+    """Returns the name of a scope for operators, such as `orders` or `checks/3`."""
     if scope >= FIRST_CHECKS_SCOPE:
         return f"checks/{scope - FIRST_CHECKS_SCOPE}"
     return next((task.name for task in LEADER_TASKS if task.scope == scope), f"scope {scope}")
 
 
 def parse_scope(name: str) -> int:
-    """The scope that `scope_name` gives that name. Raises UnknownTaskError."""
+    """Returns the scope with that name; the inverse of `scope_name`. Raises UnknownTaskError."""
     task_name, _, shard = name.partition("/")
     task = leader_task(task_name)
     if task.scope < 0 or (not is_decimal(shard) if task.sharded else name != task_name):
@@ -134,9 +135,9 @@
 
 
 def rendezvous_ranking(scope: int, directors: Set[int]) -> list[int]:
-    """The directors in the order in which they should hold the scope.
+    """Returns the directors in order of preference for holding the scope.
 
-    A rendezvous hash: when a director leaves, only the scopes that it held move.
+    Uses rendezvous hashing: when a director leaves, only the scopes that it held move.
     """
 
     def weight(director: int) -> bytes:
@@ -146,5 +147,5 @@
 
 
 def checks_scope_of(member_number: int, shards: int) -> int:
-    """The scope of a member's checks; every director gives a member the same number."""
+    """Returns the scope of a member's checks; every director gives a member the same number."""
     return FIRST_CHECKS_SCOPE + member_number % shards
--- a/rookbend/leases/message_dispatcher.py
+++ b/rookbend/leases/message_dispatcher.py
@@ -1,4 +1,4 @@
-"""Decodes datagrams of peers, and passes messages to the parts that they are for."""
+"""Decodes the datagrams of peers and dispatches their messages to the parts that handle them."""
 
 from __future__ import annotations
 
@@ -20,7 +20,11 @@
 
 
 class MessageDispatcher:
-    """`undecodable` counts datagrams that are malformed, of another fleet, or not of who sent them."""
+    """Dispatches messages by type.
+
+    `undecodable` counts datagrams that are malformed, from another fleet, or that name another director than their
+    sender.
+    """
 
     def __init__(
         self,
@@ -63,7 +67,7 @@
         }
 
     def datagram_received(self, now_us: int, sender: int, data: bytes) -> None:
-        """A datagram of another director."""
+        """Decodes a datagram from another director and delivers its message."""
         try:
             message = decode(data)
         except LeaseProtocolError:
@@ -76,7 +80,7 @@
         self.deliver(now_us, sender, message)
 
     def deliver(self, now_us: int, sender: int, message: messages.Message) -> None:
-        """A message of a peer or of this director."""
+        """Passes a message from a peer or from this director to its handler."""
         self._handlers[type(message)](now_us, sender, message)
 
     def _lease_request_received(self, now_us: int, sender: int, message: messages.LeaseRequest) -> None:
--- a/rookbend/leases/messenger.py
+++ b/rookbend/leases/messenger.py
@@ -1,4 +1,4 @@
-"""Sends messages of the lease protocol; those to this director itself are delivered at once."""
+"""Sends messages of the lease protocol; those to this director itself are delivered directly."""
 
 from __future__ import annotations
 
@@ -21,9 +21,10 @@
 
 
 class Messenger:
-    """`header` is what every message of this director begins with: fleet, director, incarnation.
+    """Sends messages to directors by number.
 
-    `deliver` gets the messages to this director itself, as (now, sender, message).
+    `header` holds the first fields of every message of this director: fleet, director, incarnation. Messages to this
+    director itself are passed to `deliver(now_us, sender, message)`.
     """
 
     def __init__(
@@ -42,34 +43,37 @@
         self._deliver = deliver
 
     def send(self, now_us: int, peer: int, message: Message) -> None:
-        """Sends one message. Raises LeaseProtocolError where it does not fit into a datagram."""
+        """Sends one message. Raises LeaseProtocolError if it does not fit into a datagram."""
         self.send_datagram(now_us, peer, codec.encode(message))
 
     def send_datagram(self, now_us: int, peer: int, data: bytes) -> None:
-        """Sends an encoded message. A peer may have named a director that does not exist: nothing is sent there."""
+        """Sends an encoded message.
+
+        Sends nothing if the director does not exist: its number may come from a peer's message.
+        """
         if peer == self._director:
             self._deliver(now_us, peer, codec.decode(data))
         elif 0 <= peer < self._voters.director_count:
             self._actions.send(now_us, peer, data)
 
     def send_to_voters(self, now_us: int, message: Message) -> None:
-        """Sends the message to all voters, in the order of their numbers."""
+        """Sends a message to all voters, in ascending order of their numbers."""
         for voter in sorted(self._voters.all_voters):
             self.send(now_us, voter, message)
 
     def send_to_peers(self, now_us: int, datagrams: list[bytes]) -> None:
-        """Sends these to every other director."""
+        """Sends encoded messages to every other director."""
         for peer in range(self._voters.director_count):
             if peer != self._director:
                 for data in datagrams:
                     self.send_datagram(now_us, peer, data)
 
     def lease_request(self, *rows: LeaseRow) -> LeaseRequest:
-        """A request for these scopes; without any, for the highest token."""
+        """Returns a request for the leases in `rows`; without rows, it asks only for the highest token."""
         return LeaseRequest(*self.header, self._voters.digest, self._tokens.highest, rows)
 
     def send_votes(self, now_us: int, peer: int, incarnation: int, rows: list[VoteRow]) -> None:
-        """Answers a request; without rows, with the highest token only."""
+        """Answers a lease request; without rows, the answer holds only the highest token."""
         message = LeaseVote(*self.header, self._voters.digest, self._tokens.highest, incarnation, ())
         for data in codec.encode_rows(message, list(rows)):
             self.send_datagram(now_us, peer, data)
--- a/rookbend/leases/parts.py
+++ b/rookbend/leases/parts.py
@@ -1,4 +1,4 @@
-"""The parts of a lease state machine, each built with its inputs."""
+"""Builds the parts of a lease state machine and connects them."""
 
 from __future__ import annotations
 
@@ -37,9 +37,9 @@
 
 
 class LeaseParts:
-    """The parts of one incarnation of a director; `state` is what earlier ones left in durable storage.
+    """The parts for one incarnation of a director; `state` is restored from durable storage.
 
-    All draws of random numbers are of one generator, in the order in which the parts need them.
+    All parts draw random numbers from one generator, so the order in which they are built and run matters.
     """
 
     def __init__(self, config: LeaseConfig, now_us: int, incarnation: int, state: RestoredState):
@@ -55,14 +55,14 @@
         self.dispatcher = self._build_dispatcher()
 
     def _build_shared(self, state: RestoredState) -> None:
-        """What the parts share: the voters, what is sent, and which tokens are known."""
+        """Builds the objects that the parts share: voters, messenger, tokens, placement and leases."""
         config = self.config
         self.voters = VoterConfiguration(config.voters, config.director_count, config.director)
         self.voter = Voter(config.terms, self.began_us, state.grants)
         self.tokens = TokenCounter(state.highest_token, self.voter)
         header = fleet_number(config.fleet), config.director, self.incarnation
         self.messenger = Messenger(header, self.voters, self.tokens, self.actions, self._deliver_to_self)
-        # A grant of this voter does not bind it as a receiver: who is granted by a few voters only holds nothing.
+        # The fencing guard does not record this voter's grants: a candidate with only a few grants holds no lease.
         self.fenced = FencedRequests(FencingGuard(state.tokens), self.tokens, self.messenger, self.actions)
         self.placement = ScopePlacement(config.director)
         holder = Holder(config.director, self.incarnation)
@@ -132,7 +132,7 @@
             self.shard_results,
         )
 
-    # What one part tells others
+    # Callbacks between parts
 
     def _lease_acquired(self, scope: int, token: int) -> None:
         self.fenced.record_own_token(scope, token)
--- a/rookbend/leases/ramp_allocation.py
+++ b/rookbend/leases/ramp_allocation.py
@@ -1,8 +1,8 @@
-"""Allocation of a recovery's ramp: the leader hands out shares of the fleet's rate, so that their sum holds.
+"""Allocation of a recovery ramp: the leader assigns shares of the fleet's rate, so that their sum stays within it.
 
-A director that is not heard of is taken to keep to an even share, as every director does by itself while there is
-no leader. The rest is dealt to those that are heard of, by their recent calls to the origin, and nobody gets less
-than a quarter of an even share. A share expires by itself.
+A director that does not report is assumed to use an even share, as every director does while there is no leader. The
+rest is divided among the reporting directors in proportion to their recent calls to the origin, and each gets at least
+a quarter of an even share. A share expires unless it is renewed.
 """
 
 from __future__ import annotations
@@ -23,10 +23,10 @@
 
 
 def allocate(director_count: int, calls: Mapping[int, int]) -> dict[int, int]:
-    """Shares in millionths of the fleet's rate by director.
+    """Returns shares by director, in millionths of the fleet's rate.
 
-    `calls` are the recent calls of each director that is heard of, the leader among them. Together with the even
-    shares of the others they never exceed the whole.
+    `calls` are the recent calls of each reporting director, including the leader. Together with even shares for the
+    other directors, the shares never exceed the whole.
     """
     live_count = len(calls)
     if not live_count:
@@ -41,7 +41,7 @@
 
 
 class AllocatedShare:
-    """The share that a director was allocated."""
+    """The share allocated to this director."""
 
     def __init__(self) -> None:
         self._token = 0
@@ -50,7 +50,7 @@
         self._expires_us = 0
 
     def update(self, now_us: int, token: int, sequence: int, millionths: int, valid_us: int) -> bool:
-        """Takes a share whose token was accepted; False where it is late, a duplicate or out of range."""
+        """Stores a share whose token was accepted; returns False if it is late, a duplicate or out of range."""
         if (token, sequence) <= (self._token, self._sequence) or not 0 < millionths <= MILLION:
             return False
         self._token = token
@@ -60,12 +60,12 @@
         return True
 
     def ratio(self, now_us: int) -> float | None:
-        """The share of 1; None once it has expired."""
+        """Returns the share as a fraction of 1, or None if it has expired."""
         return self._millionths / MILLION if now_us < self._expires_us else None
 
 
 class RampAllocator:
-    """Sends shares while the lease is held, and receives this director's own into `share`."""
+    """Sends shares while the lease is held, and stores the share received by this director in `share`."""
 
     def __init__(self, director_count: int, leases: LeaseTable, fenced: FencedRequests, messenger: Messenger):
         self._director_count = director_count
@@ -77,11 +77,11 @@
         self._allocated_us = 0
 
     def calls_reported(self, _now_us: int, event: OriginCallsReported) -> None:
-        """Recent calls by director; empty while there is no ramp."""
+        """Records recent calls by director, which are empty while there is no ramp."""
         self._calls = event.calls
 
     def tick(self, now_us: int) -> None:
-        """Allocates anew, when it is due."""
+        """Sends new shares when they are due."""
         if not self._calls or now_us - self._allocated_us < ALLOCATION_INTERVAL_US:
             return
         token = self._leases.held_token(now_us, RAMP_ALLOCATION_SCOPE)
@@ -94,7 +94,7 @@
             self._messenger.send(now_us, director, message)
 
     def share_received(self, now_us: int, sender: int, message: RampShare) -> None:
-        """This director's share."""
+        """Stores this director's share if its token is accepted; a share from itself needs no check."""
         is_own = sender == self._messenger.header[1]
         if is_own or self._fenced.accept(now_us, sender, RAMP_ALLOCATION_SCOPE, message.token):
             self.share.update(now_us, message.token, message.sequence, message.millionths, message.valid_ms * 1000)
--- a/rookbend/leases/rebalancing.py
+++ b/rookbend/leases/rebalancing.py
@@ -1,4 +1,4 @@
-"""Which director should hold which scope: a rendezvous ranking of the live members, and operators' pins."""
+"""Placement of scopes on directors: a rendezvous ranking of the live directors, and operators' pins."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class ScopePlacement:
-    """The order of the live members for each scope; a pinned live director comes first."""
+    """Ranks the live directors for each scope; a live director to which the scope is pinned comes first."""
 
     def __init__(self, director: int):
         self._director = director
@@ -20,7 +20,7 @@
         self._rankings: dict[int, list[int]] = {}
 
     def ranking(self, scope: int) -> list[int]:
-        """The live members, first the one that should hold the scope."""
+        """Returns the live directors, most preferred holder of the scope first."""
         ranking = self._rankings.get(scope)
         if ranking is None:
             ranking = rendezvous_ranking(scope, self.live_directors)
@@ -31,33 +31,33 @@
         return ranking
 
     def rank(self, scope: int) -> int:
-        """This director's place in the ranking, from 0."""
+        """Returns this director's place in the ranking, from 0."""
         return self.ranking(scope).index(self._director)
 
     def successors(self, scope: int) -> list[int]:
-        """The ranking without this director."""
+        """Returns the ranking without this director."""
         return [director for director in self.ranking(scope) if director != self._director]
 
     def set_live_directors(self, directors: frozenset[int]) -> None:
-        """Other directors are live now; this one always is."""
+        """Replaces the set of live directors; this director is always added."""
         directors = directors | {self._director}
         if directors != self.live_directors:
             self.live_directors = directors
             self._rankings = {}
 
     def pin(self, scope: int, director: int) -> None:
-        """An operator wants the scope at that director, while it is live."""
+        """Pins the scope to a director, which is preferred while it is live."""
         self.pins[scope] = director
         self._rankings.pop(scope, None)
 
     def unpin(self, scope: int) -> None:
-        """Takes a pin out, where there is one."""
+        """Removes the pin of a scope, if any."""
         self.pins.pop(scope, None)
         self._rankings.pop(scope, None)
 
 
 class Rebalancer:
-    """Hands over scopes that others should hold, one at a time; `hand_over` gets (now, scope, successor)."""
+    """Hands over scopes that other directors should hold, one at a time, by `hand_over(now_us, scope, successor)`."""
 
     def __init__(
         self,
@@ -75,7 +75,11 @@
         self._balanced_us = 0
 
     def run(self, now_us: int) -> None:
-        """A pinned scope goes where it is pinned; of more shards than an even part, one goes to its first."""
+        """Hands over at most one scope, at intervals.
+
+        First, a scope that is pinned to another live director. Otherwise, if this director holds more than its fair
+        share of the shards, one that prefers another director.
+        """
         if now_us - self._balanced_us < REBALANCE_INTERVAL_US:
             return
         self._balanced_us = now_us
--- a/rookbend/leases/shard_results.py
+++ b/rookbend/leases/shard_results.py
@@ -1,4 +1,4 @@
-"""Publishes check results of the shards that are held here, and receives those of the others."""
+"""Publishes check results of the shards that are held here, and receives those of other shards."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class ShardResultsExchange:
-    """Publishes under the leases of `leases`, and fills `follower` with what others publish."""
+    """Publishes results under the leases in `leases`, and passes the results of other leaders to `follower`."""
 
     def __init__(
         self,
@@ -38,14 +38,14 @@
         self._published_us: dict[int, int] = {}
 
     def results_collected(self, now_us: int, event: CheckResultsCollected) -> None:
-        """Our results of a shard; changed findings are published at once."""
+        """Stores this director's results of a shard; changed findings are published at once."""
         before = self._collected.get(event.scope)
         self._collected[event.scope] = event
         if before is None or before.findings != event.findings:
             self._publish(now_us, event)
 
     def tick(self, now_us: int) -> None:
-        """Publishes again what was not published lately."""
+        """Publishes results that were not published within `PUBLISH_INTERVAL_US`."""
         for scope, event in self._collected.items():
             if not self._leases.held_token(now_us, scope):
                 continue
@@ -69,7 +69,7 @@
         self._messenger.send_to_peers(now_us, parts)
 
     def results_received(self, now_us: int, sender: int, message: ShardResults) -> None:
-        """A part of what the leader of a shard publishes."""
+        """Takes one part of a publication by a shard's leader."""
         scope = message.scope
         if scope < FIRST_CHECKS_SCOPE or scope not in self._leases.leases:
             return
--- a/rookbend/leases/sharded_checks.py
+++ b/rookbend/leases/sharded_checks.py
@@ -1,10 +1,10 @@
-"""Health checks by shard: what the leader of a shard publishes, and what a director makes of it.
+"""Health checks by shard: what a shard's leader publishes, and how other directors apply it.
 
-A leader publishes, at intervals and at each change, which members of its shard are not plainly healthy, and one
-number that tells which members it has any result of. A director feeds that to its registry like results of its own
-checks: the same precedence applies, membership first, and its own attempts count beside them. Results with an older
-token, or a sequence that is not above the last, are not used. A shard that was not published for `SILENT_US` each
-director checks itself.
+At intervals and at each change, a leader publishes the members of its shard that are not fully healthy, and a checksum
+(exclusive or) of the members that it has results for. A director feeds these to its registry like the results of its
+own checks: the same precedence applies (membership first), and the outcomes of its own attempts count as well. Results
+with an older token, or with a sequence number that is not above the last, are discarded. If nothing is published for a
+shard during `RESULTS_VALID_US`, each director checks the shard's members itself.
 """
 
 from __future__ import annotations
@@ -20,9 +20,9 @@
 from rookbend.protocol.lease_messages import Finding, ShardResults
 
 RESULTS_VALID_US = 2_000_000
-LEADERLESS_INTERVAL_FACTOR = 4  # by which checks are rarer that each director makes itself
-REFRESHES_PER_EXPIRY = 3  # results are refreshed once they are this part of their time old
-MAX_PARTS = 64  # datagrams of one publication
+LEADERLESS_INTERVAL_FACTOR = 4  # the check interval is this much longer while each director checks by itself
+REFRESHES_PER_EXPIRY = 3  # results are refreshed at this fraction (1/3) of the time after which they are stale
+MAX_PARTS = 64  # datagrams per publication
 FLAG_DOWN = 1
 FLAG_DEGRADED = 2
 FLAG_DRAIN = 4
@@ -34,13 +34,16 @@
 
 
 def finding_from_state(member: int, check: int, state: CheckState) -> Finding:
-    """The finding of one check on one member."""
+    """Returns the finding of one check on one member."""
     flags = FLAG_DOWN * state.down | FLAG_DEGRADED * state.degraded | FLAGS_BY_ADMIN.get(state.admin, 0)
     return Finding(member, check, flags, state.weight)
 
 
 def collect_findings(rows: Iterable[MemberHealth], checks: list[str]) -> tuple[list[Finding], int]:
-    """What a leader publishes of these members: findings, and the exclusive or of the members with all results."""
+    """Returns what a leader publishes for these members.
+
+    The result holds the findings, and the exclusive or of the numbers of the members that have a result of every check.
+    """
     findings: list[Finding] = []
     covered = 0
     for row in rows:
@@ -57,9 +60,10 @@
 
 @dataclass(slots=True)
 class ShardView:
-    """What is known of one shard from its leader.
+    """The newest results of one shard from its leader.
 
-    `findings` by (member, check); `is_complete`: the members that it covers are those of our own list.
+    `findings` are keyed by (member, check). `is_complete` is set if they cover the same members as this director's
+    own list.
     """
 
     token: int = 0
@@ -72,14 +76,14 @@
 
 
 class ShardFollower:
-    """What shards' leaders publish; `outdated` counts parts that were not above the last."""
+    """Collects what the leaders of shards publish; `outdated` counts the parts that were old or duplicates."""
 
     def __init__(self) -> None:
         self._shards: dict[int, ShardView] = {}
         self.outdated = 0
 
     def receive(self, now_us: int, message: ShardResults) -> bool:
-        """Whether a publication is whole with this part, whose token was accepted."""
+        """Takes a part whose token was accepted; returns whether it completes the publication."""
         shard = self._shards.setdefault(message.scope, ShardView())
         if not self._is_new_part(shard, message):
             self.outdated += 1
@@ -100,14 +104,14 @@
         if version < newest or not 0 <= message.part < message.parts <= MAX_PARTS:
             return False
         if version == newest:
-            # Else a duplicate, or of a publication that was whole already.
+            # Otherwise it is a duplicate, or part of a publication that is already complete.
             return bool(shard.parts) and message.part not in shard.parts
         shard.token, shard.sequence = version
         shard.parts = {}
         return True
 
     def is_fresh(self, now_us: int, scope: int) -> bool:
-        """Whether the leader's results stand in for our own checks."""
+        """Returns whether the leader's results are recent and complete enough to replace this director's checks."""
         shard = self._shards.get(scope)
         if shard is None or not shard.is_complete:
             return False
@@ -116,9 +120,9 @@
     def health_events(
         self, now_us: int, scope: int, rows: Iterable[MemberHealth], checks: list[str], number: int
     ) -> list[HealthEvent]:
-        """The newest publication as events of our registry: changes, and now and then a refresh.
+        """Returns the newest publication as events for the health registry: changes, and periodic refreshes.
 
-        `rows` are our own of the shard's members; `number` is that of a check that begins now.
+        `rows` are the registry's rows of the shard's members; `number` is the number of a check that begins now.
         """
         shard = self._shards[scope]
         rows = list(rows)
@@ -133,7 +137,7 @@
             for name, state in row.checks.items():
                 finding = shard.findings.get((member, checks.index(name))) if name in checks else None
                 if finding is None and not shard.is_complete:
-                    continue  # the leader may not know of it
+                    continue  # the leader may not know this member
                 events += _check_events(now_us, member, name, state, finding, number)
         return events
 
@@ -149,7 +153,7 @@
     down = bool(flags & FLAG_DOWN)
     degraded = bool(flags & FLAG_DEGRADED)
     if down and not state.down:
-        return [CheckCompleted(member, name, number, CheckOutcome.DISMISSED, LEADER_REPORT_REASON)]  # counts at once
+        return [CheckCompleted(member, name, number, CheckOutcome.DISMISSED, LEADER_REPORT_REASON)]  # at once
     healthy = CheckOutcome.DEGRADED if degraded else CheckOutcome.PASSED
     if not down and state.down:
         return [CheckCompleted(member, name, number, healthy, LEADER_REPORT_REASON)] * state.policy.rise
--- a/rookbend/leases/status.py
+++ b/rookbend/leases/status.py
@@ -1,4 +1,4 @@
-"""What operators read of leases: the JSON of `rookbend fleet owners`."""
+"""Status of the leases for operators: the JSON of `rookbend fleet owners`."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 
 
 def lease_status(now_us: int, parts: LeaseParts, without: int) -> dict[str, object]:
-    """All scopes and their holders as this director knows them; times in milliseconds.
+    """Returns all scopes and their holders as this director knows them; times are in milliseconds.
 
-    `next` is who should hold each scope if the director `without` were gone.
+    `next` is the preferred holder of each scope among the live directors other than `without`.
     """
     voters = parts.voters
     live_directors = parts.placement.live_directors
