--- a/rookbend/leases/order_follower.py
+++ b/rookbend/leases/order_follower.py
@@ -114,9 +114,9 @@
         reply = EntriesFetched(
             *self._messenger.header, message.incarnation, message.token, message.after, committed, last, ()
         )
-        self._messenger.send(now_us, sender, self._filled(reply))
+        self._messenger.send(now_us, sender, self._with_entries(reply))
 
-    def _filled(self, reply: EntriesFetched) -> EntriesFetched:
+    def _with_entries(self, reply: EntriesFetched) -> EntriesFetched:
         for entry in self._log.entries_between(reply.after, reply.last):
             longer = msgspec.structs.replace(reply, entries=(*reply.entries, entry))
             try:
--- a/rookbend/leases/sharded_checks.py
+++ b/rookbend/leases/sharded_checks.py
@@ -28,7 +28,7 @@
 FLAG_DRAIN = 4
 FLAG_MAINTENANCE = 8
 FLAGS_BY_ADMIN = {"drain": FLAG_DRAIN, "maint": FLAG_MAINTENANCE}
-LEADER_REPORT_REASON = "by its owner"
+LEADER_REPORT_REASON = "reported by the shard's leader"
 
 HealthEvent = CheckCompleted | AgentReported
 
