--- a/tests/test_leases_any_faults.py
+++ b/tests/test_leases_any_faults.py
@@ -1,5 +1,8 @@
-"""Fleets of lease coordinators in simulated time under any order of faults: one owner at a time, orders once and in
-order; and an owner again once all is well."""
+"""Fleets of lease state machines in simulated time, under random sequences of faults.
+
+Checks that a scope has at most one holder at a time, that orders are applied once and in the same order everywhere, and
+that every scope has a holder again once the faults are over.
+"""
 
 import hypothesis.strategies as st
 from hypothesis import HealthCheck, settings
@@ -9,80 +12,83 @@
 from rookbend.testing.lease_simulation_parts import SECOND_US
 
 
-def consistent(sim):
-    """Orders took effect in one order, each once."""
-    lists = sorted((n.applied_orders for n in sim.directors if n.machine is not None), key=len)
-    for shorter, longer in zip(lists, lists[1:], strict=False):
+def assert_orders_consistent(sim):
+    """Checks that all directors apply the same orders in the same sequence, each once."""
+    sequences = sorted((director.applied_orders for director in sim.directors if director.machine is not None), key=len)
+    for shorter, longer in zip(sequences, sequences[1:], strict=False):
         assert longer[: len(shorter)] == shorter
-    if lists:
-        named = [member for member, _ in lists[-1]]
-        assert len(named) == len(set(named)), "an order took effect twice"
+    if sequences:
+        targets = [member for member, _ in sequences[-1]]
+        assert len(targets) == len(set(targets)), "an order was applied twice"
 
 
 class Fleet(RuleBasedStateMachine):
-    """Any order of faults. `clocks`: at starts they may be wrong; else disks may be lost (see OWNERSHIP.md on
-    both at once)."""
+    """Any sequence of faults.
+
+    With `wrong_clocks`, a director's clock may be wrong after a start; otherwise its storage may be lost. OWNERSHIP.md
+    describes both at once.
+    """
 
     @initialize(
         count=st.sampled_from([5, 7]),
         seed=st.integers(0, 1000),
-        clocks=st.booleans(),
+        wrong_clocks=st.booleans(),
         loss=st.sampled_from([0.0, 0.1]),
         voters=st.sampled_from([3, 5]),
     )
-    def begin(self, count, seed, clocks, loss, voters):
+    def begin(self, count, seed, wrong_clocks, loss, voters):
         self.sim = LeaseSimulation(count, seed, voters, 3, loss=loss, duplication=0.1, drift=0.02)
-        self.clocks, self.spoilt, self.orders = clocks, set(), {}
+        self.wrong_clocks, self.wiped, self.orders = wrong_clocks, set(), {}
         self.sim.start()
         self.sim.run(8 * SECOND_US)
 
-    def some(self, number):
+    def director_number(self, number):
         return number % self.sim.count
 
     @rule(number=st.integers(0, 6), for_ms=st.integers(50, 4_000))
     def kill_and_start(self, number, for_ms):
-        number = self.some(number)
+        number = self.director_number(number)
         self.sim.kill(number)
         self.sim.run(for_ms * 1000)
-        if self.clocks:
+        if self.wrong_clocks:
             self.sim.directors[number].clock_step_us = self.sim.random.choice((-600, 0, 600)) * SECOND_US
-        elif not self.spoilt - {number} and self.sim.random.random() < 0.3:
-            self.spoilt.add(number)  # one disk at most: two of three voters would be a majority
+        elif not self.wiped - {number} and self.sim.random.random() < 0.3:
+            self.wiped.add(number)  # at most one storage is lost: two of three voters would be a majority
             self.sim.directors[number].storage.clear()
         self.sim.start(number)
 
     @rule(number=st.integers(0, 6), for_ms=st.integers(100, 10_000))
     def freeze(self, number, for_ms):
-        number = self.some(number)
+        number = self.director_number(number)
         self.sim.freeze(number)
         self.sim.run(for_ms * 1000)
         self.sim.freeze(number, False)
 
     @rule(a=st.integers(0, 6), b=st.integers(0, 6), both=st.booleans())
     def cut(self, a, b, both):
-        a, b = self.some(a), self.some(b)
+        a, b = self.director_number(a), self.director_number(b)
         if a != b:
             self.sim.network.cut_links |= {(a, b), (b, a)} if both else {(a, b)}
 
     @rule()
-    def heal(self):
+    def restore_links(self):
         self.sim.network.cut_links.clear()
 
     @rule(number=st.integers(0, 6))
     def order(self, number):
         member = f"m{len(self.orders)}"
-        self.orders[self.sim.order(self.some(number), member, "drain")] = member
+        self.orders[self.sim.order(self.director_number(number), member, "drain")] = member
 
     @rule(for_ms=st.integers(10, 4_000))
     def run(self, for_ms):
         self.sim.run(for_ms * 1000)
 
     @invariant()
-    def safe(self):
+    def invariants_hold(self):
         if hasattr(self, "sim"):
             self.sim.check()
             assert not self.sim.violations, self.sim.violations
-            consistent(self.sim)
+            assert_orders_consistent(self.sim)
 
     def teardown(self):
         if not hasattr(self, "sim"):
@@ -94,12 +100,17 @@
         sim.run(15 * SECOND_US)
         sim.check()
         assert not sim.violations
-        assert not sim.leaderless_scopes(), "a stable majority leads to owners"
-        answered = [self.orders[i] for n in sim.directors for i, fault in n.order_outcomes.items() if not fault]
-        for node in sim.directors:
-            stood = [member for member, _ in node.applied_orders]
-            assert set(answered) <= set(stood), "an order that was said to stand"
-        consistent(sim)
+        assert not sim.leaderless_scopes(), "every scope has a holder once a majority is stable"
+        answered = [
+            self.orders[order_id]
+            for director in sim.directors
+            for order_id, error in director.order_outcomes.items()
+            if not error
+        ]
+        for director in sim.directors:
+            applied = [member for member, _ in director.applied_orders]
+            assert set(answered) <= set(applied), "an order that was reported as committed was not applied"
+        assert_orders_consistent(sim)
 
 
 Fleet.TestCase.settings = settings(
