--- a/rookbend/leases/events.py
+++ b/rookbend/leases/events.py
@@ -44,7 +44,7 @@
 
 @dataclass(slots=True)
 class OrderRequested:
-    """An operator requests an order for the whole fleet; `id` is unique within this incarnation of this director."""
+    """An operator requests an order for the whole fleet; `id` is assigned by this director."""
 
     id: int
     target: str
--- a/rookbend/leases/fleet_report.py
+++ b/rookbend/leases/fleet_report.py
@@ -118,7 +118,7 @@
 
 
 class ReportTask:
-    """Runs the report while its lease is held, and answers collections of the leader elsewhere."""
+    """Runs the report while its lease is held, and answers collections of another leader."""
 
     def __init__(
         self,
--- a/rookbend/leases/handover.py
+++ b/rookbend/leases/handover.py
@@ -59,7 +59,7 @@
         self.announce(now_us)
 
     def announce(self, now_us: int) -> None:
-        """Announces recent hand-overs again: a lost datagram would leave the scope unheld until the lease expires."""
+        """Sends the pending announcements: a lost datagram would leave a scope unheld until its lease expires."""
         for announcement in self._announcements:
             announcement.sends_left -= 1
             self._messenger.send_release(now_us, announcement.scope, announcement.token, announcement.successor)
--- a/rookbend/leases/sharded_checks.py
+++ b/rookbend/leases/sharded_checks.py
@@ -20,8 +20,8 @@
 from rookbend.protocol.lease_messages import Finding, ShardResults
 
 RESULTS_VALID_US = 2_000_000
-LEADERLESS_INTERVAL_FACTOR = 4  # the check interval is this much longer while each director checks by itself
-REFRESHES_PER_EXPIRY = 3  # results are refreshed at this fraction (1/3) of the time after which they are stale
+LEADERLESS_INTERVAL_FACTOR = 4  # multiplies the check interval while no leader publishes and each director checks
+REFRESHES_PER_EXPIRY = 3  # a result is refreshed once its age reaches its stale time divided by this
 MAX_PARTS = 64  # datagrams per publication
 FLAG_DOWN = 1
 FLAG_DEGRADED = 2
@@ -153,7 +153,8 @@
     down = bool(flags & FLAG_DOWN)
     degraded = bool(flags & FLAG_DEGRADED)
     if down and not state.down:
-        return [CheckCompleted(member, name, number, CheckOutcome.DISMISSED, LEADER_REPORT_REASON)]  # at once
+        # This outcome takes effect at once, without waiting for repeated failures.
+        return [CheckCompleted(member, name, number, CheckOutcome.DISMISSED, LEADER_REPORT_REASON)]
     healthy = CheckOutcome.DEGRADED if degraded else CheckOutcome.PASSED
     if not down and state.down:
         return [CheckCompleted(member, name, number, healthy, LEADER_REPORT_REASON)] * state.policy.rise
