--- a/rookbend/leases/machine.py
+++ b/rookbend/leases/machine.py
@@ -1,8 +1,7 @@
-"""The state machine of one director's leases: fed `(now, event)`, it answers with actions.
+"""The state machine of one director's leases: it takes `(now, event)`, returns actions and does no I/O.
 
-It passes events to its parts (`parts`) and runs their timer. Without input and output: `rookbend.net.leases` drives
-it, and the tests and benchmarks do so in simulated time. Times are µs of the director's monotonic clock, moved to Unix
-time at its start.
+It passes events to its parts (`parts`) and runs their timer. `rookbend.net.leases` drives it, and the tests and
+benchmarks do so in simulated time. Times are in µs of the director's monotonic clock, offset to Unix time at its start.
 """
 
 from __future__ import annotations
@@ -21,15 +20,16 @@
 from rookbend.leases.status import lease_status
 
 TICK_US = 100_000
-LEAST_TICK_RATIO, TICK_SPREAD_RATIO = 0.85, 0.3
+MIN_TICK_RATIO, TICK_JITTER_RATIO = 0.85, 0.3
 
 Actions = list[Action | SendDatagram | WriteLogLine]
 
 
 class LeaseMachine:
-    """One incarnation of a director; `rows` are those that earlier ones persisted.
+    """The leases of one incarnation of a director; `rows` are those that earlier incarnations persisted.
 
-    `due_us` is when the next TimerExpired is wanted. What drives it may read `parts` and must not change them.
+    `due_us` is the time at which the driver must feed the next TimerExpired. The driver may read `parts` but must not
+    change them.
     """
 
     def __init__(self, config: LeaseConfig, now_us: int, incarnation: int, rows: Iterable[Row] = ()):
@@ -40,38 +40,38 @@
         self.parts = LeaseParts(config, now_us, incarnation, restore(rows))
         self.leases = self.parts.leases
         self.actions = self.parts.actions
-        self._event_handlers = self._handlers_of_events()
+        self._event_handlers = self._build_event_handlers()
 
     def begin(self, _now_us: int) -> Actions:
-        """What was committed before takes effect again. To be called once, before anything else."""
+        """Applies the orders that were already committed. Must be called once, before any other method."""
         self.parts.orders.store.apply_committed()
         return self.actions.take()
 
     def feed(self, now_us: int, event: events.Event) -> Actions:
-        """One event; what the driver is to do, in order."""
-        self.actions.take()  # those of a step that raised
+        """Handles one event; returns the actions that the driver must carry out, in order."""
+        self.actions.take()  # discards actions left over from a step that raised
         self.parts.voting.detect_pause(now_us)
         self._event_handlers[type(event)](now_us, event)
         return self.actions.take()
 
     def describe(self, now_us: int, without: int = -1) -> dict[str, object]:
-        """Scopes and their holders as this director knows them, and who should hold each without that director."""
+        """Returns the JSON-ready status of all scopes; see `lease_status`."""
         return lease_status(now_us, self.parts, without)
 
     @property
     def unusable_datagrams(self) -> int:
-        """Datagrams that could not be decoded, or whose contents can't be."""
+        """Number of datagrams that could not be decoded, plus the requests with an implausible token."""
         return self.parts.dispatcher.undecodable + self.parts.fenced.implausible
 
     # Events
 
-    def _handlers_of_events(self) -> dict[type, Callable[[int, Any], None]]:
+    def _build_event_handlers(self) -> dict[type, Callable[[int, Any], None]]:
         parts = self.parts
         return {
             TimerExpired: self._timer_expired,
             DatagramReceived: self._datagram_received,
             events.RowPersisted: self._row_persisted,
-            events.LiveDirectorsChanged: self._live_members_changed,
+            events.LiveDirectorsChanged: self._live_directors_changed,
             events.ShutdownRequested: parts.handover.shut_down,
             events.VotersChanged: parts.reconfiguration.begin,
             events.StaleStorageDetected: self._storage_is_stale,
@@ -89,14 +89,14 @@
         parts = self.parts
         parts.election.tick(now_us)
         parts.handover.announce(now_us)
-        parts.voting.recall_tokens(now_us)
+        parts.voting.request_highest_tokens(now_us)
         parts.discovery.run(now_us)
         parts.rebalancer.run(now_us)
         parts.shard_results.tick(now_us)
         parts.ramp_allocator.tick(now_us)
         parts.report.tick(now_us)
         parts.orders.tick(now_us)
-        self.due_us = now_us + int(TICK_US * (LEAST_TICK_RATIO + TICK_SPREAD_RATIO * parts.random.random()))
+        self.due_us = now_us + int(TICK_US * (MIN_TICK_RATIO + TICK_JITTER_RATIO * parts.random.random()))
 
     def _datagram_received(self, now_us: int, event: DatagramReceived) -> None:
         self.parts.dispatcher.datagram_received(now_us, event.sender, event.data)
@@ -107,8 +107,8 @@
         elif event.kind == LOG_KIND:
             self.parts.orders.follower.entry_persisted(now_us, event)
 
-    def _live_members_changed(self, _now_us: int, event: events.LiveDirectorsChanged) -> None:
-        self.parts.placement.set_live_members(event.directors)
+    def _live_directors_changed(self, _now_us: int, event: events.LiveDirectorsChanged) -> None:
+        self.parts.placement.set_live_directors(event.directors)
 
     def _storage_is_stale(self, now_us: int, _event: events.StaleStorageDetected) -> None:
         self.parts.voting.storage_is_stale(now_us)
@@ -117,4 +117,4 @@
     def _report_line_written(self, now_us: int, event: events.ReportLineWritten) -> None:
         self.parts.report.line_written(event.number, event.accepted)
         if event.highest_token:
-            self.parts.election.step_down(now_us, REPORT_SCOPE, event.highest_token, informant=-1)
+            self.parts.election.step_down(now_us, REPORT_SCOPE, event.highest_token, reporter=-1)
--- a/rookbend/leases/sharded_checks.py
+++ b/rookbend/leases/sharded_checks.py
@@ -1,10 +1,10 @@
-"""Health checks by shard: what the leader of a shard publishes, and what a director makes of it.
+"""Health checks by shard: what a shard's leader publishes, and how other directors apply it.
 
-A leader publishes, at intervals and at each change, which members of its shard are not plainly healthy, and one
-number that tells which members it has any result of. A director feeds that to its registry like results of its own
-checks: the same precedence applies, membership first, and its own attempts count beside them. Results with an older
-token, or a sequence that is not above the last, are not used. A shard that was not published for `SILENT_US` each
-director checks itself.
+At intervals and at each change, a leader publishes the members of its shard that are not fully healthy, and a checksum
+(exclusive or) of the members that it has results for. A director feeds these to its registry like the results of its
+own checks: the same precedence applies (membership first), and the outcomes of its own attempts count as well. Results
+with an older token, or with a sequence number that is not above the last, are discarded. If nothing is published for a
+shard during `RESULTS_VALID_US`, each director checks the shard's members itself.
 """
 
 from __future__ import annotations
@@ -19,28 +19,31 @@
 from rookbend.health.model import FULL
 from rookbend.protocol.lease_messages import Finding, ShardResults
 
-SILENT_US = 2_000_000
-UNLED_INTERVAL_FACTOR = 4  # by which checks are rarer that each director makes itself
-STALE_FRACTION = 3  # results are refreshed once they are this part of their time old
-MAX_PARTS = 64  # datagrams of one publication
+RESULTS_VALID_US = 2_000_000
+LEADERLESS_INTERVAL_FACTOR = 4  # multiplies the check interval while no leader publishes and each director checks
+REFRESHES_PER_EXPIRY = 3  # a result is refreshed once its age reaches its stale time divided by this
+MAX_PARTS = 64  # datagrams per publication
 FLAG_DOWN = 1
 FLAG_DEGRADED = 2
 FLAG_DRAIN = 4
 FLAG_MAINTENANCE = 8
 FLAGS_BY_ADMIN = {"drain": FLAG_DRAIN, "maint": FLAG_MAINTENANCE}
-REASON = "by its owner"
+LEADER_REPORT_REASON = "reported by the shard's leader"
 
-Evidence = CheckCompleted | AgentReported
+HealthEvent = CheckCompleted | AgentReported
 
 
-def finding_of(member: int, check: int, state: CheckState) -> Finding:
-    """The finding of one check on one member."""
+def finding_from_state(member: int, check: int, state: CheckState) -> Finding:
+    """Returns the finding of one check on one member."""
     flags = FLAG_DOWN * state.down | FLAG_DEGRADED * state.degraded | FLAGS_BY_ADMIN.get(state.admin, 0)
     return Finding(member, check, flags, state.weight)
 
 
 def collect_findings(rows: Iterable[MemberHealth], checks: list[str]) -> tuple[list[Finding], int]:
-    """What a leader publishes of these members: findings, and the exclusive or of the members with all results."""
+    """Returns what a leader publishes for these members.
+
+    The result holds the findings, and the exclusive or of the numbers of the members that have a result of every check.
+    """
     findings: list[Finding] = []
     covered = 0
     for row in rows:
@@ -49,7 +52,7 @@
         if states and all(state.has_result or state.outcome is not None for _, state in states):
             covered ^= member
         for check, state in states:
-            finding = finding_of(member, check, state)
+            finding = finding_from_state(member, check, state)
             if finding.flags or finding.weight != FULL:
                 findings.append(finding)
     return findings, covered
@@ -57,9 +60,10 @@
 
 @dataclass(slots=True)
 class ShardView:
-    """What is known of one shard from its leader.
+    """The newest results of one shard from its leader.
 
-    `findings` by (member, check); `is_complete`: the members that it covers are those of our own list.
+    `findings` are keyed by (member, check). `is_complete` is set if they cover the same members as this director's
+    own list.
     """
 
     token: int = 0
@@ -72,16 +76,16 @@
 
 
 class ShardFollower:
-    """What shards' leaders publish; `outdated` counts parts that were not above the last."""
+    """Collects what the leaders of shards publish; `outdated` counts the parts that were old or duplicates."""
 
     def __init__(self) -> None:
         self._shards: dict[int, ShardView] = {}
         self.outdated = 0
 
     def receive(self, now_us: int, message: ShardResults) -> bool:
-        """Whether a publication is whole with this part, whose token was accepted."""
+        """Takes a part whose token was accepted; returns whether it completes the publication."""
         shard = self._shards.setdefault(message.scope, ShardView())
-        if not self._is_wanted(shard, message):
+        if not self._is_new_part(shard, message):
             self.outdated += 1
             return False
         shard.parts[message.part] = message.rows
@@ -94,31 +98,31 @@
         return True
 
     @staticmethod
-    def _is_wanted(shard: ShardView, message: ShardResults) -> bool:
+    def _is_new_part(shard: ShardView, message: ShardResults) -> bool:
         version = (message.token, message.sequence)
         newest = (shard.token, shard.sequence)
         if version < newest or not 0 <= message.part < message.parts <= MAX_PARTS:
             return False
         if version == newest:
-            # Else a duplicate, or of a publication that was whole already.
+            # Otherwise it is a duplicate, or part of a publication that is already complete.
             return bool(shard.parts) and message.part not in shard.parts
         shard.token, shard.sequence = version
         shard.parts = {}
         return True
 
     def is_fresh(self, now_us: int, scope: int) -> bool:
-        """Whether the leader's results stand in for our own checks."""
+        """Returns whether the leader's results are recent and complete enough to replace this director's checks."""
         shard = self._shards.get(scope)
         if shard is None or not shard.is_complete:
             return False
-        return shard.received_us > 0 and now_us - shard.received_us < SILENT_US
+        return shard.received_us > 0 and now_us - shard.received_us < RESULTS_VALID_US
 
-    def evidence(
+    def health_events(
         self, now_us: int, scope: int, rows: Iterable[MemberHealth], checks: list[str], number: int
-    ) -> list[Evidence]:
-        """The newest publication as events of our registry: changes, and now and then a refresh.
+    ) -> list[HealthEvent]:
+        """Returns the newest publication as events for the health registry: changes, and periodic refreshes.
 
-        `rows` are our own of the shard's members; `number` is that of a check that begins now.
+        `rows` are the registry's rows of the shard's members; `number` is the number of a check that begins now.
         """
         shard = self._shards[scope]
         rows = list(rows)
@@ -127,43 +131,44 @@
             if any(name in checks for name in row.checks):
                 covered ^= row.endpoint.member.server
         shard.is_complete = covered == shard.covered
-        events: list[Evidence] = []
+        events: list[HealthEvent] = []
         for row in rows:
             member = row.endpoint.member.server
             for name, state in row.checks.items():
                 finding = shard.findings.get((member, checks.index(name))) if name in checks else None
                 if finding is None and not shard.is_complete:
-                    continue  # the leader may not know of it
-                events += _evidence_of(now_us, member, name, state, finding, number)
+                    continue  # the leader may not know this member
+                events += _check_events(now_us, member, name, state, finding, number)
         return events
 
 
-def _evidence_of(
+def _check_events(
     now_us: int, member: int, name: str, state: CheckState, finding: Finding | None, number: int
-) -> list[Evidence]:
+) -> list[HealthEvent]:
     flags = finding.flags if finding is not None else 0
-    needs_refresh = not state.has_result or now_us - state.received_us >= state.policy.stale_us // STALE_FRACTION
+    needs_refresh = not state.has_result or now_us - state.received_us >= state.policy.stale_us // REFRESHES_PER_EXPIRY
     if state.policy.is_agent:
         weight = finding.weight if finding is not None else FULL
-        return _agent_evidence(member, name, state, flags, weight, needs_refresh, number)
+        return _agent_events(member, name, state, flags, weight, needs_refresh, number)
     down = bool(flags & FLAG_DOWN)
     degraded = bool(flags & FLAG_DEGRADED)
     if down and not state.down:
-        return [CheckCompleted(member, name, number, CheckOutcome.DISMISSED, REASON)]  # counts at once
+        # This outcome takes effect at once, without waiting for repeated failures.
+        return [CheckCompleted(member, name, number, CheckOutcome.DISMISSED, LEADER_REPORT_REASON)]
     healthy = CheckOutcome.DEGRADED if degraded else CheckOutcome.PASSED
     if not down and state.down:
-        return [CheckCompleted(member, name, number, healthy, REASON)] * state.policy.rise
+        return [CheckCompleted(member, name, number, healthy, LEADER_REPORT_REASON)] * state.policy.rise
     if needs_refresh or degraded is not state.degraded:
-        return [CheckCompleted(member, name, number, CheckOutcome.FAILED if down else healthy, REASON)]
+        return [CheckCompleted(member, name, number, CheckOutcome.FAILED if down else healthy, LEADER_REPORT_REASON)]
     return []
 
 
-def _agent_evidence(
+def _agent_events(
     member: int, name: str, state: CheckState, flags: int, weight: int, needs_refresh: bool, number: int
-) -> list[Evidence]:
+) -> list[HealthEvent]:
     down = bool(flags & FLAG_DOWN)
     admin = "drain" if flags & FLAG_DRAIN else "maint" if flags & FLAG_MAINTENANCE else ""
     if not needs_refresh and (state.down, state.admin, state.weight) == (down, admin, weight):
         return []
-    words = AgentReport(up=not down, admin=admin or "ready", weight=weight, reason=REASON)
-    return [AgentReported(member, name, number, words)]
+    report = AgentReport(up=not down, admin=admin or "ready", weight=weight, reason=LEADER_REPORT_REASON)
+    return [AgentReported(member, name, number, report)]
