--- a/rookbend/config.py
+++ b/rookbend/config.py
@@ -92,9 +92,9 @@
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
         raise ConfigError(f"NODE_CONFIG is not usable: {path}: {error}") from None
     raw = msgspec.json.decode(text)
-    if before is not None and (missing_key := reload_validation.missing(before.keys, raw)):
+    if before is not None and (missing_key := reload_validation.first_missing_key(before.keys, raw)):
         raise ConfigError(f"NODE_CONFIG lacks {missing_key}: {path}")
-    config.keys = reload_validation.shape(raw)
+    config.keys = reload_validation.key_structure(raw)
     config.name = environ.get("NODE_NAME", config.name)
     config.listen = environ.get("NODE_LISTEN", config.listen)
     config.operator = environ.get("NODE_OPERATOR", config.operator)
--- a/rookbend/fronts/dns.py
+++ b/rookbend/fronts/dns.py
@@ -157,7 +157,7 @@
 
         if routed.write_id and self._names is not None:
             # Persisted before it can run: a later incarnation must not take its repeat for a new write.
-            self._names.begin(routed.write_id, routed.name, now_us + PERSIST_WITHIN_US, submit)
+            self._names.persist_in_doubt(routed.write_id, routed.name, now_us + PERSIST_WITHIN_US, submit)
         else:
             submit()
 
--- a/rookbend/net/operations.py
+++ b/rookbend/net/operations.py
@@ -139,7 +139,7 @@
         ]
         known, excluded = self._count_caches()
         gauges = [("in_flight", engine.open_requests), ("caches_known", known), ("caches_excluded", excluded)]
-        return metrics_text.text(lines, gauges)
+        return metrics_text.render(lines, gauges)
 
     def _count_caches(self) -> tuple[int, int]:
         """Listed caches, and those of them that are not used: by the membership, an operator or ejection."""
--- a/rookbend/net/upgrade.py
+++ b/rookbend/net/upgrade.py
@@ -207,11 +207,11 @@
             link.send(upgrade_protocol.GiveListeners(names), rights)
             if fits:
                 self.links[number] = link
-                self.handover.successor_asked(number)
+                self.handover.listeners_requested(number)
                 self.log("upgrade_asked")
                 self.changed()
         elif isinstance(message, upgrade_protocol.Serving):
-            self.handover.successor_serves(number)
+            self.handover.successor_serving(number)
             self.log("upgrade_shared")
             self.changed()
         elif isinstance(message, upgrade_protocol.SetExclusion):
--- a/rookbend/operations/handover.py
+++ b/rookbend/operations/handover.py
@@ -44,11 +44,11 @@
         """The predecessor has ended."""
         self.has_predecessor = False
 
-    def successor_asked(self, connection: int) -> None:
+    def listeners_requested(self, connection: int) -> None:
         """A successor has asked for the listeners, on this connection."""
         self.successors[connection] = False
 
-    def successor_serves(self, connection: int) -> None:
+    def successor_serving(self, connection: int) -> None:
         """The successor on this connection serves; one that never asked, or has ended, takes nothing over."""
         if connection in self.successors:
             self.successors[connection] = True
--- a/rookbend/operations/metrics_text.py
+++ b/rookbend/operations/metrics_text.py
@@ -18,7 +18,7 @@
     return [(f"requests.{name}.{outcome.value}", answers.get((name, outcome), 0)) for outcome in FinalOutcome]
 
 
-def text(counters: Iterable[Metric], gauges: Iterable[Metric]) -> bytes:
+def render(counters: Iterable[Metric], gauges: Iterable[Metric]) -> bytes:
     """All metrics in the form that the operators read."""
     lines = [f"svc.{name}:{value}|c\n" for name, value in counters]
     lines += [f"svc.{name}:{value}|g\n" for name, value in gauges]
--- a/rookbend/operations/reload_validation.py
+++ b/rookbend/operations/reload_validation.py
@@ -15,11 +15,11 @@
 
 from rookbend.interface import Settings
 
-Shape = dict[str, "Shape"] | None
+KeyStructure = dict[str, "KeyStructure"] | None
 
 # What members and peers are identified by: other values would need the membership to be read anew.
-AT_START = "zone", "router_index", "parent_kind", "origin_kind", "membership_is_pushed"
-FREE_FORM = frozenset({"known"})  # the coordinator's events
+RESTART_ONLY_FIELDS = "zone", "router_index", "parent_kind", "origin_kind", "membership_is_pushed"
+FREE_FORM_KEYS = frozenset({"known"})  # the coordinator's events
 # The names under which the log has always listed a change, where the field's own name is another.
 LOGGED_NAMES = {
     "home_parents": "home_hub",
@@ -45,49 +45,49 @@
 }
 
 
-def shape(value: object) -> Shape:
+def key_structure(value: object) -> KeyStructure:
     """The keys of a decoded file; of a list of objects, those that all of them have (under "*")."""
     if isinstance(value, dict):
-        return {key: None if key in FREE_FORM else shape(v) for key, v in value.items()}
+        return {key: None if key in FREE_FORM_KEYS else key_structure(v) for key, v in value.items()}
     if isinstance(value, list) and value and all(isinstance(v, dict) for v in value):
         first, *others = value
         common = [key for key in first if all(key in other for other in others)]
-        return {"*": {key: None if key in FREE_FORM else shape(first[key]) for key in common}}
+        return {"*": {key: None if key in FREE_FORM_KEYS else key_structure(first[key]) for key in common}}
     return None
 
 
-def missing(wanted: Shape, value: object, path: str = "") -> str:
+def first_missing_key(wanted: KeyStructure, value: object, path: str = "") -> str:
     """The path of the first key that the value lacks, or ""."""
     if not wanted:
         return ""
     if "*" in wanted:
         rows = value if isinstance(value, list) else []
-        found = (missing(wanted["*"], row, f"{path}[{i}]") for i, row in enumerate(rows))
+        found = (first_missing_key(wanted["*"], row, f"{path}[{i}]") for i, row in enumerate(rows))
         return next(filter(None, found), "")
     for key, below in wanted.items():
         where = f"{path}.{key}" if path else key
         if not isinstance(value, dict) or key not in value:
             return where
-        if lacking := missing(below, value[key], where):
+        if lacking := first_missing_key(below, value[key], where):
             return lacking
     return ""
 
 
-def merged(old: Settings, new: Settings) -> Settings:
+def merge_settings(old: Settings, new: Settings) -> Settings:
     """The new settings as they take effect: classes in their places, and what holds from the start."""
     coming = {c.name: c for c in new.classes}
     classes = [coming.pop(c.name) if c.name in coming else replace(c, is_retired=True) for c in old.classes]
-    at_start = {name: getattr(old, name) for name in AT_START}
+    at_start = {name: getattr(old, name) for name in RESTART_ONLY_FIELDS}
     return replace(new, classes=(*classes, *coming.values()), **at_start)
 
 
-def waiting(old: Settings, new: Settings) -> list[str]:
+def restart_required(old: Settings, new: Settings) -> list[str]:
     """What differs and takes effect at the next start only."""
-    names = [name for name in AT_START if getattr(old, name) != getattr(new, name)]
+    names = [name for name in RESTART_ONLY_FIELDS if getattr(old, name) != getattr(new, name)]
     return [LOGGED_NAMES.get(name, name) for name in names]
 
 
-def effective(old: Settings, new: Settings) -> list[str]:
+def effective_changes(old: Settings, new: Settings) -> list[str]:
     """What differs and takes effect, for the log: names of settings, and of classes with a sign."""
     names = [f.name for f in fields(new) if f.name != "classes" and getattr(old, f.name) != getattr(new, f.name)]
     names = [LOGGED_NAMES.get(name, name) for name in names]
--- a/rookbend/recovery/issued_names.py
+++ b/rookbend/recovery/issued_names.py
@@ -69,7 +69,7 @@
         """What that write's lookup got from an earlier incarnation."""
         return self.restored.get(request_id)
 
-    def begin(self, request_id: str, lookup: str, by_us: int, done: Callable[[], None]) -> None:
+    def persist_in_doubt(self, request_id: str, lookup: str, by_us: int, done: Callable[[], None]) -> None:
         """Persists a write as in doubt before it runs."""
         in_doubt = IssuedName(lookup, int(dns.rcode.SERVFAIL), 0, "", "", IN_DOUBT_NOTE)
         self.persist(request_id, in_doubt, by_us, done)
--- a/rookbend/reload.py
+++ b/rookbend/reload.py
@@ -92,9 +92,9 @@
         for name in FIXED_NAME_LISTS:
             setattr(new.settings, name, getattr(old.settings, name))
         wanted = new.router_settings()
-        not_applied += reload_validation.waiting(engine.settings, wanted)
-        settings = reload_validation.merged(engine.settings, wanted)
-        changed = reload_validation.effective(engine.settings, settings)
+        not_applied += reload_validation.restart_required(engine.settings, wanted)
+        settings = reload_validation.merge_settings(engine.settings, wanted)
+        changed = reload_validation.effective_changes(engine.settings, settings)
         if changed:
             engine.apply_settings(settings)
         self._context.apply_connection_limits(new.settings.limits.max_streams, new.settings.limits.idle_close_us)
--- a/tests/test_issued_names.py
+++ b/tests/test_issued_names.py
@@ -35,7 +35,7 @@
 def test_nothing_goes_on_before_it_is_safe_and_a_life_after_it_knows_both_steps():
     disk, told = Disk(), []
     names = disk.names()
-    names.begin("1", GIVEN.lookup, 0, lambda: told.append("runs"))
+    names.persist_in_doubt("1", GIVEN.lookup, 0, lambda: told.append("runs"))
     assert not told
     disk.sync()
     assert told == ["runs"]
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -94,7 +94,7 @@
 
 def test_figures_are_lines_of_name_value_and_kind():
     answers = {("a", FinalOutcome.SERVED): 812}
-    text = metrics_text.text(metrics_text.requests_by_class("a", answers), [("in_flight", 14)]).decode()
+    text = metrics_text.render(metrics_text.requests_by_class("a", answers), [("in_flight", 14)]).decode()
     assert text.splitlines() == [
         "svc.requests.a.served:812|c",
         "svc.requests.a.refused:0|c",
--- a/tests/test_operations_settings.py
+++ b/tests/test_operations_settings.py
@@ -118,13 +118,13 @@
             "classes": (d, replace(b, idempotency=api.Idempotency.NOT_IDEMPOTENT), replace(a, name="new")),
         }
     )
-    both = reload_validation.merged(old, new)
+    both = reload_validation.merge_settings(old, new)
     assert [x.name for x in both.classes] == ["media", "pages", "orders", "pay", "new"]
     assert [x.is_retired for x in both.classes] == [True, False, True, False, False]
     assert both.classes[1].idempotency is api.Idempotency.NOT_IDEMPOTENT and both.max_attempts == 2
-    assert both.zone == old.zone and reload_validation.waiting(old, new) == ["zone"]
-    assert reload_validation.effective(old, both) == ["max_attempts", "+new", "-media", "-orders", "~pages"]
-    again = reload_validation.merged(both, old)
+    assert both.zone == old.zone and reload_validation.restart_required(old, new) == ["zone"]
+    assert reload_validation.effective_changes(old, both) == ["max_attempts", "+new", "-media", "-orders", "~pages"]
+    again = reload_validation.merge_settings(both, old)
     assert [x.is_retired for x in again.classes] == [False, False, False, False, True], "a class may come back"
 
 
--- a/tests/test_upgrade_handover.py
+++ b/tests/test_upgrade_handover.py
@@ -42,18 +42,18 @@
 def test_the_parts_of_both_processes_never_add_up_to_more_than_one():
     predecessor, successor = ProcessHandover(), ProcessHandover()
     assert (predecessor.phase, predecessor.active_processes, predecessor.processes) == (HandoverPhase.ALONE, 1, 1)
-    predecessor.successor_asked(1)
+    predecessor.listeners_requested(1)
     successor.listeners_inherited()
     assert (
         predecessor.phase is HandoverPhase.OFFERED and predecessor.active_processes == 1 and predecessor.processes == 2
     )
     assert not predecessor.taken_over, "a process that does not serve yet takes nothing over"
-    predecessor.successor_serves(1)
+    predecessor.successor_serving(1)
     assert predecessor.taken_over and 1 / predecessor.active_processes + 1 / successor.active_processes <= 1
     predecessor.shutdown_requested()
     assert predecessor.phase is HandoverPhase.LEAVING
-    successor.successor_asked(1)  # a second upgrade, while the first is ending
-    successor.successor_serves(1)
+    successor.listeners_requested(1)  # a second upgrade, while the first is ending
+    successor.successor_serving(1)
     assert successor.active_processes == 3
     successor.predecessor_ended()
     assert successor.active_processes == 2
@@ -63,9 +63,9 @@
 
 def test_a_word_of_a_process_that_never_asked_takes_nothing_over():
     predecessor = ProcessHandover()
-    predecessor.successor_serves(1)
+    predecessor.successor_serving(1)
     assert not predecessor.taken_over
-    predecessor.successor_asked(2)
+    predecessor.listeners_requested(2)
     predecessor.successor_ended(2)
-    predecessor.successor_serves(2)
+    predecessor.successor_serving(2)
     assert not predecessor.taken_over and predecessor.phase is HandoverPhase.ALONE
