--- a/rookbend/recovery/machine.py
+++ b/rookbend/recovery/machine.py
@@ -105,7 +105,7 @@
         if row.kind == PURGE.name:
             self.purges.restore(row.key)
         elif row.kind == DRAIN.name:
-            self.membership.restore_drain(row.key, state_validity.counted_from(row.stored_us, now))
+            self.membership.restore_drain(row.key, state_validity.validity_start_us(row.stored_us, now))
         elif row.kind == ORDER.name:
             self.orders.apply(row.key)
 
--- a/rookbend/recovery/origin_ramp.py
+++ b/rookbend/recovery/origin_ramp.py
@@ -27,7 +27,7 @@
 SLOW_FACTOR = 3.0
 SLOW_EXTRA_US = 60_000  # a call is slow beyond SLOW_FACTOR times the fastest plus this: it queues at the origin
 SLOW_RATIO = 0.5
-MAX_AHEAD_OF_MEDIAN = 1.25
+MAX_MEDIAN_RATIO = 1.25
 UNLIMITED_RATIO = 2 / 3
 MIN_UNLIMITED_SAMPLES = 3
 
@@ -181,6 +181,6 @@
         # An unused quota proves nothing, but a quiet director is not to be the last to be unlimited: half a step.
         rate *= GROWTH if used else 1 + (GROWTH - 1) / 2
         if len(peer_rates) >= 2:
-            rate = min(rate, MAX_AHEAD_OF_MEDIAN * statistics.median(peer_rates))
+            rate = min(rate, MAX_MEDIAN_RATIO * statistics.median(peer_rates))
         self.fleet_rate = None if rate >= self.full_rate else rate
         return True
--- a/rookbend/recovery/startup_admission.py
+++ b/rookbend/recovery/startup_admission.py
@@ -20,7 +20,7 @@
 
 READ_CLASS_INTERVAL_US = 300_000
 HINT_KIND, ORIGIN_HINT_KEY, HINT_BYTES = "hint", "origin", 4
-LIVE_IS_CERTAIN = frozenset((FailureClass.THIS_DIRECTOR, FailureClass.PART_OF_FLEET, FailureClass.WHOLE_FLEET))
+LIVENESS_KNOWN_CLASSES = frozenset((FailureClass.THIS_DIRECTOR, FailureClass.PART_OF_FLEET, FailureClass.WHOLE_FLEET))
 
 
 class ReadClassOpening:
@@ -170,7 +170,7 @@
         assigned = self.assigned_quota(now)
         if assigned is not None:
             return assigned
-        live_is_certain = self._classifier.current in LIVE_IS_CERTAIN
+        live_is_certain = self._classifier.current in LIVENESS_KNOWN_CLASSES
         return self._ramp.quota(self._peers.live_count(now), self._config.director_count, live_is_certain)
 
     def conditions(self, now: int) -> StartupConditions:
--- a/rookbend/recovery/startup_stages.py
+++ b/rookbend/recovery/startup_stages.py
@@ -161,7 +161,7 @@
         missing = ""
         if not blocked:
             missing = rule.preferred(conditions, self.plan)
-            blocked = "" if self._skip else self._too_early(now, conditions, rule, missing)
+            blocked = "" if self._skip else self._blocked_by(now, conditions, rule, missing)
         if blocked:
             self.waits_for = blocked
             return False
@@ -170,7 +170,7 @@
         self._skip = False
         return self._enter(now, following)
 
-    def _too_early(self, now: int, conditions: StartupConditions, rule: StageRule, missing: str) -> str:
+    def _blocked_by(self, now: int, conditions: StartupConditions, rule: StageRule, missing: str) -> str:
         """What is still waited for, or "" where the stage may be entered."""
         since_us = now - self.entered_us
         minimum_us = 0 if conditions.failure_class is FailureClass.THIS_DIRECTOR else rule.minimum_us
--- a/rookbend/recovery/state_validity.py
+++ b/rookbend/recovery/state_validity.py
@@ -84,6 +84,6 @@
     return not bound_us or age_us <= bound_us
 
 
-def counted_from(stored_us: int, now_us: int) -> int:
+def validity_start_us(stored_us: int, now_us: int) -> int:
     """When a limit's bound starts: a row from the future is counted from now."""
     return min(stored_us, now_us)
--- a/rookbend/scheduling/job.py
+++ b/rookbend/scheduling/job.py
@@ -8,7 +8,7 @@
 URGENT = 0
 NORMAL = 1
 IDLE = 2
-PATIENCE_US = 2_000_000  # a job overdue by this much goes ahead of one of the next higher priority
+PRIORITY_AGING_US = 2_000_000  # a job overdue by this much goes ahead of one of the next higher priority
 
 Key = Hashable
 
@@ -31,7 +31,7 @@
     @property
     def rank(self) -> int:
         """The order in which due jobs start."""
-        return self.due_us + self.priority * PATIENCE_US
+        return self.due_us + self.priority * PRIORITY_AGING_US
 
 
 class StartedJob(NamedTuple):
--- a/rookbend/scheduling/scheduler.py
+++ b/rookbend/scheduling/scheduler.py
@@ -1,6 +1,6 @@
 """The scheduler of background work: which jobs start now, by priority, due time and budgets. Pure.
 
-Among the due jobs the one with the lowest `due + priority * PATIENCE_US` goes first: a higher priority (a lower
+Among the due jobs the one with the lowest `due + priority * PRIORITY_AGING_US` goes first: a higher priority (a lower
 number) goes ahead, but what is overdue by enough goes ahead of it, so nothing starves.
 
 The rate of starts (a token bucket that holds a tenth of a second's worth) is for all kinds together. Jobs running
@@ -34,7 +34,7 @@
         self.jobs: dict[Key, Job] = {}
         self.started = 0
         self.shared = BudgetUse(budget)
-        self.own = {kind: BudgetUse(own_budget) for kind, own_budget in (budgets_by_kind or {}).items()}
+        self.dedicated = {kind: BudgetUse(own_budget) for kind, own_budget in (budgets_by_kind or {}).items()}
         self._bucket = TokenBucket(rate, max(1, rate // BURST_DIVISOR))
         self._running: dict[int, Job] = {}  # by sequence; cancelled ones stay within their budget
         self._not_due: list[QueuedJob] = []  # a heap by due time
@@ -127,10 +127,10 @@
 
     def _budget_uses(self) -> Iterator[BudgetUse]:
         yield self.shared
-        yield from self.own.values()
+        yield from self.dedicated.values()
 
     def _budget_use_of(self, kind: str) -> BudgetUse:
-        return self.own.get(kind, self.shared)
+        return self.dedicated.get(kind, self.shared)
 
     def _rebuild_queues(self) -> None:
         self._not_due = [QueuedJob(job.due_us, job.sequence, key) for key, job in self.jobs.items() if not job.running]
--- a/rookbend/state/disk.py
+++ b/rookbend/state/disk.py
@@ -27,10 +27,10 @@
     StateError,
 )
 
-FILE, LOCK = "state.db", "lock"
+DATABASE_FILE, LOCK_FILE = "state.db", "lock"
 DATABASE_SUFFIXES = "", "-wal", "-shm", "-journal"
 MIGRATIONS: dict[int, str] = {}  # statements that lead from a schema to the next
-CREATE = """
+CREATE_TABLES = """
 CREATE TABLE meta(name TEXT PRIMARY KEY, value) WITHOUT ROWID;
 CREATE TABLE rows(kind TEXT, key TEXT, at INTEGER, value BLOB, PRIMARY KEY(kind, key)) WITHOUT ROWID;
 """
@@ -70,7 +70,7 @@
     def _lock_folder(self) -> int:
         try:
             self.folder.mkdir(parents=True, exist_ok=True)
-            lock = os.open(self.folder / LOCK, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+            lock = os.open(self.folder / LOCK_FILE, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         except OSError as error:
             raise FolderUnusableError(self.folder, "used", str(error.strerror)) from None
         try:
@@ -93,7 +93,7 @@
             self._load()
 
     def _load(self) -> None:
-        self._db = db = apsw.Connection(str(self.folder / FILE))
+        self._db = db = apsw.Connection(str(self.folder / DATABASE_FILE))
         db.set_busy_timeout(0)
         for pragma in PRAGMAS:  # one at a time: a cursor stops at the first that returns a row
             db.execute(f"PRAGMA {pragma}").fetchall()
@@ -108,7 +108,7 @@
     def _load_meta(self, db: apsw.Connection) -> None:
         """Creates or migrates the tables, checks the identity, and takes the next boot number."""
         if not db.execute("SELECT 1 FROM sqlite_master WHERE name='meta'").fetchall():
-            db.execute(CREATE)
+            db.execute(CREATE_TABLES)
             self._put_meta(schema=SCHEMA, name=self.identity.name, fleet=self.identity.fleet, boot=0)
         meta = dict(db.execute("SELECT name, value FROM meta"))
         self._check(meta)
@@ -133,10 +133,10 @@
     def _move_aside(self, reason: str) -> str:
         self._connection.close()
         number = 1
-        while (aside := self.folder / f"{FILE}.damaged-{number}").exists():
+        while (aside := self.folder / f"{DATABASE_FILE}.damaged-{number}").exists():
             number += 1
         for suffix in DATABASE_SUFFIXES:
-            part = self.folder / (FILE + suffix)
+            part = self.folder / (DATABASE_FILE + suffix)
             if part.exists():
                 part.rename(f"{aside}{suffix}")
         return f"{aside.name}: {reason}"
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -112,10 +112,10 @@
             scheduler.ended(running.pop(rng.randrange(len(running))))
         else:
             running += [number for _, number in scheduler.start_due(now)]
-        shared, own = scheduler.shared, scheduler.own["k"]
-        assert shared.running + own.running == len(running) == scheduler.running
-        assert shared.running <= 5 and shared.descriptors <= 8 and own.running <= 2
+        shared, dedicated = scheduler.shared, scheduler.dedicated["k"]
+        assert shared.running + dedicated.running == len(running) == scheduler.running
+        assert shared.running <= 5 and shared.descriptors <= 8 and dedicated.running <= 2
         assert len(scheduler._not_due) <= 2 * len(scheduler.jobs) + 65
     for number in running:
         scheduler.ended(number)
-    assert scheduler.shared.descriptors == scheduler.own["k"].descriptors == scheduler.running == 0
+    assert scheduler.shared.descriptors == scheduler.dedicated["k"].descriptors == scheduler.running == 0
--- a/tests/test_state_validity.py
+++ b/tests/test_state_validity.py
@@ -10,7 +10,7 @@
     stands, hour = state_validity.is_valid, 3600 * SECOND
     assert stands("order", 1, NOW) and stands("order", NOW + hour, NOW), "kept, whatever the clock says"
     assert stands("drain", NOW + hour, NOW), "a limit from the future binds"
-    assert not stands("drain", NOW - hour, NOW) and state_validity.counted_from(NOW + hour, NOW) == NOW
+    assert not stands("drain", NOW - hour, NOW) and state_validity.validity_start_us(NOW + hour, NOW) == NOW
     assert stands("hint", NOW - SECOND, NOW) and not stands("hint", NOW + SECOND, NOW)
     assert stands("purge", NOW - 5 * SECOND, NOW, 6 * SECOND)
     assert not stands("purge", NOW - 7 * SECOND, NOW, 6 * SECOND) and not stands("verdict", NOW, NOW)
