--- a/rookbend/recovery/actions.py
+++ b/rookbend/recovery/actions.py
@@ -1,4 +1,4 @@
-"""Actions of the recovery state machine, beside those that every driver carries out (coordination/actions.py)."""
+"""Actions of the recovery state machine, in addition to those common to all drivers (coordination/actions.py)."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True)
 class ForwardMembership:
-    """Pass a membership change on to the director, in place of the one that was received."""
+    """Forward a membership change to the director, in place of the one that was received."""
 
     change: MembershipChange
 
@@ -33,11 +33,11 @@
 
 @dataclass(slots=True)
 class SetAdmissionLimits:
-    """Limits for the router.
+    """Set the router's admission limits.
 
-    `ready`: whether the director admits requests at all; `closed_classes`: traffic classes that are rejected;
-    `origin_rate`: this director's calls a second towards the origin, None: unlimited; `oldest_copy_us`: copies that
-    left the origin before this Unix microsecond are not used, 0: any.
+    `ready`: whether the director admits requests at all. `closed_classes`: traffic classes that are rejected.
+    `origin_rate`: this director's calls per second towards the origin; None means unlimited. `oldest_copy_us`: copies
+    that left the origin before this Unix microsecond are not used; 0 means no limit.
     """
 
     ready: bool
@@ -48,7 +48,7 @@
 
 @dataclass(slots=True)
 class RaiseBootNumber:
-    """Continue with a higher boot number: peers knew one at least as high of an earlier incarnation."""
+    """Raise the boot number: a peer knows one at least as high from an earlier incarnation of this director."""
 
     boot_number: int
 
--- a/rookbend/recovery/config.py
+++ b/rookbend/recovery/config.py
@@ -9,7 +9,7 @@
 
 
 class TrafficClassCost(NamedTuple):
-    """What recovery needs to know of a traffic class; `cost` is relative to a class of small objects."""
+    """The properties of a traffic class that recovery uses; `cost` is relative to a class of small objects."""
 
     is_write: bool
     priority_weight: float
@@ -18,8 +18,8 @@
 
 @dataclass(frozen=True, slots=True)
 class RecoveryConfig:
-    """`number` is this director's place among `director_count`; `classes` are in the settings' order; rates are
-    calls a second of the whole fleet towards the origin; `gossip_enabled`: directors may exchange datagrams."""
+    """`number` is this director's index among `director_count`. `classes` are in the order of the settings. Rates are
+    calls per second of the whole fleet towards the origin. `gossip_enabled`: directors may exchange datagrams."""
 
     number: int
     director_count: int
@@ -38,8 +38,9 @@
 
 @dataclass(slots=True)
 class LocalIdentity:
-    """Who this director is to its peers. `boot_number` grows with each start and may be raised while it runs;
-    `incarnation` is drawn at the start and tells two starts with one boot number apart."""
+    """How this director identifies itself to its peers. `boot_number` grows with each start and may be raised at run
+    time; `incarnation` is a random number drawn at each start, which distinguishes two starts with the same boot
+    number."""
 
     number: int
     fleet_hash: int
--- a/rookbend/recovery/events.py
+++ b/rookbend/recovery/events.py
@@ -1,4 +1,4 @@
-"""Events of the recovery state machine, beside those that every state machine is fed (coordination/events.py)."""
+"""Events of the recovery state machine, in addition to those common to all of them (coordination/events.py)."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class RecoveryCommand(Enum):
-    """What an operator may order: enter no later stage, go on, enter the next without its preferred conditions."""
+    """Hold the present stage, resume, or skip the preferred conditions of the next stage."""
 
     HOLD = "hold"
     RESUME = "resume"
@@ -38,12 +38,12 @@
 
 @dataclass(slots=True)
 class OriginCallStarted:
-    """An attempt that may reach the origin was sent: direct, or through a fill."""
+    """An attempt that may reach the origin was sent, directly or through a fill."""
 
 
 @dataclass(slots=True)
 class OriginCallEnded:
-    """Such an attempt ended; `succeeded` is false where the origin refused it or did not answer."""
+    """An attempt that may reach the origin ended; `succeeded` is false if the origin refused it or did not answer."""
 
     succeeded: bool
     duration_us: int = 0
@@ -60,7 +60,7 @@
 
 @dataclass(slots=True)
 class OrderPersisted:
-    """A requested order is durable, or there is no disk to wait for."""
+    """A requested order is durable, or the director has no disk to persist it to."""
 
     key: str
     value: bytes
@@ -68,7 +68,7 @@
 
 @dataclass(slots=True)
 class OperatorCommand:
-    """An operator's command to the recovery itself."""
+    """An operator's command that controls the recovery."""
 
     command: RecoveryCommand
 
--- a/rookbend/recovery/failure_classification.py
+++ b/rookbend/recovery/failure_classification.py
@@ -1,13 +1,15 @@
-"""Classifies a director's outage from what its peers say: this director alone, a part of the fleet, or all of it.
+"""Classifies a director's outage from its peers' messages: this director alone, a part of the fleet, or all of it.
 
-    unsure      too few peers have been heard of
-    alone       the peers were up during this director's outage: the fleet is well, return quickly
-    part        some were up, some started when this director did: return slowly
-    whole       the peers started when this director did: the fleet lost power, return slowly; so without any peers
-    cut-off     no peer is heard: reported as isolation, not taken for a power loss; return slowly
+    unsure      messages from too few peers have arrived
+    alone       the peers were up during this director's outage: the fleet is healthy, return quickly
+    part        some peers were up, some started when this director did: return slowly
+    whole       the peers started when this director did, so the fleet lost power: return slowly. Also used by a
+                director without peers
+    cut-off     no peer sends messages: reported as isolation, not as a power loss; return slowly
 
-One faulty peer changes nothing: `alone`, the only class that permits more, needs two thirds of the active peers, and
-at least three of them, or all others in a smaller fleet. With two directors the one other decides.
+A single faulty peer can't cause a quick return: `alone`, the only class that permits one, needs two thirds of the
+active peers, of which there must be at least three (all others in a smaller fleet). With two directors the other
+one decides.
 """
 
 from __future__ import annotations
@@ -16,14 +18,14 @@
 
 from rookbend.recovery.peers import Peers
 
-MIN_ACTIVE_PEERS = 3  # or all others, where there are fewer
+MIN_ACTIVE_PEERS = 3  # all other directors in a smaller fleet
 ISOLATION_AFTER_US = 2_000_000
-UP_DURING_OUTAGE_US = 4_000_000  # a peer that started so much earlier was up during this director's outage
+UP_DURING_OUTAGE_US = 4_000_000  # a peer that started this long before this director was up during its outage
 HOLD_US = 1_000_000
 
 
 class FailureClass(Enum):
-    """What failed; the values appear in logs and JSON."""
+    """What failed. The values appear in logs and JSON."""
 
     UNDETERMINED = "unsure"
     THIS_DIRECTOR = "alone"
@@ -33,7 +35,7 @@
 
 
 def classify(now: int, began_us: int, peers: Peers) -> FailureClass:
-    """What the evidence of this moment says; `began_us` is the start of this director."""
+    """The class that the peers' present state indicates; `began_us` is the start of this director."""
     others = len(peers.rows)
     if not others:
         return FailureClass.WHOLE_FLEET
@@ -50,7 +52,7 @@
 
 
 class FailureClassifier:
-    """The class in force: the first determined one at once, each later one after it has held for `HOLD_US`."""
+    """Holds the class in force. The first class that is determined applies at once; a later one after `HOLD_US`."""
 
     def __init__(self, began_us: int):
         self.began_us = began_us
@@ -59,7 +61,7 @@
         self._candidate_since_us = 0
 
     def update(self, now: int, peers: Peers) -> bool:
-        """Whether the class in force has changed."""
+        """Classifies again; returns whether the class in force has changed."""
         seen = classify(now, self.began_us, peers)
         if seen is self.current:
             self._candidate = seen
--- a/rookbend/recovery/gossip_receiver.py
+++ b/rookbend/recovery/gossip_receiver.py
@@ -1,4 +1,4 @@
-"""Receives gossip: decides what to believe, takes over rows, and requests those that are missing."""
+"""Receives gossip: checks messages, stores replicated rows, and requests those that are missing."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 from rookbend.recovery.replicated_rows import PURGE
 from rookbend.recovery.startup_admission import StartupAdmission
 
-MAX_CALLS_OF_PEER = 200  # of one sample: a faulty one must not outweigh all others
+MAX_CALLS_OF_PEER = 200  # per sample, so that a faulty sample can't outweigh all others
 MAX_BOOT_NUMBER_STEP = 1_000_000
 PEER_KIND, BOOT_NUMBER_BYTES = "peer", 8
 
 
 class GossipReceiver:
-    """`unreadable` counts datagrams and rows that are malformed or of another fleet."""
+    """Handles datagrams from peers. `unreadable` counts datagrams and rows that are malformed or of another fleet."""
 
     def __init__(
         self,
@@ -47,11 +47,11 @@
 
     @property
     def unreadable(self) -> int:
-        """See the class."""
+        """Datagrams and rows that were malformed or of another fleet."""
         return self._unreadable_datagrams + self._intake.unreadable
 
     def receive(self, now: int, event: DatagramReceived) -> bool:
-        """Takes a datagram; whether it was a Hello that is believed."""
+        """Handles a datagram; returns whether it was a Hello that passed the checks."""
         try:
             message = gossip.decode(event.data)
         except gossip.GossipDecodeError:
@@ -80,7 +80,7 @@
             self._rejected(now, sender, hello)
             return False
         if hello.phase == Phase.DARK and self._admission.phase is not Phase.DARK:
-            self._sender.send_hello(now, sender)  # it waits for one: the next heartbeat may be a second away
+            self._sender.send_hello(now, sender)  # the peer waits for one, and the next heartbeat may be 1 s away
         self._add_origin_sample(now, sender, hello.origin)
         if hello.boot_number > known_boot_number:
             data = hello.boot_number.to_bytes(BOOT_NUMBER_BYTES, "big")
@@ -89,7 +89,8 @@
         return True
 
     def _raise_boot_number(self, sender: int, known: gossip.KnownIncarnation) -> None:
-        """Above the number of an earlier incarnation that a peer knows: an old disk, or none, was put in place."""
+        """Raises the boot number above that of an earlier incarnation that a peer knows. Needed if the disk was
+        lost, or restored from an old copy."""
         identity = self._identity
         other_incarnation = known.incarnation not in (0, identity.incarnation)
         is_outdated = known.boot_number > identity.boot_number or (
@@ -119,7 +120,7 @@
         self._ramp.add_peer_sample(sender, sample)
 
     def _compare_rows(self, now: int, sender: int, hello: gossip.Hello) -> None:
-        """Requests the rows of each kind that is wanted and differs."""
+        """Requests rows of each wanted kind whose digest differs from the peer's."""
         for kind, name in enumerate(gossip.ROW_KINDS):
             if not self._intake.wants(name):
                 continue
@@ -137,7 +138,7 @@
     def _receive_rows(self, now: int, sender: int, batch: gossip.RowBatch) -> None:
         peer = self._peers.rows[sender]
         if not peer.last_received_us or peer.incarnation != batch.incarnation or peer.rejection is not None:
-            return  # not believed: unknown yet, or an older incarnation
+            return  # no accepted Hello yet, another incarnation, or the last Hello was rejected
         name = gossip.ROW_KINDS[batch.kind]
         for key, data in batch.rows:
             self._intake.add(now, sender, name, key, data)
--- a/rookbend/recovery/gossip_sender.py
+++ b/rookbend/recovery/gossip_sender.py
@@ -1,4 +1,4 @@
-"""Sends gossip: heartbeats to some peers, requests for rows, and rows that peers requested."""
+"""Sends gossip: heartbeats to randomly chosen peers, requests for rows, and the rows that peers request."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from rookbend.recovery.replicated_rows import ReplicatedState
 from rookbend.recovery.startup_stages import Stage
 
-FANOUT = 3  # peers a heartbeat
-POLL_INTERVAL_US = 500_000  # between two requests of one kind to one peer
+FANOUT = 3  # peers per heartbeat
+POLL_INTERVAL_US = 500_000  # between two requests for one kind of row to one peer
 
 
 class LocalStatus(NamedTuple):
-    """What a Hello says of this director, beside its identity."""
+    """The status of this director that a Hello carries in addition to its identity."""
 
     phase: Phase
     stage: Stage
@@ -28,7 +28,7 @@
 
 
 class GossipSender:
-    """`status(now)` gives this director's present status; `rows` are what it can pass on."""
+    """`status(now)` returns this director's present status; `rows` are the rows it can send to peers."""
 
     def __init__(
         self,
@@ -47,18 +47,18 @@
         self._polled_us: dict[tuple[int, int], int] = {}
 
     def send_heartbeats(self, now: int) -> None:
-        """A Hello to some peers, with summaries of others."""
+        """Sends a Hello with summaries of other peers to `FANOUT` randomly chosen peers."""
         summaries = self._peers.summaries(now)
         self._heartbeat += 1
         for peer in self._peers.sample(FANOUT):
             self._actions.send(now, peer, gossip.encode_hello(self._hello(now, peer), summaries))
 
     def send_hello(self, now: int, peer: int) -> None:
-        """A Hello out of turn. A rejected peer reads in it which of its boot numbers is known."""
+        """Sends a Hello outside the heartbeat. It tells a rejected peer which of its boot numbers is known."""
         self._actions.send(now, peer, gossip.encode(self._hello(now, peer)))
 
     def request_rows(self, now: int, peer: int, kind: int, after: str) -> None:
-        """Requests rows behind a key; a request from the start at most once in `POLL_INTERVAL_US`."""
+        """Requests the rows after a key; a request from the start is sent at most once per `POLL_INTERVAL_US`."""
         last_us = self._polled_us.get((peer, kind), -POLL_INTERVAL_US)
         if not after and now - last_us < POLL_INTERVAL_US:
             return
@@ -68,7 +68,7 @@
         self._actions.send(now, peer, gossip.encode(request))
 
     def send_rows(self, now: int, peer: int, kind: int, after: str) -> None:
-        """Rows of a kind behind a key, as many as fit into a datagram."""
+        """Sends the rows of a kind after a key, as many as fit into a datagram."""
         rows = self._rows.by_name[gossip.ROW_KINDS[kind]].after(after)
         identity = self._identity
         data = gossip.encode_rows(identity.fleet_hash, identity.number, identity.incarnation, kind, rows)
--- a/rookbend/recovery/issued_names.py
+++ b/rookbend/recovery/issued_names.py
@@ -1,12 +1,12 @@
-"""Names that the DNS front issued for writes, and what is known of them after a power loss.
+"""Names that the DNS front issued for writes, persisted so that a write is not run twice after a power loss.
 
-A row of the kind `write` is a request id with the lookup's name and its outcome: persisted as in doubt before the
-write can run, and with its outcome before the reply is sent. After a start a repeat of a known lookup gets what it
-got before, or fails where it was in progress. Of an unknown one the front can't say that it never ran (an old disk
-may have been restored), and rejects it for as long as it may be a repeat.
+A row of the kind `write` maps a request id to the name of the lookup and its outcome. It is persisted as in doubt
+before the write can run, and with its outcome before the reply is sent. After a start, a repeat of a known lookup gets
+the earlier reply, or fails if the write was in progress. For an unknown lookup the front can't rule out that the write
+has run (an old disk may have been restored), and rejects it for as long as it may be a repeat.
 
-Where the disk refuses or hangs, the write goes on and is counted (`not_durable`): a repeat of it after a power loss
-is only rejected for a while.
+If the disk refuses or hangs, the write continues and is counted in `not_durable`: a repeat of it after a power loss is
+only rejected for that limited time.
 """
 
 from __future__ import annotations
@@ -23,8 +23,8 @@
 
 
 class IssuedName(msgspec.Struct, array_like=True, frozen=True):
-    """The outcome of a lookup: its name, the DNS code, the member's number, the issued name and address, a note.
-    Persisted as an array: the order of the fields is the format."""
+    """The outcome of a lookup: its name, the DNS response code, the member's number, the issued name and address, and
+    a note. Persisted as an array: the order of the fields is the storage format."""
 
     lookup: str
     rcode: int
@@ -42,8 +42,9 @@
 class IssuedNames:
     """Persists issued names and finds those of earlier incarnations.
 
-    `put(id, value, by_us, done)` persists a row and calls `done(durable)` once, by `by_us`; `drop(id)` deletes it;
-    `rows` are those found on disk: id -> (value, Unix microsecond). `not_durable` and `unreadable` count.
+    `put(id, value, by_us, done)` persists a row and calls `done(durable)` exactly once, by `by_us` at the latest;
+    `drop(id)` deletes it. `rows` are those found on disk: id -> (value, Unix microsecond). `not_durable` counts rows
+    that could not be persisted in time, `unreadable` rows on disk that could not be decoded.
     """
 
     def __init__(self, now: int, put: PutRow, drop: Callable[[str], None], rows: Mapping[str, tuple[bytes, int]]):
@@ -66,16 +67,16 @@
             self.drop(request_id)
 
     def find(self, request_id: str) -> IssuedName | None:
-        """What that write's lookup got from an earlier incarnation."""
+        """The outcome that an earlier incarnation persisted for this request, or None."""
         return self.restored.get(request_id)
 
     def persist_in_doubt(self, request_id: str, lookup: str, by_us: int, done: Callable[[], None]) -> None:
-        """Persists a write as in doubt before it runs."""
+        """Persists a write as in doubt, before it runs."""
         in_doubt = IssuedName(lookup, int(dns.rcode.SERVFAIL), 0, "", "", IN_DOUBT_NOTE)
         self.persist(request_id, in_doubt, by_us, done)
 
     def persist(self, request_id: str, issued: IssuedName, by_us: int, done: Callable[[], None]) -> None:
-        """Calls `done` once the row is durable, or can't be, or at `by_us`."""
+        """Persists an outcome; calls `done` once the row is durable, has failed to become so, or at `by_us`."""
 
         def ended(durable: bool) -> None:
             self.not_durable += not durable
--- a/rookbend/recovery/machine.py
+++ b/rookbend/recovery/machine.py
@@ -1,6 +1,6 @@
-"""The state machine of one director's recovery: fed `(now, event)`, answers with actions; does no I/O.
+"""The state machine of one director's recovery: takes `(now, event)` and returns actions; does no I/O.
 
-It only wires the parts beside it together. The program runs it (net/recovery.py), and so do the tests and benchmarks
+It only connects the other modules of this package. net/recovery.py runs it in the program; tests and benchmarks run it
 in simulated time. Times are microseconds of the director's clock, which shows Unix time.
 """
 
@@ -39,8 +39,8 @@
 
 
 class RecoveryMachine:
-    """Holds the parts. `due_us` is when the next `TimerExpired` is wanted; `persisted` are the rows found on disk;
-    `sequence` has the present stage."""
+    """`due_us` is when the next `TimerExpired` is due; `persisted` are the rows found on disk; `sequence` holds the
+    present stage."""
 
     def __init__(
         self,
@@ -85,11 +85,11 @@
 
     @property
     def counts_origin_calls(self) -> bool:
-        """Whether calls to the origin still matter: while the ramp lasts, and before it."""
+        """Whether the ramp still needs the outcomes of origin calls: until it has ended and the stage is BACKGROUND."""
         return self.ramp.fleet_rate is not None or self.sequence.stage < Stage.BACKGROUND
 
     def begin(self, now: int) -> Sequence[Action]:
-        """The actions of the start, from the rows found on disk; called once, before any event."""
+        """Restores the rows found on disk and returns the first actions. Called once, before any event."""
         bounds_us = {PURGE.name: self.purges.valid_us}
         for row in self._persisted:
             rows = self.rows.by_name.get(row.kind)
@@ -110,7 +110,7 @@
             self.orders.apply(row.key)
 
     def feed(self, now: int, event: events.Event) -> Sequence[Action]:
-        """The actions that answer an event."""
+        """Handles an event and returns the resulting actions."""
         _HANDLERS[type(event)](self, now, event)
         return self.actions.take()
 
@@ -125,7 +125,7 @@
         if self.config.gossip_enabled:
             self.sender.send_heartbeats(now)
         interval_us = SERVING_HEARTBEAT_US if self.admission.phase is Phase.SERVING else HEARTBEAT_US
-        # Jitter: heartbeats of directors that started together must not stay together.
+        # Jitter keeps the heartbeats of directors that started together from staying in phase.
         self.due_us = now + int(interval_us * (JITTER_MIN + JITTER_SPAN * self._random.random()))
 
     def _classify(self, now: int) -> None:
@@ -187,7 +187,7 @@
         if hello_accepted and self.classifier.current is FailureClass.UNDETERMINED:
             self._classify(now)
             if self.admission.only_this_director:
-                self.admission.advance(now)  # nothing to wait for, not even the next heartbeat
+                self.admission.advance(now)  # no condition is left to wait for: don't wait for the next heartbeat
 
     def _local_status(self, now: int) -> LocalStatus:
         sample = self.ramp.own_sample(now)
@@ -208,7 +208,7 @@
 
 
 def _initial_rate(config: RecoveryConfig, persisted: Sequence[PersistedRow], now: int) -> float:
-    """The settings' rate, or half of what the origin sustained before: it may be colder than it was."""
+    """The rate of the settings, or half the rate the origin sustained before: it may be colder now."""
     rate = config.initial_origin_rate
     for row in persisted:
         is_hint = row.kind == HINT_KIND and row.key == ORIGIN_HINT_KEY
--- a/rookbend/recovery/membership.py
+++ b/rookbend/recovery/membership.py
@@ -1,7 +1,8 @@
-"""The membership as the director uses it: as received from the coordinator, with the limits that recovery adds.
+"""The membership that the director uses: the coordinator's, with restrictions that recovery adds.
 
-Two limits are added to members that the coordinator lists as ready: drains known from before, until a list that is no
-older says otherwise, and a recent start, so that caches are warmed up, unless only this director was restarted.
+Recovery restricts members that the coordinator lists as ready in two ways. A member whose drain is known from before
+the start stays draining until a list at least as new as the drain lists it as ready. Caches count as recently started,
+so that they are warmed up, unless only this director was restarted.
 """
 
 from __future__ import annotations
@@ -19,8 +20,9 @@
 
 
 class MembershipFilter:
-    """`received` holds the coordinator's entries by name, `revision` the newest revision; `drained_since_us` has the
-    start of each drain, for its bound; `caches_cold`: caches count as started when this director was."""
+    """`received` holds the coordinator's entries by name, `revision` the newest revision. `drained_since_us` is the
+    start of each drain, from which its maximum age counts. `caches_cold`: caches count as started when this director
+    was."""
 
     def __init__(
         self,
@@ -39,7 +41,7 @@
         self._actions = actions
 
     def receive(self, now: int, change: MembershipChange) -> None:
-        """Takes a list or a change from the coordinator and forwards it with the limits added."""
+        """Handles a list or a change from the coordinator and forwards it with the restrictions applied."""
         if change.complete:
             self.received = {}
         self.revision = max(self.revision, change.version)
@@ -66,11 +68,11 @@
     # Drains
 
     def restore_drain(self, name: str, since_us: int) -> None:
-        """A drain from disk, whose row is in place, applies until its bound."""
+        """Applies a drain from disk, whose row is stored already, until its maximum age."""
         self.drained_since_us[name] = since_us
 
     def add_peers_drain(self, now: int, name: str, data: bytes) -> None:
-        """A drain that enough peers agree on."""
+        """Applies a drain that enough peers agree on."""
         if self._add_drain(now, name, data) and name in self.received:
             self._forward([self.received[name]])
 
@@ -87,7 +89,7 @@
         self._actions.append(DeleteRow(DRAIN.name, name))
 
     def release_expired_drains(self, now: int) -> None:
-        """Lifts drains from before whose bound is over; what the present list says applies by itself."""
+        """Lifts expired drains of members that the present list has as ready."""
         for name, since_us in list(self.drained_since_us.items()):
             entry = self.received.get(name)
             if entry is None or entry.member.state is not MemberState.READY:
@@ -96,10 +98,10 @@
                 self._lift_drain(name)
                 self._forward([entry])
 
-    # What is forwarded
+    # Forwarding
 
     def set_caches_cold(self, cold: bool) -> None:
-        """Whether caches are to be warmed up; forwards all entries where this changes."""
+        """Sets whether caches are to be warmed up; forwards all entries if this has changed."""
         if cold != self.caches_cold:
             self.caches_cold = cold
             self._forward(list(self.received.values()))
@@ -119,7 +121,7 @@
             limited = [self._limited(entry) for entry in entries]
             self._actions.append(ForwardMembership(MembershipChange(False, self.revision, limited)))
 
-    # What the stages ask
+    # Conditions of the startup stages
 
     def has_ready_origin(self) -> bool:
         """Whether the coordinator lists a ready origin."""
--- a/rookbend/recovery/missed_purges.py
+++ b/rookbend/recovery/missed_purges.py
@@ -1,12 +1,13 @@
-"""Purges that may have been missed during this director's outage.
+"""Purges that this director may have missed during its outage.
 
-A purge of that time voids copies that left the origin before it. Which ones is unknown until the coordinator, or
-peers that were up, have delivered the purges; until then reads use only copies that left the origin after this
-director started (`oldest_copy_us`): such a copy is younger than any missed purge. The start of the outage would not
-do as the bound: a copy of the outage's first half is older than a purge of its second.
+A purge invalidates copies that left the origin before it. Until the coordinator, or peers that were up, have delivered
+the purges of the outage, reads use only copies that left the origin after this director started (`oldest_copy_us`):
+such a copy is younger than any missed purge. The start of the outage is no valid bound: a copy from the first half of
+the outage is older than a purge from the second half.
 
-Covered by the coordinator's stream, once it is up and has delivered a complete list; or by two peers (all others,
-where there is one) that were up throughout, are covered themselves, and have delivered all purges they hold.
+The missed purges are covered once the coordinator's stream is up and has delivered a complete list, or once two peers
+(or the only other director) have delivered all purges they hold. Such a peer must have been up throughout the outage
+and have no missed purges of its own.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 
 
 class MissedPurgeWindow:
-    """Whether purges of the outage may still be missing. `covered_by` names the source that closed the window."""
+    """Tracks whether purges of the outage may still be missing. `covered_by` names the source that delivered them."""
 
     def __init__(self, began_us: int):
         self.began_us = began_us
@@ -33,7 +34,7 @@
 
     @property
     def oldest_copy_us(self) -> int:
-        """Copies that left the origin before this Unix microsecond are not used; 0: any."""
+        """Copies that left the origin before this Unix microsecond are not used; 0 means no limit."""
         return 0 if self.covered else self.began_us
 
     def list_received(self) -> None:
@@ -51,7 +52,7 @@
             self.covered_by = "coordinator"
 
     def peer_complete(self, number: int, peers: Peers) -> None:
-        """A peer has delivered the last of its purges."""
+        """A peer has delivered all purges it holds."""
         peer = peers.rows.get(number)
         if peer is None or not peer.purges_covered or peer.began_us >= self.began_us or peer.rejection is not None:
             return
--- a/rookbend/recovery/origin_ramp.py
+++ b/rookbend/recovery/origin_ramp.py
@@ -1,10 +1,11 @@
 """Slow start towards a cold origin: the rate that all directors together may use, and this director's quota of it.
 
-The fleet's rate starts low and grows by `GROWTH` each `STEP_US` while the origin answers well and about as fast as it
-has shown it can. It holds while the origin is slower, and is halved while calls are refused or unanswered. At the
-full rate, or once most peers are unlimited, nothing is limited any more. Each director adapts the rate by itself, so
-rates differ a little; the sum is bounded by the quota: an equal part among the live directors, or among all that are
-configured while it is uncertain who is live.
+The fleet's rate starts low and is multiplied by `GROWTH` every `STEP_US` while the origin answers successfully and
+about as fast as the fastest answers known. It stays unchanged while the origin is slower, and is halved while calls
+are refused or unanswered. The limit is removed at the full rate, or once most peers are unlimited.
+
+Each director adapts the rate on its own, so rates differ a little. The quota bounds their sum: an equal share among
+the live directors, or among all configured ones while it is uncertain which are live.
 """
 
 from __future__ import annotations
@@ -18,14 +19,14 @@
 STEP_US = 500_000
 BACKOFF = 0.5
 BACKOFF_US = 1_000_000
-USED_RATIO = 0.5  # a full step needs so much of the quota to have been used
+USED_RATIO = 0.5  # share of the quota that must have been used for a full step
 WINDOW_US = 1_000_000
 SAMPLE_VALID_US = 1_500_000
 MIN_CALLS = 4
 FAILING_RATIO = 0.3
 MIN_RATE_RATIO = 0.25  # of the initial rate
 SLOW_FACTOR = 3.0
-SLOW_EXTRA_US = 60_000  # a call is slow beyond SLOW_FACTOR times the fastest plus this: it queues at the origin
+SLOW_EXTRA_US = 60_000  # a call slower than SLOW_FACTOR * fastest + SLOW_EXTRA_US queues at the origin
 SLOW_RATIO = 0.5
 MAX_MEDIAN_RATIO = 1.25
 UNLIMITED_RATIO = 2 / 3
@@ -34,7 +35,7 @@
 
 @dataclass(slots=True)
 class OriginSample:
-    """What a director saw of the origin lately. `fleet_rate` is the rate it holds for the fleet, 0: unlimited."""
+    """A director's recent calls to the origin. `fleet_rate` is its present rate for the fleet; 0 means unlimited."""
 
     at_us: int
     fleet_rate: float
@@ -61,7 +62,7 @@
 
 
 class OriginRamp:
-    """Rates are calls a second. `fleet_rate` is the rate of all directors together, None: unlimited; `halvings`
+    """Rates are calls per second. `fleet_rate` is the rate of all directors together; None means unlimited. `halvings`
     counts how often it was halved."""
 
     def __init__(self, initial_rate: float, full_rate: float, began_us: int):
@@ -83,7 +84,7 @@
         self.calls_since_step += 1
 
     def call_ended(self, now: int, succeeded: bool, duration_us: int) -> None:
-        """A call of this director to the origin, direct or through a fill, ended."""
+        """A call of this director to the origin, made directly or through a fill, has ended."""
         self.completed.append(CompletedCall(now, succeeded, duration_us))
         if succeeded:
             self.fastest_us = min(self.fastest_us or duration_us, duration_us)
@@ -110,13 +111,13 @@
         return [sample for sample in self.peer_samples.values() if now - sample.at_us <= SAMPLE_VALID_US]
 
     def _known_fastest_us(self, now: int) -> int:
-        """The second fastest of all directors: one faulty sample does not make the origin look slow."""
+        """The second lowest of the directors' fastest calls: a single faulty sample can't make the origin look slow."""
         fastest = [self.fastest_us, *(sample.fastest_us for sample in self._valid_samples(now))]
         known = sorted(duration_us for duration_us in fastest if duration_us)
         return known[min(1, len(known) - 1)] if known else 0
 
     def totals(self, now: int) -> SampleTotals:
-        """Recent calls of this director and its peers."""
+        """The sums over the recent calls of this director and its peers."""
         samples = [self.own_sample(now), *self._valid_samples(now)]
         return SampleTotals(
             sum(sample.calls for sample in samples),
@@ -125,26 +126,26 @@
         )
 
     def failure_ratio(self, now: int) -> float:
-        """Failures among the recent calls; 0 where too few are known."""
+        """Ratio of failures among the recent calls; 0 while fewer than `MIN_CALLS` are known."""
         totals = self.totals(now)
         return totals.failures / totals.calls if totals.calls >= MIN_CALLS else 0.0
 
     def is_origin_failing(self, now: int) -> bool:
-        """Whether so many calls fail that no more load may be added."""
+        """Whether so many calls fail that the load must not grow."""
         return self.failure_ratio(now) >= FAILING_RATIO
 
     # Decisions
 
     def quota(self, live: int, configured: int, live_is_certain: bool) -> float:
-        """This director's part of the fleet's rate, never under 1/configured."""
+        """This director's share of the fleet's rate, at least 1/configured."""
         return 1 / max(1, min(live, configured) if live_is_certain else configured)
 
     def remove_limit(self) -> None:
-        """Ends the ramp."""
+        """Ends the ramp: the rate is unlimited."""
         self.fleet_rate = None
 
     def update(self, now: int, quota: float) -> bool:
-        """Whether the fleet's rate has changed."""
+        """Adapts the fleet's rate; returns whether it has changed."""
         if self.fleet_rate is None:
             return False
         totals = self.totals(now)
@@ -178,7 +179,8 @@
             return False
         self.stepped_us = now
         self.calls_since_step = 0
-        # An unused quota proves nothing, but a quiet director is not to be the last to be unlimited: half a step.
+        # An unused quota says nothing about the origin, but a director with little traffic must not be the last one to
+        # become unlimited, so it takes half a step.
         rate *= GROWTH if used else 1 + (GROWTH - 1) / 2
         if len(peer_rates) >= 2:
             rate = min(rate, MAX_MEDIAN_RATIO * statistics.median(peer_rates))
--- a/rookbend/recovery/peer_rows.py
+++ b/rookbend/recovery/peer_rows.py
@@ -1,4 +1,4 @@
-"""Takes over rows that peers pass on: each kind by its own rule, malformed ones counted."""
+"""Stores rows received from peers, each kind by its own rule; counts malformed ones."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class PeerRowIntake:
-    """`rows` are the present ones; `unreadable` counts rows that are malformed."""
+    """`rows` are the rows that this director holds; `unreadable` counts malformed ones."""
 
     def __init__(
         self,
@@ -32,8 +32,8 @@
         self._drain_votes = QuorumVotes()
 
     def wants(self, name: str) -> bool:
-        """Whether rows of a kind are requested from peers: purges while some may be missing, drains while there is no
-        membership, orders always."""
+        """Whether rows of a kind are requested from peers: orders always, purges while some may be missing, drains
+        while no membership list has been received."""
         if name == ORDER.name:
             return True
         if name == PURGE.name:
@@ -41,7 +41,7 @@
         return not self._membership.received
 
     def add(self, now: int, sender: int, name: str, key: str, data: bytes) -> None:
-        """Takes a row of a peer that is believed."""
+        """Handles a row of a peer whose messages are accepted."""
         if decode_value(self.rows.by_name[name].kind, data) is None:
             self.unreadable += 1
             return
--- a/rookbend/recovery/peers.py
+++ b/rookbend/recovery/peers.py
@@ -1,12 +1,13 @@
-"""What is known of the other directors: one row a configured peer, no others.
+"""The state of the other directors: one row per configured peer.
 
-A peer is believed by what it says itself (`receive`); what others relay of it counts only as a sign of life, and
-affects no classification. Rejected:
+A peer's state comes only from its own Hello messages (`receive`). What other peers relay about it shows only that it
+is live, and does not affect the failure classification. A Hello is rejected for:
 
     - a boot number lower than the one known, or the same with another incarnation: an old disk was restored, or two
-      directors claim one number. It is notified (`Hello.known`), takes a higher number, and is believed again;
-    - a Hello whose heartbeat is not above the last of that incarnation: late or duplicated;
-    - inconsistent figures: an age that would move its start by more than `DRIFT_US`.
+      directors claim the same number. The peer learns this from `Hello.known`, takes a higher boot number, and is
+      accepted again;
+    - a heartbeat number that is not above the last one of that incarnation: the Hello is late or duplicated;
+    - an inconsistent age, which would move the peer's start by more than `DRIFT_US`.
 """
 
 from __future__ import annotations
@@ -30,7 +31,7 @@
 
 
 class Rejection(Enum):
-    """Why a Hello was not believed; the values appear in logs and JSON."""
+    """Why a Hello was rejected. The values appear in logs and JSON."""
 
     STRANGER = "stranger"
     NUMBER_MISMATCH = "name of another"
@@ -41,8 +42,9 @@
 
 @dataclass(slots=True)
 class Peer:
-    """`began_us`: the start of its incarnation on the local clock; `last_received_us`: its last accepted Hello;
-    `relayed_us`: when a peer last relayed a sign of life; `rejection`: why its last Hello was rejected."""
+    """`began_us`: the start of its incarnation on the local clock; `last_received_us`: the time of its last accepted
+    Hello; `relayed_us`: when another peer last relayed a higher heartbeat number of it; `rejection`: why its last
+    Hello was rejected."""
 
     number: int
     boot_number: int = 0
@@ -61,7 +63,7 @@
 
 
 class Peers:
-    """`boot_numbers` are the highest known from before, by the peer's number; `rejected` counts by reason."""
+    """`boot_numbers` are the highest persisted ones, by peer number; `rejected` counts Hellos by reason."""
 
     def __init__(self, number: int, count: int, seed: int, boot_numbers: dict[int, int] | None = None):
         self.number = number
@@ -72,7 +74,7 @@
         self.rejected: dict[str, int] = {}
 
     def receive(self, now: int, sender: int, hello: Hello) -> bool:
-        """Takes a Hello; False where it is rejected."""
+        """Handles a Hello; returns False if it is rejected."""
         peer = self.rows.get(sender)
         if peer is None:
             self._count(Rejection.STRANGER)
@@ -111,8 +113,8 @@
 
     @staticmethod
     def _was_suspended(now: int, peer: Peer, began_us: int) -> bool:
-        """Whether an incarnation that seems to have started later was suspended, or its clock stepped back: it looks
-        younger by no more than it was silent."""
+        """Whether an incarnation that seems to have started later was suspended, or its clock was stepped back: its
+        age then lags by no more than the time in which it sent nothing."""
         return 0 <= began_us - peer.began_us <= now - peer.last_received_us + DRIFT_US
 
     @staticmethod
@@ -130,7 +132,7 @@
         peer.rejection = None
 
     def _relayed(self, now: int, summary: PeerSummary) -> None:
-        """A relayed sign of life: a heartbeat that grows."""
+        """Handles a relayed summary of a peer: a higher heartbeat number shows that the peer is live."""
         peer = self.rows.get(summary.number)
         if peer is None or summary.boot_number < peer.boot_number:
             return
@@ -145,11 +147,11 @@
         return [peer for peer in self.rows.values() if peer.last_received_us and now - peer.last_received_us <= LIVE_US]
 
     def live_count(self, now: int) -> int:
-        """How many directors show a sign of life, this one included."""
+        """How many directors are live, including this one."""
         return len(self.live_directors(now))
 
     def live_directors(self, now: int) -> frozenset[int]:
-        """The numbers of the directors with a sign of life within `LIVE_US`, this one included."""
+        """The numbers of the directors with a direct or relayed sign of life within `LIVE_US`, including this one."""
         signs = ((peer.number, max(peer.last_received_us, peer.relayed_us)) for peer in self.rows.values())
         live = (number for number, sign_us in signs if sign_us and now - sign_us <= LIVE_US)
         return frozenset((self.number, *live))
@@ -160,12 +162,12 @@
         return KnownIncarnation(peer.boot_number, peer.incarnation) if peer is not None else KnownIncarnation()
 
     def sample(self, count: int) -> list[int]:
-        """Numbers of peers to gossip with, drawn anew each time."""
+        """Numbers of randomly chosen peers to gossip with."""
         numbers = list(self.rows)
         return self.random.sample(numbers, min(count, len(numbers)))
 
     def summaries(self, now: int) -> list[PeerSummary]:
-        """Rows to relay, of the active peers, in drawn order."""
+        """Summaries of the active peers to relay, in random order."""
         peers = self.active(now)
         self.random.shuffle(peers)
         return [
--- a/rookbend/recovery/purge_replication.py
+++ b/rookbend/recovery/purge_replication.py
@@ -1,4 +1,4 @@
-"""Purges that this director holds: received, restored from disk, or replicated from its peers."""
+"""Purges that this director holds: received from the coordinator, restored from disk, or replicated by peers."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from rookbend.recovery.actions import Action, ApplyPurge
 from rookbend.recovery.replicated_rows import PURGE, ReplicatedRows, decode_value, encode_value
 
-PROPAGATION_MARGIN = 1.15  # as in the router: purges apply for this multiple of the settings' time
+PROPAGATION_MARGIN = 1.15  # as in the router: purges apply for this multiple of the configured propagation time
 OBJECT, GROUP = "o", "g"
 
 
@@ -16,17 +16,17 @@
     """A key that names neither an object nor a group."""
 
     def __init__(self, key: str):
-        super().__init__(f"no object and no group: {key!r}")
+        super().__init__(f"purge key names neither an object nor a group: {key!r}")
         self.key = key
 
 
 def purge_key(purge: Purge) -> str:
-    """The row's key: "o OBJECT" in hexadecimal, or "g GROUP"."""
+    """The key of the row: "o OBJECT" with the object id in hexadecimal, or "g GROUP"."""
     return f"{GROUP} {purge.group}" if purge.object_id is None else f"{OBJECT} {purge.object_id:x}"
 
 
 def parse_purge(key: str, unix_ms: int) -> Purge:
-    """The purge of a row. Raises MalformedPurgeKeyError."""
+    """Decodes the purge of a row. Raises MalformedPurgeKeyError."""
     scope, _, number = key.partition(" ")
     try:
         if scope == OBJECT:
@@ -37,7 +37,7 @@
 
 
 def _parse_peers_purge(key: str, unix_ms: int) -> Purge:
-    """As `parse_purge`, but strict: a known scope and no negative number."""
+    """As `parse_purge`, but also rejects unknown scopes and negative numbers."""
     purge = parse_purge(key, unix_ms)
     number = purge.group if purge.object_id is None else purge.object_id
     if key.partition(" ")[0] not in (OBJECT, GROUP) or number < 0:
@@ -46,7 +46,7 @@
 
 
 class PurgeReplication:
-    """Keeps the rows of purges; `propagation_us` is the settings' time that a purge needs to reach all caches."""
+    """The rows of purges; `propagation_us` is the configured time that a purge needs to reach all caches."""
 
     def __init__(self, propagation_us: int, rows: ReplicatedRows[int], actions: ActionQueue[Action]):
         self.propagation_us = propagation_us
@@ -55,24 +55,24 @@
 
     @property
     def valid_us(self) -> int:
-        """How long a purge applies, in whole microseconds."""
+        """How long a purge applies, in microseconds."""
         return int(PROPAGATION_MARGIN * self.propagation_us)
 
     def restore(self, key: str) -> None:
-        """Applies a purge from disk, whose row is in place."""
+        """Applies a purge from disk, whose row is stored already."""
         unix_ms = self._rows.get(key)
         assert unix_ms is not None
         self._actions.append(ApplyPurge(parse_purge(key, unix_ms)))
 
     def receive(self, purge: Purge) -> None:
-        """A purge of the coordinator's stream, applied already."""
+        """Persists a purge from the coordinator's stream, which the director has applied already."""
         key = purge_key(purge)
         data = encode_value(purge.unix_us // 1000)
         if self._rows.put(key, data):
             self._actions.append(PersistRow(PURGE.name, key, data))
 
     def add_peers_purge(self, now: int, key: str, data: bytes) -> None:
-        """Persists and applies a peer's purge that is recent and new. Raises MalformedPurgeKeyError."""
+        """Persists and applies a peer's purge if it is recent and newer. Raises MalformedPurgeKeyError."""
         unix_ms = decode_value(PURGE, data)
         assert unix_ms is not None
         purge = _parse_peers_purge(key, unix_ms)
--- a/rookbend/recovery/replicated_rows.py
+++ b/rookbend/recovery/replicated_rows.py
@@ -1,12 +1,12 @@
-"""Rows that directors replicate among one another: orders, purges, drains; each kind is a bounded set of rows.
+"""Rows that directors replicate among each other: orders, purges and drains, each kind a bounded set of rows.
 
-    order   "NUMBER/MEMBER" -> (order, requested by, sequence): every director keeps every other's, so that one whose
-            disk is lost gets its own back. The higher sequence wins; it begins with the boot number of the owner's
-            incarnation, so orders of an old disk never win against newer ones
-    purge   "o OBJECT" or "g GROUP" -> Unix millisecond: the later wins. Takes effect at once
-    drain   MEMBER -> (state, revision): the higher revision wins. From peers only where two agree
+    order   "NUMBER/MEMBER" -> (order, requested by, sequence). Every director stores the orders of all others, so that
+            one that has lost its disk gets its own back. The higher sequence wins. Its high bits are the boot number
+            of the owner's incarnation, so orders from an old disk never win against newer ones
+    purge   "o OBJECT" or "g GROUP" -> Unix millisecond. The later one wins, and takes effect at once
+    drain   MEMBER -> (state, revision). The higher revision wins. Accepted from peers only if two of them agree
 
-A digest of a kind is the exclusive or of its rows' hashes: equal sets have equal digests, in any order.
+The digest of a kind is the XOR of its rows' hashes: equal sets have equal digests, independent of their order.
 """
 
 from __future__ import annotations
@@ -41,7 +41,8 @@
 
 @dataclass(frozen=True, slots=True)
 class RowKind(Generic[Value]):
-    """A kind of rows. `value_type` is what the bytes are decoded to; of two rows of one key the higher `rank` wins."""
+    """A kind of rows. `value_type` is the type of the decoded value; of two rows with the same key the one with the
+    higher `rank` wins."""
 
     name: str
     value_type: Any
@@ -55,12 +56,12 @@
 
 
 def encode_value(value: object) -> bytes:
-    """A row's value as bytes."""
+    """Encodes the value of a row."""
     return _encode(value)
 
 
 def decode_value(kind: RowKind[Value], data: bytes) -> Value | None:
-    """The value that the bytes hold, or None where they are none of that kind."""
+    """Decodes the value of a row; None if the bytes are no valid value of that kind."""
     try:
         value: Value = _decode(data, type=kind.value_type)
     except (msgspec.MsgspecError, UnicodeDecodeError):
@@ -80,7 +81,7 @@
         self.digest ^= xxhash.xxh32_intdigest(key.encode() + b"\0" + data)
 
     def put(self, key: str, data: bytes) -> bool:
-        """Stores a row that is readable and outranks the present one; tells whether it did."""
+        """Stores a row if it can be decoded and outranks the present one; returns whether it did."""
         value = decode_value(self.kind, data)
         if value is None:
             return False
@@ -95,24 +96,24 @@
         return True
 
     def drop(self, key: str) -> bool:
-        """Removes a row; tells whether there was one."""
+        """Removes a row; returns whether there was one."""
         present = self.rows.pop(key, None)
         if present is not None:
             self._mix(key, present)
         return present is not None
 
     def get(self, key: str) -> Value | None:
-        """The value of a row."""
+        """The value of a row, or None."""
         data = self.rows.get(key)
         return None if data is None else decode_value(self.kind, data)
 
     def after(self, key: str) -> list[tuple[str, bytes]]:
-        """The rows beyond a key, in the order of their keys."""
+        """The rows whose keys sort after `key`, in order."""
         return sorted((other, data) for other, data in self.rows.items() if other > key)
 
 
 class ReplicatedState:
-    """The rows of all kinds; `by_name` has them in the order in which digests travel."""
+    """The rows of all kinds; `by_name` has them in the order in which a Hello lists their digests."""
 
     def __init__(self) -> None:
         self.orders = ReplicatedRows(ORDER)
@@ -128,14 +129,15 @@
 
 
 class QuorumVotes:
-    """Rows that count only where several peers report the same value; one vote a key and sender."""
+    """Votes of peers on rows that are accepted only if several peers report the same value. Each sender has one vote
+    per key, which its latest report replaces."""
 
     def __init__(self, min_agreeing: int = MIN_AGREEING):
         self.min_agreeing = min_agreeing
         self._votes: dict[str, dict[int, bytes]] = {}
 
     def add(self, sender: int, key: str, data: bytes, peer_count: int) -> bool:
-        """Whether enough peers now agree; `peer_count` is how many could."""
+        """Counts a vote; returns whether enough peers agree. `peer_count` is the number of configured peers."""
         votes = self._votes.setdefault(key, {})
         votes[sender] = data
         return sum(vote == data for vote in votes.values()) >= min(self.min_agreeing, peer_count)
--- a/rookbend/recovery/startup_admission.py
+++ b/rookbend/recovery/startup_admission.py
@@ -1,6 +1,7 @@
-"""What the director admits while it returns to service: stage, read classes, quota of the origin's rate.
+"""The limits on admission while a director returns to service.
 
-Combines the startup sequence, the origin ramp and the missed purges into one set of limits for the router.
+Combines the startup sequence, the opening of read classes, the origin ramp and the missed purges into one set of
+limits for the router.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 
 
 class ReadClassOpening:
-    """Opens the read classes one after the other, the highest priority weight for its cost first."""
+    """Opens the read classes one by one, in descending order of priority weight per cost."""
 
     def __init__(self, classes: Sequence[TrafficClassCost], began_us: int):
         reads = [index for index, traffic_class in enumerate(classes) if not traffic_class.is_write]
@@ -34,41 +35,41 @@
 
     @property
     def open_ratio(self) -> float:
-        """Open classes among all."""
+        """Ratio of open read classes."""
         return self._open / len(self._order) if self._order else 1.0
 
     @property
     def all_open(self) -> bool:
-        """Whether no class is left to open."""
+        """Whether all read classes are open."""
         return self._open >= len(self._order)
 
     def is_due(self, now: int) -> bool:
-        """Whether the last change is long enough ago."""
+        """Whether `READ_CLASS_INTERVAL_US` have passed since the last change."""
         return now - self._changed_us >= READ_CLASS_INTERVAL_US
 
     def open_next(self, now: int) -> None:
-        """Opens one more class."""
+        """Opens one more read class."""
         self._open += 1
         self._changed_us = now
 
     def open_all(self, now: int) -> None:
-        """Opens all classes."""
+        """Opens all read classes."""
         self._open = len(self._order)
         self._changed_us = now
 
     def close_all(self, now: int) -> None:
-        """Closes all classes."""
+        """Closes all read classes."""
         self._open = 0
         self._changed_us = now
 
     def closed_in(self, stage: Stage) -> frozenset[int]:
-        """The read classes that are rejected in a stage up to READS."""
+        """The read classes that are rejected in `stage`, which is READS or an earlier one."""
         return frozenset(self._order[self._open if stage is Stage.READS else 0 :])
 
 
 class StartupAdmission:
-    """`assigned_quota(now)` is the quota that the leader of the ramp assigned, None while there is none; `limits` are
-    the last that were set."""
+    """`assigned_quota(now)` returns the quota that the leader of the ramp assigned, None while there is none. `limits`
+    are the last ones set."""
 
     def __init__(
         self,
@@ -97,7 +98,7 @@
 
     @property
     def phase(self) -> Phase:
-        """How far this director has returned, as its peers see it."""
+        """The phase of this director that its peers are told."""
         if self.sequence.stage is Stage.LISTENING:
             return Phase.DARK
         return Phase.RECOVERING if self.sequence.stage < Stage.BACKGROUND else Phase.SERVING
@@ -110,9 +111,9 @@
     # Progress
 
     def advance(self, now: int) -> None:
-        """Moves the ramp, the read classes and the stage on, and sets the limits that follow."""
+        """Advances the ramp, the read classes and the stage, and sets the resulting limits."""
         self._advance_ramp(now)
-        for _ in Stage:  # where only this director restarted, one stage follows the other at once
+        for _ in Stage:  # if only this director restarted, it passes several stages in one call
             self._open_read_classes(now)
             stage_before = self.sequence.stage
             if not self.sequence.update(now, self.conditions(now)):
@@ -156,17 +157,17 @@
         missing.clear()
 
     def announce_coverage(self, now: int) -> None:
-        """Once the missed purges are covered: logs it and lifts the limit on the age of copies."""
+        """Logs once that the missed purges are covered, and lifts the limit on the age of copies."""
         if self._missed_purges.covered and not self._coverage_announced:
             self._coverage_announced = True
             after_ms = (now - self._began_us) // 1000
             self._actions.log("recovery_gap_covered", by=self._missed_purges.covered_by, after_ms=after_ms)
             self.update_limits(now)
 
-    # What the limits follow from
+    # Quota, conditions and limits
 
     def quota(self, now: int) -> float:
-        """This director's part of the fleet's rate towards the origin."""
+        """This director's share of the fleet's rate towards the origin."""
         assigned = self.assigned_quota(now)
         if assigned is not None:
             return assigned
@@ -174,7 +175,7 @@
         return self._ramp.quota(self._peers.live_count(now), self._config.director_count, live_is_certain)
 
     def conditions(self, now: int) -> StartupConditions:
-        """What the stages depend on, at this moment."""
+        """The present state of the conditions of the stages."""
         active = self._peers.active(now)
         serving = sum(peer.stage >= Stage.FILLS for peer in active)
         return StartupConditions(
@@ -190,7 +191,7 @@
         )
 
     def update_limits(self, now: int) -> None:
-        """Sets the limits where they have changed."""
+        """Sets the limits if they have changed."""
         stage = self.sequence.stage
         closed: frozenset[int] = frozenset()
         if stage is Stage.LISTENING:
--- a/rookbend/recovery/startup_stages.py
+++ b/rookbend/recovery/startup_stages.py
@@ -1,15 +1,16 @@
 """The order in which a director returns to service: stages with conditions, minimum times and deadlines.
 
-    listening       sockets are open; not ready; every request is rejected at once
-    writes          ready; writes are admitted, for they need only the origin
-    reads           read classes are admitted one after the other, by priority weight for their cost
-    fills           all classes; the rate towards the origin grows
-    background      nothing is limited any more; background work starts
-    serving         and this director takes its part in the work of the fleet
-
-A stage is entered when its required conditions hold and its preferred ones do, or its deadline has passed; not before
-the minimum time in the one before. It is left backwards when a required condition no longer holds, or the origin
-fails while it is still protected. Where only this director restarted there are no minimum times.
+    listening       sockets are open; the director is not ready and rejects every request at once
+    writes          ready; writes are admitted, because they need only the origin
+    reads           read classes are admitted one by one, in descending order of priority weight per cost
+    fills           all classes are admitted; the rate towards the origin grows
+    background      no limits; background work starts
+    serving         the director also takes part in the work of the fleet
+
+A stage is entered once its required conditions hold, the minimum time in the previous stage has passed, and either its
+preferred conditions hold or its deadline has passed. The director falls back to an earlier stage when a required
+condition no longer holds, or when the origin fails while its rate is still limited. If only this director restarted,
+there are no minimum times.
 """
 
 from __future__ import annotations
@@ -26,7 +27,7 @@
 
 
 class Stage(IntEnum):
-    """See the module's text; the names appear in logs and JSON."""
+    """The stages described at the head of the module. The names appear in logs and JSON."""
 
     LISTENING = 0
     WRITES = 1
@@ -38,9 +39,9 @@
 
 @dataclass(frozen=True, slots=True)
 class StartupConditions:
-    """What the stages depend on. `live_ratio`: live directors among all; `origin_failure_ratio`: failures among
-    recent calls; `open_class_ratio`: admitted read classes among all; `serving_peers_ratio`: active peers at or past
-    FILLS."""
+    """The state on which the stages depend. `live_ratio`: ratio of live directors; `origin_failure_ratio`: ratio of
+    failures among recent calls; `open_class_ratio`: ratio of admitted read classes; `serving_peers_ratio`: ratio of
+    active peers at the stage FILLS or later."""
 
     failure_class: FailureClass
     has_origin: bool
@@ -55,20 +56,20 @@
 
 @dataclass(frozen=True, slots=True)
 class StartupPlan:
-    """The operators' settings: the live directors to wait for, and deadlines counted within a stage."""
+    """The operators' settings: the ratio of live directors to wait for, and deadlines, counted within a stage."""
 
     ready_share: float = 0.5
     ready_by_us: int = 5_000_000
     full_by_us: int = 30_000_000
 
 
-Condition = Callable[[StartupConditions, StartupPlan], str]  # "" or what is waited for
+Condition = Callable[[StartupConditions, StartupPlan], str]  # returns "" if met, else what is missing
 
 
 @dataclass(frozen=True, slots=True)
 class StageRule:
-    """How a stage is entered: `required` always, `preferred` until `deadline_us` after the stage before was entered,
-    which lasts `minimum_us` at least."""
+    """How a stage is entered. `required` must hold; `preferred` is waited for until `deadline_us`. `minimum_us` and
+    `deadline_us` count from the entry of the previous stage."""
 
     required: Condition
     preferred: Condition
@@ -97,24 +98,24 @@
 
 def _classes_open(conditions: StartupConditions, plan: StartupPlan) -> str:
     all_open = conditions.open_class_ratio >= 1
-    return _origin_answers(conditions, plan) or ("" if all_open else "all classes of reads to be open")
+    return _origin_answers(conditions, plan) or ("" if all_open else "all read classes to be open")
 
 
 def _unlimited(conditions: StartupConditions, plan: StartupPlan) -> str:
     if not conditions.unlimited:
-        return "the origin's ramp to end"
-    return "" if conditions.purges_covered else "purges of the dark time to be told"
+        return "the origin ramp to end"
+    return "" if conditions.purges_covered else "the purges of the outage to be received"
 
 
 def _peers_serving(conditions: StartupConditions, plan: StartupPlan) -> str:
     ratio = conditions.serving_peers_ratio
     if conditions.failure_class in (FailureClass.THIS_DIRECTOR, FailureClass.ISOLATED) or ratio >= 0.5:
         return ""
-    return f"others to serve ({ratio:.0%})"
+    return f"peers to serve ({ratio:.0%})"
 
 
 def stage_rules(plan: StartupPlan) -> dict[Stage, StageRule]:
-    """The rules of a plan, by the stage that is entered."""
+    """The rules of a plan, by the stage to enter."""
     return {
         Stage.WRITES: StageRule(_origin_listed, _enough_directors, 0, plan.ready_by_us),
         Stage.READS: StageRule(_caches_listed, _origin_answers, 300_000, 3_000_000),
@@ -125,8 +126,8 @@
 
 
 class StartupSequence:
-    """The present stage. `held`: an operator lets no further stage be entered; `waits_for`: what the next stage waits
-    for; `entered_without`: preferred conditions that were missing when their deadline passed."""
+    """Holds the present stage. `held`: an operator has forbidden to enter further stages; `waits_for`: what the next
+    stage waits for; `entered_without`: preferred conditions that were missing when a stage was entered."""
 
     def __init__(self, plan: StartupPlan, began_us: int):
         self.plan = plan
@@ -140,14 +141,14 @@
         self._skip = False
 
     def skip(self) -> None:
-        """Enters the next stage without its preferred conditions, minimum time and deadline.
+        """Requests that the next stage be entered without its preferred conditions, minimum time and deadline.
 
-        It does so once nothing required is missing, and stays pending until then.
+        The request stays pending until the required conditions hold.
         """
         self._skip = True
 
     def update(self, now: int, conditions: StartupConditions) -> bool:
-        """Whether the stage has changed."""
+        """Enters or leaves a stage if the conditions demand it; returns whether the stage has changed."""
         fallback = self._fallback(conditions)
         if fallback is not None:
             self._not_before_us = now + COLLAPSE_HOLD_US
@@ -171,15 +172,15 @@
         return self._enter(now, following)
 
     def _blocked_by(self, now: int, conditions: StartupConditions, rule: StageRule, missing: str) -> str:
-        """What is still waited for, or "" where the stage may be entered."""
+        """What the stage still waits for, or "" if it may be entered."""
         since_us = now - self.entered_us
         minimum_us = 0 if conditions.failure_class is FailureClass.THIS_DIRECTOR else rule.minimum_us
         if since_us < minimum_us or now < self._not_before_us:
-            return missing or "its floor"
+            return missing or "its minimum time"
         return missing if since_us < rule.deadline_us else ""
 
     def _fallback(self, conditions: StartupConditions) -> Stage | None:
-        """The earlier stage that the conditions demand."""
+        """The earlier stage to fall back to, or None."""
         if self.stage > Stage.LISTENING and not conditions.has_origin:
             return Stage.LISTENING
         if self.stage > Stage.WRITES and not conditions.has_caches:
--- a/rookbend/recovery/status.py
+++ b/rookbend/recovery/status.py
@@ -1,4 +1,4 @@
-"""What operators read of recovery, as JSON fields (`rookbend fleet`, `rookbend recovery`)."""
+"""The status of recovery for operators, as JSON fields (`rookbend fleet`, `rookbend recovery`)."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def fleet_status(machine: RecoveryMachine, now: int) -> dict[str, Any]:
-    """This director and what it knows of the others; ages in milliseconds."""
+    """The state of this director and of its peers; ages are in milliseconds."""
     identity = machine.identity
     directors = [_own_row(machine, now)]
     directors += [_peer_row(peer, now) for peer in machine.peers.rows.values()]
@@ -51,7 +51,7 @@
 
 
 def recovery_status(machine: RecoveryMachine, now: int) -> dict[str, Any]:
-    """Why this director is in its stage, and what it waits for."""
+    """The stage of this director, what it waits for, and the values behind both; ages are in milliseconds."""
     conditions = machine.admission.conditions(now)
     sequence = machine.sequence
     fleet_rate = machine.ramp.fleet_rate
