--- a/rookbend/state/__init__.py
+++ b/rookbend/state/__init__.py
@@ -1,10 +1,10 @@
-"""Durable state: what a director keeps on disk, where `[state]` names a folder.
+"""Durable state: the rows that a director persists on disk if `[state]` names a folder.
 
-    model       what may be persisted: kinds, bounds, identity, errors
-    ledger      the rows in memory, changes that wait to be written, and their outcome; does no I/O
-    disk        the one place that accesses a disk: SQLite by apsw
+    model       kinds of rows with their bounds, the identity of a folder, errors
+    ledger      the rows in memory, the changes to be written, and their outcome; does no I/O
+    disk        the only module that accesses the disk: SQLite through apsw
     writer      the thread that writes batches
 
-A row is durable once `disk` has synced it; the ledger notifies whoever asked for that. The event loop never waits for
-the disk. Nothing of this is imported where `[state]` is off.
+A row is durable once `disk` has synced it; the ledger then calls the callback given with the change. The event loop
+never waits for the disk. None of these modules is imported while `[state]` is off.
 """
--- a/rookbend/state/ledger.py
+++ b/rookbend/state/ledger.py
@@ -1,14 +1,15 @@
 """The rows in memory, the changes that wait to be written, and their outcome; does no I/O.
 
-    put, drop       a change: in memory at once, on disk later
-    take            the next batch for the writer, or None while one is in flight or nothing waits
-    ended           the outcome of the batch; whoever asked for durability is notified
+    put, drop       make a change, in memory at once and on disk later
+    take            returns the next batch for the writer, or None while one is in flight or nothing is dirty
+    ended           reports the outcome of a batch, and calls the callbacks of its changes
 
-One batch is in flight at a time and takes all changes that gathered meanwhile: group commit. Where the disk refuses a
-batch (full, read-only, broken), the ledger is `degraded`: awaited changes are undone in memory and their callers told
-that they are not durable; all others stay dirty and go out with the next try. The first batch that succeeds ends this.
+Only one batch is in flight at a time; the next one takes all changes made meanwhile (group commit). If the disk refuses
+a batch (full, read-only, broken), the ledger is `degraded`: changes with a callback are undone in memory and reported
+as not durable; all others stay dirty and are retried with the next batch. The first batch that succeeds ends this.
 
-Bounds: rows by kind, bytes of all together; the oldest are evicted, kinds marked `evict_first` first.
+The number of rows is bounded by kind, and the bytes of all rows together. The oldest rows are evicted, those of kinds
+marked `evict_first` first.
 """
 
 from __future__ import annotations
@@ -19,13 +20,13 @@
 from rookbend.state.model import KINDS, Row
 
 Key = tuple[str, str]  # kind, key
-Done = Callable[[bool], None]  # whether the change is durable
+Done = Callable[[bool], None]  # called with whether the change is durable
 RETRY_US = 1_000_000
 
 
 @dataclass(slots=True)
 class AwaitedChange:
-    """A change whose durability is awaited: the row before it and after it, None where there is none."""
+    """A change with a callback: the row before and after it, or None."""
 
     key: Key
     before: Row | None
@@ -35,7 +36,7 @@
 
 @dataclass(slots=True)
 class Batch:
-    """What the writer puts into one transaction: a row, or None where it is to be deleted."""
+    """The changes of one transaction: by key the row to store, or None to delete it."""
 
     number: int
     changes: dict[Key, Row | None]
@@ -43,8 +44,8 @@
 
 
 class Ledger:
-    """`rows` by kind and key, oldest first; `bytes` of all; `fault` is why the last batch was refused, "" if it was
-    not. `batches`, `failed`, `refused` (awaited changes) and `evicted` (rows) count."""
+    """`rows` are by kind and key, oldest first; `bytes` is the size of all. `fault` is why the last batch failed, "" if
+    it succeeded. Counters: `batches` and `failed` ones, `refused` changes with a callback, `evicted` rows."""
 
     def __init__(self, max_bytes: int, rows: Mapping[Key, Row] | None = None):
         self.max_bytes = max_bytes
@@ -65,24 +66,24 @@
 
     @property
     def degraded(self) -> bool:
-        """Whether the disk refused the last batch."""
+        """Whether the last batch failed."""
         return bool(self.fault)
 
     # Reading
 
     def get(self, kind: str, key: str) -> Row | None:
-        """One row."""
+        """A row, or None."""
         return self.rows[kind].get(key)
 
     def all(self, kind: str) -> dict[str, Row]:
-        """The rows of a kind, oldest first; not to be changed."""
+        """The rows of a kind, oldest first. The caller must not change them."""
         return self.rows[kind]
 
     # Changes
 
     def put(self, now_us: int, kind: str, key: str, value: bytes, done: Done | None = None) -> None:
-        """Stores a row. `done(True)` is called once it is durable, `done(False)` where it can't be made so, and then
-        it is not kept in memory either."""
+        """Stores a row. `done(True)` is called once it is durable, `done(False)` if it could not be written; the change
+        is then undone in memory too."""
         before = self.rows[kind].get(key)
         unchanged = before is not None and before.value == value and (kind, key) not in self._dirty
         if unchanged and done is None:
@@ -99,7 +100,7 @@
             if done is not None:
                 done(True)
             return
-        # Gone from memory, it may still be on the disk: its deletion is awaited.
+        # A row that is not in memory may still be on disk, so its deletion is written too.
         self._unset(kind, key)
         self._changed(kind, key, before, done)
 
@@ -124,7 +125,7 @@
             self._evict(kind)
         if self.bytes <= self.max_bytes:
             return
-        # The kind that has grown comes last, and the row that was just put is never evicted.
+        # Evicts from the kind that has grown last, and never the row that was just stored.
         evictable = [candidate.name for candidate in KINDS.values() if candidate.evict_first]
         for name in [*evictable, kind]:
             others = len(self.rows[name]) - (name == kind)
@@ -141,7 +142,7 @@
     # The writer
 
     def due_us(self) -> int:
-        """When `take` is to be called again though nothing changes, or 0."""
+        """When `take` must be called again to retry a failed batch, or 0."""
         return self._retry_us if self.fault and self._dirty and self._in_flight is None else 0
 
     def take(self, now_us: int) -> Batch | None:
@@ -149,7 +150,7 @@
         if self._in_flight is not None or not self._dirty:
             return None
         if self.fault and now_us < self._retry_us and not self._awaited:
-            return None  # nobody waits: the disk is not tried more often than each RETRY_US
+            return None  # no caller waits: a failed batch is retried once per RETRY_US
         self.batches += 1
         changes = {(kind, key): self.rows[kind].get(key) for kind, key in self._dirty}
         self._in_flight = Batch(self.batches, changes, self._awaited)
@@ -158,7 +159,7 @@
         return self._in_flight
 
     def ended(self, now_us: int, number: int, fault: str = "") -> None:
-        """The batch is durable, or `fault` says why it is not."""
+        """Reports that the batch is durable, or in `fault` why it is not."""
         batch = self._in_flight
         if batch is None or batch.number != number:
             return
@@ -175,7 +176,7 @@
         self._retry_us = now_us + RETRY_US
         for key in batch.changes:
             self._dirty.setdefault(key, None)
-        # The newest change first: the row before the oldest refused one is what is restored.
+        # The newest change is undone first, so that the row from before the oldest refused change is restored.
         for change in reversed(batch.awaited):
             self._undo(change)
 
@@ -183,9 +184,9 @@
         kind, key = refused.key
         later = next((change for change in self._awaited if change.key == refused.key), None)
         if later is not None and later.before is refused.after:
-            later.before = refused.before  # or undoing the later one would restore what is refused here
+            later.before = refused.before  # otherwise undoing the later change would restore the refused one
         elif self.rows[kind].get(key) is not refused.after:
-            return  # changed again since: that is kept
+            return  # the row was changed again since: the later change is kept
         elif refused.before is None:
             self._unset(kind, key)
         else:
--- a/rookbend/state/writer.py
+++ b/rookbend/state/writer.py
@@ -14,7 +14,7 @@
 
 
 class Writer:
-    """Starts the one writer thread. `ended(number, fault)` is called in it, and must hand over to the event loop."""
+    """Starts the writer thread. `ended(number, fault)` is called in that thread and must notify the event loop."""
 
     def __init__(self, disk: Disk, ended: Callable[[int, str], None]):
         self._disk = disk
@@ -28,7 +28,7 @@
         self._queue.put(batch)
 
     def raise_boot_number(self, boot_number: int) -> None:
-        """Queues a higher boot number. Where the disk refuses it, peers report it again after the next start."""
+        """Queues a higher boot number. If the disk refuses it, peers report it again after the next start."""
         self._queue.put(boot_number)
 
     def _run(self) -> None:
@@ -40,6 +40,6 @@
                     self._disk.raise_boot_number(work)
 
     def stop(self) -> None:
-        """Ends the thread once all that is queued is written. Blocks until then."""
+        """Stops the thread after it has written everything queued. Blocks until then."""
         self._queue.put(None)
         self._thread.join()
