--- a/rookbend/operations/__init__.py
+++ b/rookbend/operations/__init__.py
@@ -1,8 +1,8 @@
-"""Running day by day, pure: what operators ask of a running director and what two of its processes agree on.
+"""Operation of a running director, without I/O: operators' commands, reloads and upgrades.
 
-`metrics_text`       the counters and gauges of the operators' endpoint, in the operators' format
-`exclusions`         members excluded by an operator, and what of the membership that leaves
-`reload_validation`  settings that change: whether a file is complete, and what of it takes effect
-`handover`           two processes of one director: which takes connections, which ends, and each one's quota
-`persisted_state`    the file that one process leaves for the next
+`metrics_text`       the text format of the counters and gauges of the operators' endpoint
+`exclusions`         members excluded by an operator, and the membership with the exclusions applied
+`reload_validation`  reload of settings: whether a file is complete, and which changes take effect
+`handover`           an upgrade with two processes of one director: which one accepts connections, and each one's quota
+`persisted_state`    the file that a process leaves for its successor
 """
--- a/rookbend/operations/handover.py
+++ b/rookbend/operations/handover.py
@@ -1,11 +1,12 @@
-"""Two processes of one director during an upgrade, seen by each of them: which takes connections, which ends, and which
-part of the director's limits is this process's own.
+"""The processes of one director during an upgrade, as seen by one of them: which of them accept connections, which one
+ends, and this process's share of the director's limits.
 
-Towards others both are one director. So nothing is guessed: a process counts from its first message until the end of
-the connection on which it sent it, and what is uncertain makes the parts smaller, never larger.
+To clients and members the processes are one director, so their shares must not add up to more than one. A process
+therefore counts from its first message until the connection on which it was sent ends, and uncertainty only makes the
+shares smaller.
 
-    predecessor -- successor    the predecessor has given its listeners; the successor serves once it says so
-    A -- B -- C                 a second upgrade may begin while the first is ending: B has both neighbours
+    predecessor -- successor    the predecessor has passed its listeners on; the successor serves once it reports so
+    A -- B -- C                 a second upgrade may begin while the first is ending: B is successor and predecessor
 """
 
 from __future__ import annotations
@@ -15,20 +16,18 @@
 
 
 class HandoverPhase(Enum):
-    """Where a process stands between its neighbours."""
+    """The phase of an upgrade in which a process is."""
 
     ALONE = "alone"  # no other process of this director is known
-    OFFERED = "offered"  # a successor has our listeners and does not serve yet
+    OFFERED = "offered"  # a successor has this process's listeners but does not serve yet
     SHARED = "shared"  # both serve
-    LEAVING = "leaving"  # shutting down while the successor serves: nothing new is taken
+    LEAVING = "leaving"  # shutting down while the successor serves: no new connections are accepted
 
 
 @dataclass(slots=True)
 class ProcessHandover:
-    """Fed by its methods, one an event. Successors are named by the number of their connection.
-
-    `successors` says of each whether it serves.
-    """
+    """Each method handles one event. `successors` maps the number of a successor's connection to whether that successor
+    serves."""
 
     has_predecessor: bool = False
     successors: dict[int, bool] = field(default_factory=dict)
@@ -37,7 +36,7 @@
     # Events
 
     def listeners_inherited(self) -> None:
-        """A predecessor has given its listeners."""
+        """A predecessor has passed on its listeners."""
         self.has_predecessor = True
 
     def predecessor_ended(self) -> None:
@@ -45,27 +44,27 @@
         self.has_predecessor = False
 
     def listeners_requested(self, connection: int) -> None:
-        """A successor has asked for the listeners, on this connection."""
+        """A successor has requested the listeners on this connection."""
         self.successors[connection] = False
 
     def successor_serving(self, connection: int) -> None:
-        """The successor on this connection serves; one that never asked, or has ended, takes nothing over."""
+        """The successor on this connection serves. Ignored if it never requested the listeners, or has ended."""
         if connection in self.successors:
             self.successors[connection] = True
 
     def successor_ended(self, connection: int) -> None:
-        """An upgrade that failed, or a successor that ended: this process goes on as if it had not been."""
+        """The upgrade has failed, or the successor has ended: this process continues as before the upgrade."""
         self.successors.pop(connection, None)
 
     def shutdown_requested(self) -> None:
-        """This process is to end."""
+        """This process has been told to shut down."""
         self.shutting_down = True
 
-    # Questions
+    # State
 
     @property
     def phase(self) -> HandoverPhase:
-        """Where this process stands now."""
+        """The present phase of this process."""
         if self.taken_over:
             return HandoverPhase.LEAVING if self.shutting_down else HandoverPhase.SHARED
         if self.successors:
@@ -74,15 +73,15 @@
 
     @property
     def taken_over(self) -> bool:
-        """Whether another process takes what comes: then this one may stop taking without a loss."""
+        """Whether a successor accepts connections, so that this process can stop accepting without losing any."""
         return any(self.successors.values())
 
     @property
     def active_processes(self) -> int:
-        """How many may send, with this one: budgets that bind all of them are divided by it."""
+        """The number of processes that may send requests, including this one; shared budgets are divided by it."""
         return 1 + self.has_predecessor + sum(self.successors.values())
 
     @property
     def processes(self) -> int:
-        """How many there are, serving or not: descriptors and memory are divided by it."""
+        """The number of processes, serving or not, including this one; descriptors and memory are divided by it."""
         return 1 + self.has_predecessor + len(self.successors)
--- a/rookbend/operations/metrics_text.py
+++ b/rookbend/operations/metrics_text.py
@@ -1,7 +1,7 @@
-"""The metrics of the operators' endpoint: `svc.requests.CLASS.served:812|c` a line; counters |c, gauges |g.
+"""The text format of the operators' endpoint: one metric per line, such as `svc.requests.CLASS.served:812|c`.
 
-Every process counts from 0. A class has its lines from the moment the settings name it; one that is no longer named
-keeps them, since what was counted stays true.
+The suffix is |c for counters and |g for gauges. Each process counts from 0. The lines of a class appear once the
+settings name it, and stay when the settings no longer do, because its counters remain valid.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 
 
 def requests_by_class(name: str, answers: Mapping[tuple[str, FinalOutcome], int]) -> list[Metric]:
-    """The answers of one class, one counter for each final outcome."""
+    """The counters of one class, one per final outcome."""
     return [(f"requests.{name}.{outcome.value}", answers.get((name, outcome), 0)) for outcome in FinalOutcome]
 
 
 def render(counters: Iterable[Metric], gauges: Iterable[Metric]) -> bytes:
-    """All metrics in the form that the operators read."""
+    """Renders all metrics."""
     lines = [f"svc.{name}:{value}|c\n" for name, value in counters]
     lines += [f"svc.{name}:{value}|g\n" for name, value in gauges]
     return "".join(lines).encode()
--- a/rookbend/operations/persisted_state.py
+++ b/rookbend/operations/persisted_state.py
@@ -1,6 +1,6 @@
-"""The file that a process of a director leaves for the next one: a checksum on one line, JSON on the next.
+"""The file that a process of a director leaves for its successor: a checksum on the first line, JSON on the second.
 
-It is used whole or not at all: a file of another version, of another director, or with one bit wrong is rejected.
+A file of another format version, of another director, or with a wrong checksum is rejected as a whole.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 
 
 class PersistedStateError(Exception):
-    """The file can't be used; the start goes on without it."""
+    """The file can't be used; the start continues without it."""
 
 
 class PersistedState(msgspec.Struct, forbid_unknown_fields=True):
-    """The content. `excluded`: members excluded by operators; `included_us`: when others were included again, Unix
-    microseconds. The keys in the file are those of its first version."""
+    """The content of the file. `excluded`: members excluded by operators; `included_us`: when others were included
+    again, in Unix microseconds. The keys in the file are those of its first version."""
 
     name: str
     version: int = VERSION
@@ -29,22 +29,22 @@
 
 
 def encode(state: PersistedState) -> bytes:
-    """The file's bytes."""
+    """Encodes the content of the file."""
     body = msgspec.json.encode(state)
     return _checksum(body) + b"\n" + body
 
 
 def decode(data: bytes, name: str) -> PersistedState:
-    """The content of a file of the director `name`; PersistedStateError where it can't be used."""
+    """Decodes a file of the director `name`. Raises PersistedStateError if the file can't be used."""
     checksum, _, body = data.partition(b"\n")
     if checksum != _checksum(body):
-        raise PersistedStateError("its checksum is wrong")
+        raise PersistedStateError("checksum mismatch")
     try:
         state = msgspec.json.decode(body, type=PersistedState)
     except msgspec.MsgspecError as error:
         raise PersistedStateError(str(error)) from None
     if (state.version, state.name) != (VERSION, name):
-        raise PersistedStateError(f"it is of version {state.version} and of {state.name}")
+        raise PersistedStateError(f"file has version {state.version} and belongs to director {state.name}")
     return state
 
 
--- a/rookbend/operations/reload_validation.py
+++ b/rookbend/operations/reload_validation.py
@@ -1,12 +1,12 @@
-"""Settings that change while a director serves: whether a file is complete, and what of it takes effect.
+"""Reload of the settings of a running director: whether a file is complete, and which changes take effect.
 
-A reload is all or nothing. A file is complete if it can be read as the types say, if its values are valid
-(config.check), and if it names every key that the start's did: a key with a default, left out by a file that was
-truncated, would else change what the director does without a trace.
+A reload is all or nothing. A file is accepted if it can be decoded to the types of the settings, if its values are
+valid (config.check), and if it has every key that the file read at the start had. Without the last check, a truncated
+file that lacks a key with a default would change the director's behaviour without an error.
 
-The router is not built anew: it gets the new settings and keeps what it has learned (which cache holds what,
-which server fails, what was sent to warming members). Its classes keep their numbers: one that is no longer named
-stays in its place as retired, a new one is appended, so a request in flight is never looked up under another.
+The router is not rebuilt: it gets the new settings and keeps its state (which cache holds which object, which server
+fails, what was sent to warming members). Classes keep their numbers: one that is no longer named stays in its place as
+retired, and a new one is appended, so that the number of a request in flight never refers to another class.
 """
 
 from __future__ import annotations
@@ -17,10 +17,10 @@
 
 KeyStructure = dict[str, "KeyStructure"] | None
 
-# What members and peers are identified by: other values would need the membership to be read anew.
+# These identify members and peers: a change would require the membership to be read again.
 RESTART_ONLY_FIELDS = "zone", "router_index", "parent_kind", "origin_kind", "membership_is_pushed"
-FREE_FORM_KEYS = frozenset({"known"})  # the coordinator's events
-# The names under which the log has always listed a change, where the field's own name is another.
+FREE_FORM_KEYS = frozenset({"known"})  # holds events of the coordinator, whose keys are not checked
+# The names that the log has always used for changed settings, where they differ from the names of the fields.
 LOGGED_NAMES = {
     "home_parents": "home_hub",
     "supports_joined_fills": "joins",
@@ -46,7 +46,7 @@
 
 
 def key_structure(value: object) -> KeyStructure:
-    """The keys of a decoded file; of a list of objects, those that all of them have (under "*")."""
+    """The nested keys of a decoded file; for a list of objects the keys that all of them have, under "*"."""
     if isinstance(value, dict):
         return {key: None if key in FREE_FORM_KEYS else key_structure(v) for key, v in value.items()}
     if isinstance(value, list) and value and all(isinstance(v, dict) for v in value):
@@ -57,7 +57,7 @@
 
 
 def first_missing_key(wanted: KeyStructure, value: object, path: str = "") -> str:
-    """The path of the first key that the value lacks, or ""."""
+    """The path of the first key in `wanted` that the value lacks, or ""."""
     if not wanted:
         return ""
     if "*" in wanted:
@@ -74,7 +74,7 @@
 
 
 def merge_settings(old: Settings, new: Settings) -> Settings:
-    """The new settings as they take effect: classes in their places, and what holds from the start."""
+    """The new settings as they take effect: with classes in their places, and with `RESTART_ONLY_FIELDS` unchanged."""
     coming = {c.name: c for c in new.classes}
     classes = [coming.pop(c.name) if c.name in coming else replace(c, is_retired=True) for c in old.classes]
     at_start = {name: getattr(old, name) for name in RESTART_ONLY_FIELDS}
@@ -82,13 +82,14 @@
 
 
 def restart_required(old: Settings, new: Settings) -> list[str]:
-    """What differs and takes effect at the next start only."""
+    """Names of the settings that differ but take effect only at the next start."""
     names = [name for name in RESTART_ONLY_FIELDS if getattr(old, name) != getattr(new, name)]
     return [LOGGED_NAMES.get(name, name) for name in names]
 
 
 def effective_changes(old: Settings, new: Settings) -> list[str]:
-    """What differs and takes effect, for the log: names of settings, and of classes with a sign."""
+    """Names, for the log, of the settings and classes whose changes take effect. Classes are marked + (added),
+    - (removed) or ~ (changed)."""
     names = [f.name for f in fields(new) if f.name != "classes" and getattr(old, f.name) != getattr(new, f.name)]
     names = [LOGGED_NAMES.get(name, name) for name in names]
     before = {c.name: c for c in old.classes if not c.is_retired}
