--- a/rookbend/scheduling/__init__.py
+++ b/rookbend/scheduling/__init__.py
@@ -1,4 +1,4 @@
-"""Background work: jobs with priorities, within budgets. `Scheduler` decides; `net/scheduling.py` runs the jobs."""
+"""Background jobs with priorities and budgets. `Scheduler` decides which start; `net/scheduling.py` runs them."""
 
 from rookbend.scheduling.budget import Budget
 from rookbend.scheduling.job import IDLE, NORMAL, URGENT, Key, StartedJob
--- a/rookbend/scheduling/budget.py
+++ b/rookbend/scheduling/budget.py
@@ -1,4 +1,4 @@
-"""What background jobs may hold at once, and what they hold."""
+"""Budgets of background jobs, and their use."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Budget:
-    """Limits of jobs that run at once and of the descriptors they hold."""
+    """Limits on concurrently running jobs and on the descriptors that they hold."""
 
     running: int
     descriptors: int
 
 
 class BudgetUse:
-    """What of a budget is in use, and the due jobs that wait for it: a heap by rank."""
+    """The use of a budget, and the due jobs that wait for it, as a heap ordered by rank."""
 
     __slots__ = ("budget", "descriptors", "queue", "running")
 
@@ -27,7 +27,7 @@
         self.queue: list[QueuedJob] = []
 
     def fits(self, descriptors: int) -> bool:
-        """Whether a job that needs so many descriptors is within the budget."""
+        """Whether the budget has room for a job with that many descriptors."""
         return self.running < self.budget.running and self.descriptors + descriptors <= self.budget.descriptors
 
     def acquire(self, descriptors: int) -> None:
--- a/rookbend/scheduling/job.py
+++ b/rookbend/scheduling/job.py
@@ -1,4 +1,4 @@
-"""A job of the background scheduler, and its priorities."""
+"""Jobs of the background scheduler, and their priorities."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 URGENT = 0
 NORMAL = 1
 IDLE = 2
-PRIORITY_AGING_US = 2_000_000  # a job overdue by this much goes ahead of one of the next higher priority
+PRIORITY_AGING_US = 2_000_000  # a job due this much earlier precedes one of the next higher priority
 
 Key = Hashable
 
 
 class Job:
-    """A piece of background work. `sequence` tells the latest scheduling of its key from earlier ones."""
+    """A background job. `sequence` distinguishes the latest scheduling of its key from earlier ones."""
 
     __slots__ = ("descriptors", "due_us", "key", "kind", "priority", "rescheduled", "running", "sequence")
 
@@ -30,19 +30,19 @@
 
     @property
     def rank(self) -> int:
-        """The order in which due jobs start."""
+        """The sort key of due jobs: the lowest rank starts first."""
         return self.due_us + self.priority * PRIORITY_AGING_US
 
 
 class StartedJob(NamedTuple):
-    """A job to run now; `sequence` is to be given back once it has ended."""
+    """A job to run now. Its `sequence` must be passed to `Scheduler.ended` once the job has ended."""
 
     key: Key
     sequence: int
 
 
 class QueuedJob(NamedTuple):
-    """An entry of a heap, `order_us` being the due time or the rank; out of date once the job's sequence differs."""
+    """An entry of a heap. `order_us` is the due time or the rank. Stale once the sequence of the job differs."""
 
     order_us: int
     sequence: int
--- a/rookbend/scheduling/scheduler.py
+++ b/rookbend/scheduling/scheduler.py
@@ -1,13 +1,15 @@
-"""The scheduler of background work: which jobs start now, by priority, due time and budgets. Pure.
+"""The scheduler of background jobs: decides by priority, due time and budgets which jobs start now. Does no I/O.
 
-Among the due jobs the one with the lowest `due + priority * PRIORITY_AGING_US` goes first: a higher priority (a lower
-number) goes ahead, but what is overdue by enough goes ahead of it, so nothing starves.
+Among the due jobs the one with the lowest `due + priority * PRIORITY_AGING_US` starts first. A job of higher priority
+(a lower number) normally precedes others, but not jobs that are overdue by long enough, so no job starves.
 
-The rate of starts (a token bucket that holds a tenth of a second's worth) is for all kinds together. Jobs running
-and descriptors held have one shared budget; kinds such as jobs that last may have a budget of their own. Within a
-budget the first in the queue is waited for, so a job that needs many descriptors is not passed over for good.
+One token bucket, which holds the starts of a tenth of a second, limits the rate of starts of all kinds together.
+Running jobs and their descriptors count against a shared budget; a kind, such as one of long-running jobs, may have a
+dedicated budget instead. Within a budget, no job overtakes the first one in the queue, so a job that needs many
+descriptors is not passed over indefinitely.
 
-State: one entry a job, dropped by `cancel`; the owner of a job cancels it with whatever it belongs to.
+The scheduler holds one entry per job until the job has ended or `cancel` is called. The owner of a job must cancel it
+together with the object to which the job belongs.
 """
 
 from __future__ import annotations
@@ -20,46 +22,46 @@
 from rookbend.scheduling.budget import Budget, BudgetUse
 from rookbend.scheduling.job import IDLE, NORMAL, Job, Key, QueuedJob, StartedJob
 
-BURST_DIVISOR = 10  # the bucket holds a second's starts over this, and one at least
+BURST_DIVISOR = 10  # the bucket holds rate / BURST_DIVISOR starts, but at least one
 MIN_STALE_ENTRIES = 64
 JITTER_BITS = 64
 SEED_BYTES = 16
 
 
 class Scheduler:
-    """Fed the time, it says which jobs start; times are in microseconds."""
+    """Decides which jobs start at a given time. Times are in microseconds."""
 
     def __init__(self, rate: int, budget: Budget, budgets_by_kind: Mapping[str, Budget] | None = None, seed: int = 0):
-        """`rate` is starts a second; kinds in `budgets_by_kind` do not use the shared `budget`."""
+        """`rate` is in starts per second. Kinds in `budgets_by_kind` do not use the shared `budget`."""
         self.jobs: dict[Key, Job] = {}
         self.started = 0
         self.shared = BudgetUse(budget)
         self.dedicated = {kind: BudgetUse(own_budget) for kind, own_budget in (budgets_by_kind or {}).items()}
         self._bucket = TokenBucket(rate, max(1, rate // BURST_DIVISOR))
-        self._running: dict[int, Job] = {}  # by sequence; cancelled ones stay within their budget
+        self._running: dict[int, Job] = {}  # by sequence; cancelled jobs use their budget until they have ended
         self._not_due: list[QueuedJob] = []  # a heap by due time
-        self._held_back: dict[Key, None] = {}  # due, of a lower priority than may start
+        self._held_back: dict[Key, None] = {}  # due jobs with a priority too low to start at present
         self._lowest_priority = IDLE
         self._sequence = 0
         self._seed = seed.to_bytes(SEED_BYTES, "big")
 
     @property
     def running(self) -> int:
-        """How many jobs run now."""
+        """The number of running jobs."""
         return len(self._running)
 
     @property
     def has_waiting(self) -> bool:
-        """Whether a job that is due has not started."""
+        """Whether a due job has not started yet."""
         return any(use.queue for use in self._budget_uses())
 
     def jitter(self, key: Key, span_us: int) -> int:
-        """A part of the span, the same for a key at each call and in each process."""
+        """A pseudo-random part of the span, which depends only on key and seed, so it is the same in each process."""
         digest = blake2b(repr(key).encode(), digest_size=JITTER_BITS // 8, key=self._seed).digest()
         return int.from_bytes(digest, "big") * span_us >> JITTER_BITS
 
     def schedule(self, key: Key, due_us: int, priority: int = NORMAL, kind: str = "", descriptors: int = 1) -> None:
-        """Adds a job, or moves it; one that runs is due again once it has ended."""
+        """Adds a job, or reschedules it; a running job becomes due again once it has ended."""
         job = self.jobs.get(key)
         if job is None:
             job = Job(key, kind, descriptors)
@@ -73,17 +75,17 @@
         job.sequence = self._sequence
         self._held_back.pop(key, None)
         heapq.heappush(self._not_due, QueuedJob(due_us, job.sequence, key))
-        # Entries of jobs that were moved stay until they come up; their number must stay bounded.
+        # Stale entries of rescheduled jobs stay in the heap until they are due; their number must be bounded.
         if len(self._not_due) > 2 * len(self.jobs) + MIN_STALE_ENTRIES:
             self._rebuild_queues()
 
     def cancel(self, key: Key) -> None:
-        """Forgets a job; one that runs stays within its budget until it has `ended`."""
+        """Removes a job; a running one uses its budget until `ended` is called."""
         self.jobs.pop(key, None)
         self._held_back.pop(key, None)
 
     def limit_priority(self, lowest: int = IDLE) -> None:
-        """From now on no job of a lower priority starts; what runs goes on."""
+        """From now on no job with a priority below `lowest` starts; running jobs continue."""
         self._lowest_priority = lowest
         held_back = self._held_back
         self._held_back = {}
@@ -92,7 +94,7 @@
             heapq.heappush(self._not_due, QueuedJob(job.due_us, job.sequence, key))
 
     def start_due(self, now_us: int) -> list[StartedJob]:
-        """The jobs to start now; each is to be reported to `ended`."""
+        """The jobs to start now. The caller must call `ended` for each of them."""
         self._queue_due(now_us)
         self._bucket.fill(now_us)
         started = []
@@ -104,7 +106,7 @@
         return started
 
     def ended(self, sequence: int) -> None:
-        """A started job has ended: its budget is free. It runs again only if it was scheduled again."""
+        """Releases the budget of a job that has ended. The job runs again only if it was scheduled again."""
         job = self._running.pop(sequence)
         self._budget_use_of(job.kind).release(job.descriptors)
         job.running = False
@@ -117,7 +119,7 @@
             del self.jobs[job.key]
 
     def next_start_us(self, now_us: int) -> int:
-        """When `start_due` may next return a job; 0 if that depends on a call of another method."""
+        """When `start_due` may next return a job; 0 if another method must be called first."""
         times_us = []
         if self._not_due:
             times_us.append(self._not_due[0].order_us)
@@ -140,7 +142,7 @@
             use.queue.clear()
 
     def _current(self, entry: QueuedJob) -> Job | None:
-        """The job of an entry; None if it was moved, cancelled or started since."""
+        """The job of an entry; None if it was rescheduled, cancelled or started since."""
         job = self.jobs.get(entry.key)
         if job is None or job.sequence != entry.sequence or job.running:
             return None
@@ -159,7 +161,7 @@
                 heapq.heappush(queue, QueuedJob(job.rank, entry.sequence, entry.key))
 
     def _has_startable(self, use: BudgetUse) -> bool:
-        """Whether the first in the queue can start; drops entries that are out of date on the way."""
+        """Whether the first job in the queue can start; drops stale entries in front of it."""
         while use.queue:
             entry = use.queue[0]
             job = self._current(entry)
