--- a/tests/test_issued_names.py
+++ b/tests/test_issued_names.py
@@ -1,4 +1,4 @@
-"""Names given out for writes: kept before the write runs and before the reply goes out, found after a loss."""
+"""Names issued for writes are persisted before the write runs and before the reply is sent, and restored at a start."""
 
 import dns.rcode
 
@@ -10,7 +10,7 @@
 
 
 class Disk:
-    """Rows that are safe when the test says so."""
+    """A disk whose pending rows become durable, or fail, when the test calls `sync`."""
 
     def __init__(self, rows=()):
         self.rows, self.waiting = dict(rows), []
@@ -21,41 +21,41 @@
     def drop(self, rid):
         self.rows.pop(rid, None)
 
-    def sync(self, safe=True):
+    def sync(self, durable=True):
         waiting, self.waiting = self.waiting, []
         for rid, value, done in waiting:
-            if safe:
+            if durable:
                 self.rows[rid] = value, NOW
-            done(safe)
+            done(durable)
 
     def names(self, now=NOW):
         return IssuedNames(now, self.put, self.drop, dict(self.rows))
 
 
-def test_nothing_goes_on_before_it_is_safe_and_a_life_after_it_knows_both_steps():
-    disk, told = Disk(), []
+def test_a_write_waits_for_durability_and_the_next_incarnation_finds_each_step():
+    disk, events = Disk(), []
     names = disk.names()
-    names.persist_in_doubt("1", GIVEN.lookup, 0, lambda: told.append("runs"))
-    assert not told
+    names.persist_in_doubt("1", GIVEN.lookup, 0, lambda: events.append("runs"))
+    assert not events
     disk.sync()
-    assert told == ["runs"]
+    assert events == ["runs"]
     found = disk.names().find("1")
     assert found.lookup == GIVEN.lookup and found.rcode == dns.rcode.SERVFAIL and "under way" in found.note
-    names.persist("1", GIVEN, 0, lambda: told.append("given"))
-    assert told == ["runs"]
+    names.persist("1", GIVEN, 0, lambda: events.append("given"))
+    assert events == ["runs"]
     disk.sync()
-    assert told == ["runs", "given"] and disk.names().find("1") == GIVEN and names.not_durable == 0
+    assert events == ["runs", "given"] and disk.names().find("1") == GIVEN and names.not_durable == 0
 
 
-def test_a_disk_that_refuses_holds_nothing_up_and_is_counted():
-    disk, told = Disk(), []
+def test_a_failed_write_to_disk_does_not_block_the_reply_and_is_counted():
+    disk, events = Disk(), []
     names = disk.names()
-    names.persist("1", GIVEN, 0, lambda: told.append("given"))
-    disk.sync(safe=False)
-    assert told == ["given"] and names.not_durable == 1 and disk.names().find("1") is None
+    names.persist("1", GIVEN, 0, lambda: events.append("given"))
+    disk.sync(durable=False)
+    assert events == ["given"] and names.not_durable == 1 and disk.names().find("1") is None
 
 
-def test_rows_that_are_too_old_or_can_t_be_read_are_dropped():
+def test_expired_and_unreadable_rows_are_dropped():
     disk = Disk({"old": (b"\x90", NOW - 2 * HOUR), "bad": (b"\xff\xfe", NOW), "short": (b"\x91\xa1x", NOW)})
     names = disk.names()
     assert not names.restored and not disk.rows and names.unreadable == 2
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -1,4 +1,4 @@
-"""Recovery's pure parts: what is trusted, whom to believe, what happened, in which order service returns."""
+"""The recovery state machine: its messages, its restored state, and a whole fleet in simulated time."""
 
 import random
 
@@ -20,32 +20,32 @@
 from rookbend.testing.recovery_simulation import ORIGIN, PARENT, SECOND, FleetSim, World
 from tests.recovery_messages import NOW, hello
 
-# The wire
+# Messages
 
 
-def test_a_hello_fills_its_datagram_with_others_and_comes_back():
+def test_a_hello_fills_its_datagram_with_summaries_and_is_decoded_again():
     others = [wire.PeerSummary(i, 10**6, 10**6, 2, 10**6) for i in range(200)]
     data = wire.encode_hello(hello(3, origin=(4000, 200, 100, 50, 900), known=(2**30, 2**40)), others)
     assert len(data) <= wire.MAX_DATAGRAM_BYTES
-    back = wire.decode(data)
-    assert back.number == 3 and len(back.others) > 5 and back.others == tuple(others[: len(back.others)])
+    got = wire.decode(data)
+    assert got.number == 3 and len(got.others) > 5 and got.others == tuple(others[: len(got.others)])
 
 
-def test_pieces_resume_where_the_last_ended_and_pass_over_what_never_fits():
+def test_batches_of_rows_resume_after_the_last_key_and_skip_rows_that_never_fit():
     held = sorted([(f"0/m{i:03}", b"x" * 40) for i in range(20)] + [("0/m0055", b"y" * 300)])
-    got, after = [], ""
+    received, after = [], ""
     for _ in range(50):
-        piece = wire.decode(wire.encode_rows(1, 0, 5, 0, [r for r in held if r[0] > after]))
-        got += piece.rows
-        if not piece.more:
+        batch = wire.decode(wire.encode_rows(1, 0, 5, 0, [r for r in held if r[0] > after]))
+        received += batch.rows
+        if not batch.more:
             break
-        after = piece.rows[-1][0]
-    assert got == [r for r in held if len(r[1]) < 100]
+        after = batch.rows[-1][0]
+    assert received == [r for r in held if len(r[1]) < 100]
 
 
 @given(st.binary(max_size=300))
 @settings(max_examples=300, deadline=None)
-def test_no_bytes_make_a_machine_raise(data):
+def test_no_datagram_makes_the_machine_raise(data):
     d = director()
     for raw in (data, wire.MAGIC + data, wire.MAGIC + b"\x98" + data):
         assert all(type(a) in (SendDatagram, WriteLogLine) for a in d.feed(NOW, DatagramReceived(1, raw)))
@@ -61,7 +61,7 @@
         wire.RowBatch(wire.fleet_number("other"), 1, 5, 0, (), False),
     ],
 )
-def test_figures_that_can_not_be_are_counted_and_dropped(message):
+def test_messages_with_impossible_values_are_counted_and_dropped(message):
     d = director()
     data = wire.MAGIC + wire._encoder.encode(message)
     assert d.feed(NOW, DatagramReceived(1, data)) == [] and d.receiver.unreadable == 1
@@ -70,7 +70,7 @@
 # The machine
 
 
-def director(count=4, kept=(), boot=1, now=NOW, **more):
+def director(count=4, persisted=(), boot=1, now=NOW, **more):
     config = RecoveryConfig(
         0,
         count,
@@ -83,8 +83,8 @@
         6 * SECOND,
         **more,
     )
-    d = machine.RecoveryMachine(config, now, boot, 77, tuple(PersistedRow(*row) for row in kept))
-    d.started_with = d.begin(now)
+    d = machine.RecoveryMachine(config, now, boot, 77, tuple(PersistedRow(*row) for row in persisted))
+    d.start_actions = d.begin(now)
     return d
 
 
@@ -98,62 +98,62 @@
     return events.MembershipReceived(MembershipChange(complete, revision, [*entries, entry("records", kind=ORIGIN)]))
 
 
-def passed(found):
+def forwarded(found):
     return {e.name: e.member for a in found if type(a) is actions.ForwardMembership for e in a.change.endpoints}
 
 
-def test_an_old_drain_binds_until_a_list_that_is_no_older_says_otherwise():
+def test_a_restored_drain_applies_until_a_list_at_least_as_new_lifts_it():
     drain = replicated_rows.encode_value((int(MemberState.DRAINING), 9))
-    d = director(kept=(("drain", "c0", drain, NOW - SECOND),))
-    assert passed(d.feed(NOW, listed(7, entry("c0"))))["c0"].state is MemberState.DRAINING
+    d = director(persisted=(("drain", "c0", drain, NOW - SECOND),))
+    assert forwarded(d.feed(NOW, listed(7, entry("c0"))))["c0"].state is MemberState.DRAINING
     found = d.feed(NOW, listed(9, entry("c0")))
-    assert passed(found)["c0"].state is MemberState.READY
+    assert forwarded(found)["c0"].state is MemberState.READY
     assert DeleteRow("drain", "c0") in found
 
 
-def test_a_drain_past_its_bound_is_lifted_and_one_from_the_future_is_counted_from_now():
+def test_an_expired_drain_is_lifted_and_the_age_of_one_from_the_future_counts_from_now():
     drain = replicated_rows.encode_value((int(MemberState.DRAINING), 9))
-    d = director(kept=(("drain", "c0", drain, NOW + 3600 * SECOND), ("drain", "c1", drain, NOW - 700 * SECOND)))
-    found = passed(d.feed(NOW, listed(7, entry("c0"), entry("c1"))))
+    d = director(persisted=(("drain", "c0", drain, NOW + 3600 * SECOND), ("drain", "c1", drain, NOW - 700 * SECOND)))
+    found = forwarded(d.feed(NOW, listed(7, entry("c0"), entry("c1"))))
     assert found["c0"].state is MemberState.DRAINING and found["c1"].state is MemberState.READY
     later = NOW + 601 * SECOND
-    assert passed(d.feed(later, TimerExpired()))["c0"].state is MemberState.READY
+    assert forwarded(d.feed(later, TimerExpired()))["c0"].state is MemberState.READY
 
 
-def test_all_members_are_cold_until_this_director_is_known_to_have_been_alone():
+def test_all_caches_count_as_cold_until_it_is_known_that_only_this_director_restarted():
     d = director()
-    found = passed(d.feed(NOW, listed(1, entry("c0"), entry("c1", started=NOW + 5))))
+    found = forwarded(d.feed(NOW, listed(1, entry("c0"), entry("c1", started=NOW + 5))))
     assert found["c0"].started_us == NOW and found["c1"].started_us == NOW + 5 and found["records"].started_us == 0
     for i in (1, 2, 3):
-        found = passed(d.feed(NOW + SECOND, DatagramReceived(i, wire.encode(hello(i)))))
+        found = forwarded(d.feed(NOW + SECOND, DatagramReceived(i, wire.encode(hello(i)))))
         assert bool(found) == (i == 3)
-    assert found["c0"].started_us == 0 and d.sequence.stage is Stage.SERVING, "at once, without a beat"
+    assert found["c0"].started_us == 0 and d.sequence.stage is Stage.SERVING, "at once, without a heartbeat"
 
 
-def test_purges_from_before_bind_at_once_and_those_past_their_time_do_not():
+def test_restored_purges_apply_at_once_unless_expired():
     d = director(
-        kept=(
+        persisted=(
             ("purge", "o ff", replicated_rows.encode_value((NOW - SECOND) // 1000), NOW - SECOND),
             ("purge", "g 17", replicated_rows.encode_value(1), NOW - 60 * SECOND),
         )
     )
-    learnt = [a.purge for a in d.started_with if type(a) is actions.ApplyPurge]
-    assert learnt == [Purge(0xFF, 0, (NOW - SECOND) // 1000 * 1000)]
+    applied = [a.purge for a in d.start_actions if type(a) is actions.ApplyPurge]
+    assert applied == [Purge(0xFF, 0, (NOW - SECOND) // 1000 * 1000)]
 
 
-def test_a_drain_told_by_one_peer_is_not_taken_and_by_two_it_is():
+def test_a_drain_reported_by_one_peer_is_ignored_and_by_two_accepted():
     d = director()
     d.feed(NOW, listed(1, entry("c0")))
     row = ("c0", replicated_rows.encode_value((int(MemberState.DRAINING), 5)))
     for i in (1, 2):
-        d.feed(NOW, DatagramReceived(i, wire.encode(hello(i, life=i))))
-        piece = wire.RowBatch(wire.fleet_number("f"), i, i, wire.ROW_KINDS.index("drain"), (row,), False)
-        found = passed(d.feed(NOW, DatagramReceived(i, wire.encode(piece))))
+        d.feed(NOW, DatagramReceived(i, wire.encode(hello(i, incarnation=i))))
+        batch = wire.RowBatch(wire.fleet_number("f"), i, i, wire.ROW_KINDS.index("drain"), (row,), False)
+        found = forwarded(d.feed(NOW, DatagramReceived(i, wire.encode(batch))))
         assert bool(found) == (i == 2)
     assert found["c0"].state is MemberState.DRAINING
 
 
-def test_our_boot_number_goes_above_what_a_peer_knows_of_us():
+def test_the_boot_number_is_raised_above_the_one_that_a_peer_knows():
     d = director(boot=3)
     found = d.feed(NOW, DatagramReceived(1, wire.encode(hello(1, known=(40, 9)))))
     assert actions.RaiseBootNumber(41) in found and d.identity.boot_number == 41
@@ -163,32 +163,32 @@
     )
 
 
-def test_an_order_of_an_older_life_does_not_win_against_a_newer_one():
+def test_an_order_of_an_older_incarnation_does_not_win_against_a_newer_one():
     old = director(boot=2)
     value = next(a.value for a in old.feed(NOW, events.OrderRequested("c0", "drain", "kim")) if type(a) is PersistRow)
     d = director(boot=5)
-    (kept,) = d.feed(NOW, events.OrderRequested("c0", "ready", "kim"))
-    assert d.rows.orders.get("0/c0") is None, "nothing stands, nor goes to a peer, before it is safe"
-    d.feed(NOW, events.OrderPersisted(kept.key, kept.value))
+    (persisted,) = d.feed(NOW, events.OrderRequested("c0", "ready", "kim"))
+    assert d.rows.orders.get("0/c0") is None, "an order neither applies nor is replicated before it is durable"
+    d.feed(NOW, events.OrderPersisted(persisted.key, persisted.value))
     d.feed(NOW, DatagramReceived(1, wire.encode(hello(1))))
-    piece = wire.RowBatch(wire.fleet_number("f"), 1, 5, 0, (("0/c0", value),), False)
-    assert d.feed(NOW, DatagramReceived(1, wire.encode(piece))) == []
+    batch = wire.RowBatch(wire.fleet_number("f"), 1, 5, 0, (("0/c0", value),), False)
+    assert d.feed(NOW, DatagramReceived(1, wire.encode(batch))) == []
     assert d.rows.orders.get("0/c0")[0] == "ready"
 
 
-def test_datagrams_are_bounded_by_a_budget_whatever_others_ask():
+def test_the_rate_of_datagrams_is_bounded_however_many_requests_arrive():
     d, sent = director(count=40), 0
     d.feed(NOW, DatagramReceived(1, wire.encode(hello(1))))
-    ask = wire.encode(wire.RowRequest(wire.fleet_number("f"), 1, 5, 0, ""))
+    request = wire.encode(wire.RowRequest(wire.fleet_number("f"), 1, 5, 0, ""))
     for i in range(1000):
-        sent += sum(type(a) is SendDatagram for a in d.feed(NOW + i * 1000, DatagramReceived(1, ask)))
+        sent += sum(type(a) is SendDatagram for a in d.feed(NOW + i * 1000, DatagramReceived(1, request)))
     assert sent <= machine.DATAGRAM_BURST + machine.DATAGRAMS_PER_S + 1 and d.actions.suppressed > 900
 
 
-# The router under limits
+# The router with admission limits
 
 
-def test_the_module_refuses_a_closed_class_at_once_with_spread_times():
+def test_the_router_rejects_a_closed_class_at_once_with_spread_retry_times():
     from rookbend import Router, Settings
     from rookbend.interface import Reject, TrafficClass
 
@@ -206,10 +206,10 @@
     assert min(waits) >= 250_000 and max(waits) <= 500_000 and len(set(waits)) > 20
 
 
-# The whole fleet in simulated time
+# A fleet in simulated time
 
 
-def test_a_fleet_of_any_size_returns_without_pushing_its_origin_over():
+def test_a_fleet_of_any_size_returns_without_overloading_its_origin():
     for count in (3, 40):
         sim = FleetSim(count, world=World(demand=500))
         sim.power_on()
@@ -221,18 +221,18 @@
         sim.power_on()
         sim.run(45 * SECOND)
         assert sim.stages() == {"serving": count} and sim.origin.falls == 0 and sim.origin.most < 0.95
-        most = max(sim.datagrams.values()) / count
-        assert most <= machine.DATAGRAMS_PER_S + machine.DATAGRAM_BURST
+        datagrams = max(sim.datagrams.values()) / count
+        assert datagrams <= machine.DATAGRAMS_PER_S + machine.DATAGRAM_BURST
 
 
-def test_the_same_rush_without_recovery_does_push_it_over():
+def test_the_same_load_without_recovery_overloads_the_origin():
     sim = FleetSim(40, world=World(demand=500), recovery=False)
     sim.power_on()
     sim.run(20 * SECOND)
-    assert sim.origin.falls > 0, "a check that could not fail"
+    assert sim.origin.falls > 0, "the load of the test above must be able to overload the origin"
 
 
-def test_a_single_restart_in_a_well_fleet_is_ready_at_once():
+def test_a_single_restart_in_a_healthy_fleet_is_ready_at_once():
     sim = FleetSim(10, world=World(demand=100))
     sim.power_on()
     sim.run(40 * SECOND)
@@ -244,7 +244,7 @@
 
 
 class FleetMachine(RuleBasedStateMachine):
-    """Losses, cuts, frozen directors, old and lost disks, drains and orders, in any order."""
+    """Power losses, partitions, frozen directors, old disks, drains and orders, in any sequence."""
 
     @initialize(count=st.sampled_from([3, 5, 9]), seed=st.integers(0, 99), loss=st.sampled_from([0.0, 0.3]))
     def begin(self, count, seed, loss):
@@ -252,24 +252,24 @@
         self.random = random.Random(seed)
         self.sim.power_on()
         self.sim.run(2 * SECOND)
-        self.copies, self.confirmed, self.drained = {}, {}, set()
+        self.disk_copies, self.confirmed, self.drained = {}, {}, set()
 
-    def some(self, part):
-        return self.random.sample(range(self.sim.count), max(1, int(part * self.sim.count)))
+    def random_directors(self, ratio):
+        return self.random.sample(range(self.sim.count), max(1, int(ratio * self.sim.count)))
 
-    @rule(part=st.sampled_from([0.3, 1.0]), dark=st.sampled_from([1, 5]))
-    def lose_power(self, part, dark):
-        chosen = self.some(part)
+    @rule(ratio=st.sampled_from([0.3, 1.0]), outage_s=st.sampled_from([1, 5]))
+    def lose_power(self, ratio, outage_s):
+        chosen = self.random_directors(ratio)
         self.sim.power_off(*chosen)
-        self.sim.run(dark * SECOND)
+        self.sim.run(outage_s * SECOND)
         self.sim.power_on(*chosen)
 
     @rule(for_s=st.sampled_from([1, 3]))
-    def go_on(self, for_s):
+    def advance_time(self, for_s):
         self.sim.run(for_s * SECOND)
 
     @rule()
-    def split(self):
+    def partition(self):
         half = self.sim.count // 2
         self.sim.cut = {
             (a, b) for a in range(self.sim.count) for b in range(self.sim.count) if (a < half) != (b < half)
@@ -283,30 +283,30 @@
     def freeze(self, frozen):
         self.sim.freeze(0, frozen)
 
-    @rule(away=st.booleans())
-    def coordinator(self, away):
-        self.sim.coordinator = not away
+    @rule(is_down=st.booleans())
+    def coordinator(self, is_down):
+        self.sim.coordinator = not is_down
 
     @rule(number=st.sampled_from([0, 1, 2]))
-    def back_up(self, number):
-        self.copies[number] = self.sim.copy_disk(number)
+    def back_up_disk(self, number):
+        self.disk_copies[number] = self.sim.copy_disk(number)
 
     @rule(number=st.sampled_from([0, 1, 2]))
     def order(self, number):
         node = self.sim.nodes[number]
         if node.machine is not None and not node.is_frozen:
-            word = self.random.choice(["drain", "maintain", "ready"])
-            self.sim.order(number, "c1", word)
-            self.confirmed[number] = word
+            order = self.random.choice(["drain", "maintain", "ready"])
+            self.sim.order(number, "c1", order)
+            self.confirmed[number] = order
 
     @rule(number=st.sampled_from([1, 2]))
-    def old_disk(self, number):
-        """Last week's disk is put back: what was ordered since is with the peers alone."""
-        if number in self.copies and self.sim.nodes[number].machine is not None:
+    def restore_old_disk(self, number):
+        """An old copy of the disk is restored: only the peers hold the orders given since."""
+        if number in self.disk_copies and self.sim.nodes[number].machine is not None:
             self.sim.run(3 * SECOND)
             self.sim.power_off(number)
-            self.sim.restore_disk(number, self.copies[number])
-            self.confirmed.pop(number, None)  # what the peers hold may be newer, or not have reached them
+            self.sim.restore_disk(number, self.disk_copies[number])
+            self.confirmed.pop(number, None)  # peers may hold a newer order, or may not have received this one
             self.sim.power_on(number)
 
     @rule()
@@ -316,24 +316,24 @@
             self.drained = {n.number for n in self.sim.nodes}
 
     @invariant()
-    def no_boot_number_and_life_repeat(self):
-        told = [pair for node in self.sim.nodes for pair in [(node.number, *life) for life in node.incarnations]]
-        assert len(told) == len(set(told))
+    def no_pair_of_boot_number_and_incarnation_repeats(self):
+        pairs = [pair for node in self.sim.nodes for pair in [(node.number, *i) for i in node.incarnations]]
+        assert len(pairs) == len(set(pairs))
 
     @invariant()
-    def a_drain_that_was_told_binds(self):
+    def a_drain_stays_in_force(self):
         for number in self.drained:
             held = self.sim.nodes[number].members.get("c0")
             assert held is None or held.member.state is not MemberState.READY, number
 
     @invariant()
-    def a_confirmed_order_stands_after_any_return(self):
-        for number, word in self.confirmed.items():
+    def a_confirmed_order_is_kept_over_any_restart(self):
+        for number, order in self.confirmed.items():
             m = self.sim.nodes[number].machine
-            assert m is None or m.rows.orders.get(f"{number}/c1")[0] == word
+            assert m is None or m.rows.orders.get(f"{number}/c1")[0] == order
 
     def teardown(self):
-        """Once its surroundings are well, the fleet ends serving."""
+        """Once all faults have ended, every director reaches the stage SERVING."""
         if not hasattr(self, "sim"):
             return
         sim = self.sim
@@ -348,7 +348,7 @@
             (n.number, n.machine.sequence.stage.name, n.machine.sequence.waits_for) for n in sim.nodes if n.machine
         ]
         numbers = [b for b, _ in sim.nodes[0].incarnations]
-        assert numbers == sorted(set(numbers)), "an untouched disk's numbers grow"
+        assert numbers == sorted(set(numbers)), "boot numbers grow while the disk is not replaced"
 
 
 FleetMachine.TestCase.settings = settings(max_examples=60, stateful_step_count=16, deadline=None)
--- a/tests/test_startup_stages.py
+++ b/tests/test_startup_stages.py
@@ -1,4 +1,4 @@
-"""In which order service returns: floors, deadlines, what holds a stage back, and operators' commands."""
+"""The startup stages: their order, minimum times, deadlines and conditions, and operators' commands."""
 
 from rookbend.recovery.failure_classification import FailureClass
 from rookbend.recovery.startup_stages import Stage, StartupConditions, StartupPlan, StartupSequence
@@ -14,7 +14,7 @@
     return StartupConditions(**{**{n: getattr(facts, n) for n in facts.__slots__}, **changes})
 
 
-def test_stages_come_in_order_each_after_its_floor():
+def test_stages_are_entered_in_order_each_after_its_minimum_time():
     s, now, seen = StartupSequence(StartupPlan(), NOW), NOW, []
     while s.stage is not Stage.SERVING:
         now += 50_000
@@ -24,7 +24,7 @@
     assert seen[-1][1] <= 2 * SECOND and all(b[1] - a[1] >= 300_000 for a, b in zip(seen, seen[1:], strict=False))
 
 
-def test_alone_no_floor_holds_anything_back():
+def test_no_minimum_times_apply_if_only_this_director_restarted():
     s, facts = (
         StartupSequence(StartupPlan(), NOW),
         replaced(WELL, failure_class=FailureClass.THIS_DIRECTOR, live_ratio=0.1, serving_peers_ratio=0.0),
@@ -34,7 +34,7 @@
     assert s.stage is Stage.SERVING
 
 
-def test_what_is_wanted_gives_way_to_its_deadline_and_what_is_needed_does_not():
+def test_a_deadline_overrides_preferred_conditions_but_not_required_ones():
     s = StartupSequence(StartupPlan(), NOW)
     few = replaced(WELL, live_ratio=0.2)
     assert not s.update(NOW + 4 * SECOND, few) and s.waits_for == "50% of the fleet, 20% there"
@@ -44,7 +44,7 @@
     assert s.waits_for == "a list that names the origin"
 
 
-def test_a_stage_is_left_backwards_and_not_entered_again_at_once():
+def test_a_director_falls_back_to_an_earlier_stage_and_waits_before_it_advances_again():
     s, now = StartupSequence(StartupPlan(), NOW), NOW
     while s.stage is not Stage.FILLS:
         now += 100_000
@@ -54,7 +54,7 @@
     assert s.update(now, replaced(WELL, has_origin=False)) and s.stage is Stage.LISTENING
 
 
-def test_an_operator_holds_and_skips():
+def test_an_operator_can_hold_and_skip_stages():
     s = StartupSequence(StartupPlan(), NOW)
     s.held = True
     assert not s.update(NOW + 99 * SECOND, WELL) and s.waits_for == "an operator's order"
