--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -1,4 +1,4 @@
-"""Exclusions, settings that change, figures, what is kept for the next process: pure, and in one director."""
+"""Exclusions, reloads and metrics: as units, and in one director."""
 
 import copy
 
@@ -30,38 +30,38 @@
     return MembershipChange(False, 2, list(entries))
 
 
-def states(told):
-    return {e.name: e.member.state for e in told.endpoints}
+def states(change):
+    return {e.name: e.member.state for e in change.endpoints}
 
 
 # Exclusions
 
 
-def test_a_ban_binds_whatever_the_list_says_later():
+def test_an_exclusion_holds_whatever_the_membership_says_later():
     exclusions = Exclusions()
     assert states(exclusions.apply(whole(entry("c1"), entry("c2")))) == {"c1": READY, "c2": READY}
     ordered = exclusions.set_excluded("c1", True, 100)
     assert ordered.changed and states(ordered.change) == {"c1": DRAINING}
-    assert states(exclusions.apply(part(entry("c1")))) == {"c1": DRAINING}, "told as serving"
-    assert states(exclusions.apply(part(entry("c1", started=150)))) == {"c1": DRAINING}, "told as restarted"
+    assert states(exclusions.apply(part(entry("c1")))) == {"c1": DRAINING}, "listed as ready"
+    assert states(exclusions.apply(part(entry("c1", started=150)))) == {"c1": DRAINING}, "listed with a new start"
     assert states(exclusions.apply(part(entry("c1", GONE)))) == {"c1": GONE}
-    assert states(exclusions.apply(whole(entry("c1"), entry("c2")))) == {"c1": DRAINING, "c2": READY}, "it is back"
+    assert states(exclusions.apply(whole(entry("c1"), entry("c2")))) == {"c1": DRAINING, "c2": READY}, "listed again"
 
 
-def test_twice_out_is_undone_by_one_back_and_the_member_counts_as_started_then():
+def test_one_inclusion_undoes_two_exclusions_and_counts_as_the_start_of_the_member():
     exclusions = Exclusions()
     exclusions.apply(whole(entry("c1")))
     assert exclusions.set_excluded("c1", True, 100).changed and not exclusions.set_excluded("c1", True, 110).changed
-    back = exclusions.set_excluded("c1", False, 500)
-    assert back.changed and states(back.change) == {"c1": READY}
-    assert back.change.endpoints[0].member.started_us == 500
-    assert exclusions.apply(part(entry("c1", started=300))).endpoints[0].member.started_us == 500, "told late"
+    included = exclusions.set_excluded("c1", False, 500)
+    assert included.changed and states(included.change) == {"c1": READY}
+    assert included.change.endpoints[0].member.started_us == 500
+    assert exclusions.apply(part(entry("c1", started=300))).endpoints[0].member.started_us == 500, "listed late"
     assert exclusions.apply(part(entry("c1", started=900))).endpoints[0].member.started_us == 900
-    again = exclusions.set_excluded("c1", False, 1000)
-    assert not again.error and not again.changed
+    repeated = exclusions.set_excluded("c1", False, 1000)
+    assert not repeated.error and not repeated.changed
 
 
-def test_an_unknown_id_is_refused_and_one_that_left_while_out_can_be_taken_back():
+def test_an_unknown_member_is_refused_and_one_that_left_while_excluded_can_be_included():
     exclusions = Exclusions()
     exclusions.apply(whole(entry("c1")))
     assert "no member" in exclusions.set_excluded("c9", True, 1).error
@@ -72,7 +72,7 @@
     assert states(exclusions.apply(part(entry("c1")))) == {"c1": READY}
 
 
-def test_the_lists_own_drain_wins_and_the_table_has_an_end():
+def test_a_drain_by_the_membership_takes_precedence_and_exclusions_are_bounded():
     exclusions = Exclusions()
     exclusions.apply(whole(entry("c1", DRAINING), *(entry(f"c{i}") for i in range(2, MAX_EXCLUSIONS + 3))))
     exclusions.set_excluded("c1", True, 1)
@@ -82,17 +82,17 @@
     assert "excluded already" in exclusions.set_excluded(f"c{MAX_EXCLUSIONS + 2}", True, 3).error
 
 
-def test_what_a_neighbour_was_told_is_taken_even_of_a_member_not_listed_here_yet():
+def test_an_exclusion_of_another_process_is_adopted_even_for_an_unlisted_member():
     exclusions = Exclusions()
     assert exclusions.adopt("c1", True, 1).changed and not exclusions.adopt("c1", True, 1).changed
     assert states(exclusions.apply(whole(entry("c1")))) == {"c1": DRAINING}
     assert exclusions.adopt("c1", False, 9).changed
 
 
-# Figures
+# Metrics
 
 
-def test_figures_are_lines_of_name_value_and_kind():
+def test_metrics_are_lines_of_name_value_and_type():
     answers = {("a", FinalOutcome.SERVED): 812}
     text = metrics_text.render(metrics_text.requests_by_class("a", answers), [("in_flight", 14)]).decode()
     assert text.splitlines() == [
@@ -103,7 +103,7 @@
     ]
 
 
-def on_a_day(steps, **options):
+def run_stage(steps, **options):
     async def main():
         async with staged(operator="127.0.0.1:0", **options) as stage:
             await steps(stage)
@@ -111,18 +111,18 @@
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
-def told(stage):
+def metrics(stage):
     lines = stage.service.operations.metrics().decode().splitlines()
     return {line.split(":")[0].removeprefix("svc."): int(line.split(":")[1].split("|")[0]) for line in lines}
 
 
-def test_what_was_served_refused_failed_and_written_is_what_the_figures_say():
+def test_metrics_count_requests_attempts_and_members():
     async def steps(stage):
         await stage.play(f"""
             client send request 1 video
             cache1 expect do k={OBJ}
         """)
-        assert told(stage)["in_flight"] == 1 and told(stage)["attempts"] == 1
+        assert metrics(stage)["in_flight"] == 1 and metrics(stage)["attempts"] == 1
         await stage.play("""
             cache1 send ok note=mem body=hello
             client expect served 1 hello
@@ -131,18 +131,18 @@
             client send request 3 video budget=zero
             client expect failed 3
         """)
-        found = told(stage)
+        found = metrics(stage)
         assert found["requests.video.served"] == 1 and found["requests.video.failed"] == 1
         assert found["attempts"] == 1 and found["in_flight"] == 0
         assert found["caches_known"] == 1 and found["caches_excluded"] == 0
-        assert not any("nonsense" in name for name in found), "clients make no figures up"
+        assert not any("nonsense" in name for name in found), "a class that a client invents gets no metrics"
         assert stage.service.operations.set_excluded("cache1", True) == ""
-        assert told(stage)["caches_excluded"] == 1
+        assert metrics(stage)["caches_excluded"] == 1
 
-    on_a_day(steps)
+    run_stage(steps)
 
 
-def test_what_waits_for_a_connection_is_not_written_to_a_member_left_out():
+def test_a_request_queued_for_a_connection_is_not_sent_to_an_excluded_member():
     async def steps(stage):
         await stage.play("client send request 1 video\ncache1 expect do\n")
         await stage.play("client send request 2 video obj=00000000000000aa\ncache1 expect do\n")
@@ -152,10 +152,10 @@
         assert stage.service.operations.set_excluded("cache1", False) == ""
         assert "no member" in stage.service.operations.set_excluded("cache7", True)
 
-    on_a_day(steps, members=("cache1", "upper", "records"))
+    run_stage(steps, members=("cache1", "upper", "records"))
 
 
-def test_a_reload_under_way_leaves_old_requests_and_takes_new_classes():
+def test_a_reload_keeps_requests_in_flight_and_accepts_new_classes():
     async def steps(stage):
         await stage.play("client send request 1 video\ncache1 expect do\n")
         raw = copy.deepcopy(SETTINGS)
@@ -181,8 +181,8 @@
             client expect failed 4
         """)
         assert stage.service.engine.settings.max_attempts == 2
-        found = told(stage)
+        found = metrics(stage)
         assert found["requests.other-video.served"] == 1 and found["requests.video.served"] == 2
         assert (found["reloads_ok"], found["reloads_failed"]) == (1, 0)
 
-    on_a_day(steps)
+    run_stage(steps)
--- a/tests/test_operations_settings.py
+++ b/tests/test_operations_settings.py
@@ -1,4 +1,4 @@
-"""Settings that change: which files are turned down, and what a change means to the router."""
+"""Reload of settings: which files are rejected, and how a change affects the router."""
 
 import copy
 import json
@@ -43,7 +43,7 @@
 
 
 def every_key(value, path=()):
-    """Each key of the file that has to be there: of a list of objects, those that all have."""
+    """The path of each required key of the file; in a list of objects, those keys that all of them have."""
     if isinstance(value, dict):
         for key, below in value.items():
             yield (*path, key)
@@ -61,7 +61,7 @@
     return configuration.load({"NODE_CONFIG": str(tmp_path / "config.json")}, before)
 
 
-def test_a_file_that_lacks_any_key_of_the_start_is_turned_down_by_its_path(tmp_path):
+def test_a_file_that_lacks_a_key_present_at_the_start_is_rejected_with_its_path(tmp_path):
     before = load(tmp_path, json.dumps(FILE))
     assert load(tmp_path, json.dumps(FILE), before).name == "n0"
     paths = list(every_key(FILE))
@@ -93,13 +93,13 @@
         (("seed",), "zz"),
     ],
 )
-def test_a_value_that_cannot_be_meant_is_turned_down(tmp_path, path, value):
+def test_an_invalid_value_is_rejected(tmp_path, path, value):
     before = load(tmp_path, json.dumps(FILE))
     with pytest.raises(configuration.ConfigError):
         load(tmp_path, json.dumps(changed(path, value)), before)
 
 
-def test_a_file_cut_anywhere_is_turned_down(tmp_path):
+def test_a_file_truncated_anywhere_is_rejected(tmp_path):
     text = json.dumps(FILE)
     before = load(tmp_path, text)
     for end in range(0, len(text), 37):
@@ -107,7 +107,7 @@
             load(tmp_path, text[:end], before)
 
 
-def test_classes_keep_their_places_and_those_that_vanish_are_marked():
+def test_classes_keep_their_numbers_and_removed_ones_are_retired():
     old = settings()
     a, b, c, d = old.classes
     new = api.Settings(
@@ -118,17 +118,17 @@
             "classes": (d, replace(b, idempotency=api.Idempotency.NOT_IDEMPOTENT), replace(a, name="new")),
         }
     )
-    both = reload_validation.merge_settings(old, new)
-    assert [x.name for x in both.classes] == ["media", "pages", "orders", "pay", "new"]
-    assert [x.is_retired for x in both.classes] == [True, False, True, False, False]
-    assert both.classes[1].idempotency is api.Idempotency.NOT_IDEMPOTENT and both.max_attempts == 2
-    assert both.zone == old.zone and reload_validation.restart_required(old, new) == ["zone"]
-    assert reload_validation.effective_changes(old, both) == ["max_attempts", "+new", "-media", "-orders", "~pages"]
-    again = reload_validation.merge_settings(both, old)
-    assert [x.is_retired for x in again.classes] == [False, False, False, False, True], "a class may come back"
+    merged = reload_validation.merge_settings(old, new)
+    assert [x.name for x in merged.classes] == ["media", "pages", "orders", "pay", "new"]
+    assert [x.is_retired for x in merged.classes] == [True, False, True, False, False]
+    assert merged.classes[1].idempotency is api.Idempotency.NOT_IDEMPOTENT and merged.max_attempts == 2
+    assert merged.zone == old.zone and reload_validation.restart_required(old, new) == ["zone"]
+    assert reload_validation.effective_changes(old, merged) == ["max_attempts", "+new", "-media", "-orders", "~pages"]
+    restored = reload_validation.merge_settings(merged, old)
+    assert [x.is_retired for x in restored.classes] == [False, False, False, False, True], "a retired class may return"
 
 
-def test_the_module_keeps_requests_under_way_as_they_were_and_binds_new_ones():
+def test_the_router_applies_new_settings_to_requests_in_flight_and_to_new_ones():
     rig = Rig()
     first, actions = rig.arrive(5, cls=0)
     sent = sends(actions)[0]
@@ -138,20 +138,20 @@
         classes=(*rig.router.settings.classes, replace(rig.router.settings.classes[0], name="fresh")),
     )
     rig.feed(api.SettingsChanged(new))
-    assert not sends(rig.finish(sent, api.AttemptStatus.CONNECT_FAILED)), "one attempt is all there is now"
+    assert not sends(rig.finish(sent, api.AttemptStatus.CONNECT_FAILED)), "the new settings allow one attempt only"
     _, actions = rig.arrive(6, cls=4)
-    assert sends(actions), "the class that has come is routed"
+    assert sends(actions), "the new class is routed"
     assert rig.router.slow_start.settings is new and rig.router.membership.settings is new
     assert all(part.settings is new for part in vars(rig.router).values() if hasattr(part, "settings"))
 
 
-def test_two_senders_share_the_budget_of_a_cold_cache():
-    def sent_at_once(senders):
+def test_two_active_processes_share_the_budget_of_a_cold_cache():
+    def sent_at_once(processes):
         cold = api.Member(100, weight=8.0, zone=1, started_us=100_000_000)
         rig = Rig(
             members=(cold, ORIGIN, api.Member(200, weight=30.0, kind=1)), now=100_000_000, allows_direct_to_source=False
         )
-        rig.feed(api.ActiveProcessesChanged(senders), after=3_000_000)
+        rig.feed(api.ActiveProcessesChanged(processes), after=3_000_000)
         return sum(bool(sends(rig.arrive(1000 + i, size=100.0)[1])) for i in range(200))
 
     alone, shared = sent_at_once(1), sent_at_once(2)
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -1,4 +1,4 @@
-"""The scheduler of background work: budgets, priorities, moves and drops."""
+"""The scheduler of background jobs: budgets, priorities, rescheduling and cancellation."""
 
 import random
 
@@ -11,7 +11,7 @@
     return [key for key, _ in started]
 
 
-def test_a_thousand_checks_that_start_together_stay_within_the_budgets():
+def test_a_thousand_jobs_due_together_stay_within_rate_and_budget():
     scheduler, now, running, counts, first = Scheduler(200, Budget(32, 32), seed=7), 0, [], [], {}
     for box in range(1000):
         scheduler.schedule(("check", box), 0)
@@ -27,23 +27,23 @@
         running = running[4:]
     for at, _ in counts:
         assert sum(n for t, n in counts if at <= t < at + SECOND) <= 200 + 20
-    assert 4.5 * SECOND < now < 5.5 * SECOND, "and not slower than the rate"
+    assert 4.5 * SECOND < now < 5.5 * SECOND, "the rate is also used in full"
 
 
-def test_first_runs_are_spread_alike_in_each_process():
-    scheduler, other, again = (
+def test_jitter_is_spread_evenly_and_depends_only_on_key_and_seed():
+    scheduler, other_seed, same_seed = (
         Scheduler(1, Budget(1, 1), seed=7),
         Scheduler(1, Budget(1, 1), seed=8),
         Scheduler(1, Budget(1, 1), seed=7),
     )
     at = [scheduler.jitter(("check", i), SECOND) for i in range(1000)]
-    assert at == [again.jitter(("check", i), SECOND) for i in range(1000)]
-    assert at != [other.jitter(("check", i), SECOND) for i in range(1000)]
+    assert at == [same_seed.jitter(("check", i), SECOND) for i in range(1000)]
+    assert at != [other_seed.jitter(("check", i), SECOND) for i in range(1000)]
     per_tenth = [sum(t * 10 // SECOND == n for t in at) for n in range(10)]
     assert max(per_tenth) < 150
 
 
-def test_urgent_goes_first_but_nothing_starves():
+def test_urgent_jobs_start_first_but_no_job_starves():
     scheduler = Scheduler(1000, Budget(1, 1))
     scheduler.schedule("idle", 0, IDLE)
     scheduler.schedule("normal", 0, NORMAL)
@@ -57,7 +57,7 @@
     assert order[0] == "urgent0" and order.index("normal") < order.index("idle") < 40
 
 
-def test_kinds_with_room_of_their_own_do_not_take_the_others():
+def test_a_kind_with_a_dedicated_budget_does_not_use_the_shared_one():
     scheduler = Scheduler(1000, Budget(2, 2), {"watch": Budget(3, 3)})
     for i in range(9):
         scheduler.schedule(("watch", i), 0, kind="watch")
@@ -68,7 +68,7 @@
     assert [k[0] for k in keys(scheduler.start_due(0))] == ["watch"]
 
 
-def test_what_is_held_starts_only_once_the_hold_is_lifted():
+def test_jobs_below_the_priority_limit_start_once_it_is_lifted():
     scheduler = Scheduler(1000, Budget(9, 9))
     scheduler.schedule("a", 0, IDLE)
     scheduler.schedule("b", 0, NORMAL)
@@ -79,7 +79,7 @@
     assert keys(scheduler.start_due(1)) == ["a"]
 
 
-def test_a_job_dropped_while_it_runs_keeps_its_room_and_one_put_again_runs_again():
+def test_a_job_cancelled_while_it_runs_uses_its_budget_and_a_rescheduled_one_runs_again():
     scheduler = Scheduler(1000, Budget(1, 1))
     scheduler.schedule("a", 0)
     ((_, number),) = scheduler.start_due(0)
@@ -93,7 +93,7 @@
     assert scheduler.next_start_us(0) == 5 and keys(scheduler.start_due(5)) == ["a"]
 
 
-def test_any_order_of_calls_keeps_the_books():
+def test_counts_stay_consistent_under_any_sequence_of_calls():
     rng, scheduler, running, now = random.Random(3), Scheduler(500, Budget(5, 8), {"k": Budget(2, 2)}), [], 0
     for _ in range(5000):
         now += rng.randrange(5000)
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -1,4 +1,4 @@
-"""Durable state: what was promised is there after any crash, and a folder that is not ours is refused."""
+"""Durable state: confirmed changes survive any crash, and a state folder that can't be used is refused."""
 
 import apsw
 import pytest
@@ -16,19 +16,19 @@
 
 
 class LedgerMachine(RuleBasedStateMachine):
-    """A disk that takes or refuses each batch, and a power loss at any moment. Each value is a number of its
-    own, so that it is known which change a row is of."""
+    """A disk that accepts or refuses each batch, and power losses at any moment. Each value is a unique number that
+    identifies its change."""
 
     @initialize()
     def begin(self):
         self.disk, self.now, self.number = {}, 1, 0
-        self.promised, self.refused, self.drops = {}, set(), {}  # key: number; values; key: last drop
+        self.confirmed, self.refused, self.drops = {}, set(), {}  # key: number; values; key: last drop
         self.ledger = Ledger(100_000)
 
-    def told(self, key, number):
-        def done(safe):
-            if safe:
-                self.promised[key] = max(number, self.promised.get(key, 0))
+    def on_outcome(self, key, number):
+        def done(durable):
+            if durable:
+                self.confirmed[key] = max(number, self.confirmed.get(key, 0))
             else:
                 self.refused.add(number)
 
@@ -37,16 +37,18 @@
     @rule(key=st.sampled_from("abc"), waits=st.booleans())
     def put(self, key, waits):
         self.now, self.number = self.now + 1, self.number + 1
-        self.ledger.put(self.now, "order", key, b"%d" % self.number, self.told(key, self.number) if waits else None)
+        self.ledger.put(
+            self.now, "order", key, b"%d" % self.number, self.on_outcome(key, self.number) if waits else None
+        )
 
     @rule(key=st.sampled_from("abc"))
     def drop(self, key):
         self.number += 1
-        number, told = self.number, self.told(key, self.number)
+        number, record = self.number, self.on_outcome(key, self.number)
 
-        def done(safe):
-            told(safe)
-            if safe:
+        def done(durable):
+            record(durable)
+            if durable:
                 self.drops[key] = number
 
         self.ledger.drop("order", key, done)
@@ -59,7 +61,7 @@
             self.end(batch, refused)
 
     @rule(refused=st.booleans(), key=st.sampled_from("abc"), waits=st.booleans())
-    def write_while_more_comes(self, refused, key, waits):
+    def write_during_another_change(self, refused, key, waits):
         self.now += RETRY_US
         batch = self.ledger.take(self.now)
         self.put(key, waits)
@@ -76,19 +78,19 @@
         self.ledger = Ledger(100_000, {k: row for k, row in self.disk.items() if row is not None})
 
     @invariant()
-    def what_was_promised_or_a_later_change_is_on_the_disk(self):
-        for key, number in self.promised.items():
+    def a_confirmed_or_later_change_is_on_the_disk(self):
+        for key, number in self.confirmed.items():
             row = self.disk.get(("order", key))
             found = int(row.value) if row is not None else self.drops.get(key, 0)
             assert found >= number, (key, number, row)
 
     @invariant()
-    def what_was_refused_is_nowhere(self):
+    def a_refused_change_is_neither_in_memory_nor_on_disk(self):
         rows = [*self.ledger.all("order").values(), *filter(None, self.disk.values())]
         assert not self.refused & {int(row.value) for row in rows}
 
     @invariant()
-    def bytes_are_what_the_rows_are(self):
+    def bytes_are_the_sum_of_the_rows(self):
         rows = self.ledger.rows.values()
         assert self.ledger.bytes == sum(row.size + len(key) for kind in rows for key, row in kind.items())
 
@@ -103,32 +105,32 @@
     return batch
 
 
-def test_what_gathers_while_a_batch_is_out_goes_as_one():
-    ledger, heard = Ledger(1 << 20), []
-    ledger.put(1, "order", "a", b"1", heard.append)
+def test_changes_made_while_a_batch_is_in_flight_form_one_batch():
+    ledger, outcomes = Ledger(1 << 20), []
+    ledger.put(1, "order", "a", b"1", outcomes.append)
     batch = ledger.take(1)
     for i in range(50):
-        ledger.put(2, "order", f"k{i}", b"2", heard.append)
-    assert ledger.take(2) is None and heard == []
+        ledger.put(2, "order", f"k{i}", b"2", outcomes.append)
+    assert ledger.take(2) is None and outcomes == []
     ledger.ended(3, batch.number)
-    assert heard == [True] and len(ledger.take(3).changes) == 50
+    assert outcomes == [True] and len(ledger.take(3).changes) == 50
 
 
-def test_a_refused_promise_is_undone_and_said_and_what_nobody_waits_for_is_tried_again():
-    ledger, heard = Ledger(1 << 20), []
-    ledger.put(1, "order", "a", b"old", heard.append)
+def test_a_refused_change_is_undone_if_awaited_and_retried_otherwise():
+    ledger, outcomes = Ledger(1 << 20), []
+    ledger.put(1, "order", "a", b"old", outcomes.append)
     committed(ledger, 1)
-    ledger.put(2, "order", "a", b"new", heard.append)
+    ledger.put(2, "order", "a", b"new", outcomes.append)
     ledger.put(2, "purge", "p", b"x")
     committed(ledger, 2, "disk full")
-    assert heard == [True, False] and ledger.get("order", "a").value == b"old" and ledger.degraded
+    assert outcomes == [True, False] and ledger.get("order", "a").value == b"old" and ledger.degraded
     assert ledger.get("purge", "p") and ledger.take(3) is None and ledger.due_us() == 2 + RETRY_US
-    again = committed(ledger, 2 + RETRY_US)
-    assert again.changes["purge", "p"].value == b"x" and again.changes["order", "a"].value == b"old"
+    retried = committed(ledger, 2 + RETRY_US)
+    assert retried.changes["purge", "p"].value == b"x" and retried.changes["order", "a"].value == b"old"
     assert not ledger.degraded
 
 
-def test_rows_and_bytes_are_bounded_and_spare_kinds_go_first():
+def test_rows_and_bytes_are_bounded_and_kinds_marked_evict_first_are_evicted_first():
     ledger = Ledger(64 << 10)
     for i in range(3 * KINDS["token"].max_rows):
         ledger.put(i, "token", f"t{i}", b"x" * 8)
@@ -141,10 +143,10 @@
     assert ledger.get("hint", "h1999") and not ledger.get("hint", "h0")
 
 
-# The disk itself
+# The database on disk
 
 
-def keep(folder, **rows):
+def persist(folder, **rows):
     disk = Disk(folder, ME)
     ledger = Ledger(1 << 20, disk.rows)
     for key, value in rows.items():
@@ -161,15 +163,15 @@
     return {key: row.value for (kind, key), row in disk.rows.items()}, disk
 
 
-def test_rows_and_a_growing_boot_number_outlive_the_process(tmp_path):
-    assert keep(tmp_path, a=b"1") == 1
-    assert keep(tmp_path, b=b"2") == 2
+def test_rows_and_a_growing_boot_number_survive_a_restart(tmp_path):
+    assert persist(tmp_path, a=b"1") == 1
+    assert persist(tmp_path, b=b"2") == 2
     rows, disk = read(tmp_path)
     assert rows == {"a": b"1", "b": b"2"} and disk.boot_number == 3 and not disk.moved_aside
 
 
-def test_every_setting_of_the_database_is_in_force(tmp_path):
-    # Guards against pragmas that are named but never run: durability would hang on the library's defaults.
+def test_every_pragma_of_the_database_is_in_force(tmp_path):
+    # Guards against pragmas that are listed but not run: durability would then depend on the defaults of SQLite.
     disk = Disk(tmp_path, ME)
     in_force = [
         disk._db.execute(f"PRAGMA {name}").fetchone()[0] for name in ("locking_mode", "journal_mode", "synchronous")
@@ -185,11 +187,11 @@
         (Identity("n0", "other"), "is of fleet 'fleet', not 'other'"),
     ],
 )
-def test_a_folder_of_another_is_refused(tmp_path, identity, fault):
-    keep(tmp_path)
+def test_a_folder_of_another_director_or_fleet_is_refused(tmp_path, identity, fault):
+    persist(tmp_path)
     with pytest.raises(StateError, match=fault):
         Disk(tmp_path, identity)
-    assert read(tmp_path)[1].boot_number == 2, "a refusal costs no number"
+    assert read(tmp_path)[1].boot_number == 2, "a refused start takes no boot number"
 
 
 def test_a_folder_in_use_and_one_of_a_newer_schema_are_refused(tmp_path, monkeypatch):
@@ -208,19 +210,19 @@
 @pytest.mark.parametrize(
     "spoil", [faults.spoil, lambda folder: (folder / "state.db").write_bytes(b"no database" * 500)]
 )
-def test_a_damaged_file_is_moved_aside_and_the_start_goes_on(tmp_path, spoil):
-    keep(tmp_path, a=b"1")
+def test_a_damaged_file_is_moved_aside_and_the_start_continues(tmp_path, spoil):
+    persist(tmp_path, a=b"1")
     spoil(tmp_path)
     rows, disk = read(tmp_path)
     assert rows == {} and disk.boot_number == 1 and disk.moved_aside.startswith("state.db.damaged-1: ")
     assert (tmp_path / "state.db.damaged-1").exists()
 
 
-def test_a_disk_that_can_not_be_written_to_is_one_fault(tmp_path):
+def test_a_folder_that_can_not_be_written_is_refused(tmp_path):
     (tmp_path / "file").write_text("x")
     with pytest.raises(StateError, match="can't be used"):
         Disk(tmp_path / "file" / "state", ME)
 
 
-def test_apsw_is_there():
+def test_apsw_is_installed():
     assert apsw.sqlite_lib_version() and Row(b"", 1).size == 64
--- a/tests/test_state_power_loss.py
+++ b/tests/test_state_power_loss.py
@@ -1,4 +1,4 @@
-"""Durable state under a disk that forgets what was not synced, in a process that is killed."""
+"""Durable state on a disk that loses unsynced writes, in a process that is killed."""
 
 import subprocess
 import sys
@@ -30,29 +30,29 @@
 
 
 def killed_after(tmp_path, count, mode):
-    """The keys whose durability the process had told of when it was killed."""
+    """The state folder and the keys that the process had reported as durable when it was killed."""
     (tmp_path / "stage").mkdir(exist_ok=True)
     folder = tmp_path / "state"
     env = {"PYTHONPATH": f"{SHIM}:{':'.join(sys.path)}", "ROOKBEND_STAGE": str(tmp_path / "stage")}
     with subprocess.Popen(
         [sys.executable, "-c", WRITES, folder, mode], env=env, text=True, stdout=subprocess.PIPE
     ) as child:
-        told = [child.stdout.readline().strip() for _ in range(count)]
+        reported = [child.stdout.readline().strip() for _ in range(count)]
         child.kill()
-        told += child.stdout.read().split()
-    return folder, told
+        reported += child.stdout.read().split()
+    return folder, reported
 
 
 @pytest.mark.parametrize("loss", [faults.lose, lambda f: faults.tear(f, 0.3), lambda f: faults.tear(f, 1.0)])
-def test_what_was_told_as_safe_outlives_a_power_loss_and_a_torn_write(tmp_path, loss):
-    folder, told = killed_after(tmp_path, 60, "synced")
+def test_rows_reported_as_durable_survive_a_power_loss_and_a_torn_write(tmp_path, loss):
+    folder, reported = killed_after(tmp_path, 60, "synced")
     loss(folder)
     rows, disk = read(folder)
-    assert not disk.moved_aside and not set(told) - set(rows)
+    assert not disk.moved_aside and not set(reported) - set(rows)
 
 
-def test_the_forgetful_disk_does_lose_what_is_not_synced(tmp_path):
-    folder, told = killed_after(tmp_path, 60, "unsynced")
+def test_the_faulty_disk_loses_unsynced_rows(tmp_path):
+    folder, reported = killed_after(tmp_path, 60, "unsynced")
     assert faults.lose(folder) > 0
     rows, _ = read(folder)
-    assert set(told) - set(rows), "a check that could not fail"
+    assert set(reported) - set(rows), "the test above could not fail with a disk that loses nothing"
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -1,8 +1,8 @@
-"""Files that an earlier version wrote are read by this one, value by value.
+"""Files written by an earlier version are read by this one with the same values.
 
 `data/stored` was written by the code of commit abc9770: a state database with rows of every kind, as its simulated
-directors and its DNS front persisted them, and the file that a process of a director leaves for the next one.
-`expected.json` holds what that version put into them.
+directors and its DNS front persisted them, and the file that a process of a director leaves for its successor.
+`expected.json` holds the values that this earlier version stored.
 """
 
 import json
@@ -57,7 +57,7 @@
     assert found == {(kind, key): (stored_us, data) for kind, key, stored_us, data, _ in ROWS}
 
 
-def test_the_process_file_is_read_and_written_again_to_the_byte():
+def test_the_file_for_the_successor_is_read_and_encoded_to_the_same_bytes():
     data = (STORED / "rookbend.n0.kept").read_bytes()
     state = persisted_state.decode(data, "n0")
     assert state.excluded == EXPECTED["kept"]["out"] and state.included_us == EXPECTED["kept"]["back_us"]
@@ -77,7 +77,7 @@
     assert checked == len(values_of("order")) + len(values_of("purge")) + len(values_of("drain")) == 8
 
 
-def test_recovery_starts_from_every_row_that_is_its_own(persisted):
+def test_recovery_restores_all_of_its_rows(persisted):
     classes = (TrafficClassCost(True, 8.0, 1.0), TrafficClassCost(False, 1.0, 1.0))
     propagation_us = NOW - min(values_of("purge").values()) * 1000
     config = RecoveryConfig(0, 3, "sim", 7, classes, 0, 1, 2, propagation_us)
@@ -103,14 +103,14 @@
     assert len([a for a in actions if isinstance(a, SetAdmissionLimits)]) == 1
 
 
-def test_issued_names_are_found_again(persisted):
+def test_issued_names_are_restored(persisted):
     rows = {row.key: (row.value, row.stored_us) for row in persisted if row.kind == "write"}
     names = IssuedNames(NOW, lambda *_: None, lambda request_id: None, rows)
     found = {key: list(msgspec.structs.astuple(names.find(key))) for key in names.restored}
     assert found == values_of("write") and names.unreadable == 0
 
 
-def test_leases_restore_every_row_that_is_theirs_and_write_it_to_the_byte(persisted):
+def test_leases_restore_all_of_their_rows_and_encode_them_to_the_same_bytes(persisted):
     rows = {(row.kind, row.key): row.value for row in persisted if row.kind in lease_state.ROW_KINDS}
     state = lease_state.restore((kind, key, value) for (kind, key), value in rows.items())
     grants, tokens, log = values_of("promise"), values_of("token"), values_of("log")
