--- a/rookbend/operations/metrics_text.py
+++ b/rookbend/operations/metrics_text.py
@@ -19,7 +19,7 @@
 
 
 def render(counters: Iterable[Metric], gauges: Iterable[Metric]) -> bytes:
-    """Renders all metrics."""
+    """All metrics as text, the counters first."""
     lines = [f"svc.{name}:{value}|c\n" for name, value in counters]
     lines += [f"svc.{name}:{value}|g\n" for name, value in gauges]
     return "".join(lines).encode()
--- a/rookbend/operations/reload_validation.py
+++ b/rookbend/operations/reload_validation.py
@@ -56,29 +56,29 @@
     return None
 
 
-def first_missing_key(wanted: KeyStructure, value: object, path: str = "") -> str:
-    """The path of the first key in `wanted` that the value lacks, or ""."""
-    if not wanted:
+def first_missing_key(required: KeyStructure, value: object, path: str = "") -> str:
+    """The path of the first required key that the value lacks, or ""."""
+    if not required:
         return ""
-    if "*" in wanted:
+    if "*" in required:
         rows = value if isinstance(value, list) else []
-        found = (first_missing_key(wanted["*"], row, f"{path}[{i}]") for i, row in enumerate(rows))
+        found = (first_missing_key(required["*"], row, f"{path}[{i}]") for i, row in enumerate(rows))
         return next(filter(None, found), "")
-    for key, below in wanted.items():
-        where = f"{path}.{key}" if path else key
+    for key, nested in required.items():
+        key_path = f"{path}.{key}" if path else key
         if not isinstance(value, dict) or key not in value:
-            return where
-        if lacking := first_missing_key(below, value[key], where):
-            return lacking
+            return key_path
+        if missing_path := first_missing_key(nested, value[key], key_path):
+            return missing_path
     return ""
 
 
 def merge_settings(old: Settings, new: Settings) -> Settings:
     """The new settings as they take effect: with classes in their places, and with `RESTART_ONLY_FIELDS` unchanged."""
-    coming = {c.name: c for c in new.classes}
-    classes = [coming.pop(c.name) if c.name in coming else replace(c, is_retired=True) for c in old.classes]
-    at_start = {name: getattr(old, name) for name in RESTART_ONLY_FIELDS}
-    return replace(new, classes=(*classes, *coming.values()), **at_start)
+    added = {c.name: c for c in new.classes}
+    classes = [added.pop(c.name) if c.name in added else replace(c, is_retired=True) for c in old.classes]
+    unchanged = {name: getattr(old, name) for name in RESTART_ONLY_FIELDS}
+    return replace(new, classes=(*classes, *added.values()), **unchanged)
 
 
 def restart_required(old: Settings, new: Settings) -> list[str]:
--- a/rookbend/recovery/failure_classification.py
+++ b/rookbend/recovery/failure_classification.py
@@ -52,7 +52,7 @@
 
 
 class FailureClassifier:
-    """Holds the class in force. The first class that is determined applies at once; a later one after `HOLD_US`."""
+    """Holds the class in force. The first class that is determined applies at once, a later one after `HOLD_US`."""
 
     def __init__(self, began_us: int):
         self.began_us = began_us
--- a/rookbend/recovery/membership.py
+++ b/rookbend/recovery/membership.py
@@ -89,7 +89,7 @@
         self._actions.append(DeleteRow(DRAIN.name, name))
 
     def release_expired_drains(self, now: int) -> None:
-        """Lifts expired drains of members that the present list has as ready."""
+        """Lifts expired drains of members that the present list has as ready; other drains are the list's own."""
         for name, since_us in list(self.drained_since_us.items()):
             entry = self.received.get(name)
             if entry is None or entry.member.state is not MemberState.READY:
--- a/rookbend/recovery/origin_ramp.py
+++ b/rookbend/recovery/origin_ramp.py
@@ -28,7 +28,7 @@
 SLOW_FACTOR = 3.0
 SLOW_EXTRA_US = 60_000  # a call slower than SLOW_FACTOR * fastest + SLOW_EXTRA_US queues at the origin
 SLOW_RATIO = 0.5
-MAX_MEDIAN_RATIO = 1.25
+MAX_MEDIAN_RATIO = 1.25  # bounds the rate relative to the median of the peers' rates
 UNLIMITED_RATIO = 2 / 3
 MIN_UNLIMITED_SAMPLES = 3
 
--- a/rookbend/recovery/state_validity.py
+++ b/rookbend/recovery/state_validity.py
@@ -7,8 +7,8 @@
 
 Ages are measured with the Unix clock, which may have been stepped during the outage. A hint from the future or older
 than its bound is dropped. A limit from the future applies, with its age counted from now: dropping it could break a
-rule, while keeping it only costs a member for a limited time. A limit older than its bound is no longer needed
-and is dropped.
+rule, while keeping it only costs a member for a limited time. A limit older than its bound is no longer needed and
+is dropped.
 """
 
 from __future__ import annotations
--- a/rookbend/state/ledger.py
+++ b/rookbend/state/ledger.py
@@ -125,7 +125,7 @@
             self._evict(kind)
         if self.bytes <= self.max_bytes:
             return
-        # Evicts from the kind that has grown last, and never the row that was just stored.
+        # Rows of the kind that was just stored are evicted last, and the row just stored never.
         evictable = [candidate.name for candidate in KINDS.values() if candidate.evict_first]
         for name in [*evictable, kind]:
             others = len(self.rows[name]) - (name == kind)
--- a/tests/test_issued_names.py
+++ b/tests/test_issued_names.py
@@ -6,7 +6,7 @@
 
 HOUR = 3_600_000_000
 NOW = 1_764_576_000_000_000
-GIVEN = IssuedName("r1.example.org.", 0, 7, "records.example.org", "127.0.0.31", "")
+ISSUED = IssuedName("r1.example.org.", 0, 7, "records.example.org", "127.0.0.31", "")
 
 
 class Disk:
@@ -35,22 +35,22 @@
 def test_a_write_waits_for_durability_and_the_next_incarnation_finds_each_step():
     disk, events = Disk(), []
     names = disk.names()
-    names.persist_in_doubt("1", GIVEN.lookup, 0, lambda: events.append("runs"))
+    names.persist_in_doubt("1", ISSUED.lookup, 0, lambda: events.append("runs"))
     assert not events
     disk.sync()
     assert events == ["runs"]
     found = disk.names().find("1")
-    assert found.lookup == GIVEN.lookup and found.rcode == dns.rcode.SERVFAIL and "under way" in found.note
-    names.persist("1", GIVEN, 0, lambda: events.append("given"))
+    assert found.lookup == ISSUED.lookup and found.rcode == dns.rcode.SERVFAIL and "under way" in found.note
+    names.persist("1", ISSUED, 0, lambda: events.append("given"))
     assert events == ["runs"]
     disk.sync()
-    assert events == ["runs", "given"] and disk.names().find("1") == GIVEN and names.not_durable == 0
+    assert events == ["runs", "given"] and disk.names().find("1") == ISSUED and names.not_durable == 0
 
 
 def test_a_failed_write_to_disk_does_not_block_the_reply_and_is_counted():
     disk, events = Disk(), []
     names = disk.names()
-    names.persist("1", GIVEN, 0, lambda: events.append("given"))
+    names.persist("1", ISSUED, 0, lambda: events.append("given"))
     disk.sync(durable=False)
     assert events == ["given"] and names.not_durable == 1 and disk.names().find("1") is None
 
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -22,11 +22,11 @@
     return Endpoint(api.Member(int(name[1:]), started_us=started, state=state), name, ("127.0.0.1", 1))
 
 
-def whole(*entries):
+def full_list(*entries):
     return MembershipChange(True, 1, list(entries))
 
 
-def part(*entries):
+def partial_list(*entries):
     return MembershipChange(False, 2, list(entries))
 
 
@@ -39,42 +39,47 @@
 
 def test_an_exclusion_holds_whatever_the_membership_says_later():
     exclusions = Exclusions()
-    assert states(exclusions.apply(whole(entry("c1"), entry("c2")))) == {"c1": READY, "c2": READY}
+    assert states(exclusions.apply(full_list(entry("c1"), entry("c2")))) == {"c1": READY, "c2": READY}
     ordered = exclusions.set_excluded("c1", True, 100)
     assert ordered.changed and states(ordered.change) == {"c1": DRAINING}
-    assert states(exclusions.apply(part(entry("c1")))) == {"c1": DRAINING}, "listed as ready"
-    assert states(exclusions.apply(part(entry("c1", started=150)))) == {"c1": DRAINING}, "listed with a new start"
-    assert states(exclusions.apply(part(entry("c1", GONE)))) == {"c1": GONE}
-    assert states(exclusions.apply(whole(entry("c1"), entry("c2")))) == {"c1": DRAINING, "c2": READY}, "listed again"
+    assert states(exclusions.apply(partial_list(entry("c1")))) == {"c1": DRAINING}, "listed as ready"
+    assert states(exclusions.apply(partial_list(entry("c1", started=150)))) == {
+        "c1": DRAINING
+    }, "listed with a new start"
+    assert states(exclusions.apply(partial_list(entry("c1", GONE)))) == {"c1": GONE}
+    assert states(exclusions.apply(full_list(entry("c1"), entry("c2")))) == {
+        "c1": DRAINING,
+        "c2": READY,
+    }, "listed again"
 
 
 def test_one_inclusion_undoes_two_exclusions_and_counts_as_the_start_of_the_member():
     exclusions = Exclusions()
-    exclusions.apply(whole(entry("c1")))
+    exclusions.apply(full_list(entry("c1")))
     assert exclusions.set_excluded("c1", True, 100).changed and not exclusions.set_excluded("c1", True, 110).changed
     included = exclusions.set_excluded("c1", False, 500)
     assert included.changed and states(included.change) == {"c1": READY}
     assert included.change.endpoints[0].member.started_us == 500
-    assert exclusions.apply(part(entry("c1", started=300))).endpoints[0].member.started_us == 500, "listed late"
-    assert exclusions.apply(part(entry("c1", started=900))).endpoints[0].member.started_us == 900
+    assert exclusions.apply(partial_list(entry("c1", started=300))).endpoints[0].member.started_us == 500, "listed late"
+    assert exclusions.apply(partial_list(entry("c1", started=900))).endpoints[0].member.started_us == 900
     repeated = exclusions.set_excluded("c1", False, 1000)
     assert not repeated.error and not repeated.changed
 
 
 def test_an_unknown_member_is_refused_and_one_that_left_while_excluded_can_be_included():
     exclusions = Exclusions()
-    exclusions.apply(whole(entry("c1")))
+    exclusions.apply(full_list(entry("c1")))
     assert "no member" in exclusions.set_excluded("c9", True, 1).error
     assert "no member" in exclusions.set_excluded("c9", False, 1).error
     exclusions.set_excluded("c1", True, 1)
-    exclusions.apply(part(entry("c1", GONE)))
+    exclusions.apply(partial_list(entry("c1", GONE)))
     assert "no member" not in exclusions.set_excluded("c1", False, 2).error
-    assert states(exclusions.apply(part(entry("c1")))) == {"c1": READY}
+    assert states(exclusions.apply(partial_list(entry("c1")))) == {"c1": READY}
 
 
 def test_a_drain_by_the_membership_takes_precedence_and_exclusions_are_bounded():
     exclusions = Exclusions()
-    exclusions.apply(whole(entry("c1", DRAINING), *(entry(f"c{i}") for i in range(2, MAX_EXCLUSIONS + 3))))
+    exclusions.apply(full_list(entry("c1", DRAINING), *(entry(f"c{i}") for i in range(2, MAX_EXCLUSIONS + 3))))
     exclusions.set_excluded("c1", True, 1)
     assert states(exclusions.set_excluded("c1", False, 2).change) == {"c1": DRAINING}
     for i in range(2, MAX_EXCLUSIONS + 2):
@@ -85,7 +90,7 @@
 def test_an_exclusion_of_another_process_is_adopted_even_for_an_unlisted_member():
     exclusions = Exclusions()
     assert exclusions.adopt("c1", True, 1).changed and not exclusions.adopt("c1", True, 1).changed
-    assert states(exclusions.apply(whole(entry("c1")))) == {"c1": DRAINING}
+    assert states(exclusions.apply(full_list(entry("c1")))) == {"c1": DRAINING}
     assert exclusions.adopt("c1", False, 9).changed
 
 
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -34,11 +34,11 @@
 
         return done
 
-    @rule(key=st.sampled_from("abc"), waits=st.booleans())
-    def put(self, key, waits):
+    @rule(key=st.sampled_from("abc"), awaited=st.booleans())
+    def put(self, key, awaited):
         self.now, self.number = self.now + 1, self.number + 1
         self.ledger.put(
-            self.now, "order", key, b"%d" % self.number, self.on_outcome(key, self.number) if waits else None
+            self.now, "order", key, b"%d" % self.number, self.on_outcome(key, self.number) if awaited else None
         )
 
     @rule(key=st.sampled_from("abc"))
@@ -60,11 +60,11 @@
         if batch is not None:
             self.end(batch, refused)
 
-    @rule(refused=st.booleans(), key=st.sampled_from("abc"), waits=st.booleans())
-    def write_during_another_change(self, refused, key, waits):
+    @rule(refused=st.booleans(), key=st.sampled_from("abc"), awaited=st.booleans())
+    def write_during_another_change(self, refused, key, awaited):
         self.now += RETRY_US
         batch = self.ledger.take(self.now)
-        self.put(key, waits)
+        self.put(key, awaited)
         if batch is not None:
             self.end(batch, refused)
 
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -81,25 +81,23 @@
     classes = (TrafficClassCost(True, 8.0, 1.0), TrafficClassCost(False, 1.0, 1.0))
     propagation_us = NOW - min(values_of("purge").values()) * 1000
     config = RecoveryConfig(0, 3, "sim", 7, classes, 0, 1, 2, propagation_us)
-    coordinator = RecoveryMachine(config, NOW, EXPECTED["boot"] + 1, 5, persisted)
-    actions = coordinator.begin(NOW)
+    recovery = RecoveryMachine(config, NOW, EXPECTED["boot"] + 1, 5, persisted)
+    actions = recovery.begin(NOW)
     orders = values_of("order")
     assert [a for a in actions if isinstance(a, ApplyOrder)] == [
         ApplyOrder(key.split("/")[1], order, by) for key, (order, by, _) in orders.items() if key.startswith("0/")
     ]
-    assert {key: list(coordinator.rows.orders.get(key)) for key in coordinator.rows.orders.rows} == orders
+    assert {key: list(recovery.rows.orders.get(key)) for key in recovery.rows.orders.rows} == orders
     purges = [a.purge for a in actions if isinstance(a, ApplyPurge)]
     assert {(p.object_id, p.group, p.unix_us // 1000) for p in purges} == {
         (None, 17, values_of("purge")["g 17"]),
         (0xFEDCBA98, 0, values_of("purge")["o fedcba98"]),
     }
-    assert {name: list(coordinator.rows.drains.get(name)) for name in coordinator.rows.drains.rows} == values_of(
-        "drain"
-    )
-    assert coordinator.membership.drained_since_us == {key: at for kind, key, at, _, _ in ROWS if kind == "drain"}
-    known = {str(number): peer.boot_number for number, peer in coordinator.peers.rows.items()}
+    assert {name: list(recovery.rows.drains.get(name)) for name in recovery.rows.drains.rows} == values_of("drain")
+    assert recovery.membership.drained_since_us == {key: at for kind, key, at, _, _ in ROWS if kind == "drain"}
+    known = {str(number): peer.boot_number for number, peer in recovery.peers.rows.items()}
     assert known == values_of("peer")
-    assert coordinator.ramp.fleet_rate == values_of("hint")["origin"] / 2
+    assert recovery.ramp.fleet_rate == values_of("hint")["origin"] / 2
     assert len([a for a in actions if isinstance(a, SetAdmissionLimits)]) == 1
 
 
