--- a/rookbend/recovery/__init__.py
+++ b/rookbend/recovery/__init__.py
@@ -13,7 +13,7 @@
     startup_stages          the stages in which a director returns to service
     startup_admission       the limits that follow from the stage, the ramp and the missed purges
     gossip_sender, gossip_receiver, peer_rows   the exchange with the other directors
-    status                  status for operators
+    status                  the status shown to operators
     issued_names            names that the DNS front issued for writes
 
 docs/RECOVERY.md states the guarantees. None of these modules is imported while `[recovery]` is off, except
--- a/rookbend/recovery/startup_admission.py
+++ b/rookbend/recovery/startup_admission.py
@@ -98,7 +98,7 @@
 
     @property
     def phase(self) -> Phase:
-        """The phase of this director that its peers are told."""
+        """The phase that this director reports to its peers."""
         if self.sequence.stage is Stage.LISTENING:
             return Phase.DARK
         return Phase.RECOVERING if self.sequence.stage < Stage.BACKGROUND else Phase.SERVING
--- a/rookbend/recovery/startup_stages.py
+++ b/rookbend/recovery/startup_stages.py
@@ -126,8 +126,8 @@
 
 
 class StartupSequence:
-    """Holds the present stage. `held`: an operator has forbidden to enter further stages; `waits_for`: what the next
-    stage waits for; `entered_without`: preferred conditions that were missing when a stage was entered."""
+    """Holds the present stage. `held`: an operator's command keeps further stages from being entered; `waits_for`: what
+    the next stage waits for; `entered_without`: preferred conditions that were missing when a stage was entered."""
 
     def __init__(self, plan: StartupPlan, began_us: int):
         self.plan = plan
