--- a/rookbend/operations/reload_validation.py
+++ b/rookbend/operations/reload_validation.py
@@ -1,12 +1,12 @@
-"""Settings that change while a director serves: whether a file is complete, and what of it takes effect.
+"""Reload of the settings of a running director: whether a file is complete, and which changes take effect.
 
-A reload is all or nothing. A file is complete if it can be read as the types say, if its values are valid
-(config.check), and if it names every key that the start's did: a key with a default, left out by a file that was
-truncated, would else change what the director does without a trace.
+A reload is all or nothing. A file is accepted if it can be decoded to the types of the settings, if its values are
+valid (config.check), and if it has every key that the file read at the start had. Without the last check, a truncated
+file that lacks a key with a default would change the director's behaviour without an error.
 
-The router is not built anew: it gets the new settings and keeps what it has learned (which cache holds what,
-which server fails, what was sent to warming members). Its classes keep their numbers: one that is no longer named
-stays in its place as retired, a new one is appended, so a request in flight is never looked up under another.
+The router is not rebuilt: it gets the new settings and keeps its state (which cache holds which object, which server
+fails, what was sent to warming members). Classes keep their numbers: one that is no longer named stays in its place as
+retired, and a new one is appended, so that the number of a request in flight never refers to another class.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 
 from rookbend.interface import Settings
 
-Shape = dict[str, "Shape"] | None
+KeyStructure = dict[str, "KeyStructure"] | None
 
-# What members and peers are identified by: other values would need the membership to be read anew.
-AT_START = "zone", "router_index", "parent_kind", "origin_kind", "membership_is_pushed"
-FREE_FORM = frozenset({"known"})  # the coordinator's events
-# The names under which the log has always listed a change, where the field's own name is another.
+# These identify members and peers: a change would require the membership to be read again.
+RESTART_ONLY_FIELDS = "zone", "router_index", "parent_kind", "origin_kind", "membership_is_pushed"
+FREE_FORM_KEYS = frozenset({"known"})  # holds events of the coordinator, whose keys are not checked
+# The names that the log has always used for changed settings, where they differ from the names of the fields.
 LOGGED_NAMES = {
     "home_parents": "home_hub",
     "supports_joined_fills": "joins",
@@ -45,50 +45,51 @@
 }
 
 
-def shape(value: object) -> Shape:
-    """The keys of a decoded file; of a list of objects, those that all of them have (under "*")."""
+def key_structure(value: object) -> KeyStructure:
+    """The nested keys of a decoded file; for a list of objects the keys that all of them have, under "*"."""
     if isinstance(value, dict):
-        return {key: None if key in FREE_FORM else shape(v) for key, v in value.items()}
+        return {key: None if key in FREE_FORM_KEYS else key_structure(v) for key, v in value.items()}
     if isinstance(value, list) and value and all(isinstance(v, dict) for v in value):
         first, *others = value
         common = [key for key in first if all(key in other for other in others)]
-        return {"*": {key: None if key in FREE_FORM else shape(first[key]) for key in common}}
+        return {"*": {key: None if key in FREE_FORM_KEYS else key_structure(first[key]) for key in common}}
     return None
 
 
-def missing(wanted: Shape, value: object, path: str = "") -> str:
-    """The path of the first key that the value lacks, or ""."""
-    if not wanted:
+def first_missing_key(required: KeyStructure, value: object, path: str = "") -> str:
+    """The path of the first required key that the value lacks, or ""."""
+    if not required:
         return ""
-    if "*" in wanted:
+    if "*" in required:
         rows = value if isinstance(value, list) else []
-        found = (missing(wanted["*"], row, f"{path}[{i}]") for i, row in enumerate(rows))
+        found = (first_missing_key(required["*"], row, f"{path}[{i}]") for i, row in enumerate(rows))
         return next(filter(None, found), "")
-    for key, below in wanted.items():
-        where = f"{path}.{key}" if path else key
+    for key, nested in required.items():
+        key_path = f"{path}.{key}" if path else key
         if not isinstance(value, dict) or key not in value:
-            return where
-        if lacking := missing(below, value[key], where):
-            return lacking
+            return key_path
+        if missing_path := first_missing_key(nested, value[key], key_path):
+            return missing_path
     return ""
 
 
-def merged(old: Settings, new: Settings) -> Settings:
-    """The new settings as they take effect: classes in their places, and what holds from the start."""
-    coming = {c.name: c for c in new.classes}
-    classes = [coming.pop(c.name) if c.name in coming else replace(c, is_retired=True) for c in old.classes]
-    at_start = {name: getattr(old, name) for name in AT_START}
-    return replace(new, classes=(*classes, *coming.values()), **at_start)
+def merge_settings(old: Settings, new: Settings) -> Settings:
+    """The new settings as they take effect: with classes in their places, and with `RESTART_ONLY_FIELDS` unchanged."""
+    added = {c.name: c for c in new.classes}
+    classes = [added.pop(c.name) if c.name in added else replace(c, is_retired=True) for c in old.classes]
+    unchanged = {name: getattr(old, name) for name in RESTART_ONLY_FIELDS}
+    return replace(new, classes=(*classes, *added.values()), **unchanged)
 
 
-def waiting(old: Settings, new: Settings) -> list[str]:
-    """What differs and takes effect at the next start only."""
-    names = [name for name in AT_START if getattr(old, name) != getattr(new, name)]
+def restart_required(old: Settings, new: Settings) -> list[str]:
+    """Names of the settings that differ but take effect only at the next start."""
+    names = [name for name in RESTART_ONLY_FIELDS if getattr(old, name) != getattr(new, name)]
     return [LOGGED_NAMES.get(name, name) for name in names]
 
 
-def effective(old: Settings, new: Settings) -> list[str]:
-    """What differs and takes effect, for the log: names of settings, and of classes with a sign."""
+def effective_changes(old: Settings, new: Settings) -> list[str]:
+    """Names, for the log, of the settings and classes whose changes take effect. Classes are marked + (added),
+    - (removed) or ~ (changed)."""
     names = [f.name for f in fields(new) if f.name != "classes" and getattr(old, f.name) != getattr(new, f.name)]
     names = [LOGGED_NAMES.get(name, name) for name in names]
     before = {c.name: c for c in old.classes if not c.is_retired}
