--- a/rookbend/drain.py
+++ b/rookbend/drain.py
@@ -79,7 +79,7 @@
         accepting.cancel()
         await self._context.client_listener.accepted_all.wait()
         for component in self._context.components:
-            component.stop_taking()
+            component.stop_accepting()
 
     def _time_to_answer_us(self) -> int:
         """How long after SIGTERM everything accepted has its answer: before SIGKILL may come."""
--- a/rookbend/net/bounded_server.py
+++ b/rookbend/net/bounded_server.py
@@ -8,7 +8,7 @@
 import trio
 
 from rookbend.net.acceptor import accept
-from rookbend.net.buffered_socket import BufferedSocket, prepare
+from rookbend.net.buffered_socket import BufferedSocket, set_socket_options
 from rookbend.net.component import Component, ComponentContext
 from rookbend.net.listeners import Listeners
 
@@ -59,7 +59,7 @@
             sock.close()
             return
         self.clients += 1
-        nursery.start_soon(self._run_client, BufferedSocket(prepare(sock), nursery, self._write_scheduler))
+        nursery.start_soon(self._run_client, BufferedSocket(set_socket_options(sock), nursery, self._write_scheduler))
 
     async def _run_client(self, channel: BufferedSocket) -> None:
         try:
--- a/rookbend/net/buffered_socket.py
+++ b/rookbend/net/buffered_socket.py
@@ -217,7 +217,7 @@
             self.sock.close()
 
 
-def prepare(sock: socket.socket) -> socket.socket:
+def set_socket_options(sock: socket.socket) -> socket.socket:
     """The same socket made non-blocking, and without delay for small writes (TCP_NODELAY)."""
     sock.setblocking(False)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
--- a/rookbend/net/checks.py
+++ b/rookbend/net/checks.py
@@ -27,7 +27,7 @@
     return WATCH if check.type == "grpc-watch" else CHECK
 
 
-def _always_ours(server: int, interval_us: int) -> CheckAssignment:
+def _always_assigned(server: int, interval_us: int) -> CheckAssignment:
     return CheckAssignment(is_ours=True, min_interval_us=0)
 
 
@@ -39,7 +39,7 @@
     """
 
     def __init__(self, context: ComponentContext, health: HealthService, runner: JobRunner, checks: tuple[Check, ...]):
-        self.assign: Callable[[int, int], CheckAssignment] = _always_ours
+        self.assign: Callable[[int, int], CheckAssignment] = _always_assigned
         self.on_result: Callable[[int], None] = lambda server: None
         self._health = health
         self._runner = runner
--- a/rookbend/net/client_connection.py
+++ b/rookbend/net/client_connection.py
@@ -16,7 +16,7 @@
 
 from rookbend.core.counters import Counters
 from rookbend.fronts.platform import PlatformFront, PlatformSession
-from rookbend.net.buffered_socket import BufferedSocket, WriteScheduler, prepare
+from rookbend.net.buffered_socket import BufferedSocket, WriteScheduler, set_socket_options
 
 PAUSE_ABOVE_BYTES = 1 << 20  # unsent bytes above which the client's new requests are queued until all are sent
 FINISH_TIMEOUT_US = 250_000  # from the close of our side to dropping a connection that the client leaves open
@@ -48,7 +48,7 @@
     def __init__(self, owner: ClientConnectionOwner, sock: socket.socket, nursery: trio.Nursery) -> None:
         self.owner = owner
         self.phase = ClientPhase.OPEN
-        self.socket = BufferedSocket(prepare(sock), nursery, owner.scheduler)
+        self.socket = BufferedSocket(set_socket_options(sock), nursery, owner.scheduler)
         self.socket.on_drained = self._drained
         self.session = PlatformSession(owner.front, self.socket.write)
         self._read_scope = trio.CancelScope()
@@ -76,7 +76,7 @@
             with self._read_scope:
                 await self._read()
                 if self.phase is ClientPhase.OPEN and not self.socket.reset:
-                    await self._send_owed_answers()
+                    await self._send_pending_answers()
         finally:
             self.session.connection_lost()
             self.owner.connection_closed(self)
@@ -109,7 +109,7 @@
         if not self.socket.broken:
             self.session.resume()
 
-    async def _send_owed_answers(self) -> None:
+    async def _send_pending_answers(self) -> None:
         """A client may close only its sending side: an answer that is on its way is still sent whole."""
         sock = self.socket
         while (self.session.open_streams or sock.unsent_bytes) and not (sock.closed or sock.broken):
--- a/rookbend/net/client_listener.py
+++ b/rookbend/net/client_listener.py
@@ -12,11 +12,11 @@
 from rookbend.net.buffered_socket import WriteScheduler
 from rookbend.net.client_connection import FINISH_TIMEOUT_US, ClientConnection, ClientPhase
 
-NEWCOMER_US = 250_000  # from its connect a client that has sent nothing is not evicted for so long
+NEW_CLIENT_GRACE_US = 250_000  # from its connect a client that has sent nothing is not evicted for so long
 REAPER_PERIOD_S = 0.25
-STALLED_S = 6.0  # a client that reads nothing for so long is dropped
-CROSSING_US = 50_000  # a request that crosses a close within this time is sent again by its client
-EVICTED_AT_ONCE_DIVISOR = 32  # of all places: each eviction goes over all clients
+STALL_TIMEOUT_S = 6.0  # a client that reads nothing for so long is dropped
+REQUEST_TRANSIT_US = 50_000  # a request that crosses a close within this time is sent again by its client
+EVICTION_BATCH_DIVISOR = 32  # of all places: each eviction goes over all clients
 MAX_FINISHING = 16  # connections that are being ended at a time to free places
 
 
@@ -69,12 +69,12 @@
         """
         if len(self.open) < self.max_clients:
             return True
-        newcomers_since_us = self.front.engine.clock.now() - NEWCOMER_US
-        idle = self._idle_clients(newcomers_since_us)
+        new_clients_since_us = self.front.engine.clock.now() - NEW_CLIENT_GRACE_US
+        idle = self._idle_clients(new_clients_since_us)
         idle.sort(key=lambda client: (client.session.has_received_frame, client.session.last_activity_us))
         evicted = 0
-        for client in idle[: max(1, self.max_clients // EVICTED_AT_ONCE_DIVISOR)]:
-            if client.session.last_activity_us > newcomers_since_us:
+        for client in idle[: max(1, self.max_clients // EVICTION_BATCH_DIVISOR)]:
+            if client.session.last_activity_us > new_clients_since_us:
                 break
             # Its last answer is long delivered, so a close takes nothing along: the place is free at once.
             evicted += self._evict(client, 0)
@@ -82,16 +82,16 @@
             return True
         finishing = sum(client.phase is ClientPhase.FINISHING for client in self.open)
         for client in idle[: max(0, MAX_FINISHING - finishing)]:
-            self._evict(client, CROSSING_US)
+            self._evict(client, REQUEST_TRANSIT_US)
         return False
 
-    def _idle_clients(self, newcomers_since_us: int) -> list[ClientConnection]:
+    def _idle_clients(self, new_clients_since_us: int) -> list[ClientConnection]:
         """The clients that are owed nothing, but for those that have just connected and sent nothing yet."""
         return [
             client
             for client in self.open
             if client.is_idle()
-            and (client.session.has_received_frame or client.session.last_activity_us <= newcomers_since_us)
+            and (client.session.has_received_frame or client.session.last_activity_us <= new_clients_since_us)
         ]
 
     async def watch_clients(self) -> None:
@@ -99,7 +99,7 @@
         while True:
             await trio.sleep(REAPER_PERIOD_S)
             self._end_expired(self.front.engine.clock.now())
-            self._drop_stalled(trio.current_time() - STALLED_S)
+            self._drop_stalled(trio.current_time() - STALL_TIMEOUT_S)
 
     def _end_expired(self, now_us: int) -> None:
         for client in list(self.open):
@@ -134,7 +134,7 @@
     def close_idle_clients(self) -> None:
         """Ends the connections on which nothing is owed: the director leaves. The request of a client that
         has just connected is on its way, and is still answered."""
-        for client in self._idle_clients(self.front.engine.clock.now() - CROSSING_US):
+        for client in self._idle_clients(self.front.engine.clock.now() - REQUEST_TRANSIT_US):
             client.finish_if_idle()
 
     def announce_closing(self) -> None:
--- a/rookbend/net/component.py
+++ b/rookbend/net/component.py
@@ -74,10 +74,10 @@
     def drain(self, by_us: int) -> None:
         """The director was requested to stop; everything is answered at `by_us`."""
 
-    def stop_taking(self) -> None:
+    def stop_accepting(self) -> None:
         """The grace time of the drain is over: nothing new is accepted from here on."""
 
-    def leave(self) -> None:
+    def shutdown(self) -> None:
         """Everything is answered, the process ends next."""
 
     @property
--- a/rookbend/net/connection_set.py
+++ b/rookbend/net/connection_set.py
@@ -78,7 +78,7 @@
             return 0
         return context.engine.clock.now() - NEW_CONNECTION_AGE_US
 
-    def used(self, connection: MemberConnection) -> None:
+    def mark_used(self, connection: MemberConnection) -> None:
         """Moves a connection to the end of the order in which they were used."""
         self.open.remove(connection)
         self.open.append(connection)
--- a/rookbend/net/connector.py
+++ b/rookbend/net/connector.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from rookbend.net.buffered_socket import prepare
+from rookbend.net.buffered_socket import set_socket_options
 
 
 async def open_socket(address: tuple[str, int]) -> socket.socket:
@@ -17,7 +17,7 @@
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     sock = socket.socket(family, socket.SOCK_STREAM)
     try:
-        prepare(sock)
+        set_socket_options(sock)
         try:
             sock.connect(address)
         except BlockingIOError:
--- a/rookbend/net/dns_server.py
+++ b/rookbend/net/dns_server.py
@@ -13,7 +13,7 @@
 from rookbend.fronts.dns import DnsFront
 from rookbend.fronts.dns_lookups import Respond
 from rookbend.net.acceptor import accept
-from rookbend.net.buffered_socket import BufferedSocket, prepare
+from rookbend.net.buffered_socket import BufferedSocket, set_socket_options
 from rookbend.net.component import Component, ComponentContext
 from rookbend.net.dns_resolver import ResolverClient
 from rookbend.net.listeners import Listeners
@@ -26,7 +26,7 @@
 BIND_ATTEMPTS = 20
 
 
-def open_both(listeners: Listeners, address: tuple[str, int]) -> tuple[socket.socket, socket.socket]:
+def bind_tcp_and_udp(listeners: Listeners, address: tuple[str, int]) -> tuple[socket.socket, socket.socket]:
     """A TCP listener and a UDP socket on one port; port 0 stands for one that is free for both."""
     for attempts_left in reversed(range(BIND_ATTEMPTS)):
         tcp = listeners.tcp(address)
@@ -62,7 +62,7 @@
 
     def open(self, listeners: Listeners) -> None:
         """Binds both sockets; `address` is then the one bound to."""
-        self.tcp, self.udp = open_both(listeners, self._configured_address)
+        self.tcp, self.udp = bind_tcp_and_udp(listeners, self._configured_address)
         self.address: tuple[str, int] = self.tcp.getsockname()[:2]
 
     def start(self, nursery: trio.Nursery) -> None:
@@ -71,7 +71,7 @@
         nursery.start_soon(self.serve_udp)
         nursery.start_soon(self.serve_tcp, trio.CancelScope())
 
-    def stop_taking(self) -> None:
+    def stop_accepting(self) -> None:
         """Refuses new lookups from now on."""
         self.front.closing = True
 
@@ -105,7 +105,7 @@
             sock.close()
             return
         self.clients += 1
-        nursery.start_soon(self._serve_client, BufferedSocket(prepare(sock), nursery, self._write_scheduler))
+        nursery.start_soon(self._serve_client, BufferedSocket(set_socket_options(sock), nursery, self._write_scheduler))
 
     async def _serve_client(self, channel: BufferedSocket) -> None:
         try:
--- a/rookbend/net/leases.py
+++ b/rookbend/net/leases.py
@@ -40,21 +40,21 @@
 def leased_tasks(context: ComponentContext) -> frozenset[str]:
     """The leader tasks that the settings ask for."""
     operators = context.operators
-    wanted: Any = operators.ownership
+    ownership_settings: Any = operators.ownership
     names = LEASED_TASK_NAMES
     if context.built.get("health") is None or not operators.checks:
         names -= {"checks"}
-    if wanted.report_ledger is None and not wanted.report_file:
+    if ownership_settings.report_ledger is None and not ownership_settings.report_file:
         names -= {"report"}
     # Raises UnknownTaskError where the table of leader tasks has no guard for the report.
-    leader_task("report" if wanted.report_ledger is not None else "report-file")
+    leader_task("report" if ownership_settings.report_ledger is not None else "report-file")
     return names
 
 
 def lease_config(context: ComponentContext) -> LeaseConfig:
     """What the settings say, for the state machine."""
     operators = context.operators
-    wanted: Any = operators.ownership
+    ownership_settings: Any = operators.ownership
     recovery: Any = operators.recovery
     router = context.engine.settings
     return LeaseConfig(
@@ -62,11 +62,11 @@
         director_count=router.router_count,
         fleet=operators.state.fleet if operators.state is not None else recovery.fleet,
         seed=int(context.config.seed, 16),
-        voters=frozenset(wanted.voters or default_voters(router.router_count)),
-        terms=LeaseTerms(wanted.lease_us, wanted.drift),
+        voters=frozenset(ownership_settings.voters or default_voters(router.router_count)),
+        terms=LeaseTerms(ownership_settings.lease_us, ownership_settings.drift),
         tasks=leased_tasks(context),
-        shards=wanted.shards,
-        report_period_us=wanted.report_every_us,
+        shards=ownership_settings.shards,
+        report_period_us=ownership_settings.report_every_us,
     )
 
 
@@ -92,9 +92,14 @@
         check_names = [check.name for check in context.operators.checks]
         self.shard_checks = ShardChecks(context.built.get("health"), self.machine, check_names, self.now, self.feed)
         self._orders = FleetOrders(self.machine, self.now, self.feed)
-        wanted: Any = context.operators.ownership
+        ownership_settings: Any = context.operators.ownership
         self._report_writer = ReportWriter(
-            wanted.report_ledger, wanted.report_file, self.machine.leases, self.now, self.log, self.feed
+            ownership_settings.report_ledger,
+            ownership_settings.report_file,
+            self.machine.leases,
+            self.now,
+            self.log,
+            self.feed,
         )
         self._nursery: trio.Nursery | None = None
         self._forward_datagram = context.engine.on_peer
--- a/rookbend/net/member_pool.py
+++ b/rookbend/net/member_pool.py
@@ -31,7 +31,7 @@
         self.waiting: deque[Attempt] = deque()
         self.awaiting_cancel: list[Attempt] = []  # cancelled here before, and the member may not know it yet
         self.retired = False
-        self.restart = RestartDetector()
+        self.restart_detector = RestartDetector()
 
     def send(self, attempt: Attempt) -> None:
         """Writes the attempt on a connection that accepts it, or queues it for one."""
@@ -81,7 +81,7 @@
             if sock is None:
                 context.open_connections -= 1
         if sock is None:
-            self.restart.connect_failed(refused, bool(self.connections))
+            self.restart_detector.connect_failed(refused, bool(self.connections))
             return self._connect_failed(began_us)
         context.counters.connects += 1
         with sock:
@@ -92,7 +92,7 @@
         buffered_socket.on_drained = self.dispatch_waiting
         connection = MemberConnection(self, buffered_socket, context.engine.clock, context.load_report_fields)
         self.connections.open.append(connection)
-        if self.restart.connected():
+        if self.restart_detector.connected():
             context.engine.member_restarted(self.endpoint.member.server)
         self.dispatch_waiting()
         if self.retired:  # the member has gone while this was being opened
@@ -173,7 +173,7 @@
                     and connections.open[-1] is not connection
                     and context.streams_per_connection == 1
                 ):
-                    connections.used(connection)
+                    connections.mark_used(connection)
                 attempt = pending.attempt
                 context.engine.finished(attempt, answer.result_for(attempt.request.known_version))
             # Else a second copy, an unknown id, or one that was cancelled: ignored.
@@ -193,7 +193,7 @@
     def connection_lost(self, connection: MemberConnection) -> None:
         """Settles what was in flight: only an attempt that was not sent whole is proven not to have run."""
         self.connections.open.remove(connection)
-        self.restart.connection_lost(connection.socket.reset)
+        self.restart_detector.connection_lost(connection.socket.reset)
         self.context.open_connections -= 1
         lost = [(pending.attempt, connection.is_sent(pending)) for pending in connection.close()]
         self.context.counters.written += sum(sent for _, sent in lost)
--- a/rookbend/net/operations.py
+++ b/rookbend/net/operations.py
@@ -12,7 +12,7 @@
 from rookbend.interface import MemberState
 from rookbend.net.component import Component, ComponentContext
 from rookbend.net.listeners import Listeners
-from rookbend.net.operator_endpoint import MAX_CALLERS, OperatorEndpoint
+from rookbend.net.operator_endpoint import MAX_CONNECTIONS, OperatorEndpoint
 from rookbend.net.upgrade import Upgrade
 from rookbend.operations import metrics_text, persisted_state
 from rookbend.operations.exclusions import ExclusionResult, Exclusions
@@ -57,21 +57,21 @@
 class OperationsComponent(Component):
     """Owns the exclusions, and stands between the coordinator's watch and whatever takes the membership next."""
 
-    descriptors = MAX_CALLERS + UPGRADE_DESCRIPTORS
+    descriptors = MAX_CONNECTIONS + UPGRADE_DESCRIPTORS
 
     def __init__(self, context: ComponentContext):
         self.context = context
         self.upgrade: Upgrade | None = None
         self.file: PersistedStateFile | None = None
-        before = PersistedState(context.config.name)
+        previous_state = PersistedState(context.config.name)
         folder = os.environ.get("TMPDIR", "")
         if folder:
             self.upgrade = Upgrade(folder, context.config.name, context.clock, context.log, context.listeners)
             self.upgrade.on_exclusion = self._exclusion_of_other_process
             context.listeners.shared = True
             self.file = PersistedStateFile(folder, context.config.name, context.log)
-            before = self.file.read()
-        self.exclusions = Exclusions(before.excluded, before.included_us)
+            previous_state = self.file.read()
+        self.exclusions = Exclusions(previous_state.excluded, previous_state.included_us)
         # Before health: an exclusion reaches it as the membership's own state would.
         self._forward_membership = context.watch.membership_changed
         context.watch.membership_changed = self._membership_changed
@@ -90,10 +90,10 @@
         if self.upgrade is not None:
             nursery.start_soon(self.upgrade.run)
 
-    def leave(self) -> None:
+    def shutdown(self) -> None:
         """The process ends."""
         if self.upgrade is not None:
-            self.upgrade.leave()
+            self.upgrade.shutdown()
 
     # Exclusions
 
--- a/rookbend/net/operator_endpoint.py
+++ b/rookbend/net/operator_endpoint.py
@@ -14,20 +14,20 @@
 import trio
 
 from rookbend.net.acceptor import accept
-from rookbend.net.buffered_socket import BufferedSocket, prepare
+from rookbend.net.buffered_socket import BufferedSocket, set_socket_options
 from rookbend.net.component import Component, ComponentContext
 from rookbend.protocol.http_server import HttpServerConnection
 from rookbend.protocol.operator_api import OperatorApi
 
-MAX_CALLERS = 24
-CALL_US = 1_000_000  # a call that is not complete by then is not answered
-LINGER_US = 250_000  # what a caller sends beyond its call is read for so long
+MAX_CONNECTIONS = 24
+REQUEST_TIMEOUT_US = 1_000_000  # a call that is not complete by then is not answered
+LINGER_TIMEOUT_US = 250_000  # what a caller sends beyond its call is read for so long
 
 
 class OperatorEndpoint(Component):
     """Accepts callers and has `api` answer them; callers are held in the order in which they came."""
 
-    descriptors = MAX_CALLERS + 2
+    descriptors = MAX_CONNECTIONS + 2
 
     def __init__(self, context: ComponentContext, listener: socket.socket, api: OperatorApi):
         self.listener = listener
@@ -36,7 +36,7 @@
         self.write_scheduler = context.write_scheduler
         self._containment = context.containment
         self.address = listener.getsockname()[:2]
-        self.callers: dict[BufferedSocket, trio.CancelScope] = {}
+        self.connections: dict[BufferedSocket, trio.CancelScope] = {}
         self.answered = 0
 
     def start(self, nursery: trio.Nursery) -> None:
@@ -45,24 +45,24 @@
 
     async def _serve(self) -> None:
         async with trio.open_nursery() as nursery:
-            await accept(self.listener, trio.CancelScope(), lambda sock: self._take(sock, nursery))
+            await accept(self.listener, trio.CancelScope(), lambda sock: self._accepted(sock, nursery))
 
-    def _take(self, sock: socket.socket, nursery: trio.Nursery) -> None:
-        if len(self.callers) >= MAX_CALLERS:
-            oldest = next(iter(self.callers))
-            self.callers.pop(oldest).cancel()
+    def _accepted(self, sock: socket.socket, nursery: trio.Nursery) -> None:
+        if len(self.connections) >= MAX_CONNECTIONS:
+            oldest = next(iter(self.connections))
+            self.connections.pop(oldest).cancel()
             oldest.close()  # its descriptor at once: the newcomer's is there already
-        channel = BufferedSocket(prepare(sock), nursery, self.write_scheduler)
-        scope = trio.CancelScope(deadline=self._deadline_in(CALL_US))
-        self.callers[channel] = scope
-        nursery.start_soon(self._serve_caller, channel, scope)
+        channel = BufferedSocket(set_socket_options(sock), nursery, self.write_scheduler)
+        scope = trio.CancelScope(deadline=self._deadline_in(REQUEST_TIMEOUT_US))
+        self.connections[channel] = scope
+        nursery.start_soon(self._serve_client, channel, scope)
 
-    async def _serve_caller(self, channel: BufferedSocket, scope: trio.CancelScope) -> None:
+    async def _serve_client(self, channel: BufferedSocket, scope: trio.CancelScope) -> None:
         try:
             with self._containment.contain("operator"), scope:
                 await self._answer(channel, scope)
         finally:
-            self.callers.pop(channel, None)
+            self.connections.pop(channel, None)
             channel.close()
 
     async def _answer(self, channel: BufferedSocket, scope: trio.CancelScope) -> None:
@@ -78,7 +78,7 @@
         else:
             return
         channel.finish()
-        scope.deadline = self._deadline_in(LINGER_US)
+        scope.deadline = self._deadline_in(LINGER_TIMEOUT_US)
         while await channel.receive():
             pass
 
--- a/rookbend/net/pool.py
+++ b/rookbend/net/pool.py
@@ -36,14 +36,14 @@
         self.counters = counters
         self.nursery = nursery
         self.scheduler = scheduler
-        self.adopt(max_streams, idle_close_us)
+        self.apply_settings(max_streams, idle_close_us)
         self.members: dict[int, MemberPool] = {}
         self.sent_this_second = 0
         self.sent_last_second = 0
         self.open_connections = 0  # open or being opened, to all members
         self.max_connections = max_connections
 
-    def adopt(self, max_streams: int, idle_close_us: int) -> None:
+    def apply_settings(self, max_streams: int, idle_close_us: int) -> None:
         """Applies other settings, also to connections that are open."""
         settings = self.engine.settings
         self.max_streams = max(1, max_streams)
--- a/rookbend/net/recovery_setup.py
+++ b/rookbend/net/recovery_setup.py
@@ -19,8 +19,8 @@
 def recovery_config(context: ComponentContext) -> RecoveryConfig:
     """What the settings say, for the state machine."""
     operators = context.operators
-    wanted = operators.recovery
-    assert wanted is not None, "recovery is built only where the settings ask for it"
+    recovery_settings = operators.recovery
+    assert recovery_settings is not None, "recovery is built only where the settings ask for it"
     router = context.engine.settings
     classes = tuple(
         TrafficClassCost(c.is_write, c.priority_weight, MULTIPART_CLASS_COST if c.has_parts else 1.0)
@@ -29,17 +29,17 @@
     return RecoveryConfig(
         number=router.router_index,
         director_count=router.router_count,
-        fleet=operators.state.fleet if operators.state is not None else wanted.fleet,
+        fleet=operators.state.fleet if operators.state is not None else recovery_settings.fleet,
         seed=int(context.config.seed, 16),
         classes=classes,
         zone=router.zone,
         parent_kind=router.parent_kind,
         origin_kind=router.origin_kind,
         purge_propagation_us=router.purge_propagation_us or DEFAULT_PURGE_PROPAGATION_US,
-        plan=StartupPlan(wanted.ready_share, wanted.ready_by_us, wanted.full_by_us),
-        initial_origin_rate=wanted.first_rate,
-        full_origin_rate=wanted.full_rate,
-        gossip_enabled=wanted.peers,
+        plan=StartupPlan(recovery_settings.ready_share, recovery_settings.ready_by_us, recovery_settings.full_by_us),
+        initial_origin_rate=recovery_settings.first_rate,
+        full_origin_rate=recovery_settings.full_rate,
+        gossip_enabled=recovery_settings.peers,
     )
 
 
--- a/rookbend/net/report_writer.py
+++ b/rookbend/net/report_writer.py
@@ -33,14 +33,14 @@
         leases: LeaseTable,
         now: Callable[[], int],
         log: Log,
-        written: Callable[[ReportLineWritten], None],
+        on_written: Callable[[ReportLineWritten], None],
     ):
         self._ledger = ledger
         self._file = file
         self._leases = leases
         self._now = now
         self._log = log
-        self._written = written
+        self._on_written = on_written
         self._current: trio.CancelScope | None = None  # of the newest write
 
     def cancel(self) -> None:
@@ -79,7 +79,7 @@
             self._current = None
         if highest_token:
             self._log("report_refused", "warning", number=line.number, token=line.token, highest=highest_token)
-        self._written(ReportLineWritten(line.number, accepted, highest_token))
+        self._on_written(ReportLineWritten(line.number, accepted, highest_token))
 
     async def _append_to_ledger(self, address: tuple[str, int], line: WriteReportLine) -> tuple[bool, int]:
         """Whether the ledger has the line, and its highest token where it rejected ours. Raises OSError."""
--- a/rookbend/net/shard_checks.py
+++ b/rookbend/net/shard_checks.py
@@ -34,7 +34,7 @@
 
     def install(self) -> None:
         """Decides from now on which checks the health part makes."""
-        self._health.driver.assign = self.decide
+        self._health.driver.assign = self.assignment_for
         self._health.driver.on_result = self.check_ended
 
     def _scope_of(self, member_number: int) -> int:
@@ -44,7 +44,7 @@
         rows = self._health.service.registry.members.items()
         return [row for member_number, row in rows if self._scope_of(member_number) == scope]
 
-    def decide(self, member_number: int, interval_us: int) -> CheckAssignment:
+    def assignment_for(self, member_number: int, interval_us: int) -> CheckAssignment:
         """Whether a check of that member is made here now, and how long to rest at least until the next."""
         scope = self._scope_of(member_number)
         now_us = self._now()
--- a/rookbend/net/state.py
+++ b/rookbend/net/state.py
@@ -22,15 +22,15 @@
     descriptors = 8
 
     def __init__(self, context: ComponentContext):
-        wanted = context.operators.state
-        assert wanted is not None, "built only where the settings ask for it"
+        state_settings = context.operators.state
+        assert state_settings is not None, "built only where the settings ask for it"
         self.clock = context.clock
         self.log = context.log
         try:
-            self._disk = Disk(Path(wanted.folder), Identity(context.config.name, wanted.fleet))
+            self._disk = Disk(Path(state_settings.folder), Identity(context.config.name, state_settings.fleet))
         except StateError as fault:
             raise ConfigError(str(fault)) from None
-        self.ledger = Ledger(wanted.most, self._disk.rows)
+        self.ledger = Ledger(state_settings.most, self._disk.rows)
         self._disk.rows = {}
         self.boot_number = self._disk.boot_number
         self._changed = trio.Event()
@@ -41,7 +41,7 @@
         if self._disk.moved_aside:
             self.log("state_damaged", "error", moved=self._disk.moved_aside)
         row_count = sum(map(len, self.ledger.rows.values()))
-        self.log("state_open", folder=wanted.folder, boot=self.boot_number, rows=row_count)
+        self.log("state_open", folder=state_settings.folder, boot=self.boot_number, rows=row_count)
 
     def gauges(self) -> dict[str, float]:
         """Figures for metrics."""
--- a/rookbend/net/upgrade.py
+++ b/rookbend/net/upgrade.py
@@ -23,7 +23,7 @@
 from rookbend.protocol import upgrade as upgrade_protocol
 
 RETRY_S = 1
-GIVE_TIMEOUT_US = 3_000_000  # a predecessor that has not given by then stands still: the successor starts by itself
+HANDOVER_TIMEOUT_US = 3_000_000  # a predecessor that has not given by then stands still: the successor starts by itself
 MAX_PATH_BYTES = 100  # bytes of a Unix socket's path, less than the kernel's 108
 MAX_DESCRIPTORS = 64  # descriptors in one message
 PEER_CREDENTIALS = struct.Struct("3i")  # SO_PEERCRED: pid, uid, gid
@@ -58,7 +58,7 @@
         self.links: dict[int, Link] = {}
         self.predecessor: Link | None = None
         self.on_exclusion: Callable[[str, bool], bool] = lambda member, out: False
-        self.changed: Callable[[], None] = lambda: None
+        self.on_change: Callable[[], None] = lambda: None
         self._connections = 0
         self._listener: socket.socket | None = None
 
@@ -69,7 +69,7 @@
         if not self.path.exists() or len(os.fsencode(self.path)) > MAX_PATH_BYTES:
             return
         self.listeners.has_predecessor = True
-        due = self.clock.now() + GIVE_TIMEOUT_US
+        due = self.clock.now() + HANDOVER_TIMEOUT_US
         link, reason = Link(socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)), "it stands still"
         try:
             with trio.CancelScope(deadline=self.clock.monotonic_at(due)):
@@ -136,7 +136,7 @@
             sock.close()
             self.log("upgrade_unable", "error", reason=str(error))
 
-    def leave(self) -> None:
+    def shutdown(self) -> None:
         """At the end: a path at which nobody listens is not left behind."""
         self.close()
         if not self._is_listening():
@@ -186,7 +186,7 @@
                 self._check_peer(link.sock)
                 while data := await link.sock.recv(upgrade_protocol.MAX_LINE_BYTES):
                     for message in link.reader.feed(data):
-                        self._take_message(number, link, message)
+                        self._handle_message(number, link, message)
             except CONNECTION_ERRORS as error:
                 self.log("upgrade_link_lost", "warning", reason=str(error) or type(error).__name__)
         # Not where this process ends: the path is the successor's then.
@@ -195,11 +195,11 @@
             del self.links[number]
             self.handover.successor_ended(number)
             self.log("upgrade_ended", "warning", served=served)
-            self.changed()
+            self.on_change()
             if not self._is_listening():
                 self.open()  # the path was the successor's: a next process asks this one again
 
-    def _take_message(self, number: int, link: Link, message: upgrade_protocol.Message) -> None:
+    def _handle_message(self, number: int, link: Link, message: upgrade_protocol.Message) -> None:
         if isinstance(message, upgrade_protocol.RequestListeners):
             fits = message.version == upgrade_protocol.VERSION and message.name == self.name
             names, descriptors = self.listeners.transferable() if fits else ([], [])
@@ -209,11 +209,11 @@
                 self.links[number] = link
                 self.handover.successor_asked(number)
                 self.log("upgrade_asked")
-                self.changed()
+                self.on_change()
         elif isinstance(message, upgrade_protocol.Serving):
             self.handover.successor_serves(number)
             self.log("upgrade_shared")
-            self.changed()
+            self.on_change()
         elif isinstance(message, upgrade_protocol.SetExclusion):
             self._apply_exclusion(message, link)
 
@@ -232,7 +232,7 @@
         self.predecessor = None
         self.handover.predecessor_ended()
         self.log("upgrade_alone_again")
-        self.changed()
+        self.on_change()
 
     def send_exclusion(self, member: str, exclude: bool, except_to: Link | None = None) -> None:
         """Passes an exclusion on to every other process but the one it came from."""
--- a/rookbend/net/watch.py
+++ b/rookbend/net/watch.py
@@ -146,10 +146,10 @@
             with trio.CancelScope() as silence_scope:
                 while True:
                     silence_scope.deadline = clock.monotonic_at(clock.now() + SILENCE_TIMEOUT_US)
-                    self._take(events, await stream.receive_some(READ_BYTES))
+                    self._process(events, await stream.receive_some(READ_BYTES))
             raise StreamError("the stream is silent")
 
-    def _take(self, events: EventStream, data: bytes | bytearray) -> None:
+    def _process(self, events: EventStream, data: bytes | bytearray) -> None:
         """Applies the events in what was received. Raises StreamError at the stream's end."""
         for event in events.feed(bytes(data)):
             if isinstance(event, StreamEnd):
--- a/rookbend/service.py
+++ b/rookbend/service.py
@@ -118,7 +118,7 @@
         self.operations = built.get("operations")
         self.upgrade = built.get("upgrade")
         if self.upgrade is not None:
-            self.upgrade.changed = self._divide_budget
+            self.upgrade.on_change = self._divide_budget
 
     def _build_lifecycle(self, read_config: ReadConfig) -> None:
         """What SIGHUP and SIGTERM set off."""
@@ -175,7 +175,7 @@
             self._enter(Phase.DRAINING)
             await self.drain.run(accepting)
             for component in self.components:
-                component.leave()
+                component.shutdown()
             nursery.cancel_scope.cancel()
         self._enter(Phase.STOPPED)
         self._log_counters()
@@ -213,7 +213,7 @@
 
     def _apply_connection_limits(self, max_streams: int, idle_close_us: int) -> None:
         if self.pool is not None:
-            self.pool.adopt(max_streams, idle_close_us)
+            self.pool.apply_settings(max_streams, idle_close_us)
 
     def _divide_budget(self) -> None:
         """Another process of this director has come, serves, or has gone: each keeps to its part of the limits."""
--- a/tests/dns_stand_ins.py
+++ b/tests/dns_stand_ins.py
@@ -5,7 +5,7 @@
 import dns.rrset
 import trio
 
-from rookbend.net.dns_server import open_both
+from rookbend.net.dns_server import bind_tcp_and_udp
 from rookbend.net.listeners import Listeners
 from rookbend.protocol import dns_tcp
 from rookbend.testing.health_agents import Behavior, HealthAgent, ResponseMode, http_response
@@ -70,7 +70,7 @@
     """A resolver that knows no membership: hears a name over UDP or TCP, hands out what it is told to."""
 
     async def open(self):
-        tcp, udp = map(trio.socket.from_stdlib_socket, open_both(Listeners(), ("127.0.0.1", 0)))
+        tcp, udp = map(trio.socket.from_stdlib_socket, bind_tcp_and_udp(Listeners(), ("127.0.0.1", 0)))
         self.address, self.udp = tcp.getsockname(), udp
         self.stage.nursery.start_soon(trio.serve_listeners, self.read_tcp, [trio.SocketListener(tcp)])
         self.stage.nursery.start_soon(self.read)
--- a/tests/interleaving.py
+++ b/tests/interleaving.py
@@ -7,17 +7,17 @@
 
 def hold_connects(monkeypatch):
     """Connections to members come up only once the event that this gives is set."""
-    let_up, real = trio.Event(), rookbend.net.member_pool.open_socket
+    allow_connects, real = trio.Event(), rookbend.net.member_pool.open_socket
 
-    async def late(address):
-        await let_up.wait()
+    async def delayed_open(address):
+        await allow_connects.wait()
         return await real(address)
 
-    monkeypatch.setattr(rookbend.net.member_pool, "open_socket", late)
-    return let_up
+    monkeypatch.setattr(rookbend.net.member_pool, "open_socket", delayed_open)
+    return allow_connects
 
 
-def fill(sock):
+def fill_send_buffer(sock):
     """Fills a connection whose other side reads nothing, with lines that it passes over."""
     try:
         while True:
--- a/tests/scripted_coordinator.py
+++ b/tests/scripted_coordinator.py
@@ -38,7 +38,7 @@
         self.send_calls.send_nowait((trio.current_time(), int(last), stream))
         await trio.sleep_forever()
 
-    async def called(self):
+    async def next_call(self):
         """The next call: when, with which last index, and the stream to answer on."""
         with trio.fail_after(60):
             return await self.calls.receive()
@@ -47,12 +47,12 @@
         return [self.stage.member(name, phases.get(name, "SERVING")) for name in names]
 
 
-def whole(coordinator, index, *names, revision=1, **phases):
+def full_membership(coordinator, index, *names, revision=1, **phases):
     return event(
         index, {"endpoints": {"revision": revision, "complete": True, "members": coordinator.members(*names, **phases)}}
     )
 
 
-def change(coordinator, index, name, phase, **more):
+def member_change(coordinator, index, name, phase, **more):
     member = {**coordinator.members(name, **{name: phase})[0], **more}
     return event(index, {"endpoints": {"members": [member]}})
--- a/tests/test_attempt_crossings.py
+++ b/tests/test_attempt_crossings.py
@@ -8,7 +8,7 @@
 import trio.testing
 
 from tests.director_scenario import on_stage, play
-from tests.interleaving import fill, hold_connects
+from tests.interleaving import fill_send_buffer, hold_connects
 
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 WARM = """
@@ -85,12 +85,12 @@
     on_stage(check)
 
 
-@pytest.mark.parametrize("said", ["current sum=bb t0=1", "current t0=1"])
-def test_a_copy_that_no_cache_has_named_is_never_confirmed(said):
+@pytest.mark.parametrize("fields", ["current sum=bb t0=1", "current t0=1"])
+def test_a_copy_that_no_cache_has_named_is_never_confirmed(fields):
     play(f"""
         client send request 1 video known=00000000000000aa
         cache1 expect do cached=00000000000000aa
-        cache1 send {said}
+        cache1 send {fields}
         upper expect do cached=00000000000000aa
         upper send current sum=00000000000000aa t0=1
         client expect served 1 valid=1
@@ -110,11 +110,11 @@
 
 @pytest.mark.parametrize("cls", ["video", "form"])
 def test_a_connection_that_comes_up_after_its_attempt_was_given_up_carries_nothing_of_it(cls, monkeypatch):
-    let_up = hold_connects(monkeypatch)
+    allow_connects = hold_connects(monkeypatch)
 
     async def check(stage):
         await stage.play(f"client send request 1 {cls} budget=700\nclient expect 1")
-        let_up.set()
+        allow_connects.set()
         await stage.play("director wait 0.3\ncache1 expect nothing\nupper expect nothing\nrecords expect nothing")
         assert stage.service.counters.served == 0 and stage.service.engine.open_requests == 0
 
@@ -128,7 +128,7 @@
         (connection,) = next(u for u in stage.service.pool.members.values() if u.endpoint.name == "records").connections
         if before_end:
             await stage.play("records send pause")
-            fill(connection.socket.sock)
+            fill_send_buffer(connection.socket.sock)
         await stage.play("client send request 2 form body=more\nclient send ready? 9\nclient expect ready")
         if not before_end:
             await stage.play("records expect do rid=0000000000000002")
--- a/tests/test_client_leaves.py
+++ b/tests/test_client_leaves.py
@@ -14,7 +14,7 @@
 from rookbend.net.client_connection import PAUSE_ABOVE_BYTES
 from rookbend.testing.open_loop_client import encode_frame
 from tests.director_scenario import OBJ, on_stage
-from tests.interleaving import fill, hold_connects
+from tests.interleaving import fill_send_buffer, hold_connects
 
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 WAYS = "cancel", "half-close", "close", "reset"
@@ -59,13 +59,13 @@
 @pytest.mark.parametrize("way", WAYS)
 def test_a_request_that_waits_for_a_connection(way, monkeypatch):
     """The connection comes up only after its client has left."""
-    let_up = hold_connects(monkeypatch)
+    allow_connects = hold_connects(monkeypatch)
 
     async def check(stage):
         await stage.play("client send request 1 video\nclient send ready? 9\nclient expect ready")
         assert stage.service.pool.members
         await leave(stage.actors["client"], way)
-        let_up.set()
+        allow_connects.set()
         await stage.play("director wait 0.3\ncache1 expect nothing\nupper expect nothing")
         assert stage.service.engine.open_requests == 0
 
@@ -161,7 +161,7 @@
             records send pause
         """)
         (connection,) = next(u for u in stage.service.pool.members.values() if u.endpoint.name == "records").connections
-        fill(connection.socket.sock)
+        fill_send_buffer(connection.socket.sock)
         if part:
             real = connection.socket.sock
             connection.socket.sock = FirstBytesOnly(real, 20)
--- a/tests/test_coordinator_watch.py
+++ b/tests/test_coordinator_watch.py
@@ -3,25 +3,25 @@
 from rookbend.net.watch import MAX_SPREAD_S, MIN_PAUSE_S, ReconnectBackoff
 
 
-def calls(count, rounds, seed):
+def call_times(count, rounds, seed):
     """The times at which a fleet calls a coordinator that ends every call at once."""
-    out = []
+    call_times_s = []
     for number in range(count):
         backoff, at = ReconnectBackoff(number, count, seed + number), 0.0
         for _ in range(rounds):
             at += backoff.next()
-            out.append(at)
-    return sorted(out)
+            call_times_s.append(at)
+    return sorted(call_times_s)
 
 
-def peak(times, window=0.1):
+def max_calls_per_window(times, window=0.1):
     return max(sum(t <= u < t + window for u in times) for t in times)
 
 
 def test_no_more_than_a_fifth_of_the_fleet_calls_within_any_tenth_of_a_second():
     for count in (10, 40, 200):
         for seed in range(5):
-            assert peak(calls(count, 7, 1000 * seed)) <= count / 5, (count, seed)
+            assert max_calls_per_window(call_times(count, 7, 1000 * seed)) <= count / 5, (count, seed)
 
 
 def test_each_call_is_within_its_bounds_and_nobody_is_always_last():
--- a/tests/test_full_descriptors.py
+++ b/tests/test_full_descriptors.py
@@ -10,7 +10,7 @@
 
 SOCKETS = 128
 IDLE = 200
-PATIENCE_S = 20
+TIMEOUT_S = 20
 
 
 class Client:
@@ -23,7 +23,7 @@
         """The code of the answer to a request or a question for readiness."""
         self.number += 1
         await self.stream.send_all(encode_frame(kind, self.number, fields))
-        with trio.fail_after(PATIENCE_S):
+        with trio.fail_after(TIMEOUT_S):
             while len(self.data) < 4 or len(self.data) < 4 + int.from_bytes(self.data[:4], "big"):
                 more = await self.stream.receive_some()
                 assert more, "closed without an answer"
@@ -38,15 +38,15 @@
 
 
 async def connect(port):
-    with trio.fail_after(PATIENCE_S):
+    with trio.fail_after(TIMEOUT_S):
         return Client(await trio.open_tcp_stream("127.0.0.1", port))
 
 
 def test_idle_clients_keep_neither_usual_ones_nor_members_nor_discovery_out(tmp_path):
     async def main():
-        async with open_fleet(caches=2) as outside:
+        async with open_fleet(caches=2) as fleet:
             port, config_port = find_free_port(), find_free_port()
-            config = outside.director_config(False, port)
+            config = fleet.director_config(False, port)
             config["limits"]["sockets"] = SOCKETS
             config["coordinator"] = f"127.0.0.1:{config_port}"  # nobody listens there: discovery is down
             director = DirectorProcess(".", tmp_path, config)
@@ -59,12 +59,12 @@
                     newcomer = await connect(port)
                     assert await newcomer.code(1, {}) == 0
                     assert await newcomer.code(7, ask(i)) == 0
-                assert not outside.coordinator.streams
+                assert not fleet.coordinator.streams
                 listeners = await trio.open_tcp_listeners(config_port, host="127.0.0.1")
                 async with trio.open_nursery() as nursery:
-                    nursery.start_soon(trio.serve_listeners, outside.coordinator.serve, listeners)
-                    with trio.fail_after(PATIENCE_S):
-                        while not outside.coordinator.streams:
+                    nursery.start_soon(trio.serve_listeners, fleet.coordinator.serve, listeners)
+                    with trio.fail_after(TIMEOUT_S):
+                        while not fleet.coordinator.streams:
                             await trio.sleep(0.01)
                     nursery.cancel_scope.cancel()
                 assert await (await connect(port)).code(7, ask(99)) == 0
--- a/tests/test_membership_stream.py
+++ b/tests/test_membership_stream.py
@@ -7,7 +7,7 @@
 from rookbend.net.watch import MIN_PAUSE_S, SILENCE_TIMEOUT_US, ReconnectBackoff
 from tests.director_scenario import OBJ, UNIX, on_stage
 from tests.interleaving import hold_connects
-from tests.scripted_coordinator import HEAD, ScriptedCoordinator, change, chunk, event, whole
+from tests.scripted_coordinator import HEAD, ScriptedCoordinator, chunk, event, full_membership, member_change
 
 SERVE_BY = """
     client send request {0} video chunk={0}
@@ -24,22 +24,22 @@
 def test_a_stream_that_falls_silent_is_called_again_within_its_bound(how):
     async def check(stage):
         coordinator = await ScriptedCoordinator(stage).open()
-        at, last, stream = await coordinator.called()
-        told = change(coordinator, 2, "cache1", "DRAINING")
-        said = {
+        at, last, stream = await coordinator.next_call()
+        update = member_change(coordinator, 2, "cache1", "DRAINING")
+        response = {
             "first-byte": b"",
             "headers": HEAD,
-            "event": HEAD + chunk(told[:40]),
-            "chunk": HEAD + chunk(told)[:40],
+            "event": HEAD + chunk(update[:40]),
+            "chunk": HEAD + chunk(update)[:40],
             "comments-stop": HEAD + chunk(b":\n"),
         }[how]
-        if said:
-            await stream.send_all(said)
-        again, last_again, stream = await coordinator.called()
+        if response:
+            await stream.send_all(response)
+        again, last_again, stream = await coordinator.next_call()
         span_s = ReconnectBackoff(0, 1, 0).span_s
         assert again - at <= SILENCE_TIMEOUT_US / 1e6 + MIN_PAUSE_S + span_s + 0.05
         assert (last, last_again) == (1, 1)
-        await stream.send_all(HEAD + chunk(told))  # and the drain binds as soon as it is told
+        await stream.send_all(HEAD + chunk(update))  # and the drain binds as soon as it is told
         await stage.play("""
             director wait 0.01
             client send request 1 video
@@ -61,14 +61,16 @@
 def test_events_told_between_an_end_and_the_next_call_are_asked_for_and_taken_once():
     async def check(stage):
         coordinator = await ScriptedCoordinator(stage).open()
-        _, _, stream = await coordinator.called()
-        await stream.send_all(HEAD + chunk(change(coordinator, 2, "cache2", "SERVING")))
+        _, _, stream = await coordinator.next_call()
+        await stream.send_all(HEAD + chunk(member_change(coordinator, 2, "cache2", "SERVING")))
         await trio.sleep(0.01)
         await stream.aclose()
-        _, last, stream = await coordinator.called()
+        _, last, stream = await coordinator.next_call()
         assert last == 2
         before = stage.service.counters.roster_changes
-        twice = change(coordinator, 2, "cache2", "SERVING") + change(coordinator, 3, "cache1", "DELETED") * 2
+        twice = (
+            member_change(coordinator, 2, "cache2", "SERVING") + member_change(coordinator, 3, "cache1", "DELETED") * 2
+        )
         await stream.send_all(HEAD + chunk(twice))
         await trio.sleep(0.01)
         assert stage.service.counters.roster_changes == before + 1
@@ -80,14 +82,14 @@
 def test_a_whole_list_after_changes_is_the_list_and_an_older_one_is_not_taken_again():
     async def check(stage):
         coordinator = await ScriptedCoordinator(stage).open()
-        _, _, stream = await coordinator.called()
+        _, _, stream = await coordinator.next_call()
         await stream.send_all(
             HEAD
             + chunk(
-                change(coordinator, 2, "cache2", "SERVING")
-                + whole(coordinator, 3, "cache2", "upper", "records")
-                + whole(coordinator, 1, *ALL)
-                + whole(coordinator, 3, *ALL)
+                member_change(coordinator, 2, "cache2", "SERVING")
+                + full_membership(coordinator, 3, "cache2", "upper", "records")
+                + full_membership(coordinator, 1, *ALL)
+                + full_membership(coordinator, 3, *ALL)
             )
         )
         await trio.sleep(0.01)
@@ -101,12 +103,13 @@
     async def check(stage):
         coordinator = await ScriptedCoordinator(stage).open()
         await stage.play(SERVE_BY.format(1, "cache1"))
-        _, _, stream = await coordinator.called()
+        _, _, stream = await coordinator.next_call()
         connects = stage.service.counters.connects
         await stream.send_all(
             HEAD
             + chunk(
-                change(coordinator, 2, "cache1", "DELETED") + change(coordinator, 3, "cache1", "SERVING", id="cache9")
+                member_change(coordinator, 2, "cache1", "DELETED")
+                + member_change(coordinator, 3, "cache1", "SERVING", id="cache9")
             )
         )
         await trio.sleep(0.01)
@@ -134,8 +137,8 @@
 
     async def check(stage):
         coordinator = await ScriptedCoordinator(stage).open()
-        _, _, stream = await coordinator.called()
-        await stream.send_all(HEAD + chunk(event(2, bad) + change(coordinator, 3, "cache1", "DRAINING")))
+        _, _, stream = await coordinator.next_call()
+        await stream.send_all(HEAD + chunk(event(2, bad) + member_change(coordinator, 3, "cache1", "DRAINING")))
         await stage.play("""
             director wait 0.01
             client send request 1 video
@@ -144,7 +147,7 @@
         """)
         assert stage.service.counters.events_unusable == 1
         await stream.aclose()
-        assert (await coordinator.called())[1] == 3
+        assert (await coordinator.next_call())[1] == 3
 
     on_stage(check)
 
@@ -152,12 +155,12 @@
 def test_a_coordinator_that_moves_while_a_call_is_under_way_is_called_at_once():
     async def check(stage):
         first = await ScriptedCoordinator(stage).open()
-        await first.called()  # no byte of an answer, ever
+        await first.next_call()  # no byte of an answer, ever
         began = trio.current_time()
         second = await ScriptedCoordinator(stage).open()
-        at, last, stream = await second.called()
+        at, last, stream = await second.next_call()
         assert at - began < 0.05 and last == 1
-        await stream.send_all(HEAD + chunk(change(second, 2, "cache1", "DRAINING")))
+        await stream.send_all(HEAD + chunk(member_change(second, 2, "cache1", "DRAINING")))
         await stage.play("""
             director wait 0.01
             client send request 1 video
@@ -169,18 +172,18 @@
 
 
 def test_a_drain_or_purge_right_after_a_reconnect_binds_what_waits_in_the_pool(monkeypatch):
-    let_up = hold_connects(monkeypatch)
+    allow_connects = hold_connects(monkeypatch)
 
     async def check(stage):
         coordinator = await ScriptedCoordinator(stage).open()
-        _, _, stream = await coordinator.called()
+        _, _, stream = await coordinator.next_call()
         await stream.aclose()
-        _, _, stream = await coordinator.called()
+        _, _, stream = await coordinator.next_call()
         await stage.play("client send request 1 video budget=5000\nclient send ready? 9\nclient expect ready")
         purge = {"evict": {"ref": OBJ, "unix_ms": int(UNIX * 1000 + trio.current_time() * 1000)}}
-        await stream.send_all(HEAD + chunk(change(coordinator, 2, "cache1", "DRAINING") + event(3, purge)))
+        await stream.send_all(HEAD + chunk(member_change(coordinator, 2, "cache1", "DRAINING") + event(3, purge)))
         await trio.sleep(0.01)
-        let_up.set()
+        allow_connects.set()
         await stage.play("upper expect do rid=0000000000000001 c=video")
         await stage.play("cache1 expect nothing")
         assert stage.service.counters.withheld >= 1 and stage.service.counters.purges == 1
@@ -194,10 +197,10 @@
     async def check(stage):
         coordinator = await ScriptedCoordinator(stage).open()
         await stage.play("client send ready? 1\nclient expect ready refused 1")
-        _, _, stream = await coordinator.called()
-        await stream.send_all(HEAD + chunk(whole(coordinator, 2, "cache1", cache1="DRAINING")))
+        _, _, stream = await coordinator.next_call()
+        await stream.send_all(HEAD + chunk(full_membership(coordinator, 2, "cache1", cache1="DRAINING")))
         await stage.play("director wait 0.01\nclient send ready? 2\nclient expect ready refused 2")
-        await stream.send_all(chunk(whole(coordinator, 3, *ALL, revision=2)))
+        await stream.send_all(chunk(full_membership(coordinator, 3, *ALL, revision=2)))
         await stage.play("director wait 0.01\nclient send ready? 3\nclient expect ready served 3")
         await stage.play(SERVE_BY.format(4, "cache1"))
 
--- a/tests/test_operations_endpoint.py
+++ b/tests/test_operations_endpoint.py
@@ -6,7 +6,7 @@
 import trio
 import trio.testing
 
-from rookbend.net.operator_endpoint import MAX_CALLERS
+from rookbend.net.operator_endpoint import MAX_CONNECTIONS
 from rookbend.protocol.http_server import HttpServerConnection
 from rookbend.protocol.operator_api import OperatorApi
 from tests.director_scenario import staged
@@ -48,7 +48,7 @@
         assert ask(OperatorApi(lambda state=state: state, bytes, lambda *a: ""), "GET", "/status")[0] == 503
 
 
-def at_the_door(steps):
+def run_with_endpoint(steps):
     async def main():
         async with staged(operator="127.0.0.1:0") as stage:
             await steps(stage, stage.service.operations.endpoint)
@@ -56,8 +56,8 @@
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
-async def call(door, raw=b"GET /status HTTP/1.1\r\nHost: x\r\n\r\n", pieces=1):
-    async with await trio.open_tcp_stream(*door.address) as stream:
+async def call(endpoint, raw=b"GET /status HTTP/1.1\r\nHost: x\r\n\r\n", pieces=1):
+    async with await trio.open_tcp_stream(*endpoint.address) as stream:
         size = -(-len(raw) // pieces)
         for at in range(0, len(raw), size):
             await stream.send_all(raw[at : at + size])
@@ -69,56 +69,56 @@
 
 
 def test_a_whole_call_is_answered_in_pieces_too_and_the_connection_ends():
-    async def steps(stage, door):
-        assert await call(door) == 200
-        assert await call(door, pieces=7) == 200
-        assert await call(door, b"GET /status HTTP/1.1\r\nHost: x\r\n\r\nand more") == 200
-        assert await call(door, b"nonsense\r\n\r\n") == 400
-        assert await call(door, b"GET /" + b"x" * 9000 + b" HTTP/1.1\r\nHost: x\r\n\r\n") >= 400
+    async def steps(stage, endpoint):
+        assert await call(endpoint) == 200
+        assert await call(endpoint, pieces=7) == 200
+        assert await call(endpoint, b"GET /status HTTP/1.1\r\nHost: x\r\n\r\nand more") == 200
+        assert await call(endpoint, b"nonsense\r\n\r\n") == 400
+        assert await call(endpoint, b"GET /" + b"x" * 9000 + b" HTTP/1.1\r\nHost: x\r\n\r\n") >= 400
         await trio.sleep(1.5)
-        assert not door.callers
+        assert not endpoint.connections
 
-    at_the_door(steps)
+    run_with_endpoint(steps)
 
 
 def test_hundreds_that_say_nothing_or_half_keep_nobody_out_and_are_let_go():
-    async def steps(stage, door):
+    async def steps(stage, endpoint):
         silent = []
-        for i in range(8 * MAX_CALLERS):
-            stream = await trio.open_tcp_stream(*door.address)
+        for i in range(8 * MAX_CONNECTIONS):
+            stream = await trio.open_tcp_stream(*endpoint.address)
             if i % 2:
                 await stream.send_all(b"GET /status HT")
             silent.append(stream)
             await trio.testing.wait_all_tasks_blocked()
-        assert len(door.callers) <= MAX_CALLERS
-        assert await call(door) == 200
+        assert len(endpoint.connections) <= MAX_CONNECTIONS
+        assert await call(endpoint) == 200
         await trio.sleep(1.5)
-        assert not door.callers, "none stays longer than a second"
+        assert not endpoint.connections, "none stays longer than a second"
         for stream in silent:
             await stream.aclose()
 
-    at_the_door(steps)
+    run_with_endpoint(steps)
 
 
 def test_one_that_leaves_in_mid_call_leaves_nothing_behind():
-    async def steps(stage, door):
-        stream = await trio.open_tcp_stream(*door.address)
+    async def steps(stage, endpoint):
+        stream = await trio.open_tcp_stream(*endpoint.address)
         await stream.send_all(b"PUT /maint")
         await trio.testing.wait_all_tasks_blocked()
         stream.socket.setsockopt(trio.socket.SOL_SOCKET, trio.socket.SO_LINGER, struct.pack("ii", 1, 0))
         await stream.aclose()
         await trio.sleep(1.5)
-        assert not door.callers
-        assert await call(door) == 200
+        assert not endpoint.connections
+        assert await call(endpoint) == 200
 
-    at_the_door(steps)
+    run_with_endpoint(steps)
 
 
 def test_the_door_says_yes_until_the_director_is_told_to_stop():
-    async def steps(stage, door):
-        assert await call(door) == 200
+    async def steps(stage, endpoint):
+        assert await call(endpoint) == 200
         stage.service.stop()
         await trio.testing.wait_all_tasks_blocked()
-        assert await call(door) == 503
+        assert await call(endpoint) == 503
 
-    at_the_door(steps)
+    run_with_endpoint(steps)
