--- a/rookbend/net/__init__.py
+++ b/rookbend/net/__init__.py
@@ -1,1 +1,1 @@
-"""Thin trio drivers: they read and write sockets and leave every decision to the core."""
+"""Thin trio drivers: they read and write sockets and leave all decisions to the core."""
--- a/rookbend/net/acceptor.py
+++ b/rookbend/net/acceptor.py
@@ -1,4 +1,4 @@
-"""Listening and accepting, as every TCP server here does it."""
+"""Listening sockets and the accept loop that all TCP servers of the director share."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     """A non-blocking listener at (host, port); `shared` lets another process of this user listen there too
     (SO_REUSEPORT).
 
-    Raises OSError where the address can't be had.
+    Raises OSError if the address can't be bound.
     """
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     listener = socket.create_server(address, family=family, backlog=BACKLOG, reuse_port=shared)
@@ -32,11 +32,11 @@
     on_accept: Callable[[socket.socket], None],
     has_capacity: Callable[[], bool] = lambda: True,
 ) -> None:
-    """Hands each connection to `on_accept`, which owns it then, until `scope` is cancelled; then the listener is
-    closed. While there is no capacity connections wait in the listener's backlog.
+    """Passes each accepted connection to `on_accept`, which then owns it, until `scope` is cancelled; then closes
+    the listener. While `has_capacity` returns False, new connections wait in the listener's backlog.
 
-    What waits there at the end is accepted all the same: closed with the listener, it would be reset, and with
-    it requests that its client has already sent.
+    After the cancellation, the connections in the backlog are accepted before the listener is closed. Closing it
+    first would reset them and lose the requests that their clients have already sent.
     """
     with listener:
         with scope:
@@ -51,7 +51,7 @@
         except ConnectionAbortedError:
             continue
         except OSError:
-            return  # none is left, or no descriptor for one
+            return  # the backlog is empty, or no descriptor is available
         _hand_over(sock, on_accept)
 
 
@@ -66,7 +66,7 @@
         try:
             sock, _ = listener.accept()
         except OSError as error:
-            # Else the client left between its connect and our accept.
+            # Any other error means that the client closed the connection before it was accepted.
             if error.errno in DESCRIPTORS_EXHAUSTED:
                 await trio.sleep(EXHAUSTED_PAUSE_S)
             continue
--- a/rookbend/net/bounded_server.py
+++ b/rookbend/net/bounded_server.py
@@ -1,4 +1,4 @@
-"""A TCP server for operators and balancers, with a bound on its clients and on the time that each may take."""
+"""A TCP server for operators and balancers that limits the number of clients and the time of each."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class BoundedServer(Component):
-    """Accepts up to `MAX_CLIENTS`; further ones are closed at once."""
+    """Serves up to `MAX_CLIENTS` clients at a time; further connections are closed at once."""
 
     descriptors = MAX_CLIENTS + 1
 
@@ -29,11 +29,11 @@
         serve_client: Callable[[BufferedSocket], Awaitable[None]],
         long_lived: bool = False,
     ):
-        """`name` is for the log. `serve_client` serves one client to its end, within `CLIENT_TIMEOUT_US` unless
-        clients are `long_lived`; the connection is closed after it."""
+        """`name` identifies the server in the log. `serve_client` serves one client; the connection is closed when it
+        returns, or after `CLIENT_TIMEOUT_US` unless clients are `long_lived`."""
         self.clock = context.clock
         self.clients = 0
-        self.address: tuple[str, int] | None = None  # once open
+        self.address: tuple[str, int] | None = None  # set by `open`
         self._configured_address = address
         self._name = name
         self._containment = context.containment
--- a/rookbend/net/buffered_socket.py
+++ b/rookbend/net/buffered_socket.py
@@ -1,4 +1,4 @@
-"""A non-blocking TCP connection: what one turn of the event loop writes is sent together, at its end."""
+"""A non-blocking TCP connection that batches all writes of one event loop turn into one send."""
 
 from __future__ import annotations
 
@@ -10,30 +10,30 @@
 import trio
 
 RECEIVE_BYTES = 1 << 18
-MAX_SEND_PARTS = 512  # buffers that one `sendmsg` takes
+MAX_SEND_PARTS = 512  # buffers in one `sendmsg` call
 
 
 class WriteScheduler:
-    """The sockets written to in this turn of the event loop, sent at its end: one send for many answers."""
+    """Sends all sockets written to during a turn of the event loop at its end: one send call for many answers."""
 
     def __init__(self) -> None:
         self._pending: list[BufferedSocket] = []
         self._wakeup = trio.Event()
 
     def add(self, buffered_socket: BufferedSocket) -> None:
-        """Has the socket sent at the end of this turn."""
+        """Schedules the socket to be sent at the end of this turn."""
         if not self._pending:
             self._wakeup.set()
         self._pending.append(buffered_socket)
 
     def flush(self) -> None:
-        """Sends what the scheduled sockets have buffered."""
+        """Sends the buffered bytes of all scheduled sockets."""
         pending, self._pending = self._pending, []
         for buffered_socket in pending:
             buffered_socket.send()
 
     async def run(self) -> None:
-        """Flushes at the end of each turn in which something was written; runs until cancelled."""
+        """Flushes at the end of each turn that wrote to a socket; runs until cancelled."""
         while True:
             await self._wakeup.wait()
             self._wakeup = trio.Event()
@@ -41,9 +41,9 @@
 
 
 class BufferedSocket:
-    """A socket that takes bytes at any time and keeps in a backlog what the kernel has not taken at once.
+    """A socket that accepts writes at any time and keeps in a backlog the bytes that the kernel has not taken yet.
 
-    Errors of the socket are not raised: `broken` is set, and the reader sees the end of the connection.
+    Socket errors are not raised: `broken` is set, and the reader sees the end of the connection.
     Owns `sock`: `close` must be called.
     """
 
@@ -54,15 +54,15 @@
         self._buffered: list[bytes] = []  # written in this turn
         self._backlog: deque[memoryview] = deque()
         self.backlog_bytes = 0
-        self.accepted_bytes = 0  # taken by `write`
+        self.accepted_bytes = 0  # accepted by `write`
         self.sent_bytes = 0  # taken by the kernel
-        self.last_progress_s = 0.0  # trio's time of the last send with a backlog
+        self.last_progress_s = 0.0  # trio's time when the kernel last took bytes, since a backlog exists
         self.closed = False
         self.broken = False  # shut down both ways, by an error or by `abort`
-        self.eof_received = False  # the peer's end was read, or its reset
-        self.reset = False  # that end was a reset
+        self.eof_received = False  # the end of the stream or a reset was read
+        self.reset = False  # it was a reset
         self._finishing = False  # the sending side is closed once the backlog is sent
-        self.on_drained: Callable[[], None] | None = None  # called when a backlog is sent, or never will be
+        self.on_drained: Callable[[], None] | None = None  # called once the backlog is sent or dropped
 
     @property
     def unsent_bytes(self) -> int:
@@ -79,7 +79,7 @@
         self.accepted_bytes += len(data)
 
     def withdraw(self, size: int) -> bool:
-        """Takes the last `size` bytes back if none of them is sent; returns whether it did."""
+        """Removes the last `size` bytes from the buffer if none of them was sent; returns whether it did."""
         if self.closed or self.broken or self.accepted_bytes - self.sent_bytes < size:
             return False
         unsent = b"".join(self._buffered) if self._buffered else b""
@@ -98,7 +98,7 @@
         return True
 
     def send(self) -> None:
-        """Sends what is buffered; what the kernel does not take goes to the backlog."""
+        """Sends the buffered bytes; those that the kernel does not take go to the backlog."""
         buffered, self._buffered = self._buffered, []
         if self.closed or self.broken or not buffered:
             return
@@ -107,7 +107,7 @@
         size, sent = self.accepted_bytes - self.sent_bytes - self.backlog_bytes, 0
         if not self._backlog:
             try:
-                # All parts in one call, with none of them copied together first.
+                # Sends all parts in one call without joining them into one buffer.
                 sent = self.sock.send(buffered[0]) if len(buffered) == 1 else self.sock.sendmsg(buffered)
             except BlockingIOError:
                 pass
@@ -128,7 +128,7 @@
             while backlog:
                 await trio.lowlevel.wait_writable(self.sock)
                 if not backlog:
-                    break  # broken, closed or withdrawn while this waited
+                    break  # the backlog was cleared by `abort`, `close` or `withdraw` during the wait
                 sent = self.sock.send(backlog[0])
                 self.sent_bytes += sent
                 self.backlog_bytes -= sent
@@ -147,7 +147,7 @@
             self.on_drained()
 
     async def receive(self) -> bytes:
-        """The next bytes; empty at the end of the connection, whatever ended it."""
+        """The next bytes; empty at the end of the connection, whether by a close, a reset or an error."""
         while not (self.closed or self.eof_received):
             try:
                 await trio.lowlevel.wait_readable(self.sock)
@@ -158,7 +158,7 @@
         return b""
 
     def receive_now(self) -> bytes:
-        """The bytes that can be read without waiting; empty where there are none, or at the end (`eof_received`)."""
+        """The bytes that can be read without waiting; empty if there are none, or at the end (`eof_received`)."""
         if self.closed or self.eof_received:
             return b""
         try:
@@ -172,7 +172,7 @@
         return data
 
     def peer_has_closed(self) -> bool:
-        """Whether the peer's end, or its reset, is the next thing to be read."""
+        """Whether the next read returns the end of the stream or a reset."""
         if self.closed or self.eof_received:
             return True
         try:
@@ -183,7 +183,7 @@
             return True
 
     def finish(self) -> None:
-        """Sends what is buffered, then closes the sending side; the reader goes on to the peer's end."""
+        """Closes the sending side once all buffered bytes are sent; the reader continues until the peer closes."""
         self.send()
         self._finishing = True
         if not (self.closed or self.broken or self._backlog):
@@ -196,7 +196,7 @@
             self.abort()
 
     def abort(self) -> None:
-        """Shuts the connection down both ways and drops the backlog; the reader sees its end and closes it."""
+        """Shuts the connection down both ways and drops the backlog; the reader sees the end and closes the socket."""
         if self.closed or self.broken:
             return
         self.broken = True
@@ -208,7 +208,7 @@
             self.on_drained()
 
     def close(self) -> None:
-        """Closes the socket at once; tasks that wait on it are woken."""
+        """Closes the socket at once and wakes the tasks that wait on it."""
         if not self.closed:
             self.closed = True
             self._backlog.clear()
@@ -218,7 +218,7 @@
 
 
 def set_socket_options(sock: socket.socket) -> socket.socket:
-    """The same socket made non-blocking, and without delay for small writes (TCP_NODELAY)."""
+    """Makes the socket non-blocking and disables Nagle's algorithm (TCP_NODELAY); returns the same socket."""
     sock.setblocking(False)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     return sock
--- a/rookbend/net/client_connection.py
+++ b/rookbend/net/client_connection.py
@@ -1,9 +1,9 @@
-"""One client connection: reads its frames, writes its answers, and closes without losing either.
+"""One client connection: reads frames, writes answers, and closes without losing either.
 
-A connection is OPEN until the director closes its own side, then FINISHING until the client closes too. A
-socket that is closed over unread bytes sends a reset, and a reset takes answers along that the client has not
-read yet. So the director reads until nothing is there, closes its sending side, and goes on reading until
-the client's end; what comes after its own end is never served.
+A connection is OPEN until the director closes its sending side, then FINISHING until the client closes too.
+Closing a socket that has unread bytes sends a reset, and a reset discards answers that the client has not read
+yet. The director therefore reads all pending bytes, closes its sending side, and goes on reading until the client
+closes. Requests received after the director's close are not served.
 """
 
 from __future__ import annotations
@@ -18,21 +18,21 @@
 from rookbend.fronts.platform import PlatformFront, PlatformSession
 from rookbend.net.buffered_socket import BufferedSocket, WriteScheduler, set_socket_options
 
-PAUSE_ABOVE_BYTES = 1 << 20  # unsent bytes above which the client's new requests are queued until all are sent
-FINISH_TIMEOUT_US = 250_000  # from the close of our side to dropping a connection that the client leaves open
-MAX_DISCARDED_BYTES = 1 << 20  # received and dropped in that time
+PAUSE_ABOVE_BYTES = 1 << 20  # unsent bytes above which new requests of the client wait until all are sent
+FINISH_TIMEOUT_US = 250_000  # from the director's close to dropping a connection that the client leaves open
+MAX_DISCARDED_BYTES = 1 << 20  # received and discarded within that time
 FLUSH_POLL_S = 0.01
 
 
 class ClientPhase(Enum):
-    """What the director still does with a connection."""
+    """Whether the director still serves a connection."""
 
-    OPEN = "open"  # its requests are taken
-    FINISHING = "finishing"  # our side is closed; what still comes is discarded, until the client's end
+    OPEN = "open"  # requests are accepted
+    FINISHING = "finishing"  # the director has closed its side; bytes received until the client closes are discarded
 
 
 class ClientConnectionOwner(Protocol):
-    """Who accepted a connection: what all of them share, and who is notified of their end."""
+    """The listener that accepted a connection; it is notified when the connection ends."""
 
     front: PlatformFront
     counters: Counters
@@ -43,7 +43,7 @@
 
 
 class ClientConnection:
-    """A client's socket and session, and the way both end. Owns the socket once `run` is started."""
+    """A client's socket and session. Owns the socket once `run` is started."""
 
     def __init__(self, owner: ClientConnectionOwner, sock: socket.socket, nursery: trio.Nursery) -> None:
         self.owner = owner
@@ -55,11 +55,11 @@
         self._discarded_bytes = 0
 
     def is_idle(self) -> bool:
-        """Whether no answer is owed to this client, and its connection may be ended."""
+        """Whether no answer is pending for this client, so that its connection may be closed."""
         return self.phase is ClientPhase.OPEN and not self.session.open_streams and not self.socket.unsent_bytes
 
     def has_expired(self, now_us: int) -> bool:
-        """Whether the client has sent nothing, or only a part of a frame, for too long."""
+        """Whether the client's idle timeout is over: it has sent nothing, or only a part of a frame."""
         if self.phase is not ClientPhase.OPEN or self.socket.unsent_bytes:
             return False
         deadline_us = self.session.idle_deadline_us
@@ -67,7 +67,7 @@
 
     @property
     def buffered_bytes(self) -> int:
-        """Memory of this client: answers that it has not read, and requests that are queued for that."""
+        """Bytes in memory for this client: unread answers, and the requests queued until they are read."""
         return self.socket.backlog_bytes + self.session.queued_bytes
 
     async def run(self) -> None:
@@ -97,8 +97,9 @@
 
     def _process(self, data: bytes) -> None:
         if self.socket.eof_received:
-            # Guards a request whose client has left already: it may have waited unread behind a late loop or
-            # in the listener's backlog, and no attempt begins for a client that has left.
+            # The data arrived together with the client's close, so the client may have left while its request
+            # waited in the listener's backlog or for a delayed event loop. The session learns of the close before
+            # it gets the data: no attempt starts for a client that has left.
             self.session.client_closed()
         self.session.paused = self.socket.backlog_bytes > PAUSE_ABOVE_BYTES
         if not self.session.feed(data):
@@ -110,14 +111,14 @@
             self.session.resume()
 
     async def _send_pending_answers(self) -> None:
-        """A client may close only its sending side: an answer that is on its way is still sent whole."""
+        """Waits until the pending answers are sent: the client may have closed only its sending side."""
         sock = self.socket
         while (self.session.open_streams or sock.unsent_bytes) and not (sock.closed or sock.broken):
             await trio.sleep(FLUSH_POLL_S)
 
     def finish_if_idle(self, timeout_us: int = FINISH_TIMEOUT_US) -> bool:
-        """Ends the connection of an idle client, unless something has come on it that was not read yet;
-        returns whether it did."""
+        """Closes the connection of an idle client. If unread bytes have arrived, processes them instead and returns
+        False."""
         if data := self.socket.receive_now():
             self._process(data)
             return False
@@ -126,7 +127,7 @@
         return True
 
     def finish(self, timeout_us: int = FINISH_TIMEOUT_US) -> None:
-        """Closes our side; `run` goes on to the client's end, but no longer than `timeout_us`."""
+        """Closes the sending side; `run` goes on until the client closes, for `timeout_us` at most."""
         if self.phase is ClientPhase.FINISHING:
             return
         self.phase = ClientPhase.FINISHING
--- a/rookbend/net/client_listener.py
+++ b/rookbend/net/client_listener.py
@@ -1,4 +1,4 @@
-"""The driver of the platform's front: accepts client connections and bounds what they take together."""
+"""The driver of the platform's front: accepts client connections and limits their number and memory."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 from rookbend.net.buffered_socket import WriteScheduler
 from rookbend.net.client_connection import FINISH_TIMEOUT_US, ClientConnection, ClientPhase
 
-NEW_CLIENT_GRACE_US = 250_000  # from its connect a client that has sent nothing is not evicted for so long
+NEW_CLIENT_GRACE_US = 250_000  # a client that has sent nothing is not evicted for this long after its connect
 REAPER_PERIOD_S = 0.25
-STALL_TIMEOUT_S = 6.0  # a client that reads nothing for so long is dropped
-REQUEST_TRANSIT_US = 50_000  # a request that crosses a close within this time is sent again by its client
-EVICTION_BATCH_DIVISOR = 32  # of all places: each eviction goes over all clients
-MAX_FINISHING = 16  # connections that are being ended at a time to free places
+STALL_TIMEOUT_S = 6.0  # a client that reads nothing for this long is dropped
+REQUEST_TRANSIT_US = 50_000  # a client resends a request that it sent at most this long before it saw the close
+EVICTION_BATCH_DIVISOR = 32  # share of all places freed at a time, since each eviction scans all clients
+MAX_FINISHING = 16  # connections in phase FINISHING at a time to free places
 
 
 class ClientListener:
-    """Bounds what clients may take: connections, and unsent bytes of one and of all together."""
+    """Limits the number of client connections, and the unsent bytes of each and of all together."""
 
     def __init__(
         self,
@@ -31,15 +31,15 @@
         counters: Counters,
         scheduler: WriteScheduler,
     ) -> None:
-        """`max_clients` connections are accepted at most; `max_unsent_bytes` is bytes, of all of them."""
+        """`max_clients` limits the open connections, `max_unsent_bytes` the unsent bytes of all of them together."""
         self.front = front
         self.counters = counters
         self.scheduler = scheduler
         self.max_clients = max_clients
         self.max_unsent_bytes = max_unsent_bytes
-        self.open: dict[ClientConnection, None] = {}  # in the order in which they came
+        self.open: dict[ClientConnection, None] = {}  # in the order of their accept
         self.closing = False
-        self.accepted_all = trio.Event()  # the listener is closed, and what waited in its backlog was accepted
+        self.accepted_all = trio.Event()  # the listener is closed and its backlog was accepted
 
     async def serve(self, listener: socket.socket, accepting: trio.CancelScope) -> None:
         """Accepts until `accepting` is cancelled, and serves until the last client has left."""
@@ -60,12 +60,13 @@
         self.open.pop(client, None)
 
     def _make_capacity(self) -> bool:
-        """Whether one more client can be accepted. Where all places are taken the idle ones that matter least are
-        evicted: those that have sent nothing, else those idle for longest.
+        """Whether one more client can be accepted. When all places are taken, evicts idle clients: first those that
+        have sent nothing, then those that have been idle for longest.
 
-        Guards the usual clients twice. Hundreds that only connect, or send one request and stay, must not keep
-        them out; and a newcomer has sent nothing yet because its request is still on the way: evicted first, it
-        would never get to send it. Where nobody can go, the newcomer waits unaccepted, its request behind it.
+        Hundreds of clients that only connect, or send one request and stay, must not keep active clients out. A
+        client that has just connected is not evicted: it has sent nothing only because its first request is still
+        in transit, and evicting it first would lose that request. If no client can be evicted, the new connection
+        stays in the listener's backlog together with its request.
         """
         if len(self.open) < self.max_clients:
             return True
@@ -76,7 +77,8 @@
         for client in idle[: max(1, self.max_clients // EVICTION_BATCH_DIVISOR)]:
             if client.session.last_activity_us > new_clients_since_us:
                 break
-            # Its last answer is long delivered, so a close takes nothing along: the place is free at once.
+            # Idle for longer than the grace time: the last answer has been delivered, so the connection can be
+            # closed at once without losing anything, and its place is free.
             evicted += self._evict(client, 0)
         if evicted:
             return True
@@ -86,7 +88,7 @@
         return False
 
     def _idle_clients(self, new_clients_since_us: int) -> list[ClientConnection]:
-        """The clients that are owed nothing, but for those that have just connected and sent nothing yet."""
+        """The clients without a pending answer, except those that connected since then and have sent nothing."""
         return [
             client
             for client in self.open
@@ -95,7 +97,7 @@
         ]
 
     async def watch_clients(self) -> None:
-        """Ends idle connections in time, and those that read nothing or have most unsent; runs until cancelled."""
+        """Closes idle connections, and drops those that stall or have most unsent bytes; runs until cancelled."""
         while True:
             await trio.sleep(REAPER_PERIOD_S)
             self._end_expired(self.front.engine.clock.now())
@@ -113,7 +115,7 @@
                 self._evict(client, FINISH_TIMEOUT_US)
 
     def _drop_stalled(self, stalled_since_s: float) -> None:
-        """Drops clients that read nothing since then, and those with most bytes while all exceed the limit."""
+        """Drops clients that have read nothing since then, and the largest ones while the total exceeds the limit."""
         by_size = sorted((c for c in self.open if c.buffered_bytes), key=lambda c: c.buffered_bytes)
         total_bytes = sum(client.buffered_bytes for client in by_size)
         for client in reversed(by_size):
@@ -124,21 +126,21 @@
                 client.socket.abort()
 
     def _evict(self, client: ClientConnection, timeout_us: int) -> bool:
-        """Ends an idle client's connection; returns False where something has come on it just now."""
+        """Closes an idle client's connection; returns False if unread bytes have arrived on it."""
         finished = client.finish_if_idle(timeout_us)
         self.counters.clients_dropped += finished
         if finished and not timeout_us:
-            self.connection_closed(client)  # it closes within this turn of the loop
+            self.connection_closed(client)  # its task closes the socket within this turn of the event loop
         return finished
 
     def close_idle_clients(self) -> None:
-        """Ends the connections on which nothing is owed: the director leaves. The request of a client that
-        has just connected is on its way, and is still answered."""
+        """Closes the idle connections, as the director shuts down. A client that connected within the last
+        `REQUEST_TRANSIT_US` and has sent nothing is kept: its first request may be in transit and is answered."""
         for client in self._idle_clients(self.front.engine.clock.now() - REQUEST_TRANSIT_US):
             client.finish_if_idle()
 
     def announce_closing(self) -> None:
-        """Notifies all clients, and those who come from now on, to send no new request."""
+        """Notifies all present and future clients to send no new requests."""
         self.closing = True
         for client in self.open:
             if client.phase is ClientPhase.OPEN:
--- a/rookbend/net/connector.py
+++ b/rookbend/net/connector.py
@@ -12,7 +12,7 @@
 async def open_socket(address: tuple[str, int]) -> socket.socket:
     """A connected non-blocking socket to (host, port); the host is an IP address.
 
-    Raises OSError where the connect fails, with the kernel's errno.
+    Raises OSError with the kernel's errno if the connect fails.
     """
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     sock = socket.socket(family, socket.SOCK_STREAM)
--- a/rookbend/net/listeners.py
+++ b/rookbend/net/listeners.py
@@ -1,8 +1,8 @@
 """The sockets that a director listens on, by address: bound here, or inherited from its predecessor.
 
-Where upgrades are possible (`shared`), each is bound so that another process of this user may bind it as well
-(SO_REUSEPORT): the way out where the predecessor hangs and can't transfer its own. That hides a second director at
-one address by mistake, so an exclusive bind is tried first, unless a predecessor is known.
+Where upgrades are possible (`shared`), each socket is bound with SO_REUSEPORT, so that a successor of the same user can
+bind the address even if its predecessor hangs and can't transfer its sockets. SO_REUSEPORT would also hide a second
+director that uses the address by mistake, so an exclusive bind is tried first unless a predecessor is known.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class NamedDescriptors(NamedTuple):
-    """Sockets for transfer to another process: their names, and their file descriptors in the same order."""
+    """Sockets to transfer to another process: their names, and their file descriptors in the same order."""
 
     names: list[str]
     descriptors: list[int]
@@ -37,7 +37,7 @@
 
 
 class Listeners:
-    """Opens sockets; those that are open may be transferred to the successor. Each inherited one is used once."""
+    """Opens sockets, and lists those that can be transferred to the successor. Each inherited socket is used once."""
 
     def __init__(self) -> None:
         self.shared = False
@@ -46,11 +46,11 @@
         self._open: dict[str, socket.socket] = {}
 
     def tcp(self, address: Address) -> socket.socket:
-        """The listener of this address, inherited or bound here. Raises OSError where it can't be bound."""
+        """The listener of this address, inherited or bound here. Raises OSError if it can't be bound."""
         return self._get("tcp", address, listen)
 
     def udp(self, address: Address) -> socket.socket:
-        """The UDP socket of this address, inherited or bound here. Raises OSError where it can't be bound."""
+        """The UDP socket of this address, inherited or bound here. Raises OSError if it can't be bound."""
         return self._get("udp", address, _bind_udp)
 
     def _get(self, transport: str, address: Address, bind: Callable[[Address, bool], socket.socket]) -> socket.socket:
@@ -72,12 +72,12 @@
             socket.socket(fileno=descriptor).close()
 
     def transferable(self) -> NamedDescriptors:
-        """The sockets that are still open."""
+        """The sockets that are open."""
         descriptors = {name: sock.fileno() for name, sock in self._open.items() if sock.fileno() >= 0}
         return NamedDescriptors(list(descriptors), list(descriptors.values()))
 
     def close_unused(self) -> None:
-        """Closes the inherited sockets that the settings no longer name."""
+        """Closes the inherited sockets that the settings no longer use."""
         for sock in self._inherited.values():
             sock.close()
         self._inherited.clear()
--- a/rookbend/net/member_connection.py
+++ b/rookbend/net/member_connection.py
@@ -16,27 +16,27 @@
 from rookbend.net.buffered_socket import BufferedSocket
 from rookbend.protocol import cache_lines
 
-CLOSE_TIMEOUT_US = 500_000  # from the close of our side to dropping a connection that the member leaves open
-MAX_DISCARDED_BYTES = 1 << 20  # read and dropped on it in that time
+CLOSE_TIMEOUT_US = 500_000  # from the director's close to dropping a connection that the member leaves open
+MAX_DISCARDED_BYTES = 1 << 20  # read and discarded within that time
 MAX_REMEMBERED_IDS = 512
 ANSWER_TIMEOUT_US = 500_000  # from the first byte of an answer to its last
 
 
 class ConnectionState(Enum):
-    """The life of a connection. Whether it is idle is no state of its own: see `MemberConnection.is_idle`."""
+    """The state of a connection. Being idle is not a state of its own: see `MemberConnection.is_idle`."""
 
-    NEW = "new"  # no attempt was written yet
+    NEW = "new"  # no attempt has been written yet
     ACTIVE = "active"
     DRAINING = "draining"  # nothing new is written; what is in flight may still be answered
-    CLOSED = "closed"  # our side is closed, the member's end is awaited
+    CLOSED = "closed"  # the director has closed its side and waits for the member's close
 
 
-_NEW, _ACTIVE = ConnectionState.NEW, ConnectionState.ACTIVE  # read for each request: a module's name is cheaper
+_NEW, _ACTIVE = ConnectionState.NEW, ConnectionState.ACTIVE  # read for each request: cheaper than an enum lookup
 
 
 @dataclass(slots=True)
 class InFlightAttempt:
-    """An attempt written to a connection, and where its bytes lie in all that was written there."""
+    """An attempt written to a connection, and the position of its bytes in the stream written there."""
 
     attempt: Attempt
     start_byte: int
@@ -44,19 +44,19 @@
 
 
 class ConnectionOwner(Protocol):
-    """Who opened a connection: notified of its events, and settles its attempts."""
+    """The pool that opened a connection: it is notified of events and settles the attempts."""
 
     def answers_received(self, connection: MemberConnection, answers: Sequence[cache_lines.CacheAnswer]) -> None:
-        """Whole answers were read; some may be to requests that are no longer in flight."""
+        """Complete answers were read; some may belong to requests that are no longer in flight."""
 
     def read_processed(self, connection: MemberConnection) -> None:
-        """All that came with one read was processed: there may be capacity for more."""
+        """All bytes of one read were processed; there may be capacity for more attempts."""
 
     def protocol_violated(self, connection: MemberConnection, reason: str) -> None:
-        """The member sent what is no answer; the connection closes next."""
+        """The member sent a malformed answer; the connection is about to be closed."""
 
     def connection_lost(self, connection: MemberConnection) -> None:
-        """The connection has ended: the owner calls `close`, and settles what was in flight."""
+        """The connection has ended: the owner calls `close` and settles the attempts in flight."""
 
     def cancel(self, connection: MemberConnection, attempt: Attempt) -> AttemptStatus:
         """Gives up an attempt in flight on the connection; see `Backend.undo`."""
@@ -74,15 +74,15 @@
         self.parser = cache_lines.AnswerParser(load_report_fields)
         self.state = ConnectionState.NEW
         self.in_flight: dict[str, InFlightAttempt] = {}
-        self.cancelled_ids: dict[str, None] = {}  # cancelled here; the member may not know it yet
-        self.answered_ids: dict[str, None] = {}  # answered here; a second copy of the answer may still come
+        self.cancelled_ids: dict[str, None] = {}  # cancelled here; the member may not have read the cancel yet
+        self.answered_ids: dict[str, None] = {}  # answered here; a duplicate of the answer may still arrive
         self.last_received_us = clock.now()
         self.last_used_us = self.last_received_us
         self._read_scope = trio.CancelScope()
 
     def accepts(self, request_id: str) -> bool:
-        """Whether the request may be written here. An id cancelled here may still be answered: it is not
-        used here again."""
+        """Whether the request may be written here. An id that was cancelled on this connection is not used on it
+        again, since the answer to the cancelled attempt may still arrive."""
         return (
             (self.state is _ACTIVE or self.state is _NEW)
             and not self.socket.backlog_bytes
@@ -92,9 +92,10 @@
         )
 
     def closed_by_peer(self) -> bool:
-        """Whether the member has closed this idle connection, though its reader has not got to it yet.
+        """Whether the member has closed this idle connection, even if the reading task has not seen it yet.
 
-        Guards writes: written there, one would be reset, and a write that was reset may have run.
+        An attempt written after the member's close would be reset. A write request that was reset can't be retried,
+        since it may have run.
         """
         if not self.in_flight and self.socket.peer_has_closed():
             self.stop_accepting()
@@ -102,11 +103,11 @@
         return False
 
     def is_new(self, since_us: int) -> bool:
-        """Whether it was opened since then, and nothing was written on it yet."""
+        """Whether it was opened at `since_us` or later and nothing has been written on it yet."""
         return self.state is _NEW and self.last_used_us >= since_us
 
     def is_open(self) -> bool:
-        """Whether new attempts may be written on it at all."""
+        """Whether new attempts may be written on it."""
         return self.state is _ACTIVE or self.state is _NEW
 
     def is_idle(self) -> bool:
@@ -114,11 +115,11 @@
         return not self.in_flight
 
     def has_expired(self, before_us: int) -> bool:
-        """Whether it is idle, and nothing was written on it after `before_us`."""
+        """Whether it is idle and was last written to at `before_us` or earlier."""
         return self.is_idle() and self.last_used_us <= before_us
 
     def is_sent(self, pending: InFlightAttempt) -> bool:
-        """Whether the last byte of the attempt was taken by the kernel."""
+        """Whether the kernel has taken the last byte of the attempt."""
         return self.socket.sent_bytes >= pending.end_byte
 
     def send(self, attempt: Attempt, data: bytes, now_us: int) -> None:
@@ -131,40 +132,40 @@
         self.socket.write(data)
 
     def send_cancel(self, request_id: str) -> None:
-        """Notifies the member that nobody waits for the request any more."""
+        """Sends the member a cancel for the request."""
         remember(self.cancelled_ids, request_id)
         self.socket.write(cache_lines.write_cancel(request_id))
 
     def withdraw(self, pending: InFlightAttempt) -> bool:
-        """Takes back an attempt of which no byte was sent; returns whether it did.
+        """Removes an attempt from the send buffer if none of its bytes was sent; returns whether it did.
 
-        Guards those whose client has left, or whose time is over: sent on once the member reads again, the
-        request would begin long after that.
+        Otherwise a request whose client has left, or whose deadline has passed, would still be sent when the member
+        reads again, and would start long after that.
         """
         if self.socket.accepted_bytes != pending.end_byte:
             return False
         return self.socket.withdraw(pending.end_byte - pending.start_byte)
 
     def abort_partly_sent(self, pending: InFlightAttempt) -> bool:
-        """Breaks the connection if the attempt was the last in flight, and is not sent whole: the member
-        never sees the rest. Returns whether it did."""
+        """Shuts the connection down if the attempt is not sent completely and no other one is in flight, so that
+        the member never receives the rest. Returns whether it did."""
         if self.is_sent(pending) or self.in_flight:
             return False
         self.abort()
         return True
 
     def stop_accepting(self) -> None:
-        """Nothing new is written here any more."""
+        """No new attempts are written on this connection from now on."""
         if self.state is not ConnectionState.CLOSED:
             self.state = ConnectionState.DRAINING
 
     def abort(self) -> None:
-        """Breaks the connection both ways; `run` ends next."""
+        """Shuts the connection down both ways, which ends `run`."""
         self.stop_accepting()
         self.socket.abort()
 
     def finish(self) -> None:
-        """Closes our side; `run` goes on to the member's end, for CLOSE_TIMEOUT_US at most."""
+        """Closes the sending side; `run` goes on until the member closes, for CLOSE_TIMEOUT_US at most."""
         self.state = ConnectionState.CLOSED
         if self.socket.backlog_bytes:
             self.socket.abort()
@@ -173,7 +174,7 @@
         self._read_scope.deadline = self.clock.monotonic_at(self.clock.now() + CLOSE_TIMEOUT_US)
 
     def close(self) -> list[InFlightAttempt]:
-        """Closes the socket at once; returns what was in flight."""
+        """Closes the socket at once; returns the attempts that were in flight."""
         lost = list(self.in_flight.values())
         self.in_flight.clear()
         self.socket.on_drained = None
@@ -181,7 +182,7 @@
         return lost
 
     async def run(self) -> None:
-        """Reads answers until the connection has ended."""
+        """Reads answers until the connection ends."""
         try:
             with self._read_scope:
                 await self._read_answers()
@@ -195,8 +196,8 @@
             self.owner.connection_lost(self)
 
     async def _read_answers(self) -> None:
-        """Reads until the connection ends, or until an answer has begun that is not whole in time. Guards
-        against one that stops short: nothing else would come on that connection."""
+        """Reads until the connection ends, or until an answer is not complete ANSWER_TIMEOUT_US after its first
+        bytes: behind an answer that is cut off, no other one would arrive on that connection."""
         parser, clock = self.parser, self.clock
         while data := await self.socket.receive():
             self.last_received_us = now = clock.now()
@@ -210,8 +211,8 @@
             self.owner.read_processed(self)
 
     async def _close_after_violation(self, reason: str) -> None:
-        """Closes our side. What is in flight may go again once the member knows: it may still be sending
-        what is discarded here."""
+        """Closes the sending side, and discards bytes until the member closes too. The attempts in flight are settled,
+        and may be retried, only after that: before it sees the close, the member may still be answering them."""
         self.owner.protocol_violated(self, reason)
         self._read_scope = trio.CancelScope()
         self.finish()
@@ -222,7 +223,7 @@
 
 
 def remember(ids: dict[str, None], request_id: str) -> None:
-    """Adds an id, and forgets the oldest beyond MAX_REMEMBERED_IDS."""
+    """Adds an id; above MAX_REMEMBERED_IDS, removes the oldest one."""
     ids[request_id] = None
     if len(ids) > MAX_REMEMBERED_IDS:
         del ids[next(iter(ids))]
--- a/rookbend/net/member_pool.py
+++ b/rookbend/net/member_pool.py
@@ -1,4 +1,4 @@
-"""One member: its connections, and the attempts that wait for one."""
+"""The pool of one member: its connections, and the attempts that wait for a connection."""
 
 from __future__ import annotations
 
@@ -18,23 +18,23 @@
 from rookbend.net.pool_context import PoolContext
 from rookbend.protocol import cache_lines
 
-MAX_CONNECTING = 8  # connects under way to one member
+MAX_CONNECTING = 8  # connects in progress to one member
 
 
 class MemberPool:
-    """One member: its connections, and the attempts that wait for one."""
+    """The connections to one member, and the attempts that wait for a connection."""
 
     def __init__(self, context: PoolContext, endpoint: Endpoint) -> None:
         self.context = context
         self.endpoint = endpoint
         self.connections = ConnectionSet(context)
         self.waiting: deque[Attempt] = deque()
-        self.awaiting_cancel: list[Attempt] = []  # cancelled here before, and the member may not know it yet
+        self.awaiting_cancel: list[Attempt] = []  # cancelled here before; the member may not have read the cancel
         self.retired = False
         self.restart_detector = RestartDetector()
 
     def send(self, attempt: Attempt) -> None:
-        """Writes the attempt on a connection that accepts it, or queues it for one."""
+        """Writes the attempt on a connection that accepts it, or queues it until there is one."""
         if attempt.number and self._drain_unconfirmed_cancels(attempt.request.request_id):
             return self.awaiting_cancel.append(attempt)
         connection = self.connections.select(attempt)
@@ -44,11 +44,12 @@
         self._connect_as_needed()
 
     def _drain_unconfirmed_cancels(self, request_id: str) -> bool:
-        """Whether the member may still be at work on an earlier attempt of this request.
+        """Drains the connections on which this request was cancelled; returns whether there are any.
 
-        Guards against a second copy: a cancel on one connection and a command on the next have no order
-        between them, and the command came first in one case of three. The end of the old connection, seen
-        from the member's side, proves that it has read the cancel.
+        While there are, the member may still process the earlier attempt, and a retry would make it process the
+        request twice: a cancel on one connection and a command on another are not ordered, and the command was
+        read first in one case of three. The member's close of the drained connection proves that it has read the
+        cancel.
         """
         unconfirmed = False
         for connection in self.connections:
@@ -95,14 +96,14 @@
         if self.restart_detector.connected():
             context.engine.member_restarted(self.endpoint.member.server)
         self.dispatch_waiting()
-        if self.retired:  # the member has gone while this was being opened
+        if self.retired:  # the member was removed during the connect
             self._finish_if_unused(connection)
         await connection.run()
 
     def _connect_failed(self, began_us: int) -> None:
         engine = self.context.engine
         if any(c.last_received_us >= began_us and c.is_open() for c in self.connections):
-            # It answers, but takes no more connections: those there are get shared for a while.
+            # The member answers on its open connections but accepts no more: they are shared until the backoff ends.
             self.connections.backoff_until_us = engine.clock.now() + self.context.connect_timeout_us
             return self.dispatch_waiting()
         waiting, self.waiting = self.waiting, deque()
@@ -110,7 +111,7 @@
             engine.finished(attempt, AttemptResult(AttemptStatus.CONNECT_FAILED))
 
     def dispatch_waiting(self) -> None:
-        """Writes waiting attempts to the connections that accept them now, and opens more as needed."""
+        """Writes waiting attempts to the connections that accept them now, and opens more connections as needed."""
         waiting = self.waiting
         for _ in range(len(waiting)):
             attempt = waiting.popleft()
@@ -125,7 +126,7 @@
             self._connect_as_needed()
 
     def _write(self, connection: MemberConnection, attempt: Attempt) -> None:
-        """The last check, then the bytes, with nothing in between."""
+        """Writes the attempt right after the last check that it may be written, with no other event in between."""
         engine = self.context.engine
         if not engine.may_write(attempt):
             engine.counters.withheld += 1
@@ -135,7 +136,7 @@
         connection.send(attempt, cache_lines.write_command(attempt, now, source), now)
 
     def cancel(self, connection: MemberConnection, attempt: Attempt) -> AttemptStatus:
-        """Gives up an attempt in flight on this connection; see `Backend.undo`."""
+        """Cancels an attempt in flight on this connection; see `Backend.undo`."""
         request_id, now = attempt.request.request_id, self.context.engine.clock.now()
         pending = connection.in_flight.pop(request_id)
         if connection.withdraw(pending):
@@ -145,23 +146,23 @@
             return AttemptStatus.CONNECT_FAILED
         connection.send_cancel(request_id)
         self.context.counters.undone += 1
-        self.context.counters.written += 1  # before the cancel, in any case
+        self.context.counters.written += 1  # its last byte is sent before the cancel
         late = attempt.due_us <= now
         silent = (
             connection.last_received_us < attempt.sent_us and now - attempt.sent_us > self.context.connect_timeout_us
         )
         if late or silent:
-            # A vanished machine leaves its connections open and silent, and an answer that did not come in
-            # its time leaves one of no further use: what comes next takes another.
+            # A host that has vanished leaves its connections open and silent, and no answer may ever follow an
+            # overdue one: later attempts use other connections.
             connection.stop_accepting()
         self._finish_if_unused(connection)
-        # Guards a write: it was sent, or shares a connection that goes on, and may have run.
+        # A write may have run: it was sent, or will be, since other attempts keep the connection open.
         return AttemptStatus.TIMEOUT
 
-    # What connections report: see `ConnectionOwner`.
+    # Events of the connections: see `ConnectionOwner`.
 
     def answers_received(self, connection: MemberConnection, answers: Sequence[cache_lines.CacheAnswer]) -> None:
-        """Settles the attempts that were answered."""
+        """Settles the answered attempts."""
         connections, context = self.connections, self.context
         for answer in answers:
             pending = connection.in_flight.pop(answer.request_id, None)
@@ -176,22 +177,22 @@
                     connections.mark_used(connection)
                 attempt = pending.attempt
                 context.engine.finished(attempt, answer.result_for(attempt.request.known_version))
-            # Else a second copy, an unknown id, or one that was cancelled: ignored.
+            # Otherwise a duplicate, an unknown id, or the answer to a cancelled attempt: ignored.
 
     def read_processed(self, connection: MemberConnection) -> None:
-        """Writes what waits for capacity; closes the connection if it is of no further use."""
+        """Writes waiting attempts; closes the connection if it is no longer used."""
         if self.waiting:
             self.dispatch_waiting()
         if self.retired or connection.state is not ConnectionState.ACTIVE:
             self._finish_if_unused(connection)
 
     def protocol_violated(self, connection: MemberConnection, reason: str) -> None:
-        """Counts and logs it."""
+        """Counts and logs the violation."""
         self.context.counters.garbage += 1
         self.context.engine.log("member_garbage", "warning", member=self.endpoint.name, reason=reason)
 
     def connection_lost(self, connection: MemberConnection) -> None:
-        """Settles what was in flight: only an attempt that was not sent whole is proven not to have run."""
+        """Settles the attempts in flight: only one that was not sent completely is known not to have run."""
         self.connections.open.remove(connection)
         self.restart_detector.connection_lost(connection.socket.reset)
         self.context.open_connections -= 1
@@ -204,7 +205,7 @@
         self.dispatch_waiting()
 
     def _queue_confirmed(self) -> None:
-        """Queues the attempts whose cancel the member is proven to have read."""
+        """Queues the attempts whose earlier cancel the member has certainly read."""
         attempts, self.awaiting_cancel = self.awaiting_cancel, []
         for attempt in attempts:
             if not attempt.is_finished:
@@ -212,21 +213,21 @@
                 (self.awaiting_cancel if unconfirmed else self.waiting).append(attempt)
 
     def _finish_if_unused(self, connection: MemberConnection) -> None:
-        """Closes a connection of no further use, once nothing is in flight on it."""
+        """Closes a connection that takes no new attempts, once nothing is in flight on it."""
         state = connection.state
         unused = state is ConnectionState.DRAINING or (self.retired and state is not ConnectionState.CLOSED)
         if unused and not connection.in_flight:
             connection.finish()
 
     def close_idle(self, before_us: int) -> None:
-        """Closes the connections on which nothing is in flight, nor was written after `before_us`."""
+        """Closes the connections that have nothing in flight and were last written to at `before_us` or earlier."""
         self.connections.close_idle(before_us)
 
     def retire(self) -> None:
-        """The member has gone or moved: each connection closes once nothing is in flight on it."""
+        """The member was removed or has a new address: closes each connection once nothing is in flight on it."""
         self.retired = True
         for connection in list(self.connections):
             self._finish_if_unused(connection)
-        self.waiting += self.awaiting_cancel  # each finds that it may not be written, and is placed anew
+        self.waiting += self.awaiting_cancel  # the last check before the write fails, and the router places each anew
         self.awaiting_cancel = []
         self.dispatch_waiting()
--- a/rookbend/net/pool.py
+++ b/rookbend/net/pool.py
@@ -1,4 +1,4 @@
-"""Connections to caches, parents and the origin: multiplexed, bounded, closed when idle."""
+"""Connections to caches, parents and the origin: multiplexed, limited in number, closed when idle."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from rookbend.net.member_connection import MemberConnection
 from rookbend.net.member_pool import MemberPool
 
-IDLE_CLOSE_RATIO = 0.8  # of the idle time after which the other side closes
-MAX_UNSHARED_RATE_PER_S = 600  # attempts up to which each has a connection of its own
-RATE_PER_EXTRA_STREAM_PER_S = 25  # beyond it, one more attempt shares a connection for each of these
+IDLE_CLOSE_RATIO = 0.8  # of the members' idle timeout, so that the director closes first
+MAX_UNSHARED_RATE_PER_S = 600  # up to this attempt rate, each attempt has a connection of its own
+RATE_PER_EXTRA_STREAM_PER_S = 25  # for each such step above it, one more attempt shares a connection
 
 
 class Pool:
-    """The engine's backend on sockets: see `rookbend.core.ports.Backend`."""
+    """The engine's backend over TCP: see `rookbend.core.ports.Backend`."""
 
     def __init__(
         self,
@@ -30,7 +30,7 @@
         idle_close_us: int,
         max_connections: int,
     ) -> None:
-        """`max_streams` bounds the attempts on one connection, `max_connections` the connections to all members;
+        """`max_streams` limits the attempts on one connection, `max_connections` the connections to all members;
         `idle_close_us` is the time after which members close idle connections."""
         self.engine = engine
         self.counters = counters
@@ -44,7 +44,7 @@
         self.max_connections = max_connections
 
     def apply_settings(self, max_streams: int, idle_close_us: int) -> None:
-        """Applies other settings, also to connections that are open."""
+        """Applies new settings, also to open connections."""
         settings = self.engine.settings
         self.max_streams = max(1, max_streams)
         self.idle_close_us = int(IDLE_CLOSE_RATIO * idle_close_us)
@@ -53,21 +53,21 @@
 
     @property
     def written(self) -> int:
-        """Attempts sent whole: those that have ended, and those in flight whose last byte was sent."""
+        """The number of attempts sent completely: ended ones, and those in flight whose last byte was sent."""
         in_flight = sum(member_pool.connections.sent_in_flight for member_pool in self.members.values())
         return self.counters.written + in_flight
 
     @property
     def attempt_rate_per_s(self) -> int:
-        """Attempts to all members: the higher of this second and the one before."""
+        """Attempts to all members: the higher count of this second and the previous one."""
         return max(self.sent_this_second, self.sent_last_second)
 
     @property
     def streams_per_connection(self) -> int:
         """How many attempts share a connection before another is opened.
 
-        Guards the CPU: each connection is read by itself, and at thousands of attempts a second one connection
-        to each made a director too slow for all its requests.
+        Each connection is read separately, which costs CPU time: at thousands of attempts per second, one
+        connection per attempt made a director too slow for all its requests.
         """
         excess_per_s = max(0, self.attempt_rate_per_s - MAX_UNSHARED_RATE_PER_S)
         return min(1 + excess_per_s // RATE_PER_EXTRA_STREAM_PER_S, self.max_streams)
@@ -84,7 +84,7 @@
         """See `Backend.undo`."""
         connection = self._connection_of(attempt)
         if connection is None:
-            return AttemptStatus.CONNECT_FAILED  # never written: it waits for a connection, or has none
+            return AttemptStatus.CONNECT_FAILED  # never written: it waits for a connection, or its connection has ended
         return connection.owner.cancel(connection, attempt)
 
     def is_out(self, attempt: Attempt) -> bool:
@@ -94,7 +94,7 @@
 
     @staticmethod
     def _connection_of(attempt: Attempt) -> MemberConnection | None:
-        """The connection on which the attempt is in flight."""
+        """The connection on which the attempt is in flight, or None."""
         connection = attempt.connection
         if not isinstance(connection, MemberConnection):
             return None
@@ -113,7 +113,7 @@
             self.members[server].close_idle(self.engine.clock.now())
 
     async def close_idle_connections(self) -> None:
-        """Closes connections before their idle time is over, and rolls the rate; runs each second until cancelled."""
+        """Each second, closes idle connections before the members do and rolls the rate; runs until cancelled."""
         while True:
             await trio.sleep(1)
             self.sent_last_second, self.sent_this_second = self.sent_this_second, 0
--- a/rookbend/net/pool_context.py
+++ b/rookbend/net/pool_context.py
@@ -1,4 +1,4 @@
-"""What the pool of one member needs of the pool of all members."""
+"""What the pool of one member uses of the pool of all members."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class PoolContext(Protocol):
-    """The limits and the load that all member connections share."""
+    """The limits and the load shared by all connections to members."""
 
     engine: Engine
     counters: Counters
@@ -22,11 +22,11 @@
     connect_timeout_us: int
     load_report_fields: tuple[str, ...]
     open_connections: int  # open or being opened, to all members
-    max_connections: int  # their limit
+    max_connections: int  # the limit on `open_connections`
 
     @property
     def attempt_rate_per_s(self) -> int:
-        """Attempts to all members."""
+        """The rate of attempts to all members."""
 
     @property
     def streams_per_connection(self) -> int:
