--- a/rookbend/net/capacity_sampler.py
+++ b/rookbend/net/capacity_sampler.py
@@ -1,4 +1,4 @@
-"""The driver of the spare capacity: samples the director's load at an interval."""
+"""The driver of the spare capacity: samples the director's load periodically."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class CapacitySampler(Component):
-    """Calls each of `on_change` when the weight, or whether the director is up, has changed, and at the drain."""
+    """Calls each function of `on_change` when the weight or the up state has changed, and when the drain begins."""
 
     def __init__(self, capacity: SpareCapacity, sample: Callable[[], Sample], clock: Clock):
         self.on_change: list[Callable[[], None]] = []
@@ -23,11 +23,11 @@
         self._clock = clock
 
     def start(self, nursery: trio.Nursery) -> None:
-        """Starts the sampling."""
+        """Starts sampling."""
         nursery.start_soon(self._run)
 
     def drain(self, by_us: int) -> None:
-        """The lifecycle's phase has changed, which the status shows."""
+        """Notifies of the new lifecycle phase, which is part of the status."""
         self._notify()
 
     async def _run(self) -> None:
--- a/rookbend/net/check_exchange.py
+++ b/rookbend/net/check_exchange.py
@@ -1,7 +1,6 @@
-"""One run of a health check: connects, exchanges bytes by the check's protocol, and reports.
+"""One run of a health check: connects, exchanges bytes in the check's protocol, and reports the result.
 
-Whatever a member does, a run ends by its deadline, holds one descriptor, and buffers the check's `most_bytes` at
-most.
+Whatever a member does, a run ends by its deadline, uses one descriptor, and buffers at most the check's `most_bytes`.
 """
 
 from __future__ import annotations
@@ -23,21 +22,21 @@
 
 
 class CheckExchange(Protocol):
-    """The client's side of a health protocol, without a socket."""
+    """The client side of a health protocol, without I/O."""
 
     @property
     def result(self) -> CheckReport | None:
-        """What the exchange came to, once it is known."""
+        """The result of the exchange, or None until it is known."""
 
     def start(self) -> bytes:
-        """Returns the bytes to send first."""
+        """Returns the first bytes to send."""
 
     def feed(self, data: bytes) -> bytes:
         """Takes received bytes, empty at the end of the connection; returns the bytes to send."""
 
 
 class WatchExchange(Protocol):
-    """An exchange that reports each change; whoever takes a `result` sets it to None."""
+    """An exchange that reports each change; the caller that takes a `result` resets it to None."""
 
     result: CheckResult | None
     ended: bool
@@ -48,16 +47,16 @@
         """As in `CheckExchange`."""
 
     def ping(self) -> bytes:
-        """Returns the bytes that ask for a sign of life."""
+        """Returns the bytes of a ping, which a live server answers."""
 
 
 class WatchUnsupportedError(Exception):
-    """The server has no Watch."""
+    """The server does not implement Watch."""
 
 
 def exchange_for(check: Check, address: tuple[str, int], watch: bool) -> CheckExchange | None:
-    """The exchange of a check's protocol, or None for a plain connect."""
-    # Each protocol is imported only where a check needs it.
+    """The exchange for a check's protocol, or None if the check only connects."""
+    # Each protocol is imported only if a check uses it.
     host = check.host or "{}:{}".format(*address)
     if check.type == "agent":
         from rookbend.protocol.agent_check import AgentCheckClient
@@ -75,7 +74,7 @@
 
 
 def proxy_preface(check: Check, sock: socket.socket) -> bytes:
-    """The PROXY protocol's header that the check is set to send; empty where there is none."""
+    """The PROXY protocol header that the check's settings ask for; empty if they ask for none."""
     if check.proxy == "no":
         return b""
     from rookbend.protocol.proxy import local_header, proxy_header
@@ -98,7 +97,7 @@
         interval_us: Callable[[], int],
     ):
         """`report` is called with each status of a Watch; `interval_us` returns the time between two pings of a
-        Watch, 0 once the check or the member is no more or has changed."""
+        Watch, or 0 once the check or the member was removed or changed."""
         self._check = check
         self._address = address
         self._clock = clock
@@ -110,7 +109,7 @@
         """Returns the result of the check, or how a Watch ended; the deadline counts from `started_us`.
 
         Raises:
-            WatchUnsupportedError: the server has no Watch.
+            WatchUnsupportedError: the server does not implement Watch.
         """
         sock = None
         try:
@@ -125,7 +124,7 @@
         finally:
             if sock is not None:
                 sock.close()
-        return CheckResult(CheckOutcome.SILENT, "no connection" if sock is None else "no whole answer")
+        return CheckResult(CheckOutcome.SILENT, "no connection" if sock is None else "no complete answer")
 
     async def _exchange_on(self, sock: socket.socket, scope: trio.CancelScope) -> CheckReport:
         exchange = self._exchange
@@ -141,8 +140,8 @@
     async def _follow(self, exchange: WatchExchange, sock: socket.socket, scope: trio.CancelScope) -> CheckReport:
         """Follows a Watch to its end.
 
-        Between two pings a Watch may be silent; a ping without an answer by the deadline ends it, since nothing
-        else shows a dead connection. With each answer the latest status is reported once more.
+        Between two pings a Watch may be silent. A ping that is not answered by the deadline ends it, since nothing
+        else reveals a dead connection. With each answer the latest status is reported again.
         """
         status: CheckResult | None = None
         while not exchange.ended:
@@ -159,7 +158,7 @@
             changed = _take_status(exchange)
             if changed is not None:
                 status = changed
-                self._report(status)  # at once, not with the next ping
+                self._report(status)  # at once, without waiting for the next ping
             scope.deadline = self._clock.monotonic_at(self._clock.now() + self._check.answer_by_us)
             if not exchange.ended:
                 await _send(sock, exchange.ping())
@@ -175,7 +174,7 @@
 
 
 def _take_status(exchange: WatchExchange) -> CheckResult | None:
-    """The status received since the last call; the result of a Watch that has ended stays in place."""
+    """The status received since the last call; the result of a Watch that has ended is not taken."""
     if exchange.ended:
         return None
     status = exchange.result
@@ -184,9 +183,10 @@
 
 
 async def _receive(sock: socket.socket, exchange: CheckExchange | WatchExchange) -> None:
-    """Feeds the next bytes and sends the reply to them."""
+    """Feeds the next received bytes to the exchange and sends its reply."""
     await trio.lowlevel.wait_readable(sock)
-    # A reset raises and is no end of the stream: what came before may be half a line, with another meaning.
+    # A reset raises OSError and does not count as the end of the stream: the bytes before it may be a part of a line,
+    # which would have another meaning.
     data = sock.recv(RECEIVE_BYTES)
     reply = exchange.feed(data)
     if reply and data:
--- a/rookbend/net/checks.py
+++ b/rookbend/net/checks.py
@@ -1,4 +1,4 @@
-"""The driver of health checks: schedules each check of each member, and passes the results on."""
+"""The driver of health checks: schedules each check of each member, and passes on the results."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 from rookbend.net.scheduling import JobRunner
 from rookbend.settings import Check
 
-# Kinds of background work. A Watch lasts, so it has a budget of its own.
+# Kinds of background work. A Watch runs for long, so it has a budget of its own.
 CHECK = "check"
 WATCH = "watch"
-JITTER_DIVISOR = 20  # checks that ran together are spread by this part of the interval, to either side
+JITTER_DIVISOR = 20  # each run is shifted by up to this part of the interval, to either side, so that runs spread out
 
 # Kind of work, member's number, check's name. A plain tuple: the jitter of a key depends on its `repr`.
 CheckKey = tuple[str, int, str]
 
 
 def kind_of(check: Check) -> str:
-    """The kind of background work that a check is."""
+    """The kind of background work of a check."""
     return WATCH if check.type == "grpc-watch" else CHECK
 
 
@@ -34,8 +34,8 @@
 class CheckDriver:
     """Keeps one job in the scheduler for each check of each member, and runs it.
 
-    `assign(server, interval_us)` decides whether a member is checked here; `on_result(server)` is called after
-    each result. Both are replaced where checks are shared among directors.
+    `assign(server, interval_us)` decides whether this director checks a member; `on_result(server)` is called after
+    each result. Both are replaced if checks are shared among directors.
     """
 
     def __init__(self, context: ComponentContext, health: HealthService, runner: JobRunner, checks: tuple[Check, ...]):
@@ -47,7 +47,7 @@
         self._clock = context.clock
         self._containment = context.containment
         self._checks = {check.name: check for check in checks}
-        self._without_watch: set[CheckKey] = set()  # whose servers have no Watch
+        self._without_watch: set[CheckKey] = set()  # checks whose servers do not implement Watch
         runner.handlers[CHECK] = self._run
         runner.handlers[WATCH] = self._run
         health.on_members = self.members_changed
@@ -60,14 +60,14 @@
                 self._cancel(server, check)
         for server in added:
             for policy in policies_of(self._health.registry.members.get(server)):
-                # Spread over an interval: many members may come in one event.
+                # Spread over an interval, since one event may add many members.
                 key = (kind_of(self._checks[policy.name]), server, policy.name)
                 self._schedule(key, now_us + self._scheduler.jitter(key, policy.interval_us))
         if added or removed:
             self._runner.wake()
 
     def replace(self, checks: tuple[Check, ...]) -> None:
-        """Applies new settings, which the registry has already; runs of checks that are no more are ignored."""
+        """Applies new settings, which the registry already has; results of removed checks are ignored."""
         previous = self._checks
         self._checks = {check.name: check for check in checks}
         for name, check in previous.items():
@@ -112,13 +112,13 @@
         host, member_port = member_address
         address = (host, check.port or member_port)
         watch = kind == WATCH and key not in self._without_watch
-        # A run that fails by a fault of this program has no result, and the next one is due as ever.
+        # A run that fails because of a bug in the director has no result; the next run is scheduled as usual.
         with self._containment.contain("checks", check=name, address=host):
             try:
                 check_run = CheckRun(check, address, self._clock, watch, report, interval_us)
                 report(await check_run.run(started_us))
             except WatchUnsupportedError:
-                self._without_watch.add(key)  # its Check is called from now on
+                self._without_watch.add(key)  # the Check method is called from now on
         if self._checks.get(name) is check:
             next_interval_us = max(interval_us() or check.interval_us, assignment.min_interval_us)
             self._schedule(key, self._next_run_us(key, number, started_us, next_interval_us))
@@ -131,7 +131,7 @@
         self.on_result(server)
 
     def _interval_us(self, server: int, check: Check, address: tuple[str, int]) -> int:
-        """The time to the next run; 0 where the check or the member is no more, or is at another address."""
+        """The time to the next run; 0 if the check or the member was removed, or the member has another address."""
         member = self._health.registry.members.get(server)
         cadence = cadence_of(member, check.name)
         if member is None or cadence is None:
--- a/rookbend/net/component.py
+++ b/rookbend/net/component.py
@@ -1,6 +1,6 @@
-"""The interface of a director's optional components, and what a component may use of its director.
+"""The interface of a director's optional components, and the context that the director provides to them.
 
-A component is a listener, a stream, a scheduler, or several that belong together.
+A component is a listener, a stream, a scheduler, or a group of these that belong together.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 @dataclass
 class ComponentContext:
-    """What a component may use of its director. The lifecycle is not in it: components are notified of the drain."""
+    """What a component may use of its director. The lifecycle is hidden: components are told of the drain."""
 
     config: Config
     operators: Settings
@@ -39,14 +39,14 @@
     log: Log
     write_scheduler: WriteScheduler
     max_clients: int
-    phase: Callable[[], str]  # of the lifecycle, by its name
-    sample: Callable[[], Sample]  # the director's load now
+    phase: Callable[[], str]  # name of the lifecycle's phase
+    sample: Callable[[], Sample]  # the director's current load
     listeners: Listeners
-    # Whether the director may report that it is ready; a component that holds that back replaces it.
+    # Whether the director may report that it is ready; replaced by a component that delays this.
     may_report_ready: Callable[[], bool] = lambda: True
-    # What returns gauges for the metrics, by name; components append theirs.
+    # Each function returns gauges for the metrics, by name; components append theirs.
     gauges: list[Callable[[], dict[str, float]]] = field(default_factory=list)
-    # What components offer to those that are built after them, by name.
+    # Objects that components provide to components built after them, by name.
     built: dict[str, Any] = field(default_factory=dict)
     containment: FaultContainment = field(init=False)
 
@@ -55,32 +55,32 @@
 
 
 class Component:
-    """An optional part of a director. All methods but `open` must not fail.
+    """An optional part of a director. No method except `open` may raise.
 
-    `descriptors` is how many file descriptors are reserved for it.
+    `descriptors` is the number of file descriptors that are reserved for it.
     """
 
     descriptors = 0
 
     def open(self, listeners: Listeners) -> None:
-        """Opens its sockets. Raises OSError where an address can't be bound."""
+        """Opens its sockets. Raises OSError if an address can't be bound."""
 
     def start(self, nursery: trio.Nursery) -> None:
-        """Starts its tasks; they are cancelled with the nursery."""
+        """Starts its tasks in this nursery, which cancels them at the end."""
 
     def reload(self, settings: Settings) -> None:
-        """Applies the operators' settings that were read again and can be used."""
+        """Applies the operators' settings, which were read again and are valid."""
 
     def drain(self, by_us: int) -> None:
-        """The director was requested to stop; everything is answered at `by_us`."""
+        """The director was told to stop; everything accepted is answered by `by_us`."""
 
     def stop_accepting(self) -> None:
-        """The grace time of the drain is over: nothing new is accepted from here on."""
+        """The grace time of the drain is over: nothing new is accepted from now on."""
 
     def shutdown(self) -> None:
-        """Everything is answered, the process ends next."""
+        """Everything is answered and the process is about to end."""
 
     @property
     def busy(self) -> bool:
-        """Whether something that it owes has not gone out yet."""
+        """Whether it still has something to send before the process may end."""
         return False
--- a/rookbend/net/dns_resolver.py
+++ b/rookbend/net/dns_resolver.py
@@ -1,4 +1,4 @@
-"""The client of the configured resolver."""
+"""The client for the configured DNS resolver."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
 
 
 class ResolverClient:
-    """Queries over UDP, and over TCP where the response is truncated.
+    """Queries over UDP, and over TCP if the response is truncated.
 
-    Nothing is cached: a name may point elsewhere a moment later, and the membership decides anyway.
+    Nothing is cached: a name may change at any time, and the membership decides which addresses are used.
     """
 
     def __init__(self, context: ComponentContext, address: tuple[str, int], seed: int):
@@ -35,11 +35,11 @@
         self._nursery: trio.Nursery | None = None
 
     def start(self, nursery: trio.Nursery) -> None:
-        """Lookups run in this nursery; to be called before `resolve`."""
+        """Sets the nursery in which lookups run; must be called before `resolve`."""
         self._nursery = nursery
 
     def resolve(self, name: str, record_type: str, deadline_us: int, done: Callable[[list[str] | None], None]) -> None:
-        """Calls `done` once with the addresses of a name, or with None on any failure, by the deadline."""
+        """Calls `done` once, by the deadline, with the addresses of a name, or with None on any failure."""
         assert self._nursery is not None
         self._nursery.start_soon(self._resolve, name, record_type, deadline_us, done)
 
@@ -88,4 +88,4 @@
         try:
             return parse_addresses(query, sock.recv(MAX_MESSAGE_BYTES))
         except UnmatchedResponseError:
-            continue  # late or forged
+            continue  # a late or forged response
--- a/rookbend/net/dns_server.py
+++ b/rookbend/net/dns_server.py
@@ -1,4 +1,4 @@
-"""The driver of the DNS front: its servers over UDP and TCP."""
+"""The driver of the DNS front: its UDP and TCP servers."""
 
 from __future__ import annotations
 
@@ -20,28 +20,28 @@
 from rookbend.protocol import dns_tcp
 from rookbend.protocol.dns import MAX_MESSAGE_BYTES, encode_reply
 
-IDLE_TIMEOUT_US = 10_000_000  # a TCP client is closed this long after its last message
+IDLE_TIMEOUT_US = 10_000_000  # from the last message of a TCP client to its close
 MAX_TCP_CLIENTS = 64
-RESOLVER_DESCRIPTORS = 32  # lookups at the resolver at once
+RESOLVER_DESCRIPTORS = 32  # concurrent lookups at the resolver
 BIND_ATTEMPTS = 20
 
 
 def bind_tcp_and_udp(listeners: Listeners, address: tuple[str, int]) -> tuple[socket.socket, socket.socket]:
-    """A TCP listener and a UDP socket on one port; port 0 stands for one that is free for both."""
+    """A TCP listener and a UDP socket on the same port; port 0 selects one that is free for both."""
     for attempts_left in reversed(range(BIND_ATTEMPTS)):
         tcp = listeners.tcp(address)
         try:
             return tcp, listeners.udp(tcp.getsockname()[:2])
         except OSError:
             tcp.close()
-            # A port that the system chose for TCP may be taken for UDP: another is chosen then.
+            # The port that the system chose for TCP may be in use for UDP: try another one.
             if address[1] or not attempts_left:
                 raise
     raise AssertionError("not reached")
 
 
 class DnsServer(Component):
-    """Both transports on one port."""
+    """Serves DNS over UDP and TCP on one port."""
 
     descriptors = MAX_TCP_CLIENTS + RESOLVER_DESCRIPTORS
 
@@ -61,36 +61,36 @@
         self._write_scheduler = context.write_scheduler
 
     def open(self, listeners: Listeners) -> None:
-        """Binds both sockets; `address` is then the one bound to."""
+        """Binds both sockets; `address` is then the bound address."""
         self.tcp, self.udp = bind_tcp_and_udp(listeners, self._configured_address)
         self.address: tuple[str, int] = self.tcp.getsockname()[:2]
 
     def start(self, nursery: trio.Nursery) -> None:
-        """Starts the servers and the resolver's client."""
+        """Starts the servers and the resolver client."""
         self._resolver.start(nursery)
         nursery.start_soon(self.serve_udp)
         nursery.start_soon(self.serve_tcp, trio.CancelScope())
 
     def stop_accepting(self) -> None:
-        """Refuses new lookups from now on."""
+        """Refuses new lookups."""
         self.front.closing = True
 
     async def serve_udp(self) -> None:
-        """Takes datagrams, for good."""
+        """Receives datagrams until cancelled."""
         while True:
             await trio.lowlevel.wait_readable(self.udp)
             try:
                 wire, source = self.udp.recvfrom(MAX_MESSAGE_BYTES)
             except OSError:
-                continue  # an earlier reply was refused by its client's machine
+                continue  # reports that the host of an earlier client refused its reply
             with self._containment.contain("dns", peer=source[0]):
                 self.front.query(wire, ("udp", *source), self._udp_responder(wire, source))
 
     def _udp_responder(self, wire: bytes, source: Any) -> Respond:
         def respond(reply: dns.message.Message) -> None:
-            # Lost, as a datagram may be: the client retries and gets the same outcome.
+            # A failed send is like a lost datagram: the client retries and gets the same outcome.
             with contextlib.suppress(OSError):
-                # Straight to the socket: nothing is queued between the check of the membership and these bytes.
+                # Sent directly to the socket, so that the membership can't change between its check and the send.
                 self.udp.sendto(encode_reply(reply, wire, over_udp=True), source)
 
         return respond
@@ -109,7 +109,7 @@
 
     async def _serve_client(self, channel: BufferedSocket) -> None:
         try:
-            with self._containment.contain("dns"), contextlib.suppress(OSError):  # it may have left already
+            with self._containment.contain("dns"), contextlib.suppress(OSError):  # the client may have left already
                 await _TcpClient(channel, self.front, self._clock).run()
         finally:
             self.clients -= 1
@@ -118,7 +118,7 @@
 
 
 class _TcpClient:
-    """One TCP connection and the replies that it is still to get."""
+    """One TCP connection and its pending replies."""
 
     def __init__(self, channel: BufferedSocket, front: DnsFront, clock: Clock):
         self._channel = channel
@@ -135,7 +135,7 @@
             self._all_replied.set()
 
     async def run(self) -> None:
-        """Takes queries until the client ends or is idle for too long, then waits for the pending replies."""
+        """Receives queries until the client closes or is idle for too long, then waits for the pending replies."""
         client = ("tcp", *self._channel.sock.getpeername())
         with trio.CancelScope() as idle:
             while True:
@@ -148,6 +148,6 @@
                     if not self._front.query(wire, client, self._respond):
                         self._pending -= 1
             self._all_replied = trio.Event()
-            # A client may close only its sending side; the idle timeout bounds this wait too.
+            # The client may have closed only its sending side; the idle timeout limits this wait too.
             if self._pending and not self._channel.broken:
                 await self._all_replied.wait()
--- a/rookbend/net/fault_containment.py
+++ b/rookbend/net/fault_containment.py
@@ -1,7 +1,8 @@
-"""Keeps an unexpected exception in the task of one caller, check, lookup or datagram from ending the director.
+"""Keeps an unexpected exception in the task of one client, check, lookup or datagram from ending the director.
 
-The task ends, the fault is logged with its traceback and counted, and the director serves on. Cancellation and exit
-pass. The platform's own port is not contained: an exception there ends the director, which its clients notice at once.
+The task ends, the exception is counted and logged with its traceback, and the director continues. Cancellation and
+exit are not contained. Neither is the platform's port: an exception there ends the director, which its clients notice
+at once.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 
 
 class FaultContainment:
-    """`counters.component_faults` counts what was contained."""
+    """`counters.component_faults` counts the contained exceptions."""
 
     def __init__(self, counters: Counters, log: Log):
         self._counters = counters
@@ -27,7 +28,7 @@
 
     @contextmanager
     def contain(self, component: str, **where: object) -> Iterator[None]:
-        """Contains an exception of the block; `where` goes into the log line: the peer, the member, the check."""
+        """Contains an exception raised in the block; `where` adds log fields, such as the peer, member or check."""
         try:
             yield
         except Exception as fault:
--- a/rookbend/net/fleet_orders.py
+++ b/rookbend/net/fleet_orders.py
@@ -1,4 +1,4 @@
-"""Operators' orders for the whole fleet, and their commands on scopes."""
+"""Operators' orders for the whole fleet, and operators' commands on scopes."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class PendingOutcome:
-    """The outcome of an order, once `completed`."""
+    """The outcome of an order; `error` is valid once `completed` is set."""
 
     def __init__(self) -> None:
         self.completed = trio.Event()
@@ -24,7 +24,7 @@
 
 
 class FleetOrders:
-    """`now` reads the machine's clock in µs; `feed` its events."""
+    """`now` reads the machine's clock in µs; `feed` passes an event to the machine."""
 
     def __init__(
         self,
@@ -39,32 +39,32 @@
         self._pending: dict[int, PendingOutcome] = {}
 
     async def order(self, target: str, order: str, operator: str) -> str:
-        """An order for the whole fleet; empty once it is committed, or why not."""
+        """Requests an order for the whole fleet; returns "" once it is committed, or why it is not."""
         order_id = next(self._ids)
         outcome = PendingOutcome()
         self._pending[order_id] = outcome
         self._feed(OrderRequested(order_id, target, order, operator))
         try:
-            await outcome.completed.wait()  # the machine completes each order in its time
+            await outcome.completed.wait()  # the machine completes each order by a deadline of its own
         finally:
             del self._pending[order_id]
         return outcome.error
 
     def complete(self, action: CompleteOrder) -> None:
-        """The outcome of an order."""
+        """Records the outcome of an order."""
         outcome = self._pending.get(action.id)
         if outcome is not None:
             outcome.error = action.error
             outcome.completed.set()
 
     async def command(self, command: str, scope_name: str, director: int) -> tuple[int, str]:
-        """Moves a scope, pins it or takes the pin out; an HTTP status, and an error or empty."""
+        """Moves, pins or unpins a scope; returns an HTTP status, and an error or ""."""
         try:
             scope = parse_scope(scope_name)
         except UnknownTaskError:
             return 404, f"no scope {scope_name}"
         if scope not in self._machine.leases.leases:
-            return 404, f"{scope_name} is off"
+            return 404, f"{scope_name} is not enabled"
         if command != "unpin" and not 0 <= director < self._machine.config.director_count:
             return 400, f"no director {director}"
         if command == "move":
@@ -75,6 +75,6 @@
 
     def _move(self, scope: int, scope_name: str, director: int) -> tuple[int, str]:
         if not self._machine.leases.held_token(self._now(), scope):
-            return 409, f"{scope_name} is not ours; its owner can move it"
+            return 409, f"{scope_name} is not held by this director; only its holder can move it"
         self._feed(MoveRequested(scope, director))
         return 200, ""
--- a/rookbend/net/http_server.py
+++ b/rookbend/net/http_server.py
@@ -11,7 +11,7 @@
 
 
 async def serve_http(channel: BufferedSocket, handle: HttpHandler) -> None:
-    """Answers each request of a connection, in order, to the connection's end."""
+    """Answers the requests of a connection in order, until it ends."""
     http = HttpServerConnection()
     while not http.ended:
         request = http.feed(await channel.receive())
--- a/rookbend/net/leases.py
+++ b/rookbend/net/leases.py
@@ -1,8 +1,8 @@
-"""The driver of leases: feeds the state machine (leases/machine.py) what comes in, carries out its actions.
+"""The driver of leases: feeds events to the state machine (leases/machine.py) and carries out its actions.
 
-It uses recovery's live members, clock and orders to members, durable storage where there is one, and the health
-registry. Whatever is sent under a lease is sent right behind a last check of it; work under a lease runs in a cancel
-scope that ends with it.
+It uses the recovery component's clock, live directors and orders on members, durable storage if there is one, and the
+health registry. Everything sent under a lease is sent right after a last check that the lease is held; work under a
+lease runs in a cancel scope that ends with the lease.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 
 
 def leased_tasks(context: ComponentContext) -> frozenset[str]:
-    """The leader tasks that the settings ask for."""
+    """The leader tasks that the settings enable."""
     operators = context.operators
     ownership_settings: Any = operators.ownership
     names = LEASED_TASK_NAMES
@@ -46,13 +46,13 @@
         names -= {"checks"}
     if ownership_settings.report_ledger is None and not ownership_settings.report_file:
         names -= {"report"}
-    # Raises UnknownTaskError where the table of leader tasks has no guard for the report.
+    # Raises UnknownTaskError if the table of leader tasks has no entry, and so no guard, for this kind of report.
     leader_task("report" if ownership_settings.report_ledger is not None else "report-file")
     return names
 
 
 def lease_config(context: ComponentContext) -> LeaseConfig:
-    """What the settings say, for the state machine."""
+    """The state machine's configuration, from the settings."""
     operators = context.operators
     ownership_settings: Any = operators.ownership
     recovery: Any = operators.recovery
@@ -71,7 +71,7 @@
 
 
 def persisted_rows(state: StateComponent | None) -> tuple[Row, ...]:
-    """The state machine's rows found on disk; none without a disk."""
+    """The state machine's rows stored on disk; none without a disk."""
     if state is None:
         return ()
     return tuple((kind, key, row.value) for kind in ROW_KINDS for key, row in state.ledger.all(kind).items())
@@ -80,7 +80,7 @@
 class LeaseComponent(MachineDriver[events.Event]):
     """One director's leases; `machine` is its state machine."""
 
-    descriptors = 2  # the ledger
+    descriptors = 2  # for writes of the report
     machine: LeaseMachine
 
     def __init__(self, context: ComponentContext):
@@ -112,11 +112,11 @@
         self.begin()
 
     def now(self) -> int:
-        """Recovery's clock: µs from the Unix time of the start, on the monotonic clock."""
+        """The recovery clock: µs, the Unix time of the start plus the time on the monotonic clock since then."""
         return self.recovery.now()
 
     def gauges(self) -> dict[str, float]:
-        """Figures for metrics."""
+        """Gauges for the metrics."""
         machine = self.machine
         candidacies = machine.leases.candidacies.values()
         return {
@@ -131,20 +131,20 @@
         }
 
     def describe(self, without: int = -1) -> dict[str, object]:
-        """Scopes and their holders, for operators; see `LeaseMachine.describe`."""
+        """Describes scopes and their holders for operators; see `LeaseMachine.describe`."""
         return {"director": self.context.config.name, **self.machine.describe(self.now(), without)}
 
     # Operators
 
     async def order(self, member: str, order: str, operator: str) -> str:
-        """An order on a member for the whole fleet; empty once it is committed, or why not."""
+        """Requests an order on a member for the whole fleet; returns "" once it is committed, or why it is not."""
         return await self._orders.order(member, order, operator)
 
     async def command(self, command: str, scope_name: str, director: int) -> tuple[int, str]:
-        """A command on a scope; an HTTP status, and an error or empty. See `FleetOrders.command`."""
+        """Carries out a command on a scope; see `FleetOrders.command`."""
         return await self._orders.command(command, scope_name, director)
 
-    # What comes in
+    # Events
 
     def _datagram_received(self, sender: int, data: bytes) -> bool:
         if not is_lease_datagram(data):
@@ -153,11 +153,11 @@
         return True
 
     def row_persisted(self, row: PersistRow, durable: bool) -> None:
-        """A grant or entry is durable; without a disk this voter is in quarantine after each start."""
+        """Reports that a grant or an entry is durable; without a disk this voter is in quarantine after each start."""
         self.feed(events.RowPersisted(row.kind, row.key, durable))
 
     def reload(self, settings: Settings) -> None:
-        """Other voters take effect; the rest of the section does not."""
+        """Applies changed voters; other changes in the section take no effect until a restart."""
         if settings.ownership is not None:
             voters = settings.ownership.voters or default_voters(self.machine.config.director_count)
             self.feed(events.VotersChanged(frozenset(voters)))
@@ -169,7 +169,7 @@
     # Actions
 
     def action_handlers(self) -> ActionHandlers:
-        """What the state machine's own actions do to the director."""
+        """The handlers of the lease machine's own actions."""
         return {
             actions.LeaseAcquired: lambda action: None,
             actions.LeaseLost: self._lease_lost,
@@ -198,13 +198,13 @@
     # Tasks
 
     def start(self, nursery: trio.Nursery) -> None:
-        """Starts the timer task, and the one that polls recovery and health."""
+        """Starts the timer task, and the task that polls recovery and health."""
         self._nursery = nursery
         super().start(nursery)
         nursery.start_soon(self._poll)
 
     def timer_handled(self) -> None:
-        """A renewal moves the end of what runs under the lease."""
+        """Extends the write in progress, as its lease may have been renewed."""
         self._report_writer.extend()
 
     async def _poll(self) -> None:
@@ -217,7 +217,7 @@
             await trio.sleep(POLL_INTERVAL_US / 1e6)
 
     def _origin_calls(self, now_us: int) -> dict[int, int]:
-        """Recent calls by director while the fleet ramps up, else none."""
+        """Recent origin calls by director while the fleet ramps up, otherwise empty."""
         ramp = self.recovery.machine.ramp
         fresh = {
             director: sample
--- a/rookbend/net/machine_driver.py
+++ b/rookbend/net/machine_driver.py
@@ -1,7 +1,7 @@
-"""Runs a state machine of the director (recovery, leases): feeds its events, carries out its actions, keeps its timer.
+"""Runs a state machine (recovery, leases): feeds its events, carries out its actions and keeps its timer.
 
-The machine itself does no I/O. It is fed `(now_us, event)` and answers with actions, each an instance of its own
-class; the driver carries them out in their order, by a table of class -> method.
+The machine itself does no I/O. It is fed `(now_us, event)` and returns actions, each an instance of its own class; the
+driver carries them out in order, using a table from class to method.
 """
 
 from __future__ import annotations
@@ -26,23 +26,23 @@
 
 
 class StateMachine(Protocol[EventT_contra]):
-    """What a driver needs of its machine. `due_us`: when the next `TimerExpired` is wanted."""
+    """What a driver uses of its machine. `due_us`: when the machine needs the next `TimerExpired`."""
 
     due_us: int
 
     def begin(self, now: int) -> Sequence[object]:
-        """The actions of the start; called once, before any event."""
+        """Returns the actions of the start; called once, before any event."""
 
     def feed(self, now: int, event: EventT_contra) -> Sequence[object]:
-        """The actions that answer an event."""
+        """Returns the actions in response to an event."""
 
 
 class MachineDriver(Component, Generic[EventT]):
-    """Base of the two drivers.
+    """Base class of the drivers.
 
     A subclass sets `machine` and calls `begin` once it is complete, adds its own actions in `action_handlers`, and
-    overrides the hooks `now`, `row_persisted`, `timer_handled` and `timer_deadline` as it needs. `datagrams_sent`
-    counts datagrams handed to the socket.
+    overrides the hooks `now`, `row_persisted`, `timer_handled` and `timer_deadline` as needed. `datagrams_sent` counts
+    the datagrams passed to the socket.
     """
 
     machine: StateMachine[EventT | TimerExpired]
@@ -62,7 +62,7 @@
             **self.action_handlers(),
         }
 
-    # For the subclass
+    # Hooks for subclasses
 
     def now(self) -> int:
         """The machine's clock, in microseconds."""
@@ -73,13 +73,13 @@
         return {}
 
     def row_persisted(self, row: PersistRow, durable: bool) -> None:
-        """An awaited row is durable, or the disk refused it. Without a disk it counts as durable at once."""
+        """Called when an awaited row is durable or the disk refused it. Without a disk it counts as durable at once."""
 
     def timer_handled(self) -> None:
         """Called by the timer task after each `TimerExpired`, before it sleeps."""
 
     def timer_deadline(self) -> float:
-        """The reading of trio's clock, in seconds, at which the machine's `due_us` has come."""
+        """The time on trio's clock, in seconds, at which the machine is due."""
         return trio.current_time() + (self.machine.due_us - self.now()) / 1e6
 
     # Events and actions
@@ -89,7 +89,7 @@
         self._carry_out(self.machine.begin(self.now()))
 
     def feed(self, event: EventT | TimerExpired) -> None:
-        """Feeds an event; wakes the timer task where the machine is now due earlier."""
+        """Feeds an event; wakes the timer task if the machine is now due earlier."""
         due_us = self.machine.due_us
         self._carry_out(self.machine.feed(self.now(), event))
         if self.machine.due_us < due_us:
@@ -128,7 +128,7 @@
 
     async def _run_timer(self) -> None:
         while True:
-            # Renewed before the event: a wake-up that the event itself asks for is not lost.
+            # Renewed before the event is fed: `feed` may set it, and renewing it afterwards would lose that wake-up.
             self._due_earlier = trio.Event()
             self.feed(TimerExpired())
             self.timer_handled()
--- a/rookbend/net/metrics.py
+++ b/rookbend/net/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics for Prometheus (its text format), by prometheus-client. Imported only where they are served."""
+"""Metrics in the Prometheus text format, by prometheus-client. Imported only if they are served."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class MetricsCollector(Collector):
-    """Reads counters and tables when it is scraped: nothing is counted twice, and no request pays for it."""
+    """Reads counters and tables when it is scraped: metrics cost nothing per request, and nothing is counted twice."""
 
     def __init__(
         self,
@@ -26,7 +26,7 @@
         members: Callable[[], MemberTable] | None,
         gauges: Callable[[], dict[str, float]],
     ):
-        """`members` returns the table of members, None where their health is off; `gauges` returns values by name."""
+        """`members` returns the table of members, or is None if health is disabled; `gauges` returns values by name."""
         self._counters = counters
         self._members = members
         self._gauges = gauges
@@ -34,7 +34,7 @@
         self._registry.register(self)
 
     def text(self) -> bytes:
-        """All metrics in Prometheus' text format."""
+        """All metrics in the Prometheus text format."""
         return generate_latest(self._registry)
 
     def collect(self) -> Iterator[Metric]:
--- a/rookbend/net/operations.py
+++ b/rookbend/net/operations.py
@@ -1,4 +1,4 @@
-"""The component behind the operators' endpoint: exclusions, metrics, and upgrades of the program."""
+"""The component behind the operators' endpoint: exclusions, metrics and upgrades of the program."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 from rookbend.protocol.coordinator_stream import split_address
 from rookbend.protocol.operator_api import OperatorApi
 
-UPGRADE_DESCRIPTORS = 4  # connections to two other processes of this director, and what is accepted meanwhile
+UPGRADE_DESCRIPTORS = 4  # links to two other processes of this director, and accepted sockets not linked yet
 
 
 class PersistedStateFile:
-    """Where exclusions are written for the next process, in `$TMPDIR`; each change replaces the file whole."""
+    """The file in `$TMPDIR` that stores exclusions for the next process; each change replaces the whole file."""
 
     def __init__(self, folder: str, name: str, log: Callable[..., None]):
         self.path = Path(folder) / f"rookbend.{name}.kept"
@@ -32,7 +32,7 @@
         self.log = log
 
     def read(self) -> PersistedState:
-        """The content, or an empty state where there is no usable file."""
+        """The stored state, or an empty one if there is no usable file."""
         try:
             with open(self.path, "rb") as file:
                 return persisted_state.decode(file.read(persisted_state.MAX_SIZE_BYTES), self.name)
@@ -43,7 +43,7 @@
         return PersistedState(self.name)
 
     def write(self, exclusions: Exclusions) -> None:
-        """Replaces the file; where that fails the exclusions hold all the same, here and at the other process."""
+        """Replaces the file. If that fails, the exclusions still apply here and in the other process."""
         state = PersistedState(self.name, excluded=list(exclusions.excluded), included_us=dict(exclusions.included_us))
         temporary = f"{self.path}.{os.getpid()}"
         try:
@@ -55,7 +55,7 @@
 
 
 class OperationsComponent(Component):
-    """Owns the exclusions, and stands between the coordinator's watch and whatever takes the membership next."""
+    """Owns the exclusions, and applies them to memberships between the coordinator's watch and the next consumer."""
 
     descriptors = MAX_CONNECTIONS + UPGRADE_DESCRIPTORS
 
@@ -72,26 +72,26 @@
             self.file = PersistedStateFile(folder, context.config.name, context.log)
             previous_state = self.file.read()
         self.exclusions = Exclusions(previous_state.excluded, previous_state.included_us)
-        # Before health: an exclusion reaches it as the membership's own state would.
+        # Applied before the health component, which sees an exclusion like a state set by the membership.
         self._forward_membership = context.watch.membership_changed
         context.watch.membership_changed = self._membership_changed
         self.api = OperatorApi(context.phase, self.metrics, self.set_excluded)
         self.endpoint: OperatorEndpoint | None = None
 
     def open(self, listeners: Listeners) -> None:
-        """Takes the listening socket of the endpoint."""
+        """Opens the listening socket of the endpoint."""
         listener = listeners.tcp(split_address(self.context.config.operator))
         self.endpoint = OperatorEndpoint(self.context, listener, self.api)
 
     def start(self, nursery: trio.Nursery) -> None:
-        """Begins to answer, and to wait for a next process."""
+        """Starts to answer requests, and to wait for a successor process."""
         assert self.endpoint is not None  # `open` comes before `start`
         self.endpoint.start(nursery)
         if self.upgrade is not None:
             nursery.start_soon(self.upgrade.run)
 
     def shutdown(self) -> None:
-        """The process ends."""
+        """Ends the upgrade's part, as the process ends."""
         if self.upgrade is not None:
             self.upgrade.shutdown()
 
@@ -101,7 +101,7 @@
         self._forward_membership(self.exclusions.apply(change))
 
     def set_excluded(self, member: str, exclude: bool) -> str:
-        """An operator's call; what is wrong with it, or "". Once this returns, it holds here."""
+        """Carries out an operator's request; returns "" once it is in effect here, or what is wrong with it."""
         result = self.exclusions.set_excluded(member, exclude, self.context.clock.now())
         self._carry_out(member, exclude, result)
         if result.changed and self.upgrade is not None:
@@ -109,7 +109,7 @@
         return result.error
 
     def _exclusion_of_other_process(self, member: str, exclude: bool) -> bool:
-        """The same, as another process of this director was asked; tells whether it changed anything."""
+        """Carries out a request that another process of this director received; returns whether it changed anything."""
         result = self.exclusions.adopt(member, exclude, self.context.clock.now())
         self._carry_out(member, exclude, result)
         return result.changed
@@ -126,7 +126,7 @@
     # Metrics
 
     def metrics(self) -> bytes:
-        """Counters and gauges in the operators' format."""
+        """Counters and gauges in the format of the operators' endpoint."""
         engine = self.context.engine
         counters = self.context.counters
         lines = []
@@ -142,7 +142,7 @@
         return metrics_text.text(lines, gauges)
 
     def _count_caches(self) -> tuple[int, int]:
-        """Listed caches, and those of them that are not used: by the membership, an operator or ejection."""
+        """The number of listed caches, and of those not used because of the membership, an operator or an ejection."""
         engine = self.context.engine
         other_kinds = (engine.settings.parent_kind, engine.settings.origin_kind)
         now = engine.clock.now()
--- a/rookbend/net/operator_endpoint.py
+++ b/rookbend/net/operator_endpoint.py
@@ -1,10 +1,11 @@
-"""The operators' HTTP listener: one call a connection, every answer within a second.
-
-Three things could break that promise. Callers that send nothing or half a call hold descriptors: they are counted apart
-from clients, closed after `CALL_US`, and where all places are taken the oldest makes room at once. A loop that is late
-would be late here too: an answer takes one reading of what is in memory, and no call waits for another. And an answer
-must not be lost to what its caller sent beyond the call: after it the endpoint closes its side, and reads on for a
-moment before it closes the other.
+"""The operators' HTTP listener: one request per connection, each answered within a second.
+
+- Connections that send nothing or only a part of a request hold descriptors. They are limited separately from the
+  platform's clients and closed after `REQUEST_TIMEOUT_US`; when all places are taken, a new one replaces the oldest.
+- A delayed event loop delays answers too. Therefore an answer takes a single read of state in memory, and no request
+  waits for another.
+- Closing a socket over unread bytes sends a reset, which can discard the answer. Therefore the endpoint closes its
+  sending side after the answer, and reads what the client sent beyond its request for a moment before it closes.
 """
 
 from __future__ import annotations
@@ -20,12 +21,12 @@
 from rookbend.protocol.operator_api import OperatorApi
 
 MAX_CONNECTIONS = 24
-REQUEST_TIMEOUT_US = 1_000_000  # a call that is not complete by then is not answered
-LINGER_TIMEOUT_US = 250_000  # what a caller sends beyond its call is read for so long
+REQUEST_TIMEOUT_US = 1_000_000  # a request that is not complete by then is not answered
+LINGER_TIMEOUT_US = 250_000  # how long bytes beyond the request are read after the answer
 
 
 class OperatorEndpoint(Component):
-    """Accepts callers and has `api` answer them; callers are held in the order in which they came."""
+    """Accepts connections, whose requests `api` answers; `connections` is in the order of their accept."""
 
     descriptors = MAX_CONNECTIONS + 2
 
@@ -40,7 +41,7 @@
         self.answered = 0
 
     def start(self, nursery: trio.Nursery) -> None:
-        """Begins to accept."""
+        """Starts to accept connections."""
         nursery.start_soon(self._serve)
 
     async def _serve(self) -> None:
@@ -51,7 +52,7 @@
         if len(self.connections) >= MAX_CONNECTIONS:
             oldest = next(iter(self.connections))
             self.connections.pop(oldest).cancel()
-            oldest.close()  # its descriptor at once: the newcomer's is there already
+            oldest.close()  # frees its descriptor at once, as the new connection already has one
         channel = BufferedSocket(set_socket_options(sock), nursery, self.write_scheduler)
         scope = trio.CancelScope(deadline=self._deadline_in(REQUEST_TIMEOUT_US))
         self.connections[channel] = scope
--- a/rookbend/net/peers.py
+++ b/rookbend/net/peers.py
@@ -1,4 +1,4 @@
-"""The driver of the datagrams between directors."""
+"""The driver of datagrams between directors."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class PeerSocket:
-    """Sends and receives datagrams; one that can't be sent at once is lost, as one on the way may be."""
+    """Sends and receives datagrams. One that can't be sent at once is dropped, since datagrams may be lost anyway."""
 
     def __init__(
         self,
@@ -25,7 +25,7 @@
         peers: Sequence[tuple[str, int]],
         broadcast: tuple[str, int] | None,
     ):
-        """`peers` are the directors' addresses by number; `broadcast` reaches all, None where nothing does."""
+        """`peers` are the directors' addresses by number; `broadcast` is an address that reaches all, or None."""
         self._engine = engine
         self._containment = containment
         self._sock = sock
@@ -36,14 +36,14 @@
         self._receiving.set()
 
     def set_receiving(self, receiving: bool) -> None:
-        """Whether to receive: while two processes hold the socket, datagrams are for the newer one."""
+        """Starts or stops receiving: while two processes hold the socket, only the newer one receives datagrams."""
         if receiving:
             self._receiving.set()
         elif self._receiving.is_set():
             self._receiving = trio.Event()
 
     def send(self, peer: int | None, data: bytes) -> None:
-        """Sends a datagram to one director by its number, or with None to all."""
+        """Sends a datagram to one director by its number, or to all if `peer` is None."""
         address = self._address_of(peer)
         if address is not None and len(data) <= MAX_DATAGRAM_BYTES:
             with contextlib.suppress(OSError):
@@ -55,7 +55,7 @@
         return self._peers[peer] if peer < len(self._peers) else None
 
     async def run(self) -> None:
-        """Receives datagrams from known directors, for good."""
+        """Receives datagrams from known directors until cancelled."""
         while True:
             await self._receiving.wait()
             await trio.lowlevel.wait_readable(self._sock)
@@ -64,7 +64,7 @@
             try:
                 data, address = self._sock.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except OSError:
-                continue  # an earlier datagram of ours was refused
+                continue  # reports that an earlier datagram was refused by its receiver
             sender = self._numbers.get(address[:2])
             if sender is not None and len(data) <= MAX_DATAGRAM_BYTES:
                 with self._containment.contain("peers", peer=sender):
--- a/rookbend/net/recovery.py
+++ b/rookbend/net/recovery.py
@@ -1,4 +1,4 @@
-"""The driver of recovery: feeds the state machine (recovery/machine.py) what comes in, carries out its actions.
+"""The driver of recovery: feeds events to the state machine (recovery/machine.py) and carries out its actions.
 
 The machine's clock is monotonic from the Unix time of the start, so that a stepped system clock changes no age.
 """
@@ -49,7 +49,7 @@
 
 
 class PendingOrder:
-    """An order on its way to the disk; `durable` is what came of it, once `ended`."""
+    """An order that is being written to the disk; `durable` is the outcome, valid once `ended` is set."""
 
     def __init__(self) -> None:
         self.ended = trio.Event()
@@ -57,7 +57,8 @@
 
 
 class RecoveryComponent(MachineDriver[Event]):
-    """`limits` are those in force; `on_boot_raised` is called when peers knew a later incarnation than the disk."""
+    """`limits` are the admission limits in force. `on_boot_raised` is called when a peer knows a later incarnation of
+    this director than its disk does."""
 
     machine: RecoveryMachine
 
@@ -72,7 +73,7 @@
         self.machine = RecoveryMachine(self.config, self.now(), boot_number, incarnation, persisted_rows(self.state))
         self.limits: SetAdmissionLimits | None = None
         self.on_boot_raised: Callable[[], None] = lambda: None
-        self._orders_to_apply: dict[str, ApplyOrder] = {}  # by member; it may be added to the membership later
+        self._orders_to_apply: dict[str, ApplyOrder] = {}  # by member, until it is in the membership
         self._pending_orders: dict[str, PendingOrder] = {}
         self._forward_membership = context.watch.membership_changed
         context.may_report_ready = lambda: self.limits is not None and self.limits.ready
@@ -85,11 +86,11 @@
         self.begin()
 
     def now(self) -> int:
-        """Microseconds from the Unix time of the start, on the monotonic clock."""
+        """Microseconds: the Unix time of the start plus the time on the monotonic clock since then."""
         return self._monotonic_us() + self._offset_us
 
     def gauges(self) -> dict[str, float]:
-        """Figures for metrics."""
+        """Gauges for the metrics."""
         machine = self.machine
         return {
             "recovery_stage": int(machine.sequence.stage),
@@ -112,14 +113,14 @@
         self.feed(PurgeReceived(purge))
 
     def _datagram_received(self, sender: int, data: bytes) -> bool:
-        """Whether it belongs to this exchange, and not to the router's."""
+        """Takes a datagram of recovery; returns False for one of another protocol."""
         if not is_ours(data):
             return False
         self.feed(DatagramReceived(sender, data))
         return True
 
     def _attempt_changed(self, attempt: Attempt, result: AttemptResult | None) -> None:
-        """Counts attempts that may reach the origin: direct ones, and fills from it or a parent."""
+        """Counts attempts that may reach the origin: direct ones, and fills from the origin or a parent."""
         if not self.machine.counts_origin_calls:
             return
         endpoint = self.engine.endpoints.get(attempt.server)
@@ -139,7 +140,7 @@
     # Actions
 
     def action_handlers(self) -> ActionHandlers:
-        """What recovery's own actions do to the director."""
+        """The handlers of the recovery machine's own actions."""
         return {
             ForwardMembership: self._apply_membership,
             ApplyOrder: self.apply_order,
@@ -152,8 +153,8 @@
         self.engine.purged(action.purge)
 
     def apply_order(self, action: ApplyOrder) -> None:
-        """Applies an order to a member, at once or when the member is added. One that a peer or a disk has and this
-        version does not know is logged and left out."""
+        """Applies an order to a member, at once or when the member is added. An order from a peer or a disk that this
+        version does not know is logged and ignored."""
         from rookbend.health.model import Order
 
         if action.order not in {order.value for order in Order}:
@@ -178,7 +179,7 @@
 
     def _set_limits(self, action: SetAdmissionLimits) -> None:
         self.limits = action
-        # The engine's clock is another: it may have been set forward since.
+        # The engine's clock may have moved forward relative to this one, so the time is converted by its age.
         age_us = self.now() - action.oldest_copy_us
         self.engine.attempts.oldest_copy_us = action.oldest_copy_us and self.context.clock.now() - age_us
         self.engine.set_admission_limits(action.closed_classes, action.origin_rate)
@@ -191,7 +192,7 @@
     # Operators
 
     def row_persisted(self, row: PersistRow, durable: bool) -> None:
-        """An order is durable, or refused by the disk; without a disk it lasts as long as a director of the fleet."""
+        """An order is durable, or the disk refused it; without a disk it lasts while any director of the fleet runs."""
         if durable:
             self.feed(OrderPersisted(row.key, row.value))
         pending = self._pending_orders.pop(row.key, None)
@@ -200,7 +201,7 @@
             pending.ended.set()
 
     async def order(self, member: str, order: str, by: str) -> str:
-        """Requests an order that outlives the director; "" once it is durable, or why it is refused."""
+        """Requests an order that outlives the director; returns "" once it is durable, or why it is not."""
         key = f"{self.config.number}/{member}"
         while key in self._pending_orders:
             await self._pending_orders[key].ended.wait()
@@ -211,24 +212,24 @@
         if pending.durable:
             return ""
         fault = self.state.ledger.fault if self.state is not None else ""
-        return f"not durable: {fault or 'the disk refused'}"
+        return f"not durable: {fault or 'the disk refused the write'}"
 
     def command(self, word: str) -> None:
-        """An operator's command by its word: hold, resume, skip."""
+        """Carries out an operator's command: hold, resume or skip."""
         self.feed(OperatorCommand(RecoveryCommand(word)))
 
     def fleet(self) -> dict[str, Any]:
-        """The fleet as this director knows it, for `rookbend fleet`."""
+        """The fleet as known to this director, for `rookbend fleet`."""
         return {"director": self.context.config.name, **fleet_status(self.machine, self.now())}
 
     def explain(self) -> dict[str, Any]:
-        """Why this director is in its stage, for `rookbend recovery`."""
+        """The reasons why this director is in its stage, for `rookbend recovery`."""
         return {"director": self.context.config.name, **recovery_status(self.machine, self.now())}
 
     # The timer
 
     def timer_handled(self) -> None:
-        """Refreshes the rate: requests in the router's fill queue start only when an event comes."""
+        """Sets the origin rate again: requests in the router's fill queue start only on an event."""
         if self.limits is not None and self.limits.origin_rate is not None:
             self.engine.set_admission_limits(self.limits.closed_classes, self.limits.origin_rate)
 
--- a/rookbend/net/recovery_setup.py
+++ b/rookbend/net/recovery_setup.py
@@ -1,4 +1,4 @@
-"""What the recovery's state machine is built from: the director's settings and the rows found on disk."""
+"""The inputs of recovery's state machine: its configuration from the settings, and the rows stored on disk."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 if TYPE_CHECKING:
     from rookbend.net.state import StateComponent
 
-MULTIPART_CLASS_COST = 4.0  # objects that come in parts are large: relative to a class of small ones
+MULTIPART_CLASS_COST = 4.0  # relative to other classes, since objects that come in parts are large
 DEFAULT_PURGE_PROPAGATION_US = 6_000_000
 
 
 def recovery_config(context: ComponentContext) -> RecoveryConfig:
-    """What the settings say, for the state machine."""
+    """The state machine's configuration, from the settings."""
     operators = context.operators
     recovery_settings = operators.recovery
-    assert recovery_settings is not None, "recovery is built only where the settings ask for it"
+    assert recovery_settings is not None, "recovery is built only if the settings enable it"
     router = context.engine.settings
     classes = tuple(
         TrafficClassCost(c.is_write, c.priority_weight, MULTIPART_CLASS_COST if c.has_parts else 1.0)
@@ -44,7 +44,7 @@
 
 
 def persisted_rows(state: StateComponent | None) -> tuple[PersistedRow, ...]:
-    """All rows found on disk; none without a disk."""
+    """All rows stored on disk; none without a disk."""
     if state is None:
         return ()
     return tuple(
--- a/rookbend/net/report_writer.py
+++ b/rookbend/net/report_writer.py
@@ -1,4 +1,4 @@
-"""Writes lines of the fleet's report to its ledger or file, before the lease on the report ends."""
+"""Writes lines of the fleet's report to a ledger or a file, before the lease on the report ends."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 from rookbend.logs import Log
 from rookbend.net.connector import open_socket
 
-FILE_MARGIN_US = 200_000  # a file has no fencing: a write begins so long before the lease ends
+FILE_MARGIN_US = 200_000  # a file can't reject stale tokens, so a write starts at least this long before the lease ends
 MAX_REPLY_BYTES = 4096
 
 
 class ReportWriter:
-    """`ledger` is an address, else `file` a path; `now` reads the coordinator's clock in µs.
+    """`ledger` is an address; without one, `file` is a path. `now` reads the lease machine's clock in µs.
 
-    `written` gets the outcome of each line.
+    `on_written` is called with the outcome of each line.
     """
 
     def __init__(
@@ -41,17 +41,17 @@
         self._now = now
         self._log = log
         self._on_written = on_written
-        self._current: trio.CancelScope | None = None  # of the newest write
+        self._current: trio.CancelScope | None = None  # of the latest write
 
     def cancel(self) -> None:
-        """The lease is lost: the write in progress ends."""
+        """Cancels the write in progress, as the lease is lost."""
         if self._current is not None:
             current = self._current
             self._current = None
             current.cancel()
 
     def extend(self) -> None:
-        """The lease may have been renewed: the write in progress may take until its new end."""
+        """Lets the write in progress run until the new end of the lease, which may have been renewed."""
         if self._current is not None:
             self._current.deadline = self._monotonic_at(self._leases.leases[REPORT_SCOPE].expires_us)
 
@@ -62,7 +62,7 @@
         return self._leases.held_token(self._now(), REPORT_SCOPE) == token
 
     async def write(self, line: WriteReportLine) -> None:
-        """Writes one line; a line that could not be written in time counts as not accepted."""
+        """Writes one line; a line that can't be written in time counts as not accepted."""
         accepted = False
         highest_token = 0
         with trio.CancelScope() as scope:
@@ -82,12 +82,12 @@
         self._on_written(ReportLineWritten(line.number, accepted, highest_token))
 
     async def _append_to_ledger(self, address: tuple[str, int], line: WriteReportLine) -> tuple[bool, int]:
-        """Whether the ledger has the line, and its highest token where it rejected ours. Raises OSError."""
+        """Returns whether the ledger has the line, and its highest token if it rejected this one. Raises OSError."""
         with await open_socket(address) as sock:
             if not self._holds(line.token):
                 return False, 0
-            # Right behind the check of the lease. The process may be stopped between the two: the ledger
-            # rejects an older token.
+            # Sent right after the check of the lease. If the process is suspended between the two, the lease may
+            # expire before the send; the ledger then rejects the older token.
             sock.send(f"append {line.token} {line.number} {line.line}\n".encode())
             reply = b""
             while not reply.endswith(b"\n"):
@@ -102,9 +102,9 @@
         return words[:1] in (["ok"], ["have"]), 0
 
     def _append_to_file(self, line: WriteReportLine) -> bool:
-        """In a thread: one write, which must end well before the lease does. Raises OSError.
+        """Appends the line in one write, which must end well before the lease does. Runs in a thread.
 
-        A line that comes late all the same shows its token and number.
+        A line that is written too late all the same shows its token and number. Raises OSError.
         """
         if self._now() >= line.expires_us - FILE_MARGIN_US or not self._holds(line.token):
             return False
--- a/rookbend/net/scheduling.py
+++ b/rookbend/net/scheduling.py
@@ -1,4 +1,4 @@
-"""The driver of background work: runs the jobs that the scheduler starts."""
+"""The driver of background work: runs the jobs started by the scheduler."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from rookbend.core.clock import Clock
 from rookbend.scheduling import Scheduler, StartedJob
 
-JobHandler = Callable[[Any], Awaitable[None]]  # given the job's key
+JobHandler = Callable[[Any], Awaitable[None]]  # called with the job's key
 
 
 class JobRunner:
-    """Runs each job by the handler of its kind, the first item of its key.
+    """Runs each job with the handler of its kind, which is the first item of its key.
 
-    A handler schedules its job again where that is wanted. One that raises is a fault of the program.
+    A handler schedules its job again if it has to be repeated. A handler that raises has a bug.
     """
 
     def __init__(self, scheduler: Scheduler, clock: Clock):
@@ -24,19 +24,19 @@
         self.handlers: dict[str, JobHandler] = {}
         self._clock = clock
         self._woken = trio.Event()
-        self._wake_at_us = 0  # 0 where no time is set
+        self._wake_at_us = 0  # 0 if there is none
 
     def wake(self) -> None:
-        """To be called once the scheduler was given a job or a priority."""
-        # The loop is woken only if its next turn is earlier now: at each job's end that would cost more than some
-        # jobs do.
+        """Must be called after a job or a priority was set in the scheduler."""
+        # Wakes the loop only if its next turn is earlier now: waking it at the end of each job would cost more than
+        # some of the jobs.
         next_us = self.scheduler.next_start_us(self._clock.now())
         is_earlier = next_us and (not self._wake_at_us or next_us < self._wake_at_us)
         if self.scheduler.has_waiting or is_earlier:
             self._woken.set()
 
     async def run(self) -> None:
-        """Starts jobs for good."""
+        """Starts jobs until cancelled."""
         async with trio.open_nursery() as nursery:
             while True:
                 now_us = self._clock.now()
--- a/rookbend/net/shard_checks.py
+++ b/rookbend/net/shard_checks.py
@@ -1,4 +1,4 @@
-"""Health checks by shard: which members this director checks, and what it publishes and applies of results."""
+"""Health checks by shard: which members this director checks, and which results it publishes and applies."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ShardChecks:
-    """`health` is the part that checks members; `now` reads the machine's clock in µs; `feed` its events."""
+    """`health` is the component that checks members; `now` reads the machine's clock in µs; `feed` passes it events."""
 
     def __init__(
         self,
@@ -33,7 +33,7 @@
         self._last: dict[int, CheckResultsCollected] = {}  # by scope
 
     def install(self) -> None:
-        """Decides from now on which checks the health part makes."""
+        """Makes the health component run only the checks that are assigned here."""
         self._health.driver.assign = self.assignment_for
         self._health.driver.on_result = self.check_ended
 
@@ -45,7 +45,7 @@
         return [row for member_number, row in rows if self._scope_of(member_number) == scope]
 
     def assignment_for(self, member_number: int, interval_us: int) -> CheckAssignment:
-        """Whether a check of that member is made here now, and how long to rest at least until the next."""
+        """Whether this director checks the member now, and the minimum time until the next check."""
         scope = self._scope_of(member_number)
         now_us = self._now()
         if self._machine.leases.held_token(now_us, scope):
@@ -55,13 +55,13 @@
         return CheckAssignment(True, interval_us * UNLED_INTERVAL_FACTOR)
 
     def check_ended(self, member_number: int) -> None:
-        """A check of ours has ended: what changed is published at once."""
+        """A check of this director has ended: publishes changed results at once."""
         scope = self._scope_of(member_number)
         if self._machine.leases.held_token(self._now(), scope):
             self._collect(scope)
 
     def collect(self) -> None:
-        """Collects the results of all shards that are held here."""
+        """Collects the results of all shards held by this director."""
         for scope in self._machine.leases.held_scopes(self._now()):
             if scope >= FIRST_CHECKS_SCOPE:
                 self._collect(scope)
@@ -74,7 +74,7 @@
             self._feed(event)
 
     def apply(self, action: ApplyShardResults) -> None:
-        """Feeds what a shard's leader published to our registry."""
+        """Feeds the results published by a shard's leader to this director's registry."""
         service = self._health.service
         number = service.registry.begin_check()
         rows = self._registry_rows(action.scope)
--- a/rookbend/net/state.py
+++ b/rookbend/net/state.py
@@ -1,4 +1,4 @@
-"""The driver of durable state: hands batches to the writer thread, and their outcome back to the event loop."""
+"""The driver of durable state: passes batches to the writer thread, and their outcome back to the event loop."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 class StateComponent(Component):
-    """`ledger` holds the rows; `boot_number` is that of this start. Raises ConfigError where the folder can't be
+    """`ledger` holds the rows; `boot_number` is the number of this start. Raises ConfigError if the folder can't be
     used."""
 
     descriptors = 8
 
     def __init__(self, context: ComponentContext):
         state_settings = context.operators.state
-        assert state_settings is not None, "built only where the settings ask for it"
+        assert state_settings is not None, "durable state is built only if the settings enable it"
         self.clock = context.clock
         self.log = context.log
         try:
@@ -44,7 +44,7 @@
         self.log("state_open", folder=state_settings.folder, boot=self.boot_number, rows=row_count)
 
     def gauges(self) -> dict[str, float]:
-        """Figures for metrics."""
+        """Gauges for the metrics."""
         ledger = self.ledger
         return {
             "state_bytes": ledger.bytes,
@@ -64,7 +64,7 @@
         self._changed.set()
 
     def put_by(self, kind: str, key: str, value: bytes, by_us: int, done: Done) -> None:
-        """As `put`, but `done` is called by `by_us` at the latest: a disk that hangs makes nobody wait longer."""
+        """As `put`, but `done` is called by `by_us` at the latest, even if the disk hangs."""
         assert self._nursery is not None, "called before start"
         self._nursery.start_soon(self._put_by, kind, key, value, by_us, done)
 
@@ -87,7 +87,7 @@
         self._changed.set()
 
     def raise_boot_number(self, boot_number: int) -> None:
-        """Takes a higher number for this start: peers knew one as high."""
+        """Raises the number of this start, since a peer knows one that is as high."""
         self.boot_number = boot_number
         assert self._writer is not None, "called before start"
         self._writer.raise_boot_number(boot_number)
@@ -100,7 +100,7 @@
         self._nursery = nursery
 
         def ended(number: int, fault: str) -> None:
-            # Where the loop has ended, nobody waits any more.
+            # Once the event loop has ended, nothing waits for the outcome.
             with contextlib.suppress(trio.RunFinishedError):
                 token.run_sync_soon(self._batch_ended, number, fault)
 
@@ -128,7 +128,8 @@
                         scope.deadline = self.clock.monotonic_at(due_us)
                     await self._changed.wait()
         finally:
-            # What was handed over is written before the process ends; what was not goes in one last batch.
+            # Before the process ends, the writer completes the batches that it was given, and one with the remaining
+            # changes.
             last = self.ledger.take(self.clock.now())
             if last is not None:
                 writer.write(last)
--- a/rookbend/net/status_servers.py
+++ b/rookbend/net/status_servers.py
@@ -1,4 +1,4 @@
-"""The servers that tell a balancer in front of this director's status: by agent check, HTTP and gRPC."""
+"""The servers that report this director's status to balancers in front of it: agent check, HTTP and gRPC."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def agent_server(context: ComponentContext, address: tuple[str, int], current_status: CurrentStatus) -> BoundedServer:
-    """A server that sends its line to each client and closes."""
+    """A server that sends the agent line to each client and closes."""
 
     async def serve_client(channel: BufferedSocket) -> None:
         status = current_status()
@@ -46,7 +46,7 @@
 
 
 class GrpcServer(BoundedServer):
-    """A server of gRPC's Check and Watch; watchers stay and are notified of each change at once."""
+    """A server of gRPC's Check and Watch; watchers stay connected and are notified of each change at once."""
 
     def __init__(self, context: ComponentContext, address: tuple[str, int], current_status: CurrentStatus):
         super().__init__(context, "grpc-server", address, self._serve_grpc, long_lived=True)
@@ -54,12 +54,12 @@
         self._connections: dict[BufferedSocket, GrpcHealthServer] = {}
 
     def changed(self) -> None:
-        """Notifies the watchers: the status may have changed."""
+        """Notifies the watchers if the status has changed."""
         for channel, grpc in self._connections.items():
             channel.write(grpc.changed())
 
     async def _serve_grpc(self, channel: BufferedSocket) -> None:
-        # Imported here, since it needs optional packages.
+        # Imported here because it needs optional packages.
         from rookbend.protocol.grpc_health_messages import ServingStatus
         from rookbend.protocol.grpc_health_server import GrpcHealthServer
 
@@ -75,7 +75,7 @@
             del self._connections[channel]
 
     async def _exchange(self, channel: BufferedSocket, grpc: GrpcHealthServer) -> None:
-        """Serves calls until the connection ends, or is idle for too long without a Watch."""
+        """Serves calls until the connection ends, or is idle for `CLIENT_TIMEOUT_US` without a Watch."""
         while not grpc.ended:
             with trio.CancelScope() as scope:
                 if not grpc.watched:
--- a/rookbend/net/upgrade.py
+++ b/rookbend/net/upgrade.py
@@ -1,8 +1,8 @@
-"""The driver of upgrades: a process gives its listening sockets to its successor; both pass exclusions on.
+"""The driver of upgrades: a process transfers its listening sockets to its successor; both forward exclusions.
 
-They meet at a Unix socket in `$TMPDIR`, which only the processes of one director share. The process that listens
-there is the one a next process asks: each takes the path over once it serves. `operations.handover` says what a
-message means.
+They connect over a Unix socket in `$TMPDIR`, which only the processes of one director share. A new process requests the
+sockets from the process that listens there, and listens there itself once it serves. `operations.handover` defines what
+the messages mean.
 """
 
 from __future__ import annotations
@@ -23,9 +23,9 @@
 from rookbend.protocol import upgrade as upgrade_protocol
 
 RETRY_S = 1
-HANDOVER_TIMEOUT_US = 3_000_000  # a predecessor that has not given by then stands still: the successor starts by itself
+HANDOVER_TIMEOUT_US = 3_000_000  # a predecessor that does not answer by then hangs: the successor binds its own
 MAX_PATH_BYTES = 100  # bytes of a Unix socket's path, less than the kernel's 108
-MAX_DESCRIPTORS = 64  # descriptors in one message
+MAX_DESCRIPTORS = 64  # in one message
 PEER_CREDENTIALS = struct.Struct("3i")  # SO_PEERCRED: pid, uid, gid
 CONNECTION_ERRORS = OSError, trio.BrokenResourceError, trio.ClosedResourceError, upgrade_protocol.UpgradeError
 
@@ -33,7 +33,7 @@
 
 
 class Link:
-    """The connection to one other process of this director."""
+    """A connection to another process of this director."""
 
     def __init__(self, raw: socket.socket):
         raw.setblocking(False)
@@ -42,14 +42,14 @@
         self.reader = upgrade_protocol.MessageReader()
 
     def send(self, message: upgrade_protocol.Message, rights: Sequence[Rights] = ()) -> None:
-        """Sends at once or not at all: messages are small and rare; a full socket has a reader that stands still."""
+        """Sends at once or drops the message: messages are small and rare, only a peer that hangs leaves the socket full."""
         with contextlib.suppress(OSError):
             self.raw.sendmsg([upgrade_protocol.encode(message)], rights)
 
 
 class Upgrade:
-    """`on_exclusion(member, exclude)` takes another process's exclusion and tells whether it changed anything;
-    `changed()` is called at every change of `handover`."""
+    """`on_exclusion(member, exclude)` applies another process's exclusion and returns whether it changed anything;
+    `on_change()` is called at every change of `handover`."""
 
     def __init__(self, folder: str, name: str, clock: Clock, log: Callable[..., None], listeners: Listeners):
         self.path = Path(folder) / f"rookbend.{name}.sock"
@@ -65,7 +65,7 @@
     # The successor's side
 
     async def inherit(self) -> None:
-        """Asks the process before for its sockets, if there is one."""
+        """Requests the predecessor's sockets, if there is a predecessor."""
         if not self.path.exists() or len(os.fsencode(self.path)) > MAX_PATH_BYTES:
             return
         self.listeners.has_predecessor = True
@@ -77,7 +77,7 @@
                 self._check_peer(link.sock)
                 await self._request_listeners(link)
         except CONNECTION_ERRORS as error:
-            # Nobody listens at a path that a crash has left behind: there is no predecessor.
+            # A refused connect means that a crash left the path behind: there is no predecessor.
             self.listeners.has_predecessor = not isinstance(error, ConnectionRefusedError)
             reason = str(error) or type(error).__name__
         if self.predecessor is None:
@@ -94,7 +94,7 @@
                 if (level, kind) == (socket.SOL_SOCKET, socket.SCM_RIGHTS):
                     found.frombytes(body[: len(body) - len(body) % found.itemsize])
             if not data:
-                raise upgrade_protocol.UpgradeError("the process before has ended")
+                raise upgrade_protocol.UpgradeError("the predecessor has ended")
             for message in link.reader.feed(data):
                 names = message.listeners if isinstance(message, upgrade_protocol.GiveListeners) else names
         self.listeners.inherit(names, list(found))
@@ -104,7 +104,7 @@
 
     @staticmethod
     def _check_peer(sock: trio.socket.SocketType) -> None:
-        # The folder may be writable for another user.
+        # Other users may be able to write to the folder.
         credentials = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, PEER_CREDENTIALS.size)
         _, uid, _ = PEER_CREDENTIALS.unpack(credentials)
         if uid != os.getuid():
@@ -113,14 +113,14 @@
     # The predecessor's side
 
     async def run(self) -> None:
-        """Tells the predecessor, if any, that this process serves, and waits for successors until it is cancelled."""
+        """Notifies the predecessor, if any, that this process serves, and waits for successors until cancelled."""
         async with trio.open_nursery() as nursery:
             if self.predecessor is not None:
                 nursery.start_soon(self._watch_predecessor, self.predecessor)
             await self._accept_successors(nursery)
 
     def open(self) -> None:
-        """From here on a next process asks this one for its sockets."""
+        """Starts listening: from now on a new process requests its sockets from this one."""
         self.close()
         if len(os.fsencode(self.path)) > MAX_PATH_BYTES:
             return self.log("upgrade_unable", "warning", reason=f"the path is too long: {self.path}")
@@ -137,26 +137,26 @@
             self.log("upgrade_unable", "error", reason=str(error))
 
     def shutdown(self) -> None:
-        """At the end: a path at which nobody listens is not left behind."""
+        """Stops listening, and removes the path unless another process listens there."""
         self.close()
         if not self._is_listening():
             self.path.unlink(missing_ok=True)
 
     def _is_listening(self) -> bool:
-        """Whether a process listens at the path, which then must not be taken from it: a predecessor that stood still
-        as it was asked learns of its successor only once that has long begun by itself."""
+        """Whether a process listens at the path, which must then not be taken from it. A predecessor that hung when its
+        sockets were requested learns of its successor only long after that has started on its own sockets."""
         with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as probe:
             probe.setblocking(False)
             try:
                 probe.connect(str(self.path))
             except BlockingIOError:
-                return True  # its queue is full: it is there
+                return True  # its backlog is full, so it listens
             except OSError:
                 return False
             return True
 
     def close(self) -> None:
-        """Stops listening; a next process can no longer ask."""
+        """Stops listening: a new process can no longer request the sockets."""
         if self._listener is not None:
             trio.lowlevel.notify_closing(self._listener)
             self._listener.close()
@@ -167,7 +167,7 @@
             if self._listener is None:
                 self.open()
             listener = self._listener
-            if listener is None:  # no socket can be made there now
+            if listener is None:  # the socket could not be bound
                 await trio.sleep(RETRY_S)
                 continue
             try:
@@ -189,7 +189,7 @@
                         self._handle_message(number, link, message)
             except CONNECTION_ERRORS as error:
                 self.log("upgrade_link_lost", "warning", reason=str(error) or type(error).__name__)
-        # Not where this process ends: the path is the successor's then.
+        # Not reached when this process ends, since its tasks are cancelled: the successor then owns the path.
         served = self.handover.successors.get(number)
         if served is not None:
             del self.links[number]
@@ -197,7 +197,7 @@
             self.log("upgrade_ended", "warning", served=served)
             self.on_change()
             if not self._is_listening():
-                self.open()  # the path was the successor's: a next process asks this one again
+                self.open()  # the successor owned the path: the next process requests from this one again
 
     def _handle_message(self, number: int, link: Link, message: upgrade_protocol.Message) -> None:
         if isinstance(message, upgrade_protocol.RequestListeners):
@@ -235,7 +235,7 @@
         self.on_change()
 
     def send_exclusion(self, member: str, exclude: bool, except_to: Link | None = None) -> None:
-        """Passes an exclusion on to every other process but the one it came from."""
+        """Forwards an exclusion to every other process except the one that it came from."""
         for link in (*self.links.values(), *((self.predecessor,) if self.predecessor else ())):
             if link is not except_to:
                 link.send(upgrade_protocol.SetExclusion(member, exclude))
--- a/rookbend/net/watch.py
+++ b/rookbend/net/watch.py
@@ -1,12 +1,12 @@
 """The driver of the coordinator's stream: stays connected, and passes its events to the engine.
 
-Where the coordinator ends all streams at once, all directors would reconnect in the same moment. The
-reconnect backoff therefore has jitter: each director has a slot of its own in a span that grows with the
-fleet up to `MAX_SPREAD_S`, by its number and a seeded draw, and stays in it over calls that bring nothing; with
-each stream that did, the slots move on, so that nobody is always last.
+If the coordinator ends all streams at once, all directors would reconnect at the same moment. The reconnect backoff
+therefore has jitter: each director reconnects in a slot of its own within a span that grows with the fleet, up to
+`MAX_SPREAD_S`. The slot depends on the director's number and a seeded random draw. A director keeps its slot while its
+calls return no event; after each stream that delivered events the slots shift, so that no director is always the last.
 
-The coordinator assumes that its events arrive at once, so the time without a working stream is bounded:
-`SILENCE_TIMEOUT_US` until a silent one is given up, the backoff, and the settings' connect timeout.
+The coordinator assumes that its events arrive at once, so the time without a working stream is limited to the sum of
+`SILENCE_TIMEOUT_US` until a silent stream is closed, the backoff, and the settings' connect timeout.
 """
 
 from __future__ import annotations
@@ -23,20 +23,20 @@
 
 STREAM_PATH = "/v2/stream"
 READ_BYTES = 65536
-SILENCE_TIMEOUT_US = 2_200_000  # a comment comes each second: a stream that missed two is dead
-MIN_PAUSE_S = 0.1  # before a call, after a stream that brought something
-MAX_SPREAD_S = 0.8  # and so much more, spread over the fleet: under a fifth of it in any 0.1 s
-SPREAD_PER_DIRECTOR_S = 0.08  # in a fleet too small to need all of it
-REPEAT_MARGIN_S = 0.1  # between calls that bring nothing: longer than the span, so they don't overlap
-SLOT_SHIFT_RATIO = 0.382  # of the span, by which the slots move on
-SLOT_JITTER_RATIO = 0.25  # of a slot; more lets three directors meet
+SILENCE_TIMEOUT_US = 2_200_000  # the coordinator sends a comment each second: a stream that missed two is dead
+MIN_PAUSE_S = 0.1  # minimum before a call, after a stream that delivered events
+MAX_SPREAD_S = 0.8  # added to it, spread over the fleet: less than a fifth of the fleet calls in any 0.1 s
+SPREAD_PER_DIRECTOR_S = 0.08  # the spread of a fleet too small for MAX_SPREAD_S
+REPEAT_MARGIN_S = 0.1  # makes the pause between calls without events longer than the span, so that they don't overlap
+SLOT_SHIFT_RATIO = 0.382  # of the span, by which the slots shift
+SLOT_JITTER_RATIO = 0.25  # of a slot; with more, three directors may call at the same time
 
 
 class ReconnectBackoff:
-    """Pauses between calls: this director's slot in the span first, then the same pause each time."""
+    """Pauses between calls: first until this director's slot in the span, then a fixed pause."""
 
     def __init__(self, number: int, count: int, seed: int) -> None:
-        """`number` is this director's, of `count`; `seed` is its own."""
+        """`number` is this director's number, of `count`; `seed` is specific to this director."""
         self.number = number
         self.count = max(1, count)
         self.span_s = min(MAX_SPREAD_S, SPREAD_PER_DIRECTOR_S * self.count)
@@ -46,11 +46,11 @@
         self._in_slot = False
 
     def reset(self) -> None:
-        """The last call brought something: the coordinator works."""
+        """The last call delivered events, so the coordinator works."""
         self._in_slot = False
 
     def next(self) -> float:
-        """The pause before the next call, seconds."""
+        """The pause before the next call, in seconds."""
         if self._in_slot:
             return self.repeat_pause_s
         slot = (self.number + SLOT_JITTER_RATIO * self._random.random()) / self.count
@@ -61,13 +61,13 @@
 
 
 class Watch:
-    """Follows the stream of one coordinator, and passes on memberships and purges.
+    """Follows the stream of one coordinator and passes on memberships and purges.
 
     `membership_changed`, `purged` and `stream_received` are callbacks, which may be replaced until `run` starts.
     """
 
     def __init__(self, engine: Engine, translator: Translator, address: tuple[str, int] | None, seed: int = 0) -> None:
-        """Without an `address` nothing is called until `move`; `seed` is of the reconnect backoff."""
+        """Without an `address`, no call is made until `change_coordinator`; `seed` is for the reconnect backoff."""
         self.engine = engine
         self.translator = translator
         self.address = address
@@ -75,32 +75,32 @@
         self.backoff = ReconnectBackoff(settings.router_index, settings.router_count, seed)
         self.membership_changed: Callable[[MembershipChange], None] = engine.membership_changed
         self.purged: Callable[[Purge], None] = engine.purged
-        self.stream_received: Callable[[], None] = lambda: None  # the stream is up and has brought something
+        self.stream_received: Callable[[], None] = lambda: None  # called when bytes were received on the stream
         self.last_index = 0
-        self._call_scope = trio.CancelScope()  # the call under way, or the pause before the next
+        self._call_scope = trio.CancelScope()  # the call in progress, or the pause before the next
 
     def change_coordinator(self, address: tuple[str, int] | None) -> None:
-        """Calls another coordinator, at once. Its numbers go on where those of the old one ended."""
+        """Calls another coordinator at once. Its event indexes continue those of the old one."""
         self.address = address
-        # Guards the time that an event may take: the old stream stays open and silent for a while, and is not
-        # waited for.
+        # Ends the old stream at once: it may stay open and silent for a while, and waiting for its end would delay the
+        # events of the new coordinator.
         self._call_scope.cancel()
 
     def apply_known_events(self, known: Known) -> None:
-        """Applies the events that the configuration brings along."""
+        """Applies the events that are part of the configuration."""
         for update in known.updates:
             self._apply(update)
         self.last_index = max(self.last_index, known.index)
 
     def _apply(self, update: Update) -> None:
         if update.index and update.index <= self.last_index:
-            return  # applied before: the stream began again a little early
+            return  # applied before: a new stream may repeat earlier events
         self.last_index = max(self.last_index, update.index)
         self.engine.clock.anchor()
         try:
             event = self.translator.translate(update)
         except StreamError as error:
-            # One event that can't be used must not cost those that follow it.
+            # One event that can't be used must not block the events that follow it.
             self.engine.counters.events_unusable += 1
             return self.engine.log("coordinator_event_unusable", "error", reason=str(error))
         if isinstance(event, Purge):
@@ -109,13 +109,14 @@
             self.membership_changed(event)
 
     def _skip(self, event: UnreadableEvent) -> None:
-        """Requested again it would come again as it is, and with it nothing that follows it."""
+        """Moves past an unreadable event. If it were requested again, it would arrive unreadable again and block
+        the events that follow it."""
         self.last_index = max(self.last_index, event.index)
         self.engine.counters.events_unusable += 1
         self.engine.log("coordinator_event_unusable", "error", index=event.index, reason=event.reason)
 
     async def run(self) -> None:
-        """Calls the coordinator again and again, until cancelled."""
+        """Calls the coordinator repeatedly until cancelled."""
         while True:
             index_before = self.last_index
             with trio.CancelScope() as self._call_scope:
@@ -127,10 +128,10 @@
                     self.backoff.reset()
                 await trio.sleep(self.backoff.next())
             if self._call_scope.cancelled_caught:
-                self.backoff.reset()  # moved: the new coordinator may work
+                self.backoff.reset()  # the coordinator was changed, and the new one may work
 
     async def _follow(self) -> None:
-        """One call. Raises OSError, StreamError or BrokenResourceError when the stream has ended."""
+        """Makes one call. Raises OSError, StreamError or BrokenResourceError when the stream has ended."""
         if self.address is None:
             await trio.sleep_forever()
         host, port = self.address
@@ -150,7 +151,7 @@
             raise StreamError("the stream is silent")
 
     def _process(self, events: EventStream, data: bytes | bytearray) -> None:
-        """Applies the events in what was received. Raises StreamError at the stream's end."""
+        """Applies the events in the received bytes. Raises StreamError at the end of the stream."""
         for event in events.feed(bytes(data)):
             if isinstance(event, StreamEnd):
                 raise StreamError("the stream has ended")
