--- a/rookbend/net/status_servers.py
+++ b/rookbend/net/status_servers.py
@@ -54,7 +54,7 @@
         self._connections: dict[BufferedSocket, GrpcHealthServer] = {}
 
     def changed(self) -> None:
-        """Notifies the watchers if the status has changed."""
+        """Notifies the watchers of a changed status; called whenever the status may have changed."""
         for channel, grpc in self._connections.items():
             channel.write(grpc.changed())
 
--- a/rookbend/net/upgrade.py
+++ b/rookbend/net/upgrade.py
@@ -42,7 +42,8 @@
         self.reader = upgrade_protocol.MessageReader()
 
     def send(self, message: upgrade_protocol.Message, rights: Sequence[Rights] = ()) -> None:
-        """Sends at once or drops the message: messages are small and rare, only a peer that hangs leaves the socket full."""
+        """Sends at once or drops the message: messages are small and rare, so the socket is full only if the peer has
+        hung."""
         with contextlib.suppress(OSError):
             self.raw.sendmsg([upgrade_protocol.encode(message)], rights)
 
--- a/tests/interleaving.py
+++ b/tests/interleaving.py
@@ -1,4 +1,4 @@
-"""Holding one side of a crossing at an exact point."""
+"""Holds one side of a race at an exact point."""
 
 import trio
 
@@ -6,7 +6,7 @@
 
 
 def hold_connects(monkeypatch):
-    """Connections to members come up only once the event that this gives is set."""
+    """Delays connects to members until the returned event is set."""
     allow_connects, real = trio.Event(), rookbend.net.member_pool.open_socket
 
     async def delayed_open(address):
@@ -18,7 +18,7 @@
 
 
 def fill_send_buffer(sock):
-    """Fills a connection whose other side reads nothing, with lines that it passes over."""
+    """Fills the send buffer of a connection whose peer does not read, with lines that the peer ignores."""
     try:
         while True:
             sock.send(b"pad " + bytes(50_000) + b"\r\n")
--- a/tests/raw_client.py
+++ b/tests/raw_client.py
@@ -1,4 +1,4 @@
-"""A client on a bare socket: its test decides when it reads, and sees an end apart from a reset."""
+"""A client on a plain socket: the test decides when it reads, and can tell a close from a reset."""
 
 import socket
 
@@ -19,7 +19,7 @@
 
 
 class RawClient:
-    """A client whose test decides when it reads: it sees the difference between an end and a reset."""
+    """A client that reads only when the test says so, and tells a close from a reset."""
 
     def __init__(self, stage):
         self.stage, self.sock, self.data = stage, trio.socket.socket(), b""
@@ -35,7 +35,7 @@
         await trio.testing.wait_all_tasks_blocked()
 
     async def read_to_end(self):
-        """All frames until the end: (type, stream, code). A reset raises ConnectionResetError."""
+        """Returns all frames until the close as (type, stream, code). A reset raises ConnectionResetError."""
         with trio.fail_after(60):
             while more := await self.sock.recv(65536):
                 self.data += more
--- a/tests/scripted_coordinator.py
+++ b/tests/scripted_coordinator.py
@@ -1,4 +1,4 @@
-"""A coordinator whose stream is scripted byte by byte: what it says, and where it falls silent."""
+"""A coordinator whose stream a test scripts byte by byte, including where it falls silent."""
 
 import json
 
@@ -18,7 +18,7 @@
 
 
 class ScriptedCoordinator:
-    """Answers each call with the bytes that the test says, and stays silent after them."""
+    """Accepts calls and sends nothing by itself: the test writes the bytes of each answer."""
 
     def __init__(self, stage):
         self.stage = stage
@@ -39,7 +39,7 @@
         await trio.sleep_forever()
 
     async def next_call(self):
-        """The next call: when, with which last index, and the stream to answer on."""
+        """The next call: its time, its last index, and the stream to answer on."""
         with trio.fail_after(60):
             return await self.calls.receive()
 
--- a/tests/test_attempt_crossings.py
+++ b/tests/test_attempt_crossings.py
@@ -1,4 +1,4 @@
-"""Attempts against what comes at the same moment: the other side's close, a second answer, a late connection."""
+"""Races of an attempt with a close by the member, a duplicate answer or a late connect."""
 
 import socket
 import struct
@@ -20,9 +20,9 @@
 
 
 @pytest.mark.parametrize("way", ["close", "reset"])
-def test_a_write_on_an_idle_connection_that_its_member_has_just_closed_goes_out_on_another(way):
-    """The close lies unread as the write is decided: on that connection it would be reset, and lost, since a
-    write that was reset may have run."""
+def test_a_write_is_not_sent_on_an_idle_connection_that_its_member_has_just_closed(way):
+    """The director has not read the member's close when it sends the write. On that connection the write would be
+    reset and fail, since a write that was reset may have run and is not retried."""
 
     async def check(stage):
         await stage.play(WARM)
@@ -34,7 +34,7 @@
             await held.wait()
             return await real()
 
-        connection.socket.receive = unread  # from the next answer on its reader gets no further
+        connection.socket.receive = unread  # after the next answer the reading task blocks
         await stage.play("""
             client send request 2 form
             records expect do rid=0000000000000002
@@ -56,11 +56,11 @@
     on_stage(check)
 
 
-def test_a_second_answer_to_an_id_that_is_used_again_is_not_taken_for_the_second_attempts():
-    """A look that missed is followed by a fill at the same cache, under the same id."""
+def test_a_duplicate_answer_is_not_taken_for_the_answer_to_a_later_attempt_with_its_id():
+    """An attempt that may not fill misses, and a fill follows at the same cache under the same id."""
 
     async def check(stage):
-        stage.service.engine.router.fill_limit.limit = 0.0  # no place for a fill: the cache is only looked at
+        stage.service.engine.router.fill_limit.limit = 0.0  # no fill may start, so the cache only looks up its copies
         await stage.play("""
             client send request 1 video budget=5000
             cache1 expect do rid=0000000000000001
@@ -73,7 +73,7 @@
             cache1 expect do rid=0000000000000001
         """)
         again, cache.last["-"] = cache.last["-"], first
-        await stage.play("cache1 send nothing slow=0")  # a second copy of the first answer
+        await stage.play("cache1 send nothing slow=0")  # a duplicate of the first answer
         cache.last["-"] = again
         await stage.play("""
             cache1 send ok note=parent body=hello
@@ -86,7 +86,7 @@
 
 
 @pytest.mark.parametrize("fields", ["current sum=bb t0=1", "current t0=1"])
-def test_a_copy_that_no_cache_has_named_is_never_confirmed(fields):
+def test_a_copy_is_confirmed_only_if_the_answer_names_its_version(fields):
     play(f"""
         client send request 1 video known=00000000000000aa
         cache1 expect do cached=00000000000000aa
@@ -97,7 +97,7 @@
     """)
 
 
-def test_a_copy_is_not_confirmed_to_a_client_that_holds_none():
+def test_a_confirmation_is_ignored_for_a_client_without_a_copy():
     play("""
         client send request 1 video
         cache1 expect do rid=0000000000000001
@@ -109,7 +109,7 @@
 
 
 @pytest.mark.parametrize("cls", ["video", "form"])
-def test_a_connection_that_comes_up_after_its_attempt_was_given_up_carries_nothing_of_it(cls, monkeypatch):
+def test_a_connection_established_after_its_attempt_was_given_up_carries_nothing_of_it(cls, monkeypatch):
     allow_connects = hold_connects(monkeypatch)
 
     async def check(stage):
@@ -122,7 +122,7 @@
 
 
 @pytest.mark.parametrize("before_end", [True, False], ids=["before-its-last-byte", "after-its-last-byte"])
-def test_a_write_that_was_reset_goes_again_only_if_its_last_byte_never_left(before_end):
+def test_a_write_that_was_reset_is_retried_only_if_its_last_byte_was_not_sent(before_end):
     async def check(stage):
         await stage.play(WARM)
         (connection,) = next(u for u in stage.service.pool.members.values() if u.endpoint.name == "records").connections
@@ -149,8 +149,8 @@
 
 
 @pytest.mark.parametrize("when", ["open", "answered", "failed"])
-def test_a_request_id_that_comes_again_is_a_request_of_its_own_or_fails(when):
-    """While its first is open, members could not tell the two apart; after it, it is another request."""
+def test_a_repeated_request_id_fails_while_in_use_and_is_a_new_request_afterwards(when):
+    """Members could not tell two open requests with the same id apart."""
     first = {
         "open": "",
         "answered": "records send ok body=done\nclient expect served 1",
--- a/tests/test_client_leaves.py
+++ b/tests/test_client_leaves.py
@@ -1,7 +1,8 @@
-"""A client that leaves while its request waits somewhere: no attempt begins for it any more.
+"""A client that leaves while its request waits: no attempt starts for that request any more.
 
-Each test holds the request at one exact point, lets the client leave in one of three ways, and lets the
-request go on: nothing may reach a member. A close can't be told from a half-close, so both end what waits.
+Each test holds the request at one exact point, makes the client leave, by a cancel, a half-close, a close or a reset,
+and lets the request proceed: nothing may reach a member. The director can't tell a close from a half-close, so both end
+waiting requests.
 """
 
 import socket
@@ -22,7 +23,7 @@
 
 
 async def leave(actor, way, stream=1):
-    """The client stops waiting for `stream`, as `way` says, and the director has had time to hear of it."""
+    """Makes the client stop waiting for `stream` in the given way, and lets the director process that."""
     connection = actor.streams[-1]
     if way == "cancel":
         await actor.send(["cancel", str(stream)])
@@ -36,7 +37,7 @@
 
 
 @pytest.mark.parametrize("way", WAYS)
-def test_a_request_that_waits_behind_a_leading_fill(way):
+def test_a_request_that_waits_for_the_fill_of_another_one(way):
     async def check(stage):
         await stage.play("""
             client send request 1 video
@@ -58,7 +59,7 @@
 
 @pytest.mark.parametrize("way", WAYS)
 def test_a_request_that_waits_for_a_connection(way, monkeypatch):
-    """The connection comes up only after its client has left."""
+    """The connection is established only after the client has left."""
     allow_connects = hold_connects(monkeypatch)
 
     async def check(stage):
@@ -91,7 +92,7 @@
 
 
 @pytest.mark.parametrize("way", WAYS)
-def test_a_request_whose_attempt_fails_after_its_client_left_gets_no_further_one(way):
+def test_a_request_whose_attempt_fails_after_its_client_left_is_not_retried(way):
     async def check(stage):
         await stage.play("client send request 1 video\ncache1 expect do rid=0000000000000001")
         await leave(stage.actors["client"], way)
@@ -105,7 +106,7 @@
     on_stage(check)
 
 
-def test_after_a_half_close_what_waits_is_refused_and_what_is_out_is_answered():
+def test_after_a_half_close_waiting_requests_are_refused_and_sent_ones_are_answered():
     async def check(stage):
         await stage.play("""
             client send request 1 video
@@ -127,8 +128,8 @@
     on_stage(check)
 
 
-def test_a_request_that_comes_with_its_clients_end_is_refused():
-    """As after a wait in the listener's backlog, or behind a late loop: the client may be long gone."""
+def test_a_request_received_together_with_its_clients_close_is_refused():
+    """This happens after a wait in the listener's backlog or for a delayed event loop: the client may have left."""
 
     async def check(stage):
         client = stage.actors["client"]
@@ -136,7 +137,7 @@
         await trio.testing.wait_all_tasks_blocked()
         raw = client.streams[-1].socket
         data = encode_frame(7, 1, {"method": "video", "obj": OBJ, "budget": "1500", "rid": "1" * 16})
-        await raw.send(data)  # no turn of the director between the two
+        await raw.send(data)  # the director does not run between the two
         raw.shutdown(socket.SHUT_WR)
         await stage.play("""
             client expect refused 1
@@ -149,8 +150,8 @@
 
 @pytest.mark.parametrize("way", WAYS)
 @pytest.mark.parametrize("part", [False, True], ids=["whole", "partly-out"])
-def test_a_request_queued_behind_a_full_socket(way, part):
-    """Once the member reads again it gets nothing of a request whose client has left."""
+def test_a_request_queued_for_a_full_socket(way, part):
+    """A member that reads again receives nothing of a request whose client has left."""
 
     async def check(stage):
         await stage.play("""
@@ -178,7 +179,7 @@
 
 
 class FirstBytesOnly:
-    """A socket that takes the first bytes of the next send, though it is full: they are counted as out."""
+    """A full socket that still reports the first bytes of the next send as sent."""
 
     def __init__(self, sock, size):
         self.sock, self.size = sock, size
@@ -191,8 +192,8 @@
 
 
 @pytest.mark.parametrize("way", WAYS)
-def test_a_client_that_takes_no_answers_is_still_heard(way):
-    """While its answers are over the bound the director takes no new request of it, but hears it leave."""
+def test_a_client_that_reads_no_answers_can_still_cancel_or_leave(way):
+    """While its unread answers exceed the limit, the director starts no new request of a client but sees it leave."""
 
     async def check(stage):
         sock = trio.socket.socket()
@@ -208,7 +209,7 @@
         await stage.play("director wait 0.1")
         (client,) = stage.service.client_listener.open
         assert client.socket.backlog_bytes > PAUSE_ABOVE_BYTES
-        await sock.send(request(count + 1))  # waits: its answer could not be taken
+        await sock.send(request(count + 1))  # waits until the client reads its answers
         await stage.play("cache1 expect nothing")
         if way == "cancel":
             await sock.send(encode_frame(9, count) + encode_frame(9, count + 1))
--- a/tests/test_client_port.py
+++ b/tests/test_client_port.py
@@ -1,4 +1,4 @@
-"""The clients' side of the platform's port: bad input, clients that are let go, answers that go out whole."""
+"""The platform's port towards clients: malformed input, clients that are evicted, answers sent completely."""
 
 import socket
 
@@ -23,7 +23,7 @@
         "video budget=٣",
     ],
 )
-def test_a_request_that_cannot_be_used_fails_on_its_stream(fields):
+def test_a_malformed_request_fails_only_its_stream(fields):
     play(f"""
         client send request 1 {fields}
         client expect failed 1
@@ -33,7 +33,7 @@
     """)
 
 
-def test_a_request_too_long_to_hold_fails_on_its_stream_and_is_never_held():
+def test_an_oversized_request_fails_only_its_stream_and_is_not_buffered():
     play(f"""
         client send raw 0002000007000000010000{"00" * 90_000}
         client expect failed 1
@@ -44,7 +44,7 @@
 
 
 @pytest.mark.parametrize("raw", ["00000001", "7fffffff0700000001", "000000050900000000", "000000056300000001"])
-def test_bytes_that_are_no_frames_end_that_client_only(raw):
+def test_a_malformed_frame_closes_only_that_client(raw):
     play(f"""
         other send request 1 video
         cache1 expect do rid=0000000000000001
@@ -60,14 +60,14 @@
     "sent, heard, least, most",
     [
         ("", "closed", 2, 3),  # silent
-        ("client send raw 0000", "failed 0", 2, 3),  # half a frame, once and with an answer before it
+        ("client send raw 0000", "failed 0", 2, 3),  # incomplete frames, the last one after an answer
         ("client send raw 000000100700000001", "failed 0", 2, 3),
         ("client send ready? 9\nclient expect ready\nclient send raw 00", "failed 0", 2, 3),
         ("client send ready? 9\nclient expect ready", "closed", 6, 7),  # idle
     ],
 )
-def test_a_client_that_asks_nothing_stops_in_mid_frame_or_never_leaves_is_let_go(sent, heard, least, most):
-    """Guards the descriptors: such connections came by hundreds and stayed."""
+def test_a_client_that_is_silent_idle_or_stops_within_a_frame_is_closed(sent, heard, least, most):
+    """Hundreds of such connections stayed open and used up the descriptors."""
 
     async def check(stage):
         await stage.actors["client"].open()
@@ -81,7 +81,7 @@
     assert not on_stage(check).open
 
 
-def test_a_client_with_an_open_request_is_not_let_go():
+def test_a_client_with_an_open_request_is_not_closed():
     play("""
         client send request 1 video budget=20000
         cache1 expect do rid=0000000000000001
@@ -94,8 +94,8 @@
     """)
 
 
-def test_a_full_house_makes_room_for_who_comes_to_ask():
-    """Guards the usual clients: hundreds that only connected had the newcomers turned away."""
+def test_silent_clients_are_evicted_for_a_new_client_when_all_places_are_taken():
+    """Hundreds of clients that only connected kept new clients from being accepted."""
 
     async def check(stage):
         stage.service.client_listener.max_clients = 3
@@ -121,8 +121,8 @@
     on_stage(check)
 
 
-def test_in_a_full_house_the_idle_go_before_the_newcomer_whose_request_is_on_its_way():
-    """Guards the newcomer: it was let go before it could ask, by the next one, in its first milliseconds."""
+def test_idle_clients_are_evicted_before_a_new_client_whose_request_is_in_transit():
+    """A new client was evicted for the next one within milliseconds, before its first request arrived."""
 
     async def check(stage):
         stage.service.client_listener.max_clients = 2
@@ -130,7 +130,7 @@
         await stage.play("other send ready? 1\nother expect ready\nother send ready? 2\nother expect ready")
         await client.open()
         await trio.testing.wait_all_tasks_blocked()
-        await other.open()  # a second newcomer, right behind: the idle one has to go
+        await other.open()  # a second new client directly after it: the idle one has to be evicted
         await stage.play("""
             other expect closed
             client send request 1 video
@@ -140,7 +140,7 @@
     on_stage(check)
 
 
-def test_an_answer_of_the_turn_in_which_a_client_closed_its_sending_side_goes_out_whole():
+def test_an_answer_written_in_the_turn_of_a_half_close_is_sent_completely():
     async def check(stage):
         with socket.create_server(("127.0.0.1", 0)) as listener:
             theirs = socket.create_connection(listener.getsockname())
@@ -148,7 +148,7 @@
         front, size = stage.service.client_listener, 4 << 20
         theirs.setblocking(False)
         theirs.send(b"x")
-        theirs.shutdown(socket.SHUT_WR)  # the byte and the end are read in one turn of the loop
+        theirs.shutdown(socket.SHUT_WR)  # the byte and the end are read in one turn of the event loop
         front._accepted(ours, stage.nursery)
         client = next(reversed(front.open))
         client.session.feed = lambda data: client.socket.write(bytes(size)) or True
@@ -159,7 +159,7 @@
 
 
 @pytest.mark.parametrize("count, size", [(3, 10), (2000, 1), (3, 1 << 21)])
-def test_the_parts_of_a_turn_go_out_whole_and_in_order(count, size):
+def test_the_writes_of_a_turn_are_sent_completely_and_in_order(count, size):
     async def check(stage):
         ours, theirs = socket.socketpair()
         ours.setblocking(False)
@@ -176,7 +176,7 @@
     on_stage(check)
 
 
-def test_a_stream_in_use_cannot_be_used_again():
+def test_a_stream_number_in_use_is_rejected_for_another_request():
     play("""
         client send request 1 video
         cache1 expect do rid=0000000000000001
--- a/tests/test_coordinator_watch.py
+++ b/tests/test_coordinator_watch.py
@@ -1,10 +1,10 @@
-"""The fleet's calls to its coordinator: spread, and no later for anybody than the bound says."""
+"""The reconnect backoff: the fleet's calls to its coordinator are spread, and each pause stays within its bounds."""
 
 from rookbend.net.watch import MAX_SPREAD_S, MIN_PAUSE_S, ReconnectBackoff
 
 
 def call_times(count, rounds, seed):
-    """The times at which a fleet calls a coordinator that ends every call at once."""
+    """The times at which the directors of a fleet call a coordinator that ends every call at once."""
     call_times_s = []
     for number in range(count):
         backoff, at = ReconnectBackoff(number, count, seed + number), 0.0
@@ -24,7 +24,7 @@
             assert max_calls_per_window(call_times(count, 7, 1000 * seed)) <= count / 5, (count, seed)
 
 
-def test_each_call_is_within_its_bounds_and_nobody_is_always_last():
+def test_each_pause_is_within_its_bounds_and_no_director_is_always_last():
     places = []
     for number in range(10):
         backoff = ReconnectBackoff(number, 10, number)
--- a/tests/test_fault_containment.py
+++ b/tests/test_fault_containment.py
@@ -1,4 +1,4 @@
-"""An unexpected exception in the task of one caller, check, lookup or datagram ends that task alone."""
+"""An unexpected exception in the task of one client, check, lookup or datagram ends only that task."""
 
 import socket
 from types import SimpleNamespace
@@ -17,7 +17,7 @@
 
 
 class PlantedError(Exception):
-    """No code of the program raises it."""
+    """Raised by the tests only, never by the director's code."""
 
 
 def fail(*args, **more):
@@ -37,7 +37,7 @@
     return [line.partition("component=")[2].split()[0] for line in lines]
 
 
-def test_a_callers_fault_ends_its_connection_alone_and_is_logged_and_counted(monkeypatch, capsys):
+def test_an_exception_while_serving_a_client_ends_only_its_connection(monkeypatch, capsys):
     async def steps(stage):
         _, http, _ = stage.service.balancer
         for server, answered in ((http, b"200"), (stage.service.admin, b"404")):
@@ -50,7 +50,7 @@
     assert faults(capsys) == ["http-server", "admin"]
 
 
-def test_the_operators_callers_fault_ends_its_connection_alone(monkeypatch, capsys):
+def test_an_exception_at_the_operators_endpoint_ends_only_that_connection(monkeypatch, capsys):
     async def main():
         async with staged(operator="127.0.0.1:0", component_faults=1) as stage:
             endpoint = stage.service.operations.endpoint
@@ -64,7 +64,7 @@
 
 
 @pytest.mark.parametrize("way", ["", "tcp "])
-def test_a_lookups_fault_costs_that_lookup_alone(way, monkeypatch, capsys):
+def test_an_exception_in_a_lookup_fails_only_that_lookup(way, monkeypatch, capsys):
     async def steps(stage):
         with monkeypatch.context() as planted:
             planted.setattr(stage.service.dns.front, "query", fail)
@@ -75,7 +75,7 @@
     assert faults(capsys) == ["dns"]
 
 
-def test_a_resolvers_fault_fails_that_lookup_alone(monkeypatch, capsys):
+def test_an_exception_in_the_resolver_fails_only_that_lookup(monkeypatch, capsys):
     async def steps(stage):
         with monkeypatch.context() as planted:
             planted.setattr("rookbend.net.dns_resolver.parse_addresses", fail)
@@ -87,7 +87,7 @@
     assert faults(capsys) == ["resolver"]
 
 
-def test_a_checks_fault_has_no_result_and_the_next_run_is_due_as_ever(monkeypatch, capsys):
+def test_a_check_that_raises_has_no_result_and_runs_again_as_scheduled(monkeypatch, capsys):
     async def steps(stage):
         runs = []
 
@@ -104,7 +104,7 @@
     assert set(faults(capsys)) == {"checks"}
 
 
-def test_a_datagrams_fault_costs_that_datagram_alone(capsys):
+def test_an_exception_on_a_datagram_does_not_affect_the_next_one(capsys):
     async def steps(stage):
         received = []
 
@@ -134,7 +134,7 @@
 
 
 @pytest.mark.parametrize("passing", [KeyboardInterrupt, SystemExit, trio.Cancelled])
-def test_cancellation_and_exit_pass(passing):
+def test_cancellation_and_exit_are_not_contained(passing):
     async def steps(stage):
         if passing is trio.Cancelled:
             with trio.move_on_after(1) as scope, stage.service.context.containment.contain("peers"):
--- a/tests/test_full_descriptors.py
+++ b/tests/test_full_descriptors.py
@@ -1,4 +1,4 @@
-"""A real process whose descriptors idle clients try to fill while discovery is down."""
+"""A director process whose file descriptors are nearly used up by idle clients while discovery is down."""
 
 import resource
 
@@ -14,13 +14,13 @@
 
 
 class Client:
-    """One connection: asks and reads answers, one at a time."""
+    """One connection: sends requests and reads their answers, one at a time."""
 
     def __init__(self, stream):
         self.stream, self.data, self.number = stream, b"", 0
 
     async def code(self, kind, fields):
-        """The code of the answer to a request or a question for readiness."""
+        """Sends a request or a readiness query; returns the code of its answer."""
         self.number += 1
         await self.stream.send_all(encode_frame(kind, self.number, fields))
         with trio.fail_after(TIMEOUT_S):
@@ -42,19 +42,19 @@
         return Client(await trio.open_tcp_stream("127.0.0.1", port))
 
 
-def test_idle_clients_keep_neither_usual_ones_nor_members_nor_discovery_out(tmp_path):
+def test_idle_clients_do_not_block_new_clients_members_or_discovery(tmp_path):
     async def main():
         async with open_fleet(caches=2) as fleet:
             port, config_port = find_free_port(), find_free_port()
             config = fleet.director_config(False, port)
             config["limits"]["sockets"] = SOCKETS
-            config["coordinator"] = f"127.0.0.1:{config_port}"  # nobody listens there: discovery is down
+            config["coordinator"] = f"127.0.0.1:{config_port}"  # nothing listens there: discovery is down
             director = DirectorProcess(".", tmp_path, config)
             async with running_directors(director):
                 resource.prlimit(director.process.pid, resource.RLIMIT_NOFILE, (SOCKETS, SOCKETS))
                 idle = [await connect(port) for _ in range(IDLE)]
                 for client in idle[-20:]:
-                    assert await client.code(1, {}) == 0  # asked once, and stay
+                    assert await client.code(1, {}) == 0  # these send one query and stay connected
                 for i in range(1, 6):
                     newcomer = await connect(port)
                     assert await newcomer.code(1, {}) == 0
--- a/tests/test_member_connections.py
+++ b/tests/test_member_connections.py
@@ -1,4 +1,4 @@
-"""Connections to members on loopback: spoilt and late answers, ids used again, sharing."""
+"""Connections to members on loopback: malformed and late answers, reused request ids, sharing."""
 
 import trio
 
@@ -8,8 +8,8 @@
 from tests.director_scenario import OBJ, on_stage, play
 
 
-def test_garbage_from_a_cache_closes_that_connection_only():
-    """Guards the others: shared, a spoilt connection took a dozen attempts along with its own."""
+def test_a_malformed_answer_closes_only_its_connection():
+    """When attempts shared a connection, a malformed answer to one of them failed a dozen others."""
     service = play("""
         client send request 1 video
         cache1 expect do rid=0000000000000001
@@ -25,7 +25,7 @@
     assert (service.counters.garbage, service.counters.reset, service.counters.attempts) == (1, 1, 3)
 
 
-def test_an_answer_that_stops_short_costs_its_connection_not_the_deadline():
+def test_an_incomplete_answer_closes_its_connection_before_the_deadline_of_the_request():
     service = play("""
         client send request 1 video budget=5000
         cache1 expect do rid=0000000000000001
@@ -38,8 +38,8 @@
     assert service.counters.garbage == 1
 
 
-def test_a_connection_whose_answer_is_late_takes_nothing_new():
-    """Guards the next attempts: where an answer did not come in time, nothing may come any more."""
+def test_a_connection_with_an_overdue_answer_gets_no_new_attempt():
+    """A connection on which an answer did not arrive in time may never deliver another one."""
     service = play("""
         client send request 1 form budget=800
         records expect do rid=0000000000000001
@@ -53,8 +53,8 @@
     assert service.counters.connects == 2
 
 
-def test_a_request_given_up_goes_to_the_same_cache_only_once_that_knows():
-    """Guards against a second copy: the `do` on an idle connection overtook the `undo` on the other."""
+def test_a_cancelled_request_is_sent_to_the_same_cache_again_only_after_it_read_the_cancel():
+    """Otherwise the cache handles it twice: the `do` on an idle connection overtook the `undo` on the other."""
 
     async def check(stage):
         await stage.play("""
@@ -68,7 +68,7 @@
         """)
         engine = stage.service.engine
         (open_request,) = engine.requests.by_id.values()
-        engine.backend.undo(open_request.current_attempt)  # as the module does where the source is silent
+        engine.backend.undo(open_request.current_attempt)  # as the routing module does when the source does not answer
         engine.finished(open_request.current_attempt, AttemptResult(AttemptStatus.CANCELLED))
         await stage.play("""
             cache1 expect nothing
@@ -81,7 +81,7 @@
     on_stage(check)
 
 
-def test_a_second_copy_and_an_unknown_id_are_passed_over():
+def test_a_duplicate_answer_and_an_unknown_id_are_ignored():
     service = play("""
         client send request 1 video
         cache1 expect do rid=0000000000000001
@@ -98,8 +98,8 @@
     assert (service.counters.garbage, service.counters.connects) == (0, 1)
 
 
-def test_connections_are_shared_while_the_director_is_busy_and_no_longer():
-    """Guards the CPU: one connection to an attempt made a director with thousands a second collapse."""
+def test_connections_are_shared_only_while_the_attempt_rate_is_high():
+    """With one connection per attempt, a director collapsed under CPU load at thousands of attempts per second."""
 
     async def check(stage):
         await stage.play("director wait 0.1")
@@ -118,7 +118,7 @@
     assert on_stage(check) == 2
 
 
-def test_connections_are_shared_where_descriptors_run_out():
+def test_connections_are_shared_when_the_connection_limit_is_reached():
     service = play(
         """
         client send request 1 video chunk=1
@@ -133,8 +133,8 @@
     assert service.counters.connects == 2
 
 
-def test_a_connect_that_completes_after_its_member_has_gone_is_closed(monkeypatch):
-    # Guards against a connection that nobody uses and nobody closes until the member does.
+def test_a_connection_opened_after_its_member_was_removed_is_closed(monkeypatch):
+    # Otherwise the connection stays open without use until the member closes it.
     connect = member_pool.open_socket
 
     async def connect_late(address):
--- a/tests/test_membership_stream.py
+++ b/tests/test_membership_stream.py
@@ -1,5 +1,7 @@
-"""The membership stream that falls silent, ends, repeats itself or says what can't be used: what the coordinator
-has counts as told all the same, so a director may be without a working stream only for a bounded time."""
+"""A membership stream that falls silent, ends, repeats events or delivers unusable ones.
+
+The coordinator counts its events as delivered at once, so the time of a director without a working stream is limited.
+"""
 
 import pytest
 import trio
@@ -21,7 +23,7 @@
 
 
 @pytest.mark.parametrize("how", ["first-byte", "headers", "event", "chunk", "comments-stop"])
-def test_a_stream_that_falls_silent_is_called_again_within_its_bound(how):
+def test_a_silent_stream_is_replaced_by_a_new_call_within_the_time_limit(how):
     async def check(stage):
         coordinator = await ScriptedCoordinator(stage).open()
         at, last, stream = await coordinator.next_call()
@@ -39,7 +41,7 @@
         span_s = ReconnectBackoff(0, 1, 0).span_s
         assert again - at <= SILENCE_TIMEOUT_US / 1e6 + MIN_PAUSE_S + span_s + 0.05
         assert (last, last_again) == (1, 1)
-        await stream.send_all(HEAD + chunk(update))  # and the drain binds as soon as it is told
+        await stream.send_all(HEAD + chunk(update))  # the drain takes effect as soon as its event is received
         await stage.play("""
             director wait 0.01
             client send request 1 video
@@ -51,14 +53,14 @@
 
 
 @pytest.mark.parametrize("count", [1, 3, 5])
-def test_a_director_of_a_small_fleet_that_lost_its_first_call_calls_again_soon(count):
-    """A purge binds half a second after it was told, and it counts as told to a director without a stream."""
+def test_a_director_of_a_small_fleet_calls_again_soon_after_its_first_call_failed(count):
+    """A purge takes effect 0.5 s after the coordinator sends it, and counts as sent to a director without a stream."""
     for number in range(count):
         for seed in range(20):
             assert ReconnectBackoff(number, count, seed).next() <= MIN_PAUSE_S + 0.08 * count < 0.55
 
 
-def test_events_told_between_an_end_and_the_next_call_are_asked_for_and_taken_once():
+def test_events_between_a_stream_end_and_the_next_call_are_requested_and_applied_once():
     async def check(stage):
         coordinator = await ScriptedCoordinator(stage).open()
         _, _, stream = await coordinator.next_call()
@@ -79,7 +81,7 @@
     on_stage(check)
 
 
-def test_a_whole_list_after_changes_is_the_list_and_an_older_one_is_not_taken_again():
+def test_a_full_membership_replaces_changes_and_an_older_or_repeated_one_is_ignored():
     async def check(stage):
         coordinator = await ScriptedCoordinator(stage).open()
         _, _, stream = await coordinator.next_call()
@@ -99,7 +101,7 @@
     on_stage(check)
 
 
-def test_a_new_member_at_an_old_address_gets_connections_of_its_own():
+def test_a_new_member_at_the_address_of_a_removed_one_gets_new_connections():
     async def check(stage):
         coordinator = await ScriptedCoordinator(stage).open()
         await stage.play(SERVE_BY.format(1, "cache1"))
@@ -132,8 +134,8 @@
         '{"index": 2, "endpoints": {"members": [{"id": "x", "host_port": "a:1", "phase": "ODD"}]}}',
     ],
 )
-def test_a_bad_event_costs_only_itself(bad):
-    """Guards the stream: asked for again with the index before it, the same event ended each call."""
+def test_an_unusable_event_does_not_block_later_events(bad):
+    """The index moves past an unusable event. Requested again from the index before it, the event ended each call."""
 
     async def check(stage):
         coordinator = await ScriptedCoordinator(stage).open()
@@ -152,10 +154,10 @@
     on_stage(check)
 
 
-def test_a_coordinator_that_moves_while_a_call_is_under_way_is_called_at_once():
+def test_a_changed_coordinator_address_is_called_at_once_during_a_call():
     async def check(stage):
         first = await ScriptedCoordinator(stage).open()
-        await first.next_call()  # no byte of an answer, ever
+        await first.next_call()  # and is never answered
         began = trio.current_time()
         second = await ScriptedCoordinator(stage).open()
         at, last, stream = await second.next_call()
@@ -171,7 +173,7 @@
     on_stage(check)
 
 
-def test_a_drain_or_purge_right_after_a_reconnect_binds_what_waits_in_the_pool(monkeypatch):
+def test_a_drain_and_a_purge_after_a_reconnect_apply_to_an_attempt_waiting_in_the_pool(monkeypatch):
     allow_connects = hold_connects(monkeypatch)
 
     async def check(stage):
@@ -191,8 +193,8 @@
     on_stage(check)
 
 
-def test_readiness_is_told_only_once_a_member_is_in_service():
-    """A director that says yes and knows nobody would be given clients, and serve none of them."""
+def test_a_director_is_ready_only_once_a_member_is_serving():
+    """A director that reports ready without a member would get clients and serve none of them."""
 
     async def check(stage):
         coordinator = await ScriptedCoordinator(stage).open()
--- a/tests/test_operations_endpoint.py
+++ b/tests/test_operations_endpoint.py
@@ -1,4 +1,4 @@
-"""The operators' door: who is answered, with what, and who is let go."""
+"""The operators' HTTP endpoint: answers, limits and the close of connections."""
 
 import struct
 
@@ -35,7 +35,7 @@
         ("PUT", "/maintenance/enter?member=a&member=b", 400, "exactly one"),
     ],
 )
-def test_each_call_has_its_answer_and_a_wrong_one_says_what_is_wrong(method, target, status, says):
+def test_each_request_is_answered_and_an_error_names_its_cause(method, target, status, says):
     api = OperatorApi(
         lambda: "ready", lambda: b"figures\n", lambda member, out: "" if member == "c-1" else f"no member {member}"
     )
@@ -43,7 +43,7 @@
     assert found == status and says in text
 
 
-def test_a_process_that_does_not_take_clients_says_no():
+def test_a_process_that_accepts_no_clients_answers_503():
     for state in ("starting", "draining", "stopped"):
         assert ask(OperatorApi(lambda state=state: state, bytes, lambda *a: ""), "GET", "/status")[0] == 503
 
@@ -68,7 +68,7 @@
         return int(data.split(b" ")[1]) if data else 0
 
 
-def test_a_whole_call_is_answered_in_pieces_too_and_the_connection_ends():
+def test_a_request_is_answered_also_if_it_arrives_in_pieces_and_its_connection_is_closed():
     async def steps(stage, endpoint):
         assert await call(endpoint) == 200
         assert await call(endpoint, pieces=7) == 200
@@ -81,7 +81,7 @@
     run_with_endpoint(steps)
 
 
-def test_hundreds_that_say_nothing_or_half_keep_nobody_out_and_are_let_go():
+def test_hundreds_of_silent_or_incomplete_connections_do_not_block_others_and_are_closed():
     async def steps(stage, endpoint):
         silent = []
         for i in range(8 * MAX_CONNECTIONS):
@@ -93,14 +93,14 @@
         assert len(endpoint.connections) <= MAX_CONNECTIONS
         assert await call(endpoint) == 200
         await trio.sleep(1.5)
-        assert not endpoint.connections, "none stays longer than a second"
+        assert not endpoint.connections, "each is closed after a second"
         for stream in silent:
             await stream.aclose()
 
     run_with_endpoint(steps)
 
 
-def test_one_that_leaves_in_mid_call_leaves_nothing_behind():
+def test_a_connection_reset_within_a_request_is_removed():
     async def steps(stage, endpoint):
         stream = await trio.open_tcp_stream(*endpoint.address)
         await stream.send_all(b"PUT /maint")
@@ -114,7 +114,7 @@
     run_with_endpoint(steps)
 
 
-def test_the_door_says_yes_until_the_director_is_told_to_stop():
+def test_the_endpoint_reports_ready_until_the_director_is_told_to_stop():
     async def steps(stage, endpoint):
         assert await call(endpoint) == 200
         stage.service.stop()
--- a/tests/test_optional_imports.py
+++ b/tests/test_optional_imports.py
@@ -1,4 +1,4 @@
-"""Recovery and leases run without a disk: their drivers load nothing that only [state] needs."""
+"""Recovery and leases run without a disk: their drivers import no module that only [state] needs."""
 
 import subprocess
 import sys
@@ -10,6 +10,6 @@
 """
 
 
-def test_the_drivers_of_recovery_and_leases_load_no_database():
+def test_the_drivers_of_recovery_and_leases_import_no_database():
     done = subprocess.run([sys.executable, "-c", CODE], capture_output=True, text=True, check=True)
     assert done.stdout == "[]\n"
--- a/tests/test_order_targets.py
+++ b/tests/test_order_targets.py
@@ -1,4 +1,4 @@
-"""What an order may be on: a text that is no scope, number or member ends no director, nor its next start."""
+"""Targets of orders: a malformed scope, number or member ends no director and does not prevent its next start."""
 
 import pytest
 import trio
@@ -29,15 +29,15 @@
 
 
 @pytest.mark.parametrize("name", NO_SCOPES)
-def test_a_name_that_is_no_scope_is_an_unknown_task(name):
+def test_a_malformed_scope_name_raises_unknown_task(name):
     with pytest.raises(UnknownTaskError):
         parse_scope(name)
 
 
 @pytest.mark.parametrize("target", [f"@{name}" for name in NO_SCOPES])
 @pytest.mark.parametrize("order", ["drain", "pin 1", "pin \u00b2"])
-def test_an_order_on_what_is_no_scope_ends_no_director_and_no_later_start(target, order):
-    # Guards against one order that every director of the fleet stores, and that none can be started with again.
+def test_an_order_on_a_malformed_scope_ends_no_director_and_no_later_start(target, order):
+    # Every director of the fleet stores the order; if it could not be read back, none of them could start again.
     sim = LeaseSimulation(4)
     sim.start()
     sim.run(10 * SECOND_US)
@@ -49,7 +49,7 @@
     assert not sim.leaderless_scopes() and not sim.violations
 
 
-def test_an_order_on_a_member_whose_name_begins_as_scopes_do_is_refused():
+def test_an_order_on_a_member_whose_name_has_the_prefix_of_scopes_is_refused():
     given = MemberOrders(None, None, object()).give("@checks/1", Order.DRAIN, "kim", True)
 
     async def main():
@@ -60,30 +60,30 @@
 
 
 @pytest.mark.parametrize("text, number", [("0", True), ("12", True), (b"12", True), ("", False), ("-1", False)])
-def test_what_counts_as_a_number(text, number):
+def test_which_texts_are_decimal_numbers(text, number):
     assert is_decimal(text) == number
 
 
 @pytest.mark.parametrize("text", ["\u00b2", "\u0663", "1\n", "9" * 5000])
-def test_digits_that_int_refuses_or_reads_otherwise_are_no_number(text):
+def test_non_ascii_or_too_many_digits_and_a_trailing_newline_are_no_decimal_number(text):
     assert not is_decimal(text)
 
 
-def test_an_event_number_of_thousands_of_digits_is_none():
+def test_an_event_id_of_thousands_of_digits_is_ignored():
     stream = EventStream("h", "/", 0)
     stream.start()
     data = b"id: " + b"9" * 5000 + b"\ndata: {}\n\n"
     stream.feed(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n" % (len(data), data))
 
 
-def test_a_peers_order_of_a_director_that_is_no_number_is_malformed():
+def test_a_peers_order_with_a_non_decimal_director_number_is_malformed():
     orders = DirectorOrders(None, 5, None, None)
     with pytest.raises(MalformedOrderKeyError):
         orders.add_peers_order("\u00b2/c1", b"")
 
 
-def test_an_order_that_this_version_does_not_know_has_no_effect(capsys):
-    # Guards against a peer's order that ends a director when it is applied, and at each start from its disk.
+def test_an_order_unknown_to_this_version_has_no_effect(capsys):
+    # An unknown order from a peer must not end the director when it is applied, nor at each start from its disk.
     async def steps(stage):
         recovery = stage.service.context.built["recovery"]
         recovery.apply_order(ApplyOrder("cache1", "explode", "kim"))
