--- a/tests/test_attempt_crossings.py
+++ b/tests/test_attempt_crossings.py
@@ -30,11 +30,11 @@
         (connection,) = next(u for u in stage.service.pool.members.values() if u.endpoint.name == "records").connections
         held, real = trio.Event(), connection.socket.receive
 
-        async def unread():
+        async def blocked_receive():
             await held.wait()
             return await real()
 
-        connection.socket.receive = unread  # after the next answer the reading task blocks
+        connection.socket.receive = blocked_receive  # after the next answer the reading task blocks
         await stage.play("""
             client send request 2 form
             records expect do rid=0000000000000002
--- a/tests/test_client_port.py
+++ b/tests/test_client_port.py
@@ -57,7 +57,7 @@
 
 
 @pytest.mark.parametrize(
-    "sent, heard, least, most",
+    "sent, expected, min_s, max_s",
     [
         ("", "closed", 2, 3),  # silent
         ("client send raw 0000", "failed 0", 2, 3),  # incomplete frames, the last one after an answer
@@ -66,15 +66,15 @@
         ("client send ready? 9\nclient expect ready", "closed", 6, 7),  # idle
     ],
 )
-def test_a_client_that_is_silent_idle_or_stops_within_a_frame_is_closed(sent, heard, least, most):
+def test_a_client_that_is_silent_idle_or_stops_within_a_frame_is_closed(sent, expected, min_s, max_s):
     """Hundreds of such connections stayed open and used up the descriptors."""
 
     async def check(stage):
         await stage.actors["client"].open()
         began = trio.current_time()
-        await stage.play(f"{sent}\nclient expect {heard}")
-        assert least <= trio.current_time() - began < most
-        if heard != "closed":
+        await stage.play(f"{sent}\nclient expect {expected}")
+        assert min_s <= trio.current_time() - began < max_s
+        if expected != "closed":
             await stage.play("client expect closed")
         return stage.service.client_listener
 
--- a/tests/test_coordinator_watch.py
+++ b/tests/test_coordinator_watch.py
@@ -25,16 +25,16 @@
 
 
 def test_each_pause_is_within_its_bounds_and_no_director_is_always_last():
-    places = []
+    first_pauses_by_director = []
     for number in range(10):
         backoff = ReconnectBackoff(number, 10, number)
-        firsts = []
+        first_pauses = []
         for _ in range(8):
             pauses = [backoff.next() for _ in range(6)]
             assert MIN_PAUSE_S <= pauses[0] <= MIN_PAUSE_S + MAX_SPREAD_S
             assert pauses[1:] == [1.0] * 5
             backoff.reset()
-            firsts.append(pauses[0])
-        places.append(firsts)
-    last = [max(range(10), key=lambda n, i=i: places[n][i]) for i in range(8)]
+            first_pauses.append(pauses[0])
+        first_pauses_by_director.append(first_pauses)
+    last = [max(range(10), key=lambda n, i=i: first_pauses_by_director[n][i]) for i in range(8)]
     assert len(set(last)) > 3
--- a/tests/test_fault_containment.py
+++ b/tests/test_fault_containment.py
@@ -24,14 +24,14 @@
     raise PlantedError
 
 
-async def bytes_of(address, request):
+async def exchange(address, request):
     async with await trio.open_tcp_stream(*address) as stream:
         await stream.send_all(request)
         await stream.send_eof()
         return b"".join([data async for data in stream])
 
 
-def faults(capsys):
+def contained_components(capsys):
     lines = [line for line in capsys.readouterr().err.splitlines() if "event=component_fault" in line]
     assert all("PlantedError" in line and "Traceback" in line for line in lines)
     return [line.partition("component=")[2].split()[0] for line in lines]
@@ -43,11 +43,11 @@
         for server, answered in ((http, b"200"), (stage.service.admin, b"404")):
             with monkeypatch.context() as planted:
                 planted.setattr("rookbend.net.http_server.HttpServerConnection.feed", fail)
-                assert await bytes_of(server.address, GET) == b""
-            assert answered in await bytes_of(server.address, GET) and server.clients == 0
+                assert await exchange(server.address, GET) == b""
+            assert answered in await exchange(server.address, GET) and server.clients == 0
 
     on_stage(steps, operators=ADMIN, component_faults=2)
-    assert faults(capsys) == ["http-server", "admin"]
+    assert contained_components(capsys) == ["http-server", "admin"]
 
 
 def test_an_exception_at_the_operators_endpoint_ends_only_that_connection(monkeypatch, capsys):
@@ -56,11 +56,11 @@
             endpoint = stage.service.operations.endpoint
             with monkeypatch.context() as planted:
                 planted.setattr(endpoint.api, "answer", fail)
-                assert await bytes_of(endpoint.address, b"GET /status HTTP/1.1\r\nHost: x\r\n\r\n") == b""
-            assert b" 200 " in await bytes_of(endpoint.address, b"GET /status HTTP/1.1\r\nHost: x\r\n\r\n")
+                assert await exchange(endpoint.address, b"GET /status HTTP/1.1\r\nHost: x\r\n\r\n") == b""
+            assert b" 200 " in await exchange(endpoint.address, b"GET /status HTTP/1.1\r\nHost: x\r\n\r\n")
 
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
-    assert faults(capsys) == ["operator"]
+    assert contained_components(capsys) == ["operator"]
 
 
 @pytest.mark.parametrize("way", ["", "tcp "])
@@ -72,7 +72,7 @@
         await stage.play(NAMED)
 
     on_stage(steps, component_faults=1)
-    assert faults(capsys) == ["dns"]
+    assert contained_components(capsys) == ["dns"]
 
 
 def test_an_exception_in_the_resolver_fails_only_that_lookup(monkeypatch, capsys):
@@ -84,7 +84,7 @@
         await stage.play(NAMED.replace("id=7", "id=8"))
 
     on_stage(steps, component_faults=1)
-    assert faults(capsys) == ["resolver"]
+    assert contained_components(capsys) == ["resolver"]
 
 
 def test_a_check_that_raises_has_no_result_and_runs_again_as_scheduled(monkeypatch, capsys):
@@ -101,7 +101,7 @@
         stage.service.counters.component_faults -= len(runs)
 
     on_stage(steps, operators=CHECK)
-    assert set(faults(capsys)) == {"checks"}
+    assert set(contained_components(capsys)) == {"checks"}
 
 
 def test_an_exception_on_a_datagram_does_not_affect_the_next_one(capsys):
@@ -130,7 +130,7 @@
             stage.nursery.cancel_scope.cancel()
 
     on_stage(steps, component_faults=1)
-    assert faults(capsys) == ["peers"]
+    assert contained_components(capsys) == ["peers"]
 
 
 @pytest.mark.parametrize("passing", [KeyboardInterrupt, SystemExit, trio.Cancelled])
--- a/tests/test_full_descriptors.py
+++ b/tests/test_full_descriptors.py
@@ -19,7 +19,7 @@
     def __init__(self, stream):
         self.stream, self.data, self.number = stream, b"", 0
 
-    async def code(self, kind, fields):
+    async def answer_code(self, kind, fields):
         """Sends a request or a readiness query; returns the code of its answer."""
         self.number += 1
         await self.stream.send_all(encode_frame(kind, self.number, fields))
@@ -33,7 +33,7 @@
         return answer[5]
 
 
-def ask(number):
+def request_fields(number):
     return {"method": "video", "obj": f"{number:016x}", "rid": f"{number:016x}", "budget": "4000"}
 
 
@@ -54,11 +54,11 @@
                 resource.prlimit(director.process.pid, resource.RLIMIT_NOFILE, (SOCKETS, SOCKETS))
                 idle = [await connect(port) for _ in range(IDLE)]
                 for client in idle[-20:]:
-                    assert await client.code(1, {}) == 0  # these send one query and stay connected
+                    assert await client.answer_code(1, {}) == 0  # these send one query and stay connected
                 for i in range(1, 6):
                     newcomer = await connect(port)
-                    assert await newcomer.code(1, {}) == 0
-                    assert await newcomer.code(7, ask(i)) == 0
+                    assert await newcomer.answer_code(1, {}) == 0
+                    assert await newcomer.answer_code(7, request_fields(i)) == 0
                 assert not fleet.coordinator.streams
                 listeners = await trio.open_tcp_listeners(config_port, host="127.0.0.1")
                 async with trio.open_nursery() as nursery:
@@ -67,7 +67,7 @@
                         while not fleet.coordinator.streams:
                             await trio.sleep(0.01)
                     nursery.cancel_scope.cancel()
-                assert await (await connect(port)).code(7, ask(99)) == 0
+                assert await (await connect(port)).answer_code(7, request_fields(99)) == 0
                 for client in idle:
                     await client.stream.aclose()
 
--- a/tests/test_membership_stream.py
+++ b/tests/test_membership_stream.py
@@ -11,7 +11,7 @@
 from tests.interleaving import hold_connects
 from tests.scripted_coordinator import HEAD, ScriptedCoordinator, chunk, event, full_membership, member_change
 
-SERVE_BY = """
+EXPECT_SERVED_BY = """
     client send request {0} video chunk={0}
     {1} expect do rid={0:016x}
     {1} send ok note=mem body=hello
@@ -76,7 +76,7 @@
         await stream.send_all(HEAD + chunk(twice))
         await trio.sleep(0.01)
         assert stage.service.counters.roster_changes == before + 1
-        await stage.play(SERVE_BY.format(1, "cache2"))
+        await stage.play(EXPECT_SERVED_BY.format(1, "cache2"))
 
     on_stage(check)
 
@@ -96,7 +96,7 @@
         )
         await trio.sleep(0.01)
         assert sorted(e.name for e in stage.service.engine.endpoints.values()) == ["cache2", "records", "upper"]
-        await stage.play(SERVE_BY.format(1, "cache2"))
+        await stage.play(EXPECT_SERVED_BY.format(1, "cache2"))
 
     on_stage(check)
 
@@ -104,7 +104,7 @@
 def test_a_new_member_at_the_address_of_a_removed_one_gets_new_connections():
     async def check(stage):
         coordinator = await ScriptedCoordinator(stage).open()
-        await stage.play(SERVE_BY.format(1, "cache1"))
+        await stage.play(EXPECT_SERVED_BY.format(1, "cache1"))
         _, _, stream = await coordinator.next_call()
         connects = stage.service.counters.connects
         await stream.send_all(
@@ -116,7 +116,7 @@
         )
         await trio.sleep(0.01)
         assert "cache9" in [e.name for e in stage.service.engine.endpoints.values()]
-        await stage.play(SERVE_BY.format(2, "cache1"))
+        await stage.play(EXPECT_SERVED_BY.format(2, "cache1"))
         assert stage.service.counters.connects == connects + 1
 
     on_stage(check)
@@ -204,6 +204,6 @@
         await stage.play("director wait 0.01\nclient send ready? 2\nclient expect ready refused 2")
         await stream.send_all(chunk(full_membership(coordinator, 3, *ALL, revision=2)))
         await stage.play("director wait 0.01\nclient send ready? 3\nclient expect ready served 3")
-        await stage.play(SERVE_BY.format(4, "cache1"))
+        await stage.play(EXPECT_SERVED_BY.format(4, "cache1"))
 
     on_stage(check, members=())
--- a/tests/test_operations_endpoint.py
+++ b/tests/test_operations_endpoint.py
@@ -12,7 +12,7 @@
 from tests.director_scenario import staged
 
 
-def ask(api, method, target):
+def send_request(api, method, target):
     http = HttpServerConnection()
     request = http.feed(f"{method} {target} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
     status, body, _ = api.answer(request)
@@ -20,7 +20,7 @@
 
 
 @pytest.mark.parametrize(
-    "method, target, status, says",
+    "method, target, status, expected_text",
     [
         ("GET", "/status", 200, "ready"),
         ("POST", "/status", 405, "called with GET"),
@@ -35,17 +35,17 @@
         ("PUT", "/maintenance/enter?member=a&member=b", 400, "exactly one"),
     ],
 )
-def test_each_request_is_answered_and_an_error_names_its_cause(method, target, status, says):
+def test_each_request_is_answered_and_an_error_names_its_cause(method, target, status, expected_text):
     api = OperatorApi(
         lambda: "ready", lambda: b"figures\n", lambda member, out: "" if member == "c-1" else f"no member {member}"
     )
-    found, text = ask(api, method, target)
-    assert found == status and says in text
+    found, text = send_request(api, method, target)
+    assert found == status and expected_text in text
 
 
 def test_a_process_that_accepts_no_clients_answers_503():
     for state in ("starting", "draining", "stopped"):
-        assert ask(OperatorApi(lambda state=state: state, bytes, lambda *a: ""), "GET", "/status")[0] == 503
+        assert send_request(OperatorApi(lambda state=state: state, bytes, lambda *a: ""), "GET", "/status")[0] == 503
 
 
 def run_with_endpoint(steps):
