--- a/rookbend/net/member_pool.py
+++ b/rookbend/net/member_pool.py
@@ -29,7 +29,7 @@
         self.endpoint = endpoint
         self.connections = ConnectionSet(context)
         self.waiting: deque[Attempt] = deque()
-        self.awaiting_cancel: list[Attempt] = []  # cancelled here before; the member may not have read the cancel
+        self.awaiting_cancel: list[Attempt] = []  # the member may not have read an earlier cancel
         self.retired = False
         self.restart_detector = RestartDetector()
 
@@ -46,7 +46,7 @@
     def _drain_unconfirmed_cancels(self, request_id: str) -> bool:
         """Drains the connections on which this request was cancelled; returns whether there are any.
 
-        While there are, the member may still process the earlier attempt, and a retry would make it process the
+        While there are, the member may still process the earlier attempt, and a new one would make it process the
         request twice: a cancel on one connection and a command on another are not ordered, and the command was
         read first in one case of three. The member's close of the drained connection proves that it has read the
         cancel.
--- a/rookbend/net/upgrade.py
+++ b/rookbend/net/upgrade.py
@@ -23,7 +23,7 @@
 from rookbend.protocol import upgrade as upgrade_protocol
 
 RETRY_S = 1
-HANDOVER_TIMEOUT_US = 3_000_000  # a predecessor that does not answer by then hangs: the successor binds its own
+HANDOVER_TIMEOUT_US = 3_000_000  # then the predecessor counts as hung, and the successor binds its own sockets
 MAX_PATH_BYTES = 100  # bytes of a Unix socket's path, less than the kernel's 108
 MAX_DESCRIPTORS = 64  # in one message
 PEER_CREDENTIALS = struct.Struct("3i")  # SO_PEERCRED: pid, uid, gid
--- a/rookbend/net/watch.py
+++ b/rookbend/net/watch.py
@@ -27,7 +27,7 @@
 MIN_PAUSE_S = 0.1  # minimum before a call, after a stream that delivered events
 MAX_SPREAD_S = 0.8  # added to it, spread over the fleet: less than a fifth of the fleet calls in any 0.1 s
 SPREAD_PER_DIRECTOR_S = 0.08  # the spread of a fleet too small for MAX_SPREAD_S
-REPEAT_MARGIN_S = 0.1  # makes the pause between calls without events longer than the span, so that they don't overlap
+REPEAT_MARGIN_S = 0.1  # keeps the pause between calls without events above the span, so that rounds don't overlap
 SLOT_SHIFT_RATIO = 0.382  # of the span, by which the slots shift
 SLOT_JITTER_RATIO = 0.25  # of a slot; with more, three directors may call at the same time
 
@@ -109,8 +109,8 @@
             self.membership_changed(event)
 
     def _skip(self, event: UnreadableEvent) -> None:
-        """Moves past an unreadable event. If it were requested again, it would arrive unreadable again and block
-        the events that follow it."""
+        """Moves the index past an unreadable event. Requested again, it would arrive unreadable again and block the
+        events that follow it."""
         self.last_index = max(self.last_index, event.index)
         self.engine.counters.events_unusable += 1
         self.engine.log("coordinator_event_unusable", "error", index=event.index, reason=event.reason)
