--- a/rookbend/net/bounded_server.py
+++ b/rookbend/net/bounded_server.py
@@ -1,4 +1,4 @@
-"""A TCP server for operators and balancers, with a bound on its clients and on the time that each may take."""
+"""A TCP server for operators and balancers that limits the number of clients and the time of each."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import trio
 
 from rookbend.net.acceptor import accept
-from rookbend.net.buffered_socket import BufferedSocket, prepare
+from rookbend.net.buffered_socket import BufferedSocket, set_socket_options
 from rookbend.net.component import Component, ComponentContext
 from rookbend.net.listeners import Listeners
 
@@ -17,7 +17,7 @@
 
 
 class BoundedServer(Component):
-    """Accepts up to `MAX_CLIENTS`; further ones are closed at once."""
+    """Serves up to `MAX_CLIENTS` clients at a time; further connections are closed at once."""
 
     descriptors = MAX_CLIENTS + 1
 
@@ -29,11 +29,11 @@
         serve_client: Callable[[BufferedSocket], Awaitable[None]],
         long_lived: bool = False,
     ):
-        """`name` is for the log. `serve_client` serves one client to its end, within `CLIENT_TIMEOUT_US` unless
-        clients are `long_lived`; the connection is closed after it."""
+        """`name` identifies the server in the log. `serve_client` serves one client; the connection is closed when it
+        returns, or after `CLIENT_TIMEOUT_US` unless clients are `long_lived`."""
         self.clock = context.clock
         self.clients = 0
-        self.address: tuple[str, int] | None = None  # once open
+        self.address: tuple[str, int] | None = None  # set by `open`
         self._configured_address = address
         self._name = name
         self._containment = context.containment
@@ -59,7 +59,7 @@
             sock.close()
             return
         self.clients += 1
-        nursery.start_soon(self._run_client, BufferedSocket(prepare(sock), nursery, self._write_scheduler))
+        nursery.start_soon(self._run_client, BufferedSocket(set_socket_options(sock), nursery, self._write_scheduler))
 
     async def _run_client(self, channel: BufferedSocket) -> None:
         try:
--- a/rookbend/net/recovery_setup.py
+++ b/rookbend/net/recovery_setup.py
@@ -1,4 +1,4 @@
-"""What the recovery's state machine is built from: the director's settings and the rows found on disk."""
+"""The inputs of recovery's state machine: its configuration from the settings, and the rows stored on disk."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 if TYPE_CHECKING:
     from rookbend.net.state import StateComponent
 
-MULTIPART_CLASS_COST = 4.0  # objects that come in parts are large: relative to a class of small ones
+MULTIPART_CLASS_COST = 4.0  # relative to other classes, since objects that come in parts are large
 DEFAULT_PURGE_PROPAGATION_US = 6_000_000
 
 
 def recovery_config(context: ComponentContext) -> RecoveryConfig:
-    """What the settings say, for the state machine."""
+    """The state machine's configuration, from the settings."""
     operators = context.operators
-    wanted = operators.recovery
-    assert wanted is not None, "recovery is built only where the settings ask for it"
+    recovery_settings = operators.recovery
+    assert recovery_settings is not None, "recovery is built only if the settings enable it"
     router = context.engine.settings
     classes = tuple(
         TrafficClassCost(c.is_write, c.priority_weight, MULTIPART_CLASS_COST if c.has_parts else 1.0)
@@ -29,22 +29,22 @@
     return RecoveryConfig(
         number=router.router_index,
         director_count=router.router_count,
-        fleet=operators.state.fleet if operators.state is not None else wanted.fleet,
+        fleet=operators.state.fleet if operators.state is not None else recovery_settings.fleet,
         seed=int(context.config.seed, 16),
         classes=classes,
         zone=router.zone,
         parent_kind=router.parent_kind,
         origin_kind=router.origin_kind,
         purge_propagation_us=router.purge_propagation_us or DEFAULT_PURGE_PROPAGATION_US,
-        plan=StartupPlan(wanted.ready_share, wanted.ready_by_us, wanted.full_by_us),
-        initial_origin_rate=wanted.first_rate,
-        full_origin_rate=wanted.full_rate,
-        gossip_enabled=wanted.peers,
+        plan=StartupPlan(recovery_settings.ready_share, recovery_settings.ready_by_us, recovery_settings.full_by_us),
+        initial_origin_rate=recovery_settings.first_rate,
+        full_origin_rate=recovery_settings.full_rate,
+        gossip_enabled=recovery_settings.peers,
     )
 
 
 def persisted_rows(state: StateComponent | None) -> tuple[PersistedRow, ...]:
-    """All rows found on disk; none without a disk."""
+    """All rows stored on disk; none without a disk."""
     if state is None:
         return ()
     return tuple(
--- a/tests/interleaving.py
+++ b/tests/interleaving.py
@@ -1,4 +1,4 @@
-"""Holding one side of a crossing at an exact point."""
+"""Holds one side of a race at an exact point."""
 
 import trio
 
@@ -6,19 +6,19 @@
 
 
 def hold_connects(monkeypatch):
-    """Connections to members come up only once the event that this gives is set."""
-    let_up, real = trio.Event(), rookbend.net.member_pool.open_socket
+    """Delays connects to members until the returned event is set."""
+    allow_connects, real = trio.Event(), rookbend.net.member_pool.open_socket
 
-    async def late(address):
-        await let_up.wait()
+    async def delayed_open(address):
+        await allow_connects.wait()
         return await real(address)
 
-    monkeypatch.setattr(rookbend.net.member_pool, "open_socket", late)
-    return let_up
+    monkeypatch.setattr(rookbend.net.member_pool, "open_socket", delayed_open)
+    return allow_connects
 
 
-def fill(sock):
-    """Fills a connection whose other side reads nothing, with lines that it passes over."""
+def fill_send_buffer(sock):
+    """Fills the send buffer of a connection whose peer does not read, with lines that the peer ignores."""
     try:
         while True:
             sock.send(b"pad " + bytes(50_000) + b"\r\n")
--- a/tests/scripted_coordinator.py
+++ b/tests/scripted_coordinator.py
@@ -1,4 +1,4 @@
-"""A coordinator whose stream is scripted byte by byte: what it says, and where it falls silent."""
+"""A coordinator whose stream a test scripts byte by byte, including where it falls silent."""
 
 import json
 
@@ -18,7 +18,7 @@
 
 
 class ScriptedCoordinator:
-    """Answers each call with the bytes that the test says, and stays silent after them."""
+    """Accepts calls and sends nothing by itself: the test writes the bytes of each answer."""
 
     def __init__(self, stage):
         self.stage = stage
@@ -38,8 +38,8 @@
         self.send_calls.send_nowait((trio.current_time(), int(last), stream))
         await trio.sleep_forever()
 
-    async def called(self):
-        """The next call: when, with which last index, and the stream to answer on."""
+    async def next_call(self):
+        """The next call: its time, its last index, and the stream to answer on."""
         with trio.fail_after(60):
             return await self.calls.receive()
 
@@ -47,12 +47,12 @@
         return [self.stage.member(name, phases.get(name, "SERVING")) for name in names]
 
 
-def whole(coordinator, index, *names, revision=1, **phases):
+def full_membership(coordinator, index, *names, revision=1, **phases):
     return event(
         index, {"endpoints": {"revision": revision, "complete": True, "members": coordinator.members(*names, **phases)}}
     )
 
 
-def change(coordinator, index, name, phase, **more):
+def member_change(coordinator, index, name, phase, **more):
     member = {**coordinator.members(name, **{name: phase})[0], **more}
     return event(index, {"endpoints": {"members": [member]}})
--- a/tests/test_fault_containment.py
+++ b/tests/test_fault_containment.py
@@ -1,4 +1,4 @@
-"""An unexpected exception in the task of one caller, check, lookup or datagram ends that task alone."""
+"""An unexpected exception in the task of one client, check, lookup or datagram ends only that task."""
 
 import socket
 from types import SimpleNamespace
@@ -17,54 +17,54 @@
 
 
 class PlantedError(Exception):
-    """No code of the program raises it."""
+    """Raised by the tests only, never by the director's code."""
 
 
 def fail(*args, **more):
     raise PlantedError
 
 
-async def bytes_of(address, request):
+async def exchange(address, request):
     async with await trio.open_tcp_stream(*address) as stream:
         await stream.send_all(request)
         await stream.send_eof()
         return b"".join([data async for data in stream])
 
 
-def faults(capsys):
+def contained_components(capsys):
     lines = [line for line in capsys.readouterr().err.splitlines() if "event=component_fault" in line]
     assert all("PlantedError" in line and "Traceback" in line for line in lines)
     return [line.partition("component=")[2].split()[0] for line in lines]
 
 
-def test_a_callers_fault_ends_its_connection_alone_and_is_logged_and_counted(monkeypatch, capsys):
+def test_an_exception_while_serving_a_client_ends_only_its_connection(monkeypatch, capsys):
     async def steps(stage):
         _, http, _ = stage.service.balancer
         for server, answered in ((http, b"200"), (stage.service.admin, b"404")):
             with monkeypatch.context() as planted:
                 planted.setattr("rookbend.net.http_server.HttpServerConnection.feed", fail)
-                assert await bytes_of(server.address, GET) == b""
-            assert answered in await bytes_of(server.address, GET) and server.clients == 0
+                assert await exchange(server.address, GET) == b""
+            assert answered in await exchange(server.address, GET) and server.clients == 0
 
     on_stage(steps, operators=ADMIN, component_faults=2)
-    assert faults(capsys) == ["http-server", "admin"]
+    assert contained_components(capsys) == ["http-server", "admin"]
 
 
-def test_the_operators_callers_fault_ends_its_connection_alone(monkeypatch, capsys):
+def test_an_exception_at_the_operators_endpoint_ends_only_that_connection(monkeypatch, capsys):
     async def main():
         async with staged(operator="127.0.0.1:0", component_faults=1) as stage:
             endpoint = stage.service.operations.endpoint
             with monkeypatch.context() as planted:
                 planted.setattr(endpoint.api, "answer", fail)
-                assert await bytes_of(endpoint.address, b"GET /status HTTP/1.1\r\nHost: x\r\n\r\n") == b""
-            assert b" 200 " in await bytes_of(endpoint.address, b"GET /status HTTP/1.1\r\nHost: x\r\n\r\n")
+                assert await exchange(endpoint.address, b"GET /status HTTP/1.1\r\nHost: x\r\n\r\n") == b""
+            assert b" 200 " in await exchange(endpoint.address, b"GET /status HTTP/1.1\r\nHost: x\r\n\r\n")
 
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
-    assert faults(capsys) == ["operator"]
+    assert contained_components(capsys) == ["operator"]
 
 
 @pytest.mark.parametrize("way", ["", "tcp "])
-def test_a_lookups_fault_costs_that_lookup_alone(way, monkeypatch, capsys):
+def test_an_exception_in_a_lookup_fails_only_that_lookup(way, monkeypatch, capsys):
     async def steps(stage):
         with monkeypatch.context() as planted:
             planted.setattr(stage.service.dns.front, "query", fail)
@@ -72,10 +72,10 @@
         await stage.play(NAMED)
 
     on_stage(steps, component_faults=1)
-    assert faults(capsys) == ["dns"]
+    assert contained_components(capsys) == ["dns"]
 
 
-def test_a_resolvers_fault_fails_that_lookup_alone(monkeypatch, capsys):
+def test_an_exception_in_the_resolver_fails_only_that_lookup(monkeypatch, capsys):
     async def steps(stage):
         with monkeypatch.context() as planted:
             planted.setattr("rookbend.net.dns_resolver.parse_addresses", fail)
@@ -84,10 +84,10 @@
         await stage.play(NAMED.replace("id=7", "id=8"))
 
     on_stage(steps, component_faults=1)
-    assert faults(capsys) == ["resolver"]
+    assert contained_components(capsys) == ["resolver"]
 
 
-def test_a_checks_fault_has_no_result_and_the_next_run_is_due_as_ever(monkeypatch, capsys):
+def test_a_check_that_raises_has_no_result_and_runs_again_as_scheduled(monkeypatch, capsys):
     async def steps(stage):
         runs = []
 
@@ -101,10 +101,10 @@
         stage.service.counters.component_faults -= len(runs)
 
     on_stage(steps, operators=CHECK)
-    assert set(faults(capsys)) == {"checks"}
+    assert set(contained_components(capsys)) == {"checks"}
 
 
-def test_a_datagrams_fault_costs_that_datagram_alone(capsys):
+def test_an_exception_on_a_datagram_does_not_affect_the_next_one(capsys):
     async def steps(stage):
         received = []
 
@@ -130,11 +130,11 @@
             stage.nursery.cancel_scope.cancel()
 
     on_stage(steps, component_faults=1)
-    assert faults(capsys) == ["peers"]
+    assert contained_components(capsys) == ["peers"]
 
 
 @pytest.mark.parametrize("passing", [KeyboardInterrupt, SystemExit, trio.Cancelled])
-def test_cancellation_and_exit_pass(passing):
+def test_cancellation_and_exit_are_not_contained(passing):
     async def steps(stage):
         if passing is trio.Cancelled:
             with trio.move_on_after(1) as scope, stage.service.context.containment.contain("peers"):
--- a/tests/test_full_descriptors.py
+++ b/tests/test_full_descriptors.py
@@ -1,4 +1,4 @@
-"""A real process whose descriptors idle clients try to fill while discovery is down."""
+"""A director process whose file descriptors are nearly used up by idle clients while discovery is down."""
 
 import resource
 
@@ -10,20 +10,20 @@
 
 SOCKETS = 128
 IDLE = 200
-PATIENCE_S = 20
+TIMEOUT_S = 20
 
 
 class Client:
-    """One connection: asks and reads answers, one at a time."""
+    """One connection: sends requests and reads their answers, one at a time."""
 
     def __init__(self, stream):
         self.stream, self.data, self.number = stream, b"", 0
 
-    async def code(self, kind, fields):
-        """The code of the answer to a request or a question for readiness."""
+    async def answer_code(self, kind, fields):
+        """Sends a request or a readiness query; returns the code of its answer."""
         self.number += 1
         await self.stream.send_all(encode_frame(kind, self.number, fields))
-        with trio.fail_after(PATIENCE_S):
+        with trio.fail_after(TIMEOUT_S):
             while len(self.data) < 4 or len(self.data) < 4 + int.from_bytes(self.data[:4], "big"):
                 more = await self.stream.receive_some()
                 assert more, "closed without an answer"
@@ -33,41 +33,41 @@
         return answer[5]
 
 
-def ask(number):
+def request_fields(number):
     return {"method": "video", "obj": f"{number:016x}", "rid": f"{number:016x}", "budget": "4000"}
 
 
 async def connect(port):
-    with trio.fail_after(PATIENCE_S):
+    with trio.fail_after(TIMEOUT_S):
         return Client(await trio.open_tcp_stream("127.0.0.1", port))
 
 
-def test_idle_clients_keep_neither_usual_ones_nor_members_nor_discovery_out(tmp_path):
+def test_idle_clients_do_not_block_new_clients_members_or_discovery(tmp_path):
     async def main():
-        async with open_fleet(caches=2) as outside:
+        async with open_fleet(caches=2) as fleet:
             port, config_port = find_free_port(), find_free_port()
-            config = outside.director_config(False, port)
+            config = fleet.director_config(False, port)
             config["limits"]["sockets"] = SOCKETS
-            config["coordinator"] = f"127.0.0.1:{config_port}"  # nobody listens there: discovery is down
+            config["coordinator"] = f"127.0.0.1:{config_port}"  # nothing listens there: discovery is down
             director = DirectorProcess(".", tmp_path, config)
             async with running_directors(director):
                 resource.prlimit(director.process.pid, resource.RLIMIT_NOFILE, (SOCKETS, SOCKETS))
                 idle = [await connect(port) for _ in range(IDLE)]
                 for client in idle[-20:]:
-                    assert await client.code(1, {}) == 0  # asked once, and stay
+                    assert await client.answer_code(1, {}) == 0  # these send one query and stay connected
                 for i in range(1, 6):
                     newcomer = await connect(port)
-                    assert await newcomer.code(1, {}) == 0
-                    assert await newcomer.code(7, ask(i)) == 0
-                assert not outside.coordinator.streams
+                    assert await newcomer.answer_code(1, {}) == 0
+                    assert await newcomer.answer_code(7, request_fields(i)) == 0
+                assert not fleet.coordinator.streams
                 listeners = await trio.open_tcp_listeners(config_port, host="127.0.0.1")
                 async with trio.open_nursery() as nursery:
-                    nursery.start_soon(trio.serve_listeners, outside.coordinator.serve, listeners)
-                    with trio.fail_after(PATIENCE_S):
-                        while not outside.coordinator.streams:
+                    nursery.start_soon(trio.serve_listeners, fleet.coordinator.serve, listeners)
+                    with trio.fail_after(TIMEOUT_S):
+                        while not fleet.coordinator.streams:
                             await trio.sleep(0.01)
                     nursery.cancel_scope.cancel()
-                assert await (await connect(port)).code(7, ask(99)) == 0
+                assert await (await connect(port)).answer_code(7, request_fields(99)) == 0
                 for client in idle:
                     await client.stream.aclose()
 
--- a/tests/test_membership_stream.py
+++ b/tests/test_membership_stream.py
@@ -1,5 +1,7 @@
-"""The membership stream that falls silent, ends, repeats itself or says what can't be used: what the coordinator
-has counts as told all the same, so a director may be without a working stream only for a bounded time."""
+"""A membership stream that falls silent, ends, repeats events or delivers unusable ones.
+
+The coordinator counts its events as delivered at once, so the time of a director without a working stream is limited.
+"""
 
 import pytest
 import trio
@@ -7,9 +9,9 @@
 from rookbend.net.watch import MIN_PAUSE_S, SILENCE_TIMEOUT_US, ReconnectBackoff
 from tests.director_scenario import OBJ, UNIX, on_stage
 from tests.interleaving import hold_connects
-from tests.scripted_coordinator import HEAD, ScriptedCoordinator, change, chunk, event, whole
+from tests.scripted_coordinator import HEAD, ScriptedCoordinator, chunk, event, full_membership, member_change
 
-SERVE_BY = """
+EXPECT_SERVED_BY = """
     client send request {0} video chunk={0}
     {1} expect do rid={0:016x}
     {1} send ok note=mem body=hello
@@ -21,25 +23,25 @@
 
 
 @pytest.mark.parametrize("how", ["first-byte", "headers", "event", "chunk", "comments-stop"])
-def test_a_stream_that_falls_silent_is_called_again_within_its_bound(how):
+def test_a_silent_stream_is_replaced_by_a_new_call_within_the_time_limit(how):
     async def check(stage):
         coordinator = await ScriptedCoordinator(stage).open()
-        at, last, stream = await coordinator.called()
-        told = change(coordinator, 2, "cache1", "DRAINING")
-        said = {
+        at, last, stream = await coordinator.next_call()
+        update = member_change(coordinator, 2, "cache1", "DRAINING")
+        response = {
             "first-byte": b"",
             "headers": HEAD,
-            "event": HEAD + chunk(told[:40]),
-            "chunk": HEAD + chunk(told)[:40],
+            "event": HEAD + chunk(update[:40]),
+            "chunk": HEAD + chunk(update)[:40],
             "comments-stop": HEAD + chunk(b":\n"),
         }[how]
-        if said:
-            await stream.send_all(said)
-        again, last_again, stream = await coordinator.called()
+        if response:
+            await stream.send_all(response)
+        again, last_again, stream = await coordinator.next_call()
         span_s = ReconnectBackoff(0, 1, 0).span_s
         assert again - at <= SILENCE_TIMEOUT_US / 1e6 + MIN_PAUSE_S + span_s + 0.05
         assert (last, last_again) == (1, 1)
-        await stream.send_all(HEAD + chunk(told))  # and the drain binds as soon as it is told
+        await stream.send_all(HEAD + chunk(update))  # the drain takes effect as soon as its event is received
         await stage.play("""
             director wait 0.01
             client send request 1 video
@@ -51,67 +53,70 @@
 
 
 @pytest.mark.parametrize("count", [1, 3, 5])
-def test_a_director_of_a_small_fleet_that_lost_its_first_call_calls_again_soon(count):
-    """A purge binds half a second after it was told, and it counts as told to a director without a stream."""
+def test_a_director_of_a_small_fleet_calls_again_soon_after_its_first_call_failed(count):
+    """A purge takes effect 0.5 s after the coordinator sends it, and counts as sent to a director without a stream."""
     for number in range(count):
         for seed in range(20):
             assert ReconnectBackoff(number, count, seed).next() <= MIN_PAUSE_S + 0.08 * count < 0.55
 
 
-def test_events_told_between_an_end_and_the_next_call_are_asked_for_and_taken_once():
+def test_events_between_a_stream_end_and_the_next_call_are_requested_and_applied_once():
     async def check(stage):
         coordinator = await ScriptedCoordinator(stage).open()
-        _, _, stream = await coordinator.called()
-        await stream.send_all(HEAD + chunk(change(coordinator, 2, "cache2", "SERVING")))
+        _, _, stream = await coordinator.next_call()
+        await stream.send_all(HEAD + chunk(member_change(coordinator, 2, "cache2", "SERVING")))
         await trio.sleep(0.01)
         await stream.aclose()
-        _, last, stream = await coordinator.called()
+        _, last, stream = await coordinator.next_call()
         assert last == 2
         before = stage.service.counters.roster_changes
-        twice = change(coordinator, 2, "cache2", "SERVING") + change(coordinator, 3, "cache1", "DELETED") * 2
+        twice = (
+            member_change(coordinator, 2, "cache2", "SERVING") + member_change(coordinator, 3, "cache1", "DELETED") * 2
+        )
         await stream.send_all(HEAD + chunk(twice))
         await trio.sleep(0.01)
         assert stage.service.counters.roster_changes == before + 1
-        await stage.play(SERVE_BY.format(1, "cache2"))
+        await stage.play(EXPECT_SERVED_BY.format(1, "cache2"))
 
     on_stage(check)
 
 
-def test_a_whole_list_after_changes_is_the_list_and_an_older_one_is_not_taken_again():
+def test_a_full_membership_replaces_changes_and_an_older_or_repeated_one_is_ignored():
     async def check(stage):
         coordinator = await ScriptedCoordinator(stage).open()
-        _, _, stream = await coordinator.called()
+        _, _, stream = await coordinator.next_call()
         await stream.send_all(
             HEAD
             + chunk(
-                change(coordinator, 2, "cache2", "SERVING")
-                + whole(coordinator, 3, "cache2", "upper", "records")
-                + whole(coordinator, 1, *ALL)
-                + whole(coordinator, 3, *ALL)
+                member_change(coordinator, 2, "cache2", "SERVING")
+                + full_membership(coordinator, 3, "cache2", "upper", "records")
+                + full_membership(coordinator, 1, *ALL)
+                + full_membership(coordinator, 3, *ALL)
             )
         )
         await trio.sleep(0.01)
         assert sorted(e.name for e in stage.service.engine.endpoints.values()) == ["cache2", "records", "upper"]
-        await stage.play(SERVE_BY.format(1, "cache2"))
+        await stage.play(EXPECT_SERVED_BY.format(1, "cache2"))
 
     on_stage(check)
 
 
-def test_a_new_member_at_an_old_address_gets_connections_of_its_own():
+def test_a_new_member_at_the_address_of_a_removed_one_gets_new_connections():
     async def check(stage):
         coordinator = await ScriptedCoordinator(stage).open()
-        await stage.play(SERVE_BY.format(1, "cache1"))
-        _, _, stream = await coordinator.called()
+        await stage.play(EXPECT_SERVED_BY.format(1, "cache1"))
+        _, _, stream = await coordinator.next_call()
         connects = stage.service.counters.connects
         await stream.send_all(
             HEAD
             + chunk(
-                change(coordinator, 2, "cache1", "DELETED") + change(coordinator, 3, "cache1", "SERVING", id="cache9")
+                member_change(coordinator, 2, "cache1", "DELETED")
+                + member_change(coordinator, 3, "cache1", "SERVING", id="cache9")
             )
         )
         await trio.sleep(0.01)
         assert "cache9" in [e.name for e in stage.service.engine.endpoints.values()]
-        await stage.play(SERVE_BY.format(2, "cache1"))
+        await stage.play(EXPECT_SERVED_BY.format(2, "cache1"))
         assert stage.service.counters.connects == connects + 1
 
     on_stage(check)
@@ -129,13 +134,13 @@
         '{"index": 2, "endpoints": {"members": [{"id": "x", "host_port": "a:1", "phase": "ODD"}]}}',
     ],
 )
-def test_a_bad_event_costs_only_itself(bad):
-    """Guards the stream: asked for again with the index before it, the same event ended each call."""
+def test_an_unusable_event_does_not_block_later_events(bad):
+    """The index moves past an unusable event. Requested again from the index before it, the event ended each call."""
 
     async def check(stage):
         coordinator = await ScriptedCoordinator(stage).open()
-        _, _, stream = await coordinator.called()
-        await stream.send_all(HEAD + chunk(event(2, bad) + change(coordinator, 3, "cache1", "DRAINING")))
+        _, _, stream = await coordinator.next_call()
+        await stream.send_all(HEAD + chunk(event(2, bad) + member_change(coordinator, 3, "cache1", "DRAINING")))
         await stage.play("""
             director wait 0.01
             client send request 1 video
@@ -144,20 +149,20 @@
         """)
         assert stage.service.counters.events_unusable == 1
         await stream.aclose()
-        assert (await coordinator.called())[1] == 3
+        assert (await coordinator.next_call())[1] == 3
 
     on_stage(check)
 
 
-def test_a_coordinator_that_moves_while_a_call_is_under_way_is_called_at_once():
+def test_a_changed_coordinator_address_is_called_at_once_during_a_call():
     async def check(stage):
         first = await ScriptedCoordinator(stage).open()
-        await first.called()  # no byte of an answer, ever
+        await first.next_call()  # and is never answered
         began = trio.current_time()
         second = await ScriptedCoordinator(stage).open()
-        at, last, stream = await second.called()
+        at, last, stream = await second.next_call()
         assert at - began < 0.05 and last == 1
-        await stream.send_all(HEAD + chunk(change(second, 2, "cache1", "DRAINING")))
+        await stream.send_all(HEAD + chunk(member_change(second, 2, "cache1", "DRAINING")))
         await stage.play("""
             director wait 0.01
             client send request 1 video
@@ -168,19 +173,19 @@
     on_stage(check)
 
 
-def test_a_drain_or_purge_right_after_a_reconnect_binds_what_waits_in_the_pool(monkeypatch):
-    let_up = hold_connects(monkeypatch)
+def test_a_drain_and_a_purge_after_a_reconnect_apply_to_an_attempt_waiting_in_the_pool(monkeypatch):
+    allow_connects = hold_connects(monkeypatch)
 
     async def check(stage):
         coordinator = await ScriptedCoordinator(stage).open()
-        _, _, stream = await coordinator.called()
+        _, _, stream = await coordinator.next_call()
         await stream.aclose()
-        _, _, stream = await coordinator.called()
+        _, _, stream = await coordinator.next_call()
         await stage.play("client send request 1 video budget=5000\nclient send ready? 9\nclient expect ready")
         purge = {"evict": {"ref": OBJ, "unix_ms": int(UNIX * 1000 + trio.current_time() * 1000)}}
-        await stream.send_all(HEAD + chunk(change(coordinator, 2, "cache1", "DRAINING") + event(3, purge)))
+        await stream.send_all(HEAD + chunk(member_change(coordinator, 2, "cache1", "DRAINING") + event(3, purge)))
         await trio.sleep(0.01)
-        let_up.set()
+        allow_connects.set()
         await stage.play("upper expect do rid=0000000000000001 c=video")
         await stage.play("cache1 expect nothing")
         assert stage.service.counters.withheld >= 1 and stage.service.counters.purges == 1
@@ -188,17 +193,17 @@
     on_stage(check)
 
 
-def test_readiness_is_told_only_once_a_member_is_in_service():
-    """A director that says yes and knows nobody would be given clients, and serve none of them."""
+def test_a_director_is_ready_only_once_a_member_is_serving():
+    """A director that reports ready without a member would get clients and serve none of them."""
 
     async def check(stage):
         coordinator = await ScriptedCoordinator(stage).open()
         await stage.play("client send ready? 1\nclient expect ready refused 1")
-        _, _, stream = await coordinator.called()
-        await stream.send_all(HEAD + chunk(whole(coordinator, 2, "cache1", cache1="DRAINING")))
+        _, _, stream = await coordinator.next_call()
+        await stream.send_all(HEAD + chunk(full_membership(coordinator, 2, "cache1", cache1="DRAINING")))
         await stage.play("director wait 0.01\nclient send ready? 2\nclient expect ready refused 2")
-        await stream.send_all(chunk(whole(coordinator, 3, *ALL, revision=2)))
+        await stream.send_all(chunk(full_membership(coordinator, 3, *ALL, revision=2)))
         await stage.play("director wait 0.01\nclient send ready? 3\nclient expect ready served 3")
-        await stage.play(SERVE_BY.format(4, "cache1"))
+        await stage.play(EXPECT_SERVED_BY.format(4, "cache1"))
 
     on_stage(check, members=())
--- a/tests/test_operations_endpoint.py
+++ b/tests/test_operations_endpoint.py
@@ -1,4 +1,4 @@
-"""The operators' door: who is answered, with what, and who is let go."""
+"""The operators' HTTP endpoint: answers, limits and the close of connections."""
 
 import struct
 
@@ -6,13 +6,13 @@
 import trio
 import trio.testing
 
-from rookbend.net.operator_endpoint import MAX_CALLERS
+from rookbend.net.operator_endpoint import MAX_CONNECTIONS
 from rookbend.protocol.http_server import HttpServerConnection
 from rookbend.protocol.operator_api import OperatorApi
 from tests.director_scenario import staged
 
 
-def ask(api, method, target):
+def send_request(api, method, target):
     http = HttpServerConnection()
     request = http.feed(f"{method} {target} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
     status, body, _ = api.answer(request)
@@ -20,7 +20,7 @@
 
 
 @pytest.mark.parametrize(
-    "method, target, status, says",
+    "method, target, status, expected_text",
     [
         ("GET", "/status", 200, "ready"),
         ("POST", "/status", 405, "called with GET"),
@@ -35,20 +35,20 @@
         ("PUT", "/maintenance/enter?member=a&member=b", 400, "exactly one"),
     ],
 )
-def test_each_call_has_its_answer_and_a_wrong_one_says_what_is_wrong(method, target, status, says):
+def test_each_request_is_answered_and_an_error_names_its_cause(method, target, status, expected_text):
     api = OperatorApi(
         lambda: "ready", lambda: b"figures\n", lambda member, out: "" if member == "c-1" else f"no member {member}"
     )
-    found, text = ask(api, method, target)
-    assert found == status and says in text
+    found, text = send_request(api, method, target)
+    assert found == status and expected_text in text
 
 
-def test_a_process_that_does_not_take_clients_says_no():
+def test_a_process_that_accepts_no_clients_answers_503():
     for state in ("starting", "draining", "stopped"):
-        assert ask(OperatorApi(lambda state=state: state, bytes, lambda *a: ""), "GET", "/status")[0] == 503
+        assert send_request(OperatorApi(lambda state=state: state, bytes, lambda *a: ""), "GET", "/status")[0] == 503
 
 
-def at_the_door(steps):
+def run_with_endpoint(steps):
     async def main():
         async with staged(operator="127.0.0.1:0") as stage:
             await steps(stage, stage.service.operations.endpoint)
@@ -56,8 +56,8 @@
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
-async def call(door, raw=b"GET /status HTTP/1.1\r\nHost: x\r\n\r\n", pieces=1):
-    async with await trio.open_tcp_stream(*door.address) as stream:
+async def call(endpoint, raw=b"GET /status HTTP/1.1\r\nHost: x\r\n\r\n", pieces=1):
+    async with await trio.open_tcp_stream(*endpoint.address) as stream:
         size = -(-len(raw) // pieces)
         for at in range(0, len(raw), size):
             await stream.send_all(raw[at : at + size])
@@ -68,57 +68,57 @@
         return int(data.split(b" ")[1]) if data else 0
 
 
-def test_a_whole_call_is_answered_in_pieces_too_and_the_connection_ends():
-    async def steps(stage, door):
-        assert await call(door) == 200
-        assert await call(door, pieces=7) == 200
-        assert await call(door, b"GET /status HTTP/1.1\r\nHost: x\r\n\r\nand more") == 200
-        assert await call(door, b"nonsense\r\n\r\n") == 400
-        assert await call(door, b"GET /" + b"x" * 9000 + b" HTTP/1.1\r\nHost: x\r\n\r\n") >= 400
+def test_a_request_is_answered_also_if_it_arrives_in_pieces_and_its_connection_is_closed():
+    async def steps(stage, endpoint):
+        assert await call(endpoint) == 200
+        assert await call(endpoint, pieces=7) == 200
+        assert await call(endpoint, b"GET /status HTTP/1.1\r\nHost: x\r\n\r\nand more") == 200
+        assert await call(endpoint, b"nonsense\r\n\r\n") == 400
+        assert await call(endpoint, b"GET /" + b"x" * 9000 + b" HTTP/1.1\r\nHost: x\r\n\r\n") >= 400
         await trio.sleep(1.5)
-        assert not door.callers
+        assert not endpoint.connections
 
-    at_the_door(steps)
+    run_with_endpoint(steps)
 
 
-def test_hundreds_that_say_nothing_or_half_keep_nobody_out_and_are_let_go():
-    async def steps(stage, door):
+def test_hundreds_of_silent_or_incomplete_connections_do_not_block_others_and_are_closed():
+    async def steps(stage, endpoint):
         silent = []
-        for i in range(8 * MAX_CALLERS):
-            stream = await trio.open_tcp_stream(*door.address)
+        for i in range(8 * MAX_CONNECTIONS):
+            stream = await trio.open_tcp_stream(*endpoint.address)
             if i % 2:
                 await stream.send_all(b"GET /status HT")
             silent.append(stream)
             await trio.testing.wait_all_tasks_blocked()
-        assert len(door.callers) <= MAX_CALLERS
-        assert await call(door) == 200
+        assert len(endpoint.connections) <= MAX_CONNECTIONS
+        assert await call(endpoint) == 200
         await trio.sleep(1.5)
-        assert not door.callers, "none stays longer than a second"
+        assert not endpoint.connections, "each is closed after a second"
         for stream in silent:
             await stream.aclose()
 
-    at_the_door(steps)
+    run_with_endpoint(steps)
 
 
-def test_one_that_leaves_in_mid_call_leaves_nothing_behind():
-    async def steps(stage, door):
-        stream = await trio.open_tcp_stream(*door.address)
+def test_a_connection_reset_within_a_request_is_removed():
+    async def steps(stage, endpoint):
+        stream = await trio.open_tcp_stream(*endpoint.address)
         await stream.send_all(b"PUT /maint")
         await trio.testing.wait_all_tasks_blocked()
         stream.socket.setsockopt(trio.socket.SOL_SOCKET, trio.socket.SO_LINGER, struct.pack("ii", 1, 0))
         await stream.aclose()
         await trio.sleep(1.5)
-        assert not door.callers
-        assert await call(door) == 200
+        assert not endpoint.connections
+        assert await call(endpoint) == 200
 
-    at_the_door(steps)
+    run_with_endpoint(steps)
 
 
-def test_the_door_says_yes_until_the_director_is_told_to_stop():
-    async def steps(stage, door):
-        assert await call(door) == 200
+def test_the_endpoint_reports_ready_until_the_director_is_told_to_stop():
+    async def steps(stage, endpoint):
+        assert await call(endpoint) == 200
         stage.service.stop()
         await trio.testing.wait_all_tasks_blocked()
-        assert await call(door) == 503
+        assert await call(endpoint) == 503
 
-    at_the_door(steps)
+    run_with_endpoint(steps)
