--- a/rookbend/config.py
+++ b/rookbend/config.py
@@ -22,7 +22,7 @@
 )
 from rookbend.protocol.coordinator_stream import Known, split_address
 from rookbend.settings import Settings
-from rookbend.simulator_settings import EFFECTS
+from rookbend.simulator_settings import IDEMPOTENCY_BY_EFFECT
 
 MIN_SOCKETS = 64
 MIN_MEMORY_MB = 32
@@ -148,7 +148,7 @@
 def _check_class(traffic_class: TrafficClassConfig, path: str, earlier_names: Sequence[str]) -> None:
     if not traffic_class.name or traffic_class.name in earlier_names:
         raise ConfigError(f"{path}.name is empty or taken: {traffic_class.name!r}")
-    if traffic_class.idempotency not in EFFECTS:
+    if traffic_class.idempotency not in IDEMPOTENCY_BY_EFFECT:
         raise ConfigError(f"{path}.effect is unknown: {traffic_class.idempotency!r}")
     _check_positive(
         path,
--- a/rookbend/platform_settings.py
+++ b/rookbend/platform_settings.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from rookbend import interface as api
-from rookbend.simulator_settings import EFFECTS, REPORT_NAMES
+from rookbend.simulator_settings import IDEMPOTENCY_BY_EFFECT, REPORT_NAMES
 
 Value = TypeVar("Value")
 
@@ -145,7 +145,7 @@
         latency_objective_stretch=config.latency_objective_stretch,
         priority_weight=config.priority_weight,
         late_priority_weight=config.late_priority_weight,
-        idempotency=EFFECTS[config.idempotency],
+        idempotency=IDEMPOTENCY_BY_EFFECT[config.idempotency],
         retry_scope=config.retry_scope,
         idempotency_key_window_us=config.idempotency_key_window_us,
         streaming=config.streaming,
--- a/rookbend/routing/origin_protection.py
+++ b/rookbend/routing/origin_protection.py
@@ -22,7 +22,7 @@
         """The origin has failed an attempt of this router."""
         self.last_failure_us = now_us
 
-    def spares(self, request_id: int, now_us: int) -> bool:
+    def skips_origin(self, request_id: int, now_us: int) -> bool:
         """Whether a read may not go on to the origin: by a draw that passes more with the time since."""
         elapsed_us = now_us - self.last_failure_us
         sparing_us = SPARING_CONNECT_TIMEOUTS * self.settings.connect_timeout_us
--- a/rookbend/routing/read_sending.py
+++ b/rookbend/routing/read_sending.py
@@ -122,7 +122,7 @@
             return True
         if cache_only or source is None or source.kind != self.settings.parent_kind:
             return False
-        return self.origin_protection.spares(request.id, now_us)
+        return self.origin_protection.skips_origin(request.id, now_us)
 
     def _max_age_us(self, request: Request, purged_us: int, now_us: int) -> int:
         """Age below which a copy is younger than the purge."""
--- a/rookbend/simulator_settings.py
+++ b/rookbend/simulator_settings.py
@@ -12,7 +12,7 @@
 from rookbend import interface as api
 from rookbend.simulator_codec import WireError
 
-EFFECTS = {
+IDEMPOTENCY_BY_EFFECT = {
     "free": api.Idempotency.IDEMPOTENT,
     "guarded": api.Idempotency.IDEMPOTENCY_KEY,
     "single_shot": api.Idempotency.NOT_IDEMPOTENT,
@@ -70,9 +70,9 @@
 
 
 def _idempotency(raw: str) -> api.Idempotency:
-    if raw not in EFFECTS:
+    if raw not in IDEMPOTENCY_BY_EFFECT:
         raise ValueError(raw)
-    return EFFECTS[raw]
+    return IDEMPOTENCY_BY_EFFECT[raw]
 
 
 def _is_push(raw: str) -> bool:
--- a/rookbend/testing/simulation/planted_fault.py
+++ b/rookbend/testing/simulation/planted_fault.py
@@ -15,7 +15,7 @@
 class NoOriginProtection(OriginProtection):
     """Goes on sending to an origin that refuses calls."""
 
-    def spares(self, request_id: int, now_us: int) -> bool:
+    def skips_origin(self, request_id: int, now_us: int) -> bool:
         return False
 
 
--- a/tests/router_harness.py
+++ b/tests/router_harness.py
@@ -87,11 +87,11 @@
                 self.numbers[a.request] = self.numbers.get(a.request, -1) + 1
         return actions
 
-    def arrive(self, obj, cls=0, size=100.0, part=0, group=0, after=0, patience=None):
+    def arrive(self, obj, class_index=0, size=100.0, part=0, group=0, after=0, patience=None):
         self.now += after
         request, self.next_id = self.next_id, self.next_id + 1
-        patience = patience or self.router.settings.classes[cls].deadline_us
-        return request, self.feed(api.RequestArrived(request, cls, obj, self.now + patience, size, group, part))
+        patience = patience or self.router.settings.classes[class_index].deadline_us
+        return request, self.feed(api.RequestArrived(request, class_index, obj, self.now + patience, size, group, part))
 
     def finish(
         self,
@@ -124,7 +124,7 @@
             out += self.feed(api.TimerFired(due[0][1]))
 
 
-def sends(actions):
+def sent_fetches(actions):
     return [a for a in actions if isinstance(a, (api.Fetch, api.FetchCached))]
 
 
--- a/tests/test_operations_settings.py
+++ b/tests/test_operations_settings.py
@@ -10,7 +10,7 @@
 from rookbend import interface as api
 from rookbend.operations import reload_validation
 from rookbend.testing.measurement_settings import SETTINGS
-from tests.router_harness import ORIGIN, Rig, sends, settings
+from tests.router_harness import ORIGIN, Rig, sent_fetches, settings
 
 FILE = {
     "name": "n0",
@@ -130,17 +130,17 @@
 
 def test_the_module_keeps_requests_under_way_as_they_were_and_binds_new_ones():
     rig = Rig()
-    first, actions = rig.arrive(5, cls=0)
-    sent = sends(actions)[0]
+    first, actions = rig.arrive(5, class_index=0)
+    sent = sent_fetches(actions)[0]
     new = replace(
         rig.router.settings,
         max_attempts=1,
         classes=(*rig.router.settings.classes, replace(rig.router.settings.classes[0], name="fresh")),
     )
     rig.feed(api.SettingsChanged(new))
-    assert not sends(rig.finish(sent, api.AttemptStatus.CONNECT_FAILED)), "one attempt is all there is now"
-    _, actions = rig.arrive(6, cls=4)
-    assert sends(actions), "the class that has come is routed"
+    assert not sent_fetches(rig.finish(sent, api.AttemptStatus.CONNECT_FAILED)), "one attempt is all there is now"
+    _, actions = rig.arrive(6, class_index=4)
+    assert sent_fetches(actions), "the class that has come is routed"
     assert rig.router.slow_start.settings is new and rig.router.membership.settings is new
     assert all(part.settings is new for part in vars(rig.router).values() if hasattr(part, "settings"))
 
@@ -152,7 +152,7 @@
             members=(cold, ORIGIN, api.Member(200, weight=30.0, kind=1)), now=100_000_000, allows_direct_to_source=False
         )
         rig.feed(api.ActiveProcessesChanged(senders), after=3_000_000)
-        return sum(bool(sends(rig.arrive(1000 + i, size=100.0)[1])) for i in range(200))
+        return sum(bool(sent_fetches(rig.arrive(1000 + i, size=100.0)[1])) for i in range(200))
 
     alone, shared = sent_at_once(1), sent_at_once(2)
     assert 0 < shared <= alone / 2 + 1
--- a/tests/test_robust.py
+++ b/tests/test_robust.py
@@ -5,7 +5,7 @@
 import pytest
 
 from rookbend import interface as api
-from tests.router_harness import CACHES, MEDIA, ORIGIN, PARENTS, SECOND, Rig, finals, sends
+from tests.router_harness import CACHES, MEDIA, ORIGIN, PARENTS, SECOND, Rig, finals, sent_fetches
 
 
 def test_events_about_nothing_are_harmless():
@@ -26,8 +26,8 @@
 
 def test_empty_lists_answer_at_once():
     rig = Rig(members=())
-    for cls in range(4):
-        request, out = rig.arrive(5, cls=cls)
+    for class_index in range(4):
+        request, out = rig.arrive(5, class_index=class_index)
         assert [a.request for a in finals(out)] == [request]
 
 
@@ -39,19 +39,19 @@
 def test_silent_cache_is_left_and_its_requests_move():
     rig = Rig()
     shut_limits(rig, 100.0)
-    first = [sends(rig.arrive(obj, after=1000)[1])[0] for obj in range(1, 12)]
+    first = [sent_fetches(rig.arrive(obj, after=1000)[1])[0] for obj in range(1, 12)]
     cancelled = []
     while not cancelled:
         cancelled = [a for a in rig.run_timers(rig.now + 10_000) if isinstance(a, api.CancelAttempt)]
     attempt = next(a for a in first if a.request == cancelled[0].request)
     assert not rig.router.outliers.admits(attempt.server, rig.now)
-    moved = sends(rig.finish(attempt, api.AttemptStatus.CANCELLED, after=1000))
+    moved = sent_fetches(rig.finish(attempt, api.AttemptStatus.CANCELLED, after=1000))
     assert moved and moved[0].server != attempt.server
 
 
 def test_failing_cache_is_ejected_and_comes_back_by_one_attempt_at_a_time():
     rig = Rig()
-    lead = sends(rig.arrive(5)[1])[0]
+    lead = sent_fetches(rig.arrive(5)[1])[0]
     outliers = rig.router.outliers
     for _ in range(3):
         outliers.record_failure(lead.server, rig.now)
@@ -68,7 +68,7 @@
     rig = Rig()
     shut_limits(rig)
     request, out = rig.arrive(2)
-    look = sends(out)[0]
+    look = sent_fetches(out)[0]
     assert look.source == look.server
     assert not finals(rig.finish(look, api.AttemptStatus.MISS, after=2000))
     assert [a.request for a in finals(rig.run_timers(rig.now + 2 * SECOND))] == [request]
@@ -77,36 +77,36 @@
 def test_place_for_a_fill_goes_to_one_who_waits():
     rig = Rig(members=(*CACHES, PARENTS[0], ORIGIN))
     shut_limits(rig, 1.0)
-    first = sends(rig.arrive(1)[1])[0]
+    first = sent_fetches(rig.arrive(1)[1])[0]
     request, out = rig.arrive(2)
-    rig.finish(sends(out)[0], api.AttemptStatus.MISS, after=2000)
-    filled = sends(rig.finish(first, note=api.AttemptDetail.FILLED, after=100_000))
+    rig.finish(sent_fetches(out)[0], api.AttemptStatus.MISS, after=2000)
+    filled = sent_fetches(rig.finish(first, note=api.AttemptDetail.FILLED, after=100_000))
     assert [a.request for a in filled] == [request] and filled[0].source == PARENTS[0].server
 
 
 def test_what_failed_at_the_origin_is_not_asked_again_by_a_read_and_only_after_a_pause_by_a_write():
     rig = Rig()
     request, out = rig.arrive(2)
-    out = rig.finish(sends(out)[0], api.AttemptStatus.FULL, note=api.AttemptDetail.ORIGIN_FAILED, after=2000)
-    assert [a.request for a in finals(out)] == [request] and not sends(out)
-    write, out = rig.arrive(3, cls=2)
-    out = rig.finish(sends(out)[0], api.AttemptStatus.FULL, note=api.AttemptDetail.SOURCE_REFUSED, after=2000)
-    assert not sends(out) and not finals(out)
-    assert [a.request for a in sends(rig.run_timers(rig.now + SECOND))] == [write]
+    out = rig.finish(sent_fetches(out)[0], api.AttemptStatus.FULL, note=api.AttemptDetail.ORIGIN_FAILED, after=2000)
+    assert [a.request for a in finals(out)] == [request] and not sent_fetches(out)
+    write, out = rig.arrive(3, class_index=2)
+    out = rig.finish(sent_fetches(out)[0], api.AttemptStatus.FULL, note=api.AttemptDetail.SOURCE_REFUSED, after=2000)
+    assert not sent_fetches(out) and not finals(out)
+    assert [a.request for a in sent_fetches(rig.run_timers(rig.now + SECOND))] == [write]
 
 
 @pytest.mark.parametrize("direct", (False, True))
 def test_a_request_that_every_cache_would_send_late_is_answered_at_once(direct):
     rig = Rig(classes=(MEDIA,), allows_direct_to_source=direct)
-    held = [sends(rig.arrive(obj, after=1000)[1])[0] for obj in range(1, 4)]
+    held = [sent_fetches(rig.arrive(obj, after=1000)[1])[0] for obj in range(1, 4)]
     for a in held:
         rig.finish(a, note=api.AttemptDetail.FILLED, after=1000, load=(10.0,))
-    assert sends(rig.arrive(7, size=900.0)[1])
+    assert sent_fetches(rig.arrive(7, size=900.0)[1])
     for m in CACHES:
         rig.router.load.record_report(m.server, (60.0,), rig.now)
     request, out = rig.arrive(8, size=900.0)
     assert [a.request for a in finals(out)] == [request]
-    assert sends(rig.arrive(9, size=10.0)[1])
+    assert sent_fetches(rig.arrive(9, size=10.0)[1])
 
 
 def test_late_fills_lower_the_limit_and_timely_ones_raise_it():
@@ -129,7 +129,7 @@
         rig.now += rng.randrange(1, 40_000)
         out = rig.run_timers(rig.now)
         if rng.random() < 0.5 or not out_now:
-            request, more = rig.arrive(rng.randrange(1, 12), cls=rng.randrange(4))
+            request, more = rig.arrive(rng.randrange(1, 12), class_index=rng.randrange(4))
             asked.append(request)
             out += more
         else:
@@ -145,12 +145,12 @@
             if status is api.AttemptStatus.OK and attempt.request in rig.router.open_requests:
                 answered.append(attempt.request)
             out += rig.finish(attempt, status, number=number)
-        out_now += [(a, rig.numbers[a.request]) for a in sends(out)]
+        out_now += [(a, rig.numbers[a.request]) for a in sent_fetches(out)]
         answered += [a.request for a in finals(out)]
     while out_now:
         attempt, number = out_now.pop()
         out = rig.finish(attempt, api.AttemptStatus.TIMEOUT, number=number, after=1000)
-        out_now += [(a, rig.numbers[a.request]) for a in sends(out)]
+        out_now += [(a, rig.numbers[a.request]) for a in sent_fetches(out)]
         answered += [a.request for a in finals(out)]
     rig_out = rig.run_timers(rig.now + 20 * SECOND)
     answered += [a.request for a in finals(rig_out)]
@@ -162,7 +162,7 @@
     rig = Rig(max_requests_in_flight=10)
     for obj in range(1, 200):
         rig.feed(api.PurgeReceived(obj, 0, 0))
-        for a in sends(rig.arrive(obj)[1]):
+        for a in sent_fetches(rig.arrive(obj)[1]):
             rig.finish(a, note=api.AttemptDetail.FILLED)
     assert len(rig.router.copies.by_key) <= 10 and len(rig.router.purges.purged_us) <= 10
     assert len(rig.router.membership.orders) <= 10 and not rig.router.attempts.in_flight
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,15 +1,15 @@
 """The five rules, each kept by one router alone."""
 
 from rookbend import interface as api
-from tests.router_harness import CACHES, EVERYONE, ORIGIN, PARENTS, SECOND, Rig, finals, sends
+from tests.router_harness import CACHES, EVERYONE, ORIGIN, PARENTS, SECOND, Rig, finals, sent_fetches
 
 
 def test_deadline_time_out_is_answered_at_once():
     rig = Rig()
     request, out = rig.arrive(5)
-    done = rig.finish(sends(out)[0], api.AttemptStatus.TIMEOUT, after=6 * SECOND, final=False)
+    done = rig.finish(sent_fetches(out)[0], api.AttemptStatus.TIMEOUT, after=6 * SECOND, final=False)
     assert finals(done) == [api.Fail(request)]
-    assert not sends(done)
+    assert not sent_fetches(done)
 
 
 def test_every_request_gets_one_final_answer_when_nothing_works():
@@ -17,27 +17,27 @@
     open_attempts, answers = [], []
     for _ in range(20):
         _, out = rig.arrive(5)
-        open_attempts += sends(out)
+        open_attempts += sent_fetches(out)
         answers += finals(out)
     while open_attempts:
         out = rig.finish(open_attempts.pop(0), api.AttemptStatus.ERROR, after=30_000)
-        open_attempts += sends(out)
+        open_attempts += sent_fetches(out)
         answers += finals(out)
         out = rig.run_timers(rig.now + 1)
-        open_attempts += sends(out)
+        open_attempts += sent_fetches(out)
         answers += finals(out)
     out = rig.run_timers(rig.now + 10 * SECOND)
     answers += finals(out)
-    assert not sends(out)
+    assert not sent_fetches(out)
     assert sorted(a.request for a in answers) == list(range(1, 21))
 
 
 def test_nothing_is_sent_after_the_client_has_left():
     rig = Rig()
-    lead = sends(rig.arrive(5)[1])[0]
+    lead = sent_fetches(rig.arrive(5)[1])[0]
     rig.feed(api.RequestCancelled(lead.request), after=1000)
-    assert not sends(rig.finish(lead, api.AttemptStatus.ERROR, after=1000, final=True))
-    assert not sends(rig.run_timers(rig.now + 10 * SECOND))
+    assert not sent_fetches(rig.finish(lead, api.AttemptStatus.ERROR, after=1000, final=True))
+    assert not sent_fetches(rig.run_timers(rig.now + 10 * SECOND))
 
 
 def test_refusal_carries_a_retry_after_where_clients_take_it():
@@ -48,35 +48,35 @@
 
 def test_unsafe_request_that_may_have_run_is_failed_not_repeated():
     rig = Rig(allows_direct_to_source=True, allows_retry_after=True)
-    request, out = rig.arrive(5, cls=3)
-    done = rig.finish(sends(out)[0], api.AttemptStatus.RESET, after=10_000)
-    assert finals(done) == [api.Fail(request)] and not sends(done)
+    request, out = rig.arrive(5, class_index=3)
+    done = rig.finish(sent_fetches(out)[0], api.AttemptStatus.RESET, after=10_000)
+    assert finals(done) == [api.Fail(request)] and not sent_fetches(done)
 
 
 def test_unsafe_request_waits_for_its_answer_and_a_keyed_one_does_not():
     """Guards a slow origin's answers: given up early, a write that can't be repeated failed for nothing."""
     rig = Rig(allows_direct_to_source=True)
-    unsafe, keyed = (sends(rig.arrive(5, cls=cls)[1])[0] for cls in (3, 2))
+    unsafe, keyed = (sent_fetches(rig.arrive(5, class_index=class_index)[1])[0] for class_index in (3, 2))
     assert unsafe.timeout_us == 3 * SECOND and keyed.timeout_us < 0.7 * SECOND
 
 
 def test_unsafe_request_proven_not_run_goes_again():
     rig = Rig(allows_direct_to_source=True)
-    _, out = rig.arrive(5, cls=3)
-    assert sends(rig.finish(sends(out)[0], api.AttemptStatus.CONNECT_FAILED, after=10_000))
+    _, out = rig.arrive(5, class_index=3)
+    assert sent_fetches(rig.finish(sent_fetches(out)[0], api.AttemptStatus.CONNECT_FAILED, after=10_000))
 
 
 def test_keyed_request_is_repeated_within_its_window_only():
     rig = Rig(allows_direct_to_source=True, allows_retry_after=True)
-    _, out = rig.arrive(5, cls=2)
-    again = sends(rig.finish(sends(out)[0], api.AttemptStatus.ERROR, after=500_000))
+    _, out = rig.arrive(5, class_index=2)
+    again = sent_fetches(rig.finish(sent_fetches(out)[0], api.AttemptStatus.ERROR, after=500_000))
     assert again
     late = rig.finish(again[0], api.AttemptStatus.ERROR, after=1_600_000)
-    assert not sends(late) and finals(late)
+    assert not sent_fetches(late) and finals(late)
 
 
 def test_keyed_request_stays_in_its_zone_and_is_not_refused_outside_group_all():
-    cls = api.TrafficClass(
+    class_index = api.TrafficClass(
         "k",
         700_000,
         3 * SECOND,
@@ -84,43 +84,43 @@
         retry_scope="cell",
         idempotency_key_window_us=2 * SECOND,
     )
-    rig = Rig(classes=(cls,), allows_retry_after=True)
+    rig = Rig(classes=(class_index,), allows_retry_after=True)
     request, out = rig.arrive(5)
-    first = sends(out)[0]
+    first = sent_fetches(out)[0]
     seen = {m.server: m.cell for m in CACHES}
     after = rig.finish(first, api.AttemptStatus.ERROR, after=10_000)
-    for a in sends(after):
+    for a in sent_fetches(after):
         assert seen[a.server] == seen[first.server]
-    if not sends(after):
+    if not sent_fetches(after):
         assert finals(after) == [api.Fail(request)]
 
 
 def test_draining_cache_gets_nothing_new_not_even_a_retry_or_a_released_waiter():
     rig = Rig()
-    lead = sends(rig.arrive(5)[1])[0]
+    lead = sent_fetches(rig.arrive(5)[1])[0]
     rig.arrive(5)
     drained = [m for m in CACHES if m.server == lead.server][0]
     gone = api.Member(drained.server, 8.0, drained.cell, 1, 0, api.MemberState.DRAINING)
     rig.feed(api.MembershipUpdated(api.MembershipUpdateKind.DELTA, 2, (gone,)), after=1000)
-    released = sends(rig.finish(lead, note=api.AttemptDetail.FILLED, after=50_000))
+    released = sent_fetches(rig.finish(lead, note=api.AttemptDetail.FILLED, after=50_000))
     assert released and released[0].server != lead.server
 
 
 def test_draining_parent_is_no_source_and_a_list_that_lacks_it_means_gone():
     rig = Rig()
-    home = sends(rig.arrive(5)[1])[0].source
+    home = sent_fetches(rig.arrive(5)[1])[0].source
     rig.feed(api.MembershipUpdated(api.MembershipUpdateKind.FULL, 2, tuple(m for m in EVERYONE if m.server != home)))
     for obj in range(1, 40):
-        for a in sends(rig.arrive(obj)[1]):
+        for a in sent_fetches(rig.arrive(obj)[1]):
             assert a.source != home
 
 
-def spent_on(rig, pick, seconds, cls=0, size=400.0):
+def spent_on(rig, pick, seconds, class_index=0, size=400.0):
     """Work sent to servers, at the class's mean sending time, in seconds."""
     total = 0.0
     for obj in range(int(seconds * 100)):
-        _, out = rig.arrive(obj + 1000, cls=cls, size=size, after=10_000)
-        for a in sends(out):
+        _, out = rig.arrive(obj + 1000, class_index=class_index, size=size, after=10_000)
+        for a in sent_fetches(out):
             total += size / 1000.0 if pick(a) else 0.0
             rig.finish(a, note=api.AttemptDetail.FILLED)
     return total
@@ -152,16 +152,16 @@
 def test_purged_object_is_asked_for_with_an_age_younger_than_the_purge_and_not_joined():
     rig = Rig()
     rig.feed(api.PurgeReceived(5, 0, age_us=200_000))
-    out = sends(rig.arrive(5, after=700_000)[1])[0]
+    out = sent_fetches(rig.arrive(5, after=700_000)[1])[0]
     assert 0 < out.max_age_us < 900_000
 
 
 def test_group_purge_binds_fresh_classes_too_and_ends_when_all_copies_are_gone():
     rig = Rig()
     rig.feed(api.PurgeReceived(0, 9, age_us=0))
-    out = sends(rig.arrive(5, cls=1, group=9, after=300_000)[1])[0]
+    out = sent_fetches(rig.arrive(5, class_index=1, group=9, after=300_000)[1])[0]
     assert 0 < out.max_age_us < 300_000
-    later = sends(rig.arrive(6, cls=1, group=9, after=8 * SECOND)[1])[0]
+    later = sent_fetches(rig.arrive(6, class_index=1, group=9, after=8 * SECOND)[1])[0]
     assert later.max_age_us == 0
 
 
@@ -169,7 +169,7 @@
     rig = Rig()
     rig.arrive(5)
     rig.feed(api.PurgeReceived(5, 0, age_us=0), after=10_000)
-    assert sends(rig.arrive(5, after=10_000)[1])
+    assert sent_fetches(rig.arrive(5, after=10_000)[1])
 
 
 def test_restarted_router_keeps_to_half_of_the_cold_budget():
@@ -196,7 +196,7 @@
             overload_window_us=2 * SECOND,
         )
         rig.router.slow_start.router_started_us = now - 20 * SECOND
-        sent.append(sum(a.source == 200 for obj in range(20) for a in sends(rig.arrive(obj + 1)[1])))
+        sent.append(sum(a.source == 200 for obj in range(20) for a in sent_fetches(rig.arrive(obj + 1)[1])))
     assert 0 < sum(map(bool, sent)) < routers
     assert sum(sent) * 0.1 <= 2.0 * 30 * 2 * (0.06 + 0.94 * 4 / 22)
 
@@ -209,7 +209,7 @@
     def sources(**changes):
         rig = Rig(members=alone, **changes)
         rig.router.fill_limit.limit = 1000.0
-        sent = [sends(rig.arrive(7000 + i, size=10.0)[1])[0].source for i in range(40)]
+        sent = [sent_fetches(rig.arrive(7000 + i, size=10.0)[1])[0].source for i in range(40)]
         return sent.count(PARENTS[0].server), sent.count(ORIGIN.server)
 
     parent, origin = sources()  # its link of 30 is shared by 3, the location's 24 by the same 3
