--- a/rookbend/platform_settings.py
+++ b/rookbend/platform_settings.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from rookbend import interface as api
-from rookbend.simulator_settings import IDEMPOTENCY_BY_EFFECT, REPORT_NAMES
+from rookbend.simulator_settings import IDEMPOTENCY_BY_EFFECT, LOAD_REPORT_FIELD_ALIASES
 
 Value = TypeVar("Value")
 
@@ -129,7 +129,7 @@
         router_count=platform.router_count,
         weights=platform.weights,
         membership_is_pushed=platform.membership_mode == "push",
-        load_report_fields=tuple(REPORT_NAMES.get(name, name) for name in platform.load_report.fields),
+        load_report_fields=tuple(LOAD_REPORT_FIELD_ALIASES.get(name, name) for name in platform.load_report.fields),
         clock_tick_us=platform.clock_tick_us,
     )
     settings = _with_caching(settings, platform.caching)
--- a/rookbend/routing/attempt_tracking.py
+++ b/rookbend/routing/attempt_tracking.py
@@ -60,7 +60,7 @@
                 self.fill_limit.in_flight -= 1
         return attempt
 
-    def settle(self, attempt: Attempt, event: AttemptFinished) -> None:
+    def update_request(self, attempt: Attempt, event: AttemptFinished) -> None:
         """Clear an attempt that is over from its request, and that it may have executed where it surely did not."""
         request = attempt.request
         if request.attempt is attempt:
--- a/rookbend/routing/endpoint_selection.py
+++ b/rookbend/routing/endpoint_selection.py
@@ -12,9 +12,9 @@
 from rookbend.routing.server_stats import ServerTable
 from rookbend.routing.slow_start import SlowStart
 
-CROWDED_TIME_LEFT_RATIO = 1.5  # a cache is crowded for a transfer that takes this much of the time left
-CROWDED_UTILIZATION_RATIO = 1.5  # fuller than this where all are crowded, it refuses a transfer of any size
-PARENT_CROWDED_SHARE_RATIO = 4.0  # fills at a parent, in this router's share of its capacity
+CONGESTED_TIME_LEFT_RATIO = 1.5  # a cache is crowded for a transfer that takes this much of the time left
+CONGESTED_UTILIZATION_RATIO = 1.5  # fuller than this where all are crowded, it refuses a transfer of any size
+PARENT_CONGESTED_SHARE_RATIO = 4.0  # fills at a parent, in this router's share of its capacity
 SPILLOVER_UTILIZATION_RATIO = 0.33  # a crowded cache is left only for one that is so much less full
 SPILLOVER_MAX_SLOWNESS_RATIO = 1.5  # unless it is slower than this
 
@@ -51,17 +51,17 @@
         Sets `request.cannot_meet_objective` where it is the first attempt and would be late at every cache.
         """
         order = self.membership.order(request.key).caches
-        suited, healthy, usable = self._scan(request, order, request.tried_servers, preferred, False, now_us)
+        suitable, healthy, usable = self._scan(request, order, request.tried_servers, preferred, False, now_us)
         is_first = request.attempt_count == 0 and now_us < request.objective_deadline_us
-        if healthy is not None and suited is not healthy and is_first:
-            suited = self._spillover(request, healthy, suited, now_us)
-        return suited or healthy or usable
+        if healthy is not None and suitable is not healthy and is_first:
+            suitable = self._spillover(request, healthy, suitable, now_us)
+        return suitable or healthy or usable
 
     def choose_parent(self, request: Request, preferred: int | None, now_us: int) -> Member | None:
         """The parent that a fill comes from, `preferred` before others."""
         order = self.membership.order(request.key).parents
-        suited, healthy, usable = self._scan(request, order, request.failed_sources, preferred, True, now_us)
-        return suited or healthy or usable
+        suitable, healthy, usable = self._scan(request, order, request.failed_sources, preferred, True, now_us)
+        return suitable or healthy or usable
 
     def _scan(
         self,
@@ -84,39 +84,40 @@
             in_use = stats.fills_in_flight if for_fill else stats.in_flight
             if usable is None and not (stats.ejected_until_us and in_use):
                 usable = member
-            is_suspect = stats.ejected_until_us or stats.on_trial
+            is_suspect = stats.ejected_until_us or stats.is_half_open
             if is_suspect and not self.outliers.admits(member.server, now_us, in_use):
                 continue
             healthy = healthy or member
-            if not self.is_crowded(member, request, request.expected_transfer_us, now_us):
+            if not self.is_congested(member, request, request.expected_transfer_us, now_us):
                 return member, healthy, usable
         return None, healthy, usable
 
-    def _spillover(self, request: Request, home: Member, other: Member | None, now_us: int) -> Member | None:
+    def _spillover(self, request: Request, primary: Member, alternative: Member | None, now_us: int) -> Member | None:
         """Where a request goes whose home cache is crowded: to `other`, the first that is not, or home.
 
         Home where there is no other or that is about as full: another fill there would take capacity from requests
         that can be on time. At home the request has to fit, by its least transfer time where its size is a guess.
         """
-        stats = self.servers[home.server]
-        is_sound = now_us >= stats.full_until_us and stats.slowness() < SPILLOVER_MAX_SLOWNESS_RATIO
-        home_utilization = self.load.utilization(home, now_us)
-        if other is not None and not (
-            is_sound and self.load.utilization(other, now_us) > SPILLOVER_UTILIZATION_RATIO * home_utilization
+        stats = self.servers[primary.server]
+        is_responsive = now_us >= stats.full_until_us and stats.slowness() < SPILLOVER_MAX_SLOWNESS_RATIO
+        primary_utilization = self.load.utilization(primary, now_us)
+        if alternative is not None and not (
+            is_responsive
+            and self.load.utilization(alternative, now_us) > SPILLOVER_UTILIZATION_RATIO * primary_utilization
         ):
-            return other
-        request.cannot_meet_objective = home_utilization > CROWDED_UTILIZATION_RATIO or self.is_crowded(
-            home, request, request.least_transfer_us, now_us
+            return alternative
+        request.cannot_meet_objective = primary_utilization > CONGESTED_UTILIZATION_RATIO or self.is_congested(
+            primary, request, request.min_transfer_us, now_us
         )
-        return home
+        return primary
 
-    def is_crowded(self, member: Member, request: Request, transfer_us: float, now_us: int) -> bool:
+    def is_congested(self, member: Member, request: Request, transfer_us: float, now_us: int) -> bool:
         """Whether a server holds so much that the transfer would be late there."""
         stats = self.servers[member.server]
         if member.kind == self.settings.parent_kind:
             share = self.membership.weight(member) / self.settings.router_count
-            return stats.fills_in_flight > PARENT_CROWDED_SHARE_RATIO * share
+            return stats.fills_in_flight > PARENT_CONGESTED_SHARE_RATIO * share
         if now_us < stats.full_until_us:
             return True
-        takes_us = self.load.utilization(member, now_us) * stats.slowness() * transfer_us
-        return takes_us > CROWDED_TIME_LEFT_RATIO * max(request.objective_deadline_us - now_us, 0)
+        expected_us = self.load.utilization(member, now_us) * stats.slowness() * transfer_us
+        return expected_us > CONGESTED_TIME_LEFT_RATIO * max(request.objective_deadline_us - now_us, 0)
--- a/rookbend/routing/failure_attribution.py
+++ b/rookbend/routing/failure_attribution.py
@@ -12,7 +12,7 @@
 FULL_PAUSE_CONNECT_TIMEOUTS = 0.5  # how long a cache that turned an attempt away is passed over
 
 ANSWERED_BY_CACHE = (AttemptStatus.MISS, AttemptStatus.FULL, AttemptStatus.ERROR)
-NOBODYS_FAULT = (AttemptStatus.CANCELLED, AttemptStatus.MOOT, AttemptStatus.MISS)
+UNATTRIBUTED_STATUSES = (AttemptStatus.CANCELLED, AttemptStatus.MOOT, AttemptStatus.MISS)
 FILLED_BY_SOURCE = (AttemptDetail.FILLED, AttemptDetail.ORIGIN_ASKED)
 SOURCE_UNAVAILABLE = (AttemptDetail.SOURCE_REFUSED, AttemptDetail.SOURCE_UNREACHABLE)
 SOURCE_FAILED = (*SOURCE_UNAVAILABLE, AttemptDetail.SOURCE_LACKS, AttemptDetail.ORIGIN_FAILED)
@@ -50,7 +50,7 @@
             self._cancelled(attempt)
         if status in ANSWERED_BY_CACHE:
             self.outliers.record_answer(attempt.server, now_us)  # what is slow or fails lies behind it
-        if status in NOBODYS_FAULT:
+        if status in UNATTRIBUTED_STATUSES:
             return
         if status is AttemptStatus.OK:
             self._served(attempt, event.detail, now_us)
--- a/rookbend/routing/fill_concurrency.py
+++ b/rookbend/routing/fill_concurrency.py
@@ -38,8 +38,8 @@
         if not self.is_sized:
             self.limit = INITIAL_LIMIT_CAPACITY_RATIO * share
             self.is_sized = True
-        least = MIN_LIMIT_CAPACITY_RATIO * self.capacity
-        self.limit = min(max(self.limit, least), MAX_LIMIT_CAPACITY_RATIO * self.capacity)
+        lower_bound = MIN_LIMIT_CAPACITY_RATIO * self.capacity
+        self.limit = min(max(self.limit, lower_bound), MAX_LIMIT_CAPACITY_RATIO * self.capacity)
 
     def has_capacity(self, now_us: int) -> bool:
         """Whether another fill may start now."""
@@ -48,8 +48,8 @@
     def observe(self, late: bool) -> None:
         """Adjust the limit to a fill that has ended."""
         if late:
-            least = MIN_LIMIT_CAPACITY_RATIO * self.capacity
-            self.limit = max(least, self.limit * (1 - self.decrease_ratio))
+            lower_bound = MIN_LIMIT_CAPACITY_RATIO * self.capacity
+            self.limit = max(lower_bound, self.limit * (1 - self.decrease_ratio))
         elif self.in_flight + 1 > self.limit / 2:
             balanced = self.limit * self.decrease_ratio * TARGET_LATE_RATIO / (1 - TARGET_LATE_RATIO)
             increase = max(MIN_INCREASE_FILLS, balanced)
--- a/rookbend/routing/origin_protection.py
+++ b/rookbend/routing/origin_protection.py
@@ -7,7 +7,7 @@
 from rookbend.interface import Settings
 from rookbend.routing.rendezvous_hash import uniform_draw
 
-SPARING_CONNECT_TIMEOUTS = 12.5  # how long after a failure reads spare the origin, ever fewer of them
+BACKOFF_CONNECT_TIMEOUTS = 12.5  # how long after a failure reads spare the origin, ever fewer of them
 
 
 class OriginProtection:
@@ -25,5 +25,5 @@
     def skips_origin(self, request_id: int, now_us: int) -> bool:
         """Whether a read may not go on to the origin: by a draw that passes more with the time since."""
         elapsed_us = now_us - self.last_failure_us
-        sparing_us = SPARING_CONNECT_TIMEOUTS * self.settings.connect_timeout_us
-        return elapsed_us < sparing_us and elapsed_us < sparing_us * uniform_draw(self.seed, request_id)
+        backoff_us = BACKOFF_CONNECT_TIMEOUTS * self.settings.connect_timeout_us
+        return elapsed_us < backoff_us and elapsed_us < backoff_us * uniform_draw(self.seed, request_id)
--- a/rookbend/routing/outlier_detection.py
+++ b/rookbend/routing/outlier_detection.py
@@ -32,7 +32,7 @@
         stats.consecutive_failures = 0
         stats.ejected_until_us = 0.0
         stats.error_ratio = stats.error_ratio * (1 - 1 / ERROR_SPAN_ATTEMPTS)
-        stats.on_trial = False
+        stats.is_half_open = False
         stats.ejection_us = 0.0
 
     def record_failure(self, server: int, now_us: int) -> None:
@@ -41,7 +41,7 @@
         stats.consecutive_failures += 1
         stats.error_ratio += (1 - stats.error_ratio) / ERROR_SPAN_ATTEMPTS
         if (
-            stats.on_trial
+            stats.is_half_open
             or stats.consecutive_failures >= MAX_CONSECUTIVE_FAILURES
             or stats.error_ratio > MAX_ERROR_RATIO
         ):
@@ -56,9 +56,9 @@
         longest_us = max(first_us, MAX_EJECTION_WARM_UP_RATIO * self.settings.warm_up_us)
         stats.ejection_us = min(max(first_us, stats.ejection_us * 2), longest_us)
         stats.ejected_until_us = now_us + stats.ejection_us
-        stats.on_trial = True
+        stats.is_half_open = True
 
     def admits(self, server: int, now_us: int, in_use: int = 0) -> bool:
         """Whether the server may get an attempt, with `in_use` of them at it: ejected none, on trial one."""
         stats = self.servers[server]
-        return now_us >= stats.ejected_until_us and not (stats.on_trial and in_use)
+        return now_us >= stats.ejected_until_us and not (stats.is_half_open and in_use)
--- a/rookbend/routing/request_lifecycle.py
+++ b/rookbend/routing/request_lifecycle.py
@@ -142,12 +142,12 @@
         """Take the step that follows the end of an attempt, then start a queued fill where there is capacity."""
         request = attempt.request
         if request.id in self.open_requests and (request.attempt is None or event.final):
-            self._take(self.retry_policy.next_step(request, attempt, event, self.now_us), request, attempt)
+            self._apply_step(self.retry_policy.next_step(request, attempt, event, self.now_us), request, attempt)
         has_capacity = self.fill_limit.has_capacity(self.now_us)
         if has_capacity and event.status is not AttemptStatus.FULL:  # a rejected fill frees no capacity
             self.start_queued_fill()
 
-    def _take(self, step: NextStep, request: Request, attempt: Attempt) -> None:
+    def _apply_step(self, step: NextStep, request: Request, attempt: Attempt) -> None:
         if step is NextStep.SERVED:
             del self.open_requests[request.id]
             self._release_waiters(request, attempt)
--- a/rookbend/routing/request_state.py
+++ b/rookbend/routing/request_state.py
@@ -27,7 +27,7 @@
     # Expectations, set on arrival
     size_is_known: bool = False
     expected_transfer_us: float = 0.0
-    least_transfer_us: float = 0.0  # what it surely takes: less than expected where the size is a guess
+    min_transfer_us: float = 0.0  # what it surely takes: less than expected where the size is a guess
     slow_start_charge_us: float = 0.0
     objective_deadline_us: float = 0.0
     cannot_meet_objective: bool = False
--- a/rookbend/routing/retry_policy.py
+++ b/rookbend/routing/retry_policy.py
@@ -55,7 +55,7 @@
         """
         if request.attempt_count >= self.settings.max_attempts:
             return Denial.ATTEMPTS_EXHAUSTED
-        if now_us + MIN_TIME_LEFT_TRANSFER_RATIO * request.least_transfer_us >= request.deadline_us:
+        if now_us + MIN_TIME_LEFT_TRANSFER_RATIO * request.min_transfer_us >= request.deadline_us:
             return Denial.DEADLINE_TOO_NEAR
         if request.possibly_executed_us is None or request.traffic_class.idempotency is Idempotency.IDEMPOTENT:
             return None
--- a/rookbend/routing/router.py
+++ b/rookbend/routing/router.py
@@ -171,7 +171,7 @@
     def _on_settings(self, now_us: int, event: SettingsChanged) -> None:
         """Classes join or change in their places: their statistics go on."""
         self.settings = event.settings
-        for part in (
+        for component in (
             self.membership,
             self.membership_updates,
             self.purges,
@@ -190,7 +190,7 @@
             self.reads,
             self.writes,
         ):
-            part.settings = event.settings
+            component.settings = event.settings
         self.estimates.add_classes()
 
     def _on_timer(self, now_us: int, event: TimerFired) -> None:
@@ -220,9 +220,9 @@
         if not request.is_write:
             self.fill_monitor.attempt_finished(attempt, event)
         self.attribution.attribute(attempt, event, now_us)
-        self.attempts.settle(attempt, event)
+        self.attempts.update_request(attempt, event)
         if event.status is AttemptStatus.OK:
-            self.estimates.served(request, attempt.server, now_us, event.elapsed_us)
+            self.estimates.record_served(request, attempt.server, now_us, event.elapsed_us)
             self.load.record_hit(attempt, event)
         self.lifecycle.attempt_finished(attempt, event)
 
--- a/rookbend/routing/server_stats.py
+++ b/rookbend/routing/server_stats.py
@@ -32,7 +32,7 @@
     slowness_ratio: float = 1.0  # what its hits take, over what they usually take
     ejected_until_us: float = 0.0  # 0 after the first success
     ejection_us: float = 0.0  # length of the last ejection
-    on_trial: bool = False  # one attempt at a time until the first success
+    is_half_open: bool = False  # one attempt at a time until the first success
 
     def reset(self) -> None:
         """Forget failures and slowness: the server is new or has restarted."""
@@ -42,7 +42,7 @@
         self.slowness_ratio = 1.0
         self.ejected_until_us = 0.0
         self.ejection_us = 0.0
-        self.on_trial = False
+        self.is_half_open = False
 
     def slowness(self) -> float:
         """Slowness within its bounds, 1.0 and MAX_SLOWNESS_RATIO."""
--- a/rookbend/routing/silence_detection.py
+++ b/rookbend/routing/silence_detection.py
@@ -38,10 +38,10 @@
         if self.in_flight.get((attempt.request.id, attempt.number)) is not attempt:
             return []
         server = attempt.server
-        cancelled = self._overdue_at(attempt, server, lambda other: other.server == server, now_us)
+        cancelled = self._record_overdue(attempt, server, lambda other: other.server == server, now_us)
         source = attempt.source
         if attempt.may_fill and source is not None and self._other_parent_answers(attempt):
-            cancelled += self._overdue_at(
+            cancelled += self._record_overdue(
                 attempt, source, lambda other: other.may_fill and other.source == source, now_us
             )
         return cancelled
@@ -53,8 +53,8 @@
             if parent.server != attempt.source
         )
 
-    def _overdue_at(
-        self, attempt: Attempt, server: int, is_at: Callable[[Attempt], bool], now_us: int
+    def _record_overdue(
+        self, attempt: Attempt, server: int, matches: Callable[[Attempt], bool], now_us: int
     ) -> list[CancelAttempt]:
         stats = self.servers[server]
         if stats.last_answer_us >= attempt.sent_us:
@@ -67,7 +67,7 @@
         cancelled = []
         for other in self.in_flight.values():
             is_newest = other.request.attempt is other
-            if is_at(other) and other.sent_us > stats.last_answer_us and is_newest and not other.request.is_write:
+            if matches(other) and other.sent_us > stats.last_answer_us and is_newest and not other.request.is_write:
                 other.cancelled_for = server
                 cancelled.append(CancelAttempt(other.request.id, other.number))
         return cancelled
--- a/rookbend/routing/slow_start.py
+++ b/rookbend/routing/slow_start.py
@@ -78,10 +78,10 @@
         budget_us = min(multiple * BUDGET_USE_RATIO, MAX_BUDGET_CAPACITY_RATIO) * share * window_us
         budget_us *= RESTART_BUDGET_RATIO if now_us - self.router_started_us < window_us else 1.0
         if is_parent and budget_us < work_us:
-            return self._budget_by_turns_us(member, budget_us, work_us, router_count)
+            return self._ranked_budget_us(member, budget_us, work_us, router_count)
         return budget_us
 
-    def _budget_by_turns_us(self, member: Member, budget_us: float, work_us: float, router_count: int) -> float:
+    def _ranked_budget_us(self, member: Member, budget_us: float, work_us: float, router_count: int) -> float:
         """Less than one fill for each router: as many routers as it suffices for have a whole one, by turns."""
-        turn = (self.settings.router_index + mix(member.server)) % router_count + 1
-        return work_us if turn * work_us <= budget_us * router_count else 0.0
+        rank = (self.settings.router_index + mix(member.server)) % router_count + 1
+        return work_us if rank * work_us <= budget_us * router_count else 0.0
--- a/rookbend/routing/transfer_estimates.py
+++ b/rookbend/routing/transfer_estimates.py
@@ -9,7 +9,7 @@
 PRIOR_SAMPLES = 10  # weight of the first guess in a class's mean
 PRIOR_OBJECTIVE_RATIO = 1.5  # the first guess, in latency objectives
 CHARGE_MEAN_RATIO = 1.25  # work charged to a slow start budget, in the class's mean transfer time
-LEAST_GUESS_RATIO = 0.3  # share of a guess that is sure enough to refuse by: most objects are small
+MIN_ESTIMATE_RATIO = 0.3  # share of a guess that is sure enough to refuse by: most objects are small
 US_PER_S = 1e6
 
 
@@ -43,8 +43,8 @@
 
     def add_classes(self) -> None:
         """Begin the statistics of classes that the settings have gained: the others keep their places."""
-        fresh = self.settings.classes[len(self.class_stats) :]
-        self.class_stats += [ClassStats(traffic_class) for traffic_class in fresh]
+        new_classes = self.settings.classes[len(self.class_stats) :]
+        self.class_stats += [ClassStats(traffic_class) for traffic_class in new_classes]
 
     def estimate(self, request: Request, size_kb: float, now_us: int) -> None:
         """Set what is expected of a request that has just arrived, from its size in KB (0: unknown)."""
@@ -54,20 +54,20 @@
             request.size_is_known = True
             transfer_us = size_kb / self.settings.pace_kb_per_s * US_PER_S
             class_stats.add(transfer_us)
-            request.least_transfer_us = transfer_us
+            request.min_transfer_us = transfer_us
         elif (copy := self.copies.by_key.get(request.key)) is not None:
             transfer_us = copy.transfer_us
-            request.least_transfer_us = transfer_us
+            request.min_transfer_us = transfer_us
         else:
             transfer_us = class_stats.mean_us()
-            request.least_transfer_us = LEAST_GUESS_RATIO * transfer_us
+            request.min_transfer_us = MIN_ESTIMATE_RATIO * transfer_us
         request.expected_transfer_us = transfer_us
         traffic_class = request.traffic_class
         stretch_us = traffic_class.latency_objective_stretch * transfer_us
         objective_us = now_us + traffic_class.latency_objective_us + stretch_us
         request.objective_deadline_us = min(objective_us, request.deadline_us)
 
-    def served(self, request: Request, server: int, now_us: int, elapsed_us: int) -> None:
+    def record_served(self, request: Request, server: int, now_us: int, elapsed_us: int) -> None:
         """Record an attempt that was served: where its copy is, and what it took."""
         if request.is_write:
             self.class_stats[request.class_index].add(elapsed_us)
--- a/rookbend/simulator_settings.py
+++ b/rookbend/simulator_settings.py
@@ -17,7 +17,7 @@
     "guarded": api.Idempotency.IDEMPOTENCY_KEY,
     "single_shot": api.Idempotency.NOT_IDEMPOTENT,
 }
-REPORT_NAMES = {"outstanding": "inflight"}
+LOAD_REPORT_FIELD_ALIASES = {"outstanding": "inflight"}
 
 Value = TypeVar("Value")
 
@@ -80,7 +80,7 @@
 
 
 def _report_fields(raw: str) -> tuple[str, ...]:
-    return tuple(REPORT_NAMES.get(name, name) for name in raw.split(","))
+    return tuple(LOAD_REPORT_FIELD_ALIASES.get(name, name) for name in raw.split(","))
 
 
 # Of all classes in one list, by index; what the list lacks is the default.
--- a/tests/test_routing_reasons.py
+++ b/tests/test_routing_reasons.py
@@ -37,8 +37,8 @@
         (MEDIA, {}, CACHES[0], None),
         (MEDIA, executed_at(CACHES[0]), CACHES[1], None),
         (MEDIA, {"attempt_count": 6}, CACHES[0], Denial.ATTEMPTS_EXHAUSTED),
-        (MEDIA, {"least_transfer_us": 2.0 * SECOND - 1}, CACHES[0], None),
-        (MEDIA, {"least_transfer_us": 2.0 * SECOND}, CACHES[0], Denial.DEADLINE_TOO_NEAR),
+        (MEDIA, {"min_transfer_us": 2.0 * SECOND - 1}, CACHES[0], None),
+        (MEDIA, {"min_transfer_us": 2.0 * SECOND}, CACHES[0], Denial.DEADLINE_TOO_NEAR),
         (UNSAFE, {}, CACHES[0], None),
         (UNSAFE, executed_at(CACHES[0]), CACHES[0], Denial.MAY_HAVE_EXECUTED),
         (KEYED, executed_at(CACHES[0], 2 * SECOND - 2001), CACHES[2], None),
@@ -111,5 +111,5 @@
     rig = Rig()
     for member in CACHES:
         rig.router.load.record_report(member.server, (60.0,), rig.now)
-    late = request_of(MEDIA, expected_transfer_us=0.9 * SECOND, least_transfer_us=0.9 * SECOND)
+    late = request_of(MEDIA, expected_transfer_us=0.9 * SECOND, min_transfer_us=0.9 * SECOND)
     assert denial(rig, late) is Denial.OBJECTIVE_UNREACHABLE
