--- a/tests/router_harness.py
+++ b/tests/router_harness.py
@@ -14,7 +14,7 @@
     latency_objective_stretch=2.0,
     freshness_lifetime_us=20 * SECOND,
 )
-KEYED = api.TrafficClass(
+KEYED_WRITES = api.TrafficClass(
     "orders",
     latency_objective_us=700_000,
     deadline_us=3 * SECOND,
@@ -22,7 +22,7 @@
     idempotency_key_window_us=2 * SECOND,
     is_write=True,
 )
-UNSAFE = api.TrafficClass(
+NON_IDEMPOTENT_WRITES = api.TrafficClass(
     "pay",
     latency_objective_us=700_000,
     deadline_us=3 * SECOND,
@@ -31,15 +31,15 @@
 )
 
 CACHES = tuple(api.Member(100 + i, weight=8.0, cell=i // 2, zone=1) for i in range(3))
-ELSEWHERE = api.Member(150, weight=8.0, zone=2)
+OTHER_ZONE_CACHE = api.Member(150, weight=8.0, zone=2)
 PARENTS = tuple(api.Member(200 + i, weight=30.0, zone=0, kind=1) for i in range(3))
 ORIGIN = api.Member(300, weight=1.0, zone=0, kind=2)
-EVERYONE = (*CACHES, ELSEWHERE, *PARENTS, ORIGIN)
+ALL_MEMBERS = (*CACHES, OTHER_ZONE_CACHE, *PARENTS, ORIGIN)
 
 
 def settings(**changes):
     base = dict(
-        classes=(MEDIA, PAGES, KEYED, UNSAFE),
+        classes=(MEDIA, PAGES, KEYED_WRITES, NON_IDEMPOTENT_WRITES),
         zone=1,
         router_count=3,
         routers_by_zone=(0, 1, 2),
@@ -69,11 +69,11 @@
 
 
 class Rig:
-    def __init__(self, members=EVERYONE, now=100 * SECOND, **changes):
+    def __init__(self, members=ALL_MEMBERS, now=100 * SECOND, **changes):
         self.router = Router(settings(**changes), seed=7)
         self.now = now
         self.timers = []
-        self.numbers = {}
+        self.attempt_numbers = {}
         self.next_id = 1
         self.feed(api.MembershipUpdated(api.MembershipUpdateKind.CACHED, 1, tuple(members)))
 
@@ -84,31 +84,33 @@
             if isinstance(a, api.SetTimer):
                 self.timers.append((self.now + a.delay_us, a.token))
             if isinstance(a, (api.Fetch, api.FetchCached)):
-                self.numbers[a.request] = self.numbers.get(a.request, -1) + 1
+                self.attempt_numbers[a.request] = self.attempt_numbers.get(a.request, -1) + 1
         return actions
 
-    def arrive(self, obj, class_index=0, size=100.0, part=0, group=0, after=0, patience=None):
+    def arrive(self, object_id, class_index=0, size=100.0, part=0, group=0, after=0, deadline_in_us=None):
         self.now += after
         request, self.next_id = self.next_id, self.next_id + 1
-        patience = patience or self.router.settings.classes[class_index].deadline_us
-        return request, self.feed(api.RequestArrived(request, class_index, obj, self.now + patience, size, group, part))
+        deadline_in_us = deadline_in_us or self.router.settings.classes[class_index].deadline_us
+        return request, self.feed(
+            api.RequestArrived(request, class_index, object_id, self.now + deadline_in_us, size, group, part)
+        )
 
     def finish(
         self,
         attempt,
         status=api.AttemptStatus.OK,
-        note=api.AttemptDetail.NONE,
+        detail=api.AttemptDetail.NONE,
         after=0,
         final=None,
         number=None,
-        load=(),
+        load_report=(),
     ):
         """Ends the newest attempt of a request, as the action that made it says."""
         self.now += after
-        number = self.numbers[attempt.request] if number is None else number
+        number = self.attempt_numbers[attempt.request] if number is None else number
         final = status is api.AttemptStatus.OK if final is None else final
         return self.feed(
-            api.AttemptFinished(attempt.request, number, attempt.server, status, after, final, note, 0, load)
+            api.AttemptFinished(attempt.request, number, attempt.server, status, after, final, detail, 0, load_report)
         )
 
     def run_timers(self, until):
@@ -128,5 +130,5 @@
     return [a for a in actions if isinstance(a, (api.Fetch, api.FetchCached))]
 
 
-def finals(actions):
+def final_answers(actions):
     return [a for a in actions if isinstance(a, (api.Fail, api.Reject))]
--- a/tests/test_deployment_independence.py
+++ b/tests/test_deployment_independence.py
@@ -75,7 +75,7 @@
 
 
 @pytest.mark.parametrize("path", [*program_files(), *deploy_files()], ids=lambda p: str(p.relative_to(ROOT)))
-def test_a_file_knows_no_deployment(path):
+def test_file_has_no_names_or_figures_of_a_deployment(path):
     assert findings(path.read_text(), path.suffix == ".py") == []
 
 
@@ -90,11 +90,11 @@
         "AIM_US, DEADLINE_US = (250_000, 3_000_000)",
     ],
 )
-def test_what_is_planted_is_found(planted):
+def test_check_finds_planted_names_and_figures(planted):
     assert findings(planted)
 
 
-def test_the_sites_differ_in_names_classes_and_in_which_class_may_not_be_repeated():
+def test_sites_differ_in_names_classes_and_their_non_idempotent_class():
     sites = read_sites()
     assert len(sites) == 2
     first, second = sites
--- a/tests/test_robust.py
+++ b/tests/test_robust.py
@@ -5,10 +5,10 @@
 import pytest
 
 from rookbend import interface as api
-from tests.router_harness import CACHES, MEDIA, ORIGIN, PARENTS, SECOND, Rig, finals, sent_fetches
+from tests.router_harness import CACHES, MEDIA, ORIGIN, PARENTS, SECOND, Rig, final_answers, sent_fetches
 
 
-def test_events_about_nothing_are_harmless():
+def test_events_for_unknown_ids_cause_no_actions():
     rig = Rig()
     for event in (
         api.AttemptFinished(99, 0, 100, api.AttemptStatus.OK, 5, True),
@@ -24,21 +24,21 @@
         assert rig.feed(event) == []
 
 
-def test_empty_lists_answer_at_once():
+def test_requests_are_answered_at_once_without_members():
     rig = Rig(members=())
     for class_index in range(4):
         request, out = rig.arrive(5, class_index=class_index)
-        assert [a.request for a in finals(out)] == [request]
+        assert [a.request for a in final_answers(out)] == [request]
 
 
 def test_unknown_class_is_answered():
     rig = Rig()
-    assert finals(rig.feed(api.RequestArrived(1, 99, 5, rig.now + SECOND)))
+    assert final_answers(rig.feed(api.RequestArrived(1, 99, 5, rig.now + SECOND)))
 
 
-def test_silent_cache_is_left_and_its_requests_move():
+def test_unresponsive_cache_is_ejected_and_its_requests_move():
     rig = Rig()
-    shut_limits(rig, 100.0)
+    set_fill_limit(rig, 100.0)
     first = [sent_fetches(rig.arrive(obj, after=1000)[1])[0] for obj in range(1, 12)]
     cancelled = []
     while not cancelled:
@@ -49,63 +49,63 @@
     assert moved and moved[0].server != attempt.server
 
 
-def test_failing_cache_is_ejected_and_comes_back_by_one_attempt_at_a_time():
+def test_failing_cache_is_ejected_and_then_gets_one_attempt_at_a_time():
     rig = Rig()
-    lead = sent_fetches(rig.arrive(5)[1])[0]
+    attempt = sent_fetches(rig.arrive(5)[1])[0]
     outliers = rig.router.outliers
     for _ in range(3):
-        outliers.record_failure(lead.server, rig.now)
-    assert not outliers.admits(lead.server, rig.now)
-    later = rig.router.servers[lead.server].ejected_until_us
-    assert outliers.admits(lead.server, later, in_use=0) and not outliers.admits(lead.server, later, in_use=1)
+        outliers.record_failure(attempt.server, rig.now)
+    assert not outliers.admits(attempt.server, rig.now)
+    later = rig.router.servers[attempt.server].ejected_until_us
+    assert outliers.admits(attempt.server, later, in_use=0) and not outliers.admits(attempt.server, later, in_use=1)
 
 
-def shut_limits(rig, limit=0.0):
+def set_fill_limit(rig, limit=0.0):
     rig.router.fill_limit.limit = limit
 
 
-def test_beyond_the_fill_limit_a_request_only_looks_and_is_answered_when_it_cant_be_on_time():
+def test_request_beyond_the_fill_limit_is_cache_only_and_answered_once_it_cannot_be_on_time():
     rig = Rig()
-    shut_limits(rig)
+    set_fill_limit(rig)
     request, out = rig.arrive(2)
-    look = sent_fetches(out)[0]
-    assert look.source == look.server
-    assert not finals(rig.finish(look, api.AttemptStatus.MISS, after=2000))
-    assert [a.request for a in finals(rig.run_timers(rig.now + 2 * SECOND))] == [request]
+    first_attempt = sent_fetches(out)[0]
+    assert first_attempt.source == first_attempt.server
+    assert not final_answers(rig.finish(first_attempt, api.AttemptStatus.MISS, after=2000))
+    assert [a.request for a in final_answers(rig.run_timers(rig.now + 2 * SECOND))] == [request]
 
 
-def test_place_for_a_fill_goes_to_one_who_waits():
+def test_freed_fill_capacity_goes_to_a_queued_request():
     rig = Rig(members=(*CACHES, PARENTS[0], ORIGIN))
-    shut_limits(rig, 1.0)
+    set_fill_limit(rig, 1.0)
     first = sent_fetches(rig.arrive(1)[1])[0]
     request, out = rig.arrive(2)
     rig.finish(sent_fetches(out)[0], api.AttemptStatus.MISS, after=2000)
-    filled = sent_fetches(rig.finish(first, note=api.AttemptDetail.FILLED, after=100_000))
+    filled = sent_fetches(rig.finish(first, detail=api.AttemptDetail.FILLED, after=100_000))
     assert [a.request for a in filled] == [request] and filled[0].source == PARENTS[0].server
 
 
-def test_what_failed_at_the_origin_is_not_asked_again_by_a_read_and_only_after_a_pause_by_a_write():
+def test_origin_failures_are_not_retried_by_reads_and_by_writes_only_after_a_backoff():
     rig = Rig()
     request, out = rig.arrive(2)
-    out = rig.finish(sent_fetches(out)[0], api.AttemptStatus.FULL, note=api.AttemptDetail.ORIGIN_FAILED, after=2000)
-    assert [a.request for a in finals(out)] == [request] and not sent_fetches(out)
+    out = rig.finish(sent_fetches(out)[0], api.AttemptStatus.FULL, detail=api.AttemptDetail.ORIGIN_FAILED, after=2000)
+    assert [a.request for a in final_answers(out)] == [request] and not sent_fetches(out)
     write, out = rig.arrive(3, class_index=2)
-    out = rig.finish(sent_fetches(out)[0], api.AttemptStatus.FULL, note=api.AttemptDetail.SOURCE_REFUSED, after=2000)
-    assert not sent_fetches(out) and not finals(out)
+    out = rig.finish(sent_fetches(out)[0], api.AttemptStatus.FULL, detail=api.AttemptDetail.SOURCE_REFUSED, after=2000)
+    assert not sent_fetches(out) and not final_answers(out)
     assert [a.request for a in sent_fetches(rig.run_timers(rig.now + SECOND))] == [write]
 
 
 @pytest.mark.parametrize("direct", (False, True))
-def test_a_request_that_every_cache_would_send_late_is_answered_at_once(direct):
+def test_request_that_would_be_late_at_every_cache_is_answered_at_once(direct):
     rig = Rig(classes=(MEDIA,), allows_direct_to_source=direct)
-    held = [sent_fetches(rig.arrive(obj, after=1000)[1])[0] for obj in range(1, 4)]
-    for a in held:
-        rig.finish(a, note=api.AttemptDetail.FILLED, after=1000, load=(10.0,))
+    attempts = [sent_fetches(rig.arrive(obj, after=1000)[1])[0] for obj in range(1, 4)]
+    for a in attempts:
+        rig.finish(a, detail=api.AttemptDetail.FILLED, after=1000, load_report=(10.0,))
     assert sent_fetches(rig.arrive(7, size=900.0)[1])
     for m in CACHES:
         rig.router.load.record_report(m.server, (60.0,), rig.now)
     request, out = rig.arrive(8, size=900.0)
-    assert [a.request for a in finals(out)] == [request]
+    assert [a.request for a in final_answers(out)] == [request]
     assert sent_fetches(rig.arrive(9, size=10.0)[1])
 
 
@@ -121,7 +121,7 @@
     assert low < start and limit.limit > low
 
 
-def test_random_events_keep_one_final_answer_each():
+def test_random_events_give_each_request_one_final_answer():
     rng = random.Random(3)
     rig = Rig(allows_retry_after=True)
     out_now, answered, asked = [], [], []
@@ -145,15 +145,15 @@
             if status is api.AttemptStatus.OK and attempt.request in rig.router.open_requests:
                 answered.append(attempt.request)
             out += rig.finish(attempt, status, number=number)
-        out_now += [(a, rig.numbers[a.request]) for a in sent_fetches(out)]
-        answered += [a.request for a in finals(out)]
+        out_now += [(a, rig.attempt_numbers[a.request]) for a in sent_fetches(out)]
+        answered += [a.request for a in final_answers(out)]
     while out_now:
         attempt, number = out_now.pop()
         out = rig.finish(attempt, api.AttemptStatus.TIMEOUT, number=number, after=1000)
-        out_now += [(a, rig.numbers[a.request]) for a in sent_fetches(out)]
-        answered += [a.request for a in finals(out)]
+        out_now += [(a, rig.attempt_numbers[a.request]) for a in sent_fetches(out)]
+        answered += [a.request for a in final_answers(out)]
     rig_out = rig.run_timers(rig.now + 20 * SECOND)
-    answered += [a.request for a in finals(rig_out)]
+    answered += [a.request for a in final_answers(rig_out)]
     assert sorted(answered) == asked
     assert not rig.router.open_requests and not rig.router.collapser.fills
 
@@ -163,6 +163,6 @@
     for obj in range(1, 200):
         rig.feed(api.PurgeReceived(obj, 0, 0))
         for a in sent_fetches(rig.arrive(obj)[1]):
-            rig.finish(a, note=api.AttemptDetail.FILLED)
+            rig.finish(a, detail=api.AttemptDetail.FILLED)
     assert len(rig.router.copies.by_key) <= 10 and len(rig.router.purges.purged_us) <= 10
     assert len(rig.router.membership.orders) <= 10 and not rig.router.attempts.in_flight
--- a/tests/test_routing_reasons.py
+++ b/tests/test_routing_reasons.py
@@ -8,14 +8,25 @@
 from rookbend.routing.membership import Membership
 from rookbend.routing.request_state import Attempt, new_request
 from rookbend.routing.retry_policy import Denial, NextStep, RetryPolicy
-from tests.router_harness import CACHES, EVERYONE, KEYED, MEDIA, ORIGIN, PARENTS, SECOND, UNSAFE, Rig, settings
+from tests.router_harness import (
+    ALL_MEMBERS,
+    CACHES,
+    KEYED_WRITES,
+    MEDIA,
+    NON_IDEMPOTENT_WRITES,
+    ORIGIN,
+    PARENTS,
+    SECOND,
+    Rig,
+    settings,
+)
 
 NOW = 100 * SECOND
 
 
 def policy(**changes):
     membership = Membership(settings(**changes))
-    membership.apply(api.MembershipUpdated(api.MembershipUpdateKind.FULL, 1, EVERYONE))
+    membership.apply(api.MembershipUpdated(api.MembershipUpdateKind.FULL, 1, ALL_MEMBERS))
     return RetryPolicy(membership.settings, membership)
 
 
@@ -39,17 +50,17 @@
         (MEDIA, {"attempt_count": 6}, CACHES[0], Denial.ATTEMPTS_EXHAUSTED),
         (MEDIA, {"min_transfer_us": 2.0 * SECOND - 1}, CACHES[0], None),
         (MEDIA, {"min_transfer_us": 2.0 * SECOND}, CACHES[0], Denial.DEADLINE_TOO_NEAR),
-        (UNSAFE, {}, CACHES[0], None),
-        (UNSAFE, executed_at(CACHES[0]), CACHES[0], Denial.MAY_HAVE_EXECUTED),
-        (KEYED, executed_at(CACHES[0], 2 * SECOND - 2001), CACHES[2], None),
-        (KEYED, executed_at(CACHES[0], 2 * SECOND - 2000), CACHES[0], Denial.IDEMPOTENCY_WINDOW_OVER),
-        (replace(KEYED, retry_scope="zone"), executed_at(CACHES[0]), CACHES[2], None),
-        (replace(KEYED, retry_scope="zone"), executed_at(CACHES[0]), PARENTS[0], Denial.OUTSIDE_RETRY_SCOPE),
-        (replace(KEYED, retry_scope="cell"), executed_at(CACHES[0]), CACHES[1], None),
-        (replace(KEYED, retry_scope="cell"), executed_at(CACHES[0]), CACHES[2], Denial.OUTSIDE_RETRY_SCOPE),
+        (NON_IDEMPOTENT_WRITES, {}, CACHES[0], None),
+        (NON_IDEMPOTENT_WRITES, executed_at(CACHES[0]), CACHES[0], Denial.MAY_HAVE_EXECUTED),
+        (KEYED_WRITES, executed_at(CACHES[0], 2 * SECOND - 2001), CACHES[2], None),
+        (KEYED_WRITES, executed_at(CACHES[0], 2 * SECOND - 2000), CACHES[0], Denial.IDEMPOTENCY_WINDOW_OVER),
+        (replace(KEYED_WRITES, retry_scope="zone"), executed_at(CACHES[0]), CACHES[2], None),
+        (replace(KEYED_WRITES, retry_scope="zone"), executed_at(CACHES[0]), PARENTS[0], Denial.OUTSIDE_RETRY_SCOPE),
+        (replace(KEYED_WRITES, retry_scope="cell"), executed_at(CACHES[0]), CACHES[1], None),
+        (replace(KEYED_WRITES, retry_scope="cell"), executed_at(CACHES[0]), CACHES[2], Denial.OUTSIDE_RETRY_SCOPE),
     ],
 )
-def test_why_a_request_may_not_be_sent_to_a_member(traffic_class, fields, member, expected):
+def test_denial_of_an_attempt(traffic_class, fields, member, expected):
     assert policy().denial(request_of(traffic_class, **fields), member, NOW) is expected
 
 
@@ -59,10 +70,17 @@
         (MEDIA, {}, api.AttemptStatus.OK, api.AttemptDetail.HIT, True, NextStep.SERVED),
         (MEDIA, {}, api.AttemptStatus.ERROR, api.AttemptDetail.NONE, True, NextStep.FAILED),
         (MEDIA, {}, api.AttemptStatus.FULL, api.AttemptDetail.ORIGIN_FAILED, False, NextStep.REJECT),
-        (KEYED, {}, api.AttemptStatus.FULL, api.AttemptDetail.ORIGIN_FAILED, False, NextStep.BACK_OFF),
-        (KEYED, {"attempt_count": 9}, api.AttemptStatus.FULL, api.AttemptDetail.ORIGIN_FAILED, False, NextStep.REJECT),
+        (KEYED_WRITES, {}, api.AttemptStatus.FULL, api.AttemptDetail.ORIGIN_FAILED, False, NextStep.BACK_OFF),
+        (
+            KEYED_WRITES,
+            {"attempt_count": 9},
+            api.AttemptStatus.FULL,
+            api.AttemptDetail.ORIGIN_FAILED,
+            False,
+            NextStep.REJECT,
+        ),
         (MEDIA, {"erring_servers": [1, 2, 3]}, api.AttemptStatus.ERROR, api.AttemptDetail.NONE, False, NextStep.FAIL),
-        (KEYED, {}, api.AttemptStatus.CONNECT_FAILED, api.AttemptDetail.NONE, False, NextStep.RETRY_WRITE),
+        (KEYED_WRITES, {}, api.AttemptStatus.CONNECT_FAILED, api.AttemptDetail.NONE, False, NextStep.RETRY_WRITE),
         (MEDIA, {}, api.AttemptStatus.MISS, api.AttemptDetail.SOURCE_LACKS, False, NextStep.REJECT),
         (
             MEDIA,
@@ -75,7 +93,7 @@
         (MEDIA, {}, api.AttemptStatus.RESET, api.AttemptDetail.NONE, False, NextStep.RETRY),
     ],
 )
-def test_what_follows_the_end_of_an_attempt(traffic_class, fields, status, detail, final, expected):
+def test_next_step_after_an_attempt(traffic_class, fields, status, detail, final, expected):
     request = request_of(traffic_class, **{"attempt_count": 1, **fields})
     attempt = Attempt(request, 0, CACHES[0].server, PARENTS[0].server, NOW - 1000, SECOND, True)
     event = api.AttemptFinished(1, 0, CACHES[0].server, status, 1000, final, detail)
@@ -90,7 +108,7 @@
 
 
 @pytest.mark.parametrize("source, expected", [(ORIGIN, NextStep.REJECT), (PARENTS[0], NextStep.RETRY)])
-def test_a_source_that_cannot_be_reached_is_the_origins_failure_only_where_it_is_the_origin(source, expected):
+def test_unreachable_source_is_an_origin_failure_only_where_it_is_the_origin(source, expected):
     request = request_of(MEDIA, attempt_count=1)
     attempt = Attempt(request, 0, CACHES[0].server, source.server, NOW - 1000, SECOND, True)
     status, detail = api.AttemptStatus.FULL, api.AttemptDetail.SOURCE_UNREACHABLE
@@ -98,7 +116,7 @@
     assert policy().next_step(request, attempt, event, NOW) is expected
 
 
-def test_a_read_says_why_it_was_not_sent():
+def test_read_sender_returns_why_a_read_was_not_sent():
     def denial(rig, request):
         return rig.router.reads.send(request, None, None, rig.now, [])
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,81 +1,81 @@
 """The five rules, each kept by one router alone."""
 
 from rookbend import interface as api
-from tests.router_harness import CACHES, EVERYONE, ORIGIN, PARENTS, SECOND, Rig, finals, sent_fetches
+from tests.router_harness import ALL_MEMBERS, CACHES, ORIGIN, PARENTS, SECOND, Rig, final_answers, sent_fetches
 
 
 def test_deadline_time_out_is_answered_at_once():
     rig = Rig()
     request, out = rig.arrive(5)
     done = rig.finish(sent_fetches(out)[0], api.AttemptStatus.TIMEOUT, after=6 * SECOND, final=False)
-    assert finals(done) == [api.Fail(request)]
+    assert final_answers(done) == [api.Fail(request)]
     assert not sent_fetches(done)
 
 
-def test_every_request_gets_one_final_answer_when_nothing_works():
+def test_every_request_gets_one_final_answer_when_every_attempt_fails():
     rig = Rig()
     open_attempts, answers = [], []
     for _ in range(20):
         _, out = rig.arrive(5)
         open_attempts += sent_fetches(out)
-        answers += finals(out)
+        answers += final_answers(out)
     while open_attempts:
         out = rig.finish(open_attempts.pop(0), api.AttemptStatus.ERROR, after=30_000)
         open_attempts += sent_fetches(out)
-        answers += finals(out)
+        answers += final_answers(out)
         out = rig.run_timers(rig.now + 1)
         open_attempts += sent_fetches(out)
-        answers += finals(out)
+        answers += final_answers(out)
     out = rig.run_timers(rig.now + 10 * SECOND)
-    answers += finals(out)
+    answers += final_answers(out)
     assert not sent_fetches(out)
     assert sorted(a.request for a in answers) == list(range(1, 21))
 
 
 def test_nothing_is_sent_after_the_client_has_left():
     rig = Rig()
-    lead = sent_fetches(rig.arrive(5)[1])[0]
-    rig.feed(api.RequestCancelled(lead.request), after=1000)
-    assert not sent_fetches(rig.finish(lead, api.AttemptStatus.ERROR, after=1000, final=True))
+    attempt = sent_fetches(rig.arrive(5)[1])[0]
+    rig.feed(api.RequestCancelled(attempt.request), after=1000)
+    assert not sent_fetches(rig.finish(attempt, api.AttemptStatus.ERROR, after=1000, final=True))
     assert not sent_fetches(rig.run_timers(rig.now + 10 * SECOND))
 
 
-def test_refusal_carries_a_retry_after_where_clients_take_it():
+def test_rejection_has_a_retry_after_where_clients_support_it():
     rig = Rig(members=(), allows_retry_after=True, max_retry_after_us=400_000)
     request, out = rig.arrive(5)
-    assert finals(out) == [api.Reject(request, 400_000)]
+    assert final_answers(out) == [api.Reject(request, 400_000)]
 
 
-def test_unsafe_request_that_may_have_run_is_failed_not_repeated():
+def test_non_idempotent_request_that_may_have_executed_fails_without_a_retry():
     rig = Rig(allows_direct_to_source=True, allows_retry_after=True)
     request, out = rig.arrive(5, class_index=3)
     done = rig.finish(sent_fetches(out)[0], api.AttemptStatus.RESET, after=10_000)
-    assert finals(done) == [api.Fail(request)] and not sent_fetches(done)
+    assert final_answers(done) == [api.Fail(request)] and not sent_fetches(done)
 
 
-def test_unsafe_request_waits_for_its_answer_and_a_keyed_one_does_not():
+def test_non_idempotent_request_has_no_timeout_but_its_deadline():
     """Guards a slow origin's answers: given up early, a write that can't be repeated failed for nothing."""
     rig = Rig(allows_direct_to_source=True)
     unsafe, keyed = (sent_fetches(rig.arrive(5, class_index=class_index)[1])[0] for class_index in (3, 2))
     assert unsafe.timeout_us == 3 * SECOND and keyed.timeout_us < 0.7 * SECOND
 
 
-def test_unsafe_request_proven_not_run_goes_again():
+def test_non_idempotent_request_that_was_not_executed_is_retried():
     rig = Rig(allows_direct_to_source=True)
     _, out = rig.arrive(5, class_index=3)
     assert sent_fetches(rig.finish(sent_fetches(out)[0], api.AttemptStatus.CONNECT_FAILED, after=10_000))
 
 
-def test_keyed_request_is_repeated_within_its_window_only():
+def test_keyed_request_is_retried_only_within_its_idempotency_window():
     rig = Rig(allows_direct_to_source=True, allows_retry_after=True)
     _, out = rig.arrive(5, class_index=2)
     again = sent_fetches(rig.finish(sent_fetches(out)[0], api.AttemptStatus.ERROR, after=500_000))
     assert again
     late = rig.finish(again[0], api.AttemptStatus.ERROR, after=1_600_000)
-    assert not sent_fetches(late) and finals(late)
+    assert not sent_fetches(late) and final_answers(late)
 
 
-def test_keyed_request_stays_in_its_zone_and_is_not_refused_outside_group_all():
+def test_keyed_request_is_retried_only_in_its_cell_and_otherwise_failed():
     class_index = api.TrafficClass(
         "k",
         700_000,
@@ -92,37 +92,37 @@
     for a in sent_fetches(after):
         assert seen[a.server] == seen[first.server]
     if not sent_fetches(after):
-        assert finals(after) == [api.Fail(request)]
+        assert final_answers(after) == [api.Fail(request)]
 
 
-def test_draining_cache_gets_nothing_new_not_even_a_retry_or_a_released_waiter():
+def test_draining_cache_gets_no_released_waiters():
     rig = Rig()
-    lead = sent_fetches(rig.arrive(5)[1])[0]
+    attempt = sent_fetches(rig.arrive(5)[1])[0]
     rig.arrive(5)
-    drained = [m for m in CACHES if m.server == lead.server][0]
+    drained = [m for m in CACHES if m.server == attempt.server][0]
     gone = api.Member(drained.server, 8.0, drained.cell, 1, 0, api.MemberState.DRAINING)
     rig.feed(api.MembershipUpdated(api.MembershipUpdateKind.DELTA, 2, (gone,)), after=1000)
-    released = sent_fetches(rig.finish(lead, note=api.AttemptDetail.FILLED, after=50_000))
-    assert released and released[0].server != lead.server
+    released = sent_fetches(rig.finish(attempt, detail=api.AttemptDetail.FILLED, after=50_000))
+    assert released and released[0].server != attempt.server
 
 
-def test_draining_parent_is_no_source_and_a_list_that_lacks_it_means_gone():
+def test_parent_missing_from_a_full_list_is_no_source():
     rig = Rig()
     home = sent_fetches(rig.arrive(5)[1])[0].source
-    rig.feed(api.MembershipUpdated(api.MembershipUpdateKind.FULL, 2, tuple(m for m in EVERYONE if m.server != home)))
+    rig.feed(api.MembershipUpdated(api.MembershipUpdateKind.FULL, 2, tuple(m for m in ALL_MEMBERS if m.server != home)))
     for obj in range(1, 40):
         for a in sent_fetches(rig.arrive(obj)[1]):
             assert a.source != home
 
 
-def spent_on(rig, pick, seconds, class_index=0, size=400.0):
+def work_sent(rig, matches, seconds, class_index=0, size=400.0):
     """Work sent to servers, at the class's mean sending time, in seconds."""
     total = 0.0
     for obj in range(int(seconds * 100)):
         _, out = rig.arrive(obj + 1000, class_index=class_index, size=size, after=10_000)
         for a in sent_fetches(out):
-            total += size / 1000.0 if pick(a) else 0.0
-            rig.finish(a, note=api.AttemptDetail.FILLED)
+            total += size / 1000.0 if matches(a) else 0.0
+            rig.finish(a, detail=api.AttemptDetail.FILLED)
     return total
 
 
@@ -135,7 +135,7 @@
         overload_multiple=2.0,
         overload_window_us=2 * SECOND,
     )
-    work = spent_on(rig, lambda a: a.server == 100, 2)
+    work = work_sent(rig, lambda a: a.server == 100, 2)
     assert 0 < work <= 2.0 * 0.28 * 8.0 * 2.0
 
 
@@ -145,18 +145,18 @@
     rig = Rig(
         members=(*CACHES, cold, *PARENTS[1:], ORIGIN), parent_cold_capacity_ratio=0.06, overload_window_us=2 * SECOND
     )
-    work = spent_on(rig, lambda a: a.source == 200, 2)
+    work = work_sent(rig, lambda a: a.source == 200, 2)
     assert work <= 2.0 * 0.146 * 30.0 * 2.0 / 3
 
 
-def test_purged_object_is_asked_for_with_an_age_younger_than_the_purge_and_not_joined():
+def test_purged_object_is_fetched_with_a_max_age_below_that_of_the_purge():
     rig = Rig()
     rig.feed(api.PurgeReceived(5, 0, age_us=200_000))
     out = sent_fetches(rig.arrive(5, after=700_000)[1])[0]
     assert 0 < out.max_age_us < 900_000
 
 
-def test_group_purge_binds_fresh_classes_too_and_ends_when_all_copies_are_gone():
+def test_group_purge_limits_the_max_age_of_every_class_until_it_has_propagated():
     rig = Rig()
     rig.feed(api.PurgeReceived(0, 9, age_us=0))
     out = sent_fetches(rig.arrive(5, class_index=1, group=9, after=300_000)[1])[0]
@@ -165,7 +165,7 @@
     assert later.max_age_us == 0
 
 
-def test_nobody_waits_on_a_fill_begun_before_the_purge():
+def test_no_request_waits_for_a_fill_that_started_before_a_purge():
     rig = Rig()
     rig.arrive(5)
     rig.feed(api.PurgeReceived(5, 0, age_us=0), after=10_000)
@@ -178,11 +178,11 @@
     rig = Rig(
         members=(cold, *PARENTS, ORIGIN), cold_capacity_ratio=0.2, overload_multiple=2.0, overload_window_us=2 * SECOND
     )
-    work = spent_on(rig, lambda a: a.server == 100, 1)
+    work = work_sent(rig, lambda a: a.server == 100, 1)
     assert work <= 0.5 * 2.0 * 0.25 * 8.0 * 2.0
 
 
-def test_cold_parent_that_has_less_than_one_fill_for_each_router_is_shared_by_turns():
+def test_cold_parent_with_less_than_one_fill_per_router_is_shared_by_rank():
     now, routers = 100 * SECOND, 40
     cold = api.Member(200, 30.0, zone=0, kind=1, started_us=now - 4 * SECOND)
     sent = []
@@ -201,7 +201,7 @@
     assert sum(sent) * 0.1 <= 2.0 * 30 * 2 * (0.06 + 0.94 * 4 / 22)
 
 
-def test_where_a_parents_link_is_full_a_part_of_the_fills_goes_round_it():
+def test_some_fills_bypass_a_parent_whose_link_is_full():
     """Guards against one parent that is left for all: every fill joined its queue, each came late, and what
     was given up ran on at it. A router can judge by its own fills only where its share of the link is large."""
     alone = (*CACHES, PARENTS[0], ORIGIN)
--- a/tests/test_simulator_codec.py
+++ b/tests/test_simulator_codec.py
@@ -32,17 +32,17 @@
 """
 
 
-def attach(instance, text=SETTINGS):
+def start_record(instance, text=SETTINGS):
     data = text.encode()
     return struct.pack(">BIQI", 2, instance, 11, len(data)) + data
 
 
-def topology(instance, rows):
+def membership_record(instance, rows):
     body = b"".join(struct.pack(">fIHHBQBH", w, a, p, 0, zone, 0, 1, kind) for w, a, p, zone, kind in rows)
     return struct.pack(">BIBQI", 4, instance, 1, 1, len(rows)) + body
 
 
-def knock(instance, request, item, deadline):
+def request_record(instance, request, item, deadline):
     return struct.pack(">BIIBIQQfffB", 6, instance, request, 0, 0, item, deadline, 10.0, 1.0, 0.0, 0)
 
 
@@ -51,7 +51,9 @@
     return struct.pack(">QIII", now, 20 + len(body), len(records), number) + body
 
 
-START = frame(10_000_000, 1, attach(3), topology(3, [(4.0, 7, 80, 1, 0), (9.0, 8, 80, 0, 1), (1.0, 9, 80, 0, 2)]))
+START = frame(
+    10_000_000, 1, start_record(3), membership_record(3, [(4.0, 7, 80, 1, 0), (9.0, 8, 80, 0, 1), (1.0, 9, 80, 0, 2)])
+)
 
 
 def run(data):
@@ -61,7 +63,7 @@
 
 
 def test_a_request_becomes_a_fetch_frame():
-    done = run(START + frame(10_002_000, 2, knock(3, 77, 5, 16_002_000)))
+    done = run(START + frame(10_002_000, 2, request_record(3, 77, 5, 16_002_000)))
     assert done.returncode == 0 and done.stderr == b""
     assert done.stdout[:8] == struct.pack(">II", 8, 1)
     reply = done.stdout[8:]
@@ -76,14 +78,14 @@
         START[:-3],
         START[:10],
         frame(1, 1, b"\xff" + bytes(8)),
-        frame(1, 1, knock(9, 1, 1, 1)),
+        frame(1, 1, request_record(9, 1, 1, 1)),
         struct.pack(">QIII", 1, 3, 0, 1),
-        frame(1, 1, attach(1, "zone=1")),
+        frame(1, 1, start_record(1, "zone=1")),
         struct.pack(">QIII", 1, 21, 0, 1) + b"x",
-        frame(1, 1, attach(1, SETTINGS.replace("free", "odd"))),
+        frame(1, 1, start_record(1, SETTINGS.replace("free", "odd"))),
     ],
 )
-def test_bad_input_ends_with_one_plain_line(data):
+def test_malformed_input_ends_with_a_one_line_error(data):
     done = run(data)
     assert done.returncode != 0
     assert done.stderr.startswith(b"rookbend: ") and done.stderr.count(b"\n") == 1
@@ -99,7 +101,7 @@
     assert (s.zone, s.router_count, s.parent_kind, s.classes[0].idempotency) == (1, 2, 1, api.Idempotency.IDEMPOTENT)
 
 
-def test_events_are_read():
+def test_events_are_decoded():
     record = struct.pack(">BIIBIHBIBBIBf", 0, 3, 77, 1, 7, 80, 1, 500, 1, 2, 40, 1, 2.5)
     ((instance, event),) = simulator_codec.read_batch(record, 1)
     assert instance == 3
@@ -131,12 +133,14 @@
         assert data[0] == code and data[1:5] == struct.pack(">I", 3)
 
 
-def test_instances_act_alike_in_one_process_and_in_several():
+def test_instances_act_the_same_in_one_process_and_in_several():
     rows = [(4.0, 7, 80, 1, 0), (9.0, 8, 80, 0, 1), (1.0, 9, 80, 0, 2)]
 
     def actions(*instances):
-        start = frame(10_000_000, 1, *(r for i in instances for r in (attach(i), topology(i, rows))))
-        work = frame(10_002_000, 2, *(knock(i, 70 + n, 5 + n, 16_002_000) for i in instances for n in range(4)))
+        start = frame(10_000_000, 1, *(r for i in instances for r in (start_record(i), membership_record(i, rows))))
+        work = frame(
+            10_002_000, 2, *(request_record(i, 70 + n, 5 + n, 16_002_000) for i in instances for n in range(4))
+        )
         return run(start + work).stdout[16:]  # past the first reply and the second's header
 
     assert actions(3, 4, 5) == actions(3) + actions(4) + actions(5)
--- a/tests/test_slow_start_fleet.py
+++ b/tests/test_slow_start_fleet.py
@@ -17,24 +17,24 @@
 
 START = 100 * SECOND
 LENGTH_US = 5 * SECOND
-TOLD_WITHIN_US = 800_000
+MAX_MEMBERSHIP_DELAY_US = 800_000
 RESTART_AT = START + 2 * SECOND
 WORK_S, SIZE_KB = 0.1, 100.0
-TAKES_US = 120_000
+RESPONSE_TIME_US = 120_000
 REQUESTS_PER_S = 12.0
 COLD_CACHE, COLD_PARENT = 100, 200
 CACHE_WEIGHT, PARENT_WEIGHT = 8.0, 60.0
-LEAST, WARM_UP_US = 0.2, 20 * SECOND
-PARENT_LEAST, PARENT_WARM_UP_US = 0.06, 22 * SECOND
-MULTIPLE, WINDOW_US = 2.0, 2 * SECOND
-SIZES = {3: 1, 30: 3, 200: 20}  # directors, and the locations they stand at
+CACHE_COLD_RATIO, CACHE_WARM_UP_US = 0.2, 20 * SECOND
+PARENT_COLD_RATIO, PARENT_WARM_UP_US = 0.06, 22 * SECOND
+OVERLOAD_MULTIPLE, WINDOW_US = 2.0, 2 * SECOND
+LOCATIONS_BY_DIRECTORS = {3: 1, 30: 3, 200: 20}  # directors, and the locations they stand at
 
 
 class Fleet:
     """Routers in one simulated time; every attempt is answered after the same time."""
 
     def __init__(self, directors, seed):
-        self.random, self.locations = random.Random(seed), SIZES[directors]
+        self.random, self.locations = random.Random(seed), LOCATIONS_BY_DIRECTORS[directors]
         self.directors, self.events, self.order = directors, [], 0
         self.sent = {COLD_CACHE: [], COLD_PARENT: []}
         self.last_request = 0
@@ -44,45 +44,48 @@
         return 1 + index % self.locations
 
     def start(self, index):
-        seats = (0, *(sum(self.zone(i) == z + 1 for i in range(self.directors)) for z in range(self.locations)))
+        routers_by_zone = (
+            0,
+            *(sum(self.zone(i) == z + 1 for i in range(self.directors)) for z in range(self.locations)),
+        )
         return Router(
             settings(
                 classes=(MEDIA,),
                 zone=self.zone(index),
                 router_index=index,
                 router_count=self.directors,
-                routers_by_zone=seats,
-                cold_capacity_ratio=LEAST,
-                warm_up_us=WARM_UP_US,
-                overload_multiple=MULTIPLE,
+                routers_by_zone=routers_by_zone,
+                cold_capacity_ratio=CACHE_COLD_RATIO,
+                warm_up_us=CACHE_WARM_UP_US,
+                overload_multiple=OVERLOAD_MULTIPLE,
                 overload_window_us=WINDOW_US,
-                parent_cold_capacity_ratio=PARENT_LEAST,
+                parent_cold_capacity_ratio=PARENT_COLD_RATIO,
                 parent_warm_up_us=PARENT_WARM_UP_US,
-                parent_overload_multiple=MULTIPLE,
+                parent_overload_multiple=OVERLOAD_MULTIPLE,
             ),
             seed=index,
         )
 
     def members(self, zone, cold):
-        born = START if cold else 0
+        started_us = START if cold else 0
         caches = [
             api.Member(
                 COLD_CACHE + 1000 * (zone - 1) + i,
                 weight=CACHE_WEIGHT,
                 zone=zone,
-                started_us=born if zone == 1 and i == 0 else 0,
+                started_us=started_us if zone == 1 and i == 0 else 0,
             )
             for i in range(3)
         ]
         parents = [
-            api.Member(COLD_PARENT + i, weight=PARENT_WEIGHT, zone=0, kind=1, started_us=born if i == 0 else 0)
+            api.Member(COLD_PARENT + i, weight=PARENT_WEIGHT, zone=0, kind=1, started_us=started_us if i == 0 else 0)
             for i in range(3)
         ]
         return (*caches, *parents, api.Member(300, zone=0, kind=2))
 
-    def at(self, when, act, *args):
+    def schedule(self, when, callback, *args):
         self.order += 1
-        heapq.heappush(self.events, (when, self.order, act, args))
+        heapq.heappush(self.events, (when, self.order, callback, args))
 
     def feed(self, now, index, event):
         router = self.routers[index]
@@ -92,9 +95,9 @@
                 if action.source != action.server:
                     self.sent.get(action.source, []).append(now)
                 number = next(n for r, n in reversed(router.attempts.in_flight) if r == action.request)
-                self.at(now + TAKES_US, self.answer, index, router, action, number)
+                self.schedule(now + RESPONSE_TIME_US, self.answer, index, router, action, number)
             elif isinstance(action, api.SetTimer):
-                self.at(now + action.delay_us, self.timer, index, router, action.token)
+                self.schedule(now + action.delay_us, self.timer, index, router, action.token)
 
     def timer(self, now, index, router, token):
         if self.routers[index] is router:
@@ -110,7 +113,7 @@
                     number,
                     action.server,
                     api.AttemptStatus.OK,
-                    TAKES_US,
+                    RESPONSE_TIME_US,
                     True,
                     api.AttemptDetail.FILLED,
                     0,
@@ -125,9 +128,9 @@
             index,
             api.RequestArrived(self.last_request, 0, self.random.getrandbits(40), now + MEDIA.deadline_us, SIZE_KB),
         )
-        self.at(now + int(self.random.expovariate(per_s) * 1e6), self.arrive, index, per_s)
+        self.schedule(now + int(self.random.expovariate(per_s) * 1e6), self.arrive, index, per_s)
 
-    def hear(self, now, index, cold):
+    def update_membership(self, now, index, cold):
         self.feed(
             now,
             index,
@@ -136,55 +139,60 @@
 
     def restart(self, now, index):
         self.routers[index] = self.start(index)
-        self.hear(now, index, True)
+        self.update_membership(now, index, True)
 
     def run(self):
         for index in range(self.directors):
-            self.hear(START - SECOND, index, False)
-            self.at(START + self.random.randrange(TOLD_WITHIN_US), self.hear, index, True)
+            self.update_membership(START - SECOND, index, False)
+            self.schedule(START + self.random.randrange(MAX_MEMBERSHIP_DELAY_US), self.update_membership, index, True)
             share = self.random.choice((0.3, 1.0, 1.0, 3.0))  # some see several times the mean
-            self.at(START + self.random.randrange(SECOND), self.arrive, index, REQUESTS_PER_S * share)
+            self.schedule(START + self.random.randrange(SECOND), self.arrive, index, REQUESTS_PER_S * share)
             if index % 2:
-                self.at(RESTART_AT + self.random.randrange(SECOND), self.restart, index)
+                self.schedule(RESTART_AT + self.random.randrange(SECOND), self.restart, index)
         while self.events and self.events[0][0] < START + LENGTH_US:
-            now, _, act, args = heapq.heappop(self.events)
-            act(now, *args)
+            now, _, callback, args = heapq.heappop(self.events)
+            callback(now, *args)
 
 
-def allowed(weight, least, warm_up_us, window_began):
-    share = min(1.0, least + (1 - least) * max(0, window_began - START) / warm_up_us)
-    calls = MULTIPLE * share * weight * WINDOW_US / 1e6 / WORK_S
+def max_calls(weight, cold_ratio, warm_up_us, window_start):
+    share = min(1.0, cold_ratio + (1 - cold_ratio) * max(0, window_start - START) / warm_up_us)
+    calls = OVERLOAD_MULTIPLE * share * weight * WINDOW_US / 1e6 / WORK_S
     return calls + 2 * math.sqrt(calls) + 2
 
 
-def fullest(times, weight, least, warm_up_us):
+def max_budget_use(times, weight, cold_ratio, warm_up_us):
     """The largest share of what is allowed in any window, and the calls of all of them."""
     times = [t for t in times if t >= START]
     shares = [
-        sum(began <= t < began + WINDOW_US for t in times) / allowed(weight, least, warm_up_us, began)
-        for began in times
+        sum(window_start <= t < window_start + WINDOW_US for t in times)
+        / max_calls(weight, cold_ratio, warm_up_us, window_start)
+        for window_start in times
     ]
     return max(shares, default=0.0), len(times)
 
 
-@pytest.fixture(scope="module", params=[(n, seed) for n in SIZES for seed in (1, 2)], ids=lambda p: f"{p[0]}-{p[1]}")
+@pytest.fixture(
+    scope="module",
+    params=[(n, seed) for n in LOCATIONS_BY_DIRECTORS for seed in (1, 2)],
+    ids=lambda p: f"{p[0]}-{p[1]}",
+)
 def fleet(request):
-    made = Fleet(*request.param)
-    made.run()
-    return made
+    simulated = Fleet(*request.param)
+    simulated.run()
+    return simulated
 
 
-def test_a_cold_cache_gets_no_more_from_all_directors_than_it_bears(fleet):
-    share, calls = fullest(fleet.sent[COLD_CACHE], CACHE_WEIGHT, LEAST, WARM_UP_US)
+def test_cold_cache_is_not_overloaded_by_all_directors_together(fleet):
+    share, calls = max_budget_use(fleet.sent[COLD_CACHE], CACHE_WEIGHT, CACHE_COLD_RATIO, CACHE_WARM_UP_US)
     assert calls > 0 and share <= 1.0
 
 
-def test_a_cold_parent_gets_no_more_fills_from_all_directors_than_it_bears(fleet):
-    share, calls = fullest(fleet.sent[COLD_PARENT], PARENT_WEIGHT, PARENT_LEAST, PARENT_WARM_UP_US)
+def test_cold_parent_is_not_overloaded_by_all_directors_together(fleet):
+    share, calls = max_budget_use(fleet.sent[COLD_PARENT], PARENT_WEIGHT, PARENT_COLD_RATIO, PARENT_WARM_UP_US)
     assert calls > 0 and share <= 1.0
 
 
-class Careless(Fleet):
+class FleetWithoutSlowStart(Fleet):
     """Directors that take a cold member for a warm one."""
 
     def start(self, index):
@@ -193,9 +201,9 @@
         return router
 
 
-def test_directors_without_a_budget_are_found():
+def test_check_detects_directors_without_a_slow_start_budget():
     """The check must be able to fail."""
-    made = Careless(30, 1)
-    made.run()
-    assert fullest(made.sent[COLD_CACHE], CACHE_WEIGHT, LEAST, WARM_UP_US)[0] > 1.0
-    assert fullest(made.sent[COLD_PARENT], PARENT_WEIGHT, PARENT_LEAST, PARENT_WARM_UP_US)[0] > 1.0
+    simulated = FleetWithoutSlowStart(30, 1)
+    simulated.run()
+    assert max_budget_use(simulated.sent[COLD_CACHE], CACHE_WEIGHT, CACHE_COLD_RATIO, CACHE_WARM_UP_US)[0] > 1.0
+    assert max_budget_use(simulated.sent[COLD_PARENT], PARENT_WEIGHT, PARENT_COLD_RATIO, PARENT_WARM_UP_US)[0] > 1.0
