--- a/rookbend/routing/__init__.py
+++ b/rookbend/routing/__init__.py
@@ -1,8 +1,8 @@
-"""Every decision of the router: events in, actions out (rookbend.interface). `Router` is the entry.
+"""The routing decisions: events in, actions out (both in rookbend.interface). `Router` is the entry point.
 
 State: request_state, server_stats, membership, attempt_tracking, cached_copies, purge_log, timers.
-The way of a request: request_lifecycle, request_collapsing, read_sending, write_sending, fill_queue.
-Rules: admission, endpoint_selection, source_selection, origin_protection, slow_start, server_load,
+Request path: request_lifecycle, request_collapsing, read_sending, write_sending, fill_queue.
+Policies: admission, endpoint_selection, source_selection, origin_protection, slow_start, server_load,
 fill_concurrency, fill_rate, fill_lateness, outlier_detection, silence_detection, failure_attribution,
 retry_policy, transfer_estimates, membership_updates, rendezvous_hash.
 """
--- a/rookbend/routing/attempt_tracking.py
+++ b/rookbend/routing/attempt_tracking.py
@@ -21,7 +21,7 @@
     def start(
         self, request: Request, member: Member, source: int | None, timeout_us: float, may_fill: bool, now_us: int
     ) -> Attempt:
-        """Record an attempt. Its time-out doubles with each one that ran out, and is bounded by the deadline."""
+        """Record an attempt. Its time-out doubles with each earlier time-out of the request, up to the deadline."""
         server = member.server
         limit_us = int(min(timeout_us * 2**request.timeout_count, request.deadline_us - now_us))
         attempt = Attempt(request, request.attempt_count, server, source, now_us, limit_us, may_fill)
@@ -44,12 +44,12 @@
 
     def _start_fill(self, request: Request, source: int) -> None:
         self.servers[source].fills_in_flight += 1
-        self.fill_limit.rate.tokens -= 1  # a write is a call as well, but waits for no token
+        self.fill_limit.rate.tokens -= 1  # a write consumes a token too, but waits for none
         if not request.is_write:
             self.fill_limit.in_flight += 1
 
     def finish(self, event: AttemptFinished) -> Attempt | None:
-        """Remove an attempt; None where it is not in flight."""
+        """Remove an attempt from those in flight; returns it, or None where it is not in flight."""
         attempt = self.in_flight.pop((event.request, event.attempt), None)
         if attempt is None:
             return None
@@ -61,7 +61,7 @@
         return attempt
 
     def update_request(self, attempt: Attempt, event: AttemptFinished) -> None:
-        """Clear an attempt that is over from its request, and that it may have executed where it surely did not."""
+        """Clear a finished attempt from its request, and the possible execution where the status rules it out."""
         request = attempt.request
         if request.attempt is attempt:
             request.attempt = None
--- a/rookbend/routing/cached_copies.py
+++ b/rookbend/routing/cached_copies.py
@@ -1,4 +1,4 @@
-"""Where an object was served from lately: a copy is there, and there is no fill to wait for."""
+"""The servers that recently served each object: they hold a copy, so that a request needs no fill."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from rookbend.routing.membership import Membership
 from rookbend.routing.request_state import ObjectKey, Request
 
-TABLE_REQUESTS_RATIO = 1.0  # objects remembered, in the requests that a router may hold
-LIFETIME_PROPAGATION_RATIO = 0.5  # a copy is taken to be there for this share of a purge's propagation time
+TABLE_REQUESTS_RATIO = 1.0  # size of the table, relative to max_requests_in_flight
+LIFETIME_PROPAGATION_RATIO = 0.5  # how long a copy is assumed to exist, relative to the purge propagation time
 
 
 @dataclass(slots=True)
 class CachedCopy:
-    """Where and when an object was served, and what its transfer took or was expected to take."""
+    """Server and time of an object's last response, and its measured or expected transfer time."""
 
     server: int
     served_us: int
@@ -23,7 +23,7 @@
 
 
 class CachedCopies:
-    """The last place that served each object."""
+    """The server that last served each object."""
 
     def __init__(self, settings: Settings, membership: Membership) -> None:
         self.settings = settings
@@ -33,11 +33,11 @@
         )
 
     def record(self, key: ObjectKey, server: int, now_us: int, transfer_us: float) -> None:
-        """A server has served the object."""
+        """Record that a server has served the object."""
         self.by_key.put(key, CachedCopy(server, now_us, transfer_us))
 
     def location(self, request: Request, purged_us: int | None, now_us: int) -> int | None:
-        """The ready server that still has a fresh copy, one served after the purge; None where none is sure to."""
+        """The ready server that should hold a fresh copy, served after the purge; None where there is none."""
         copy = self.by_key.get(request.key)
         if copy is None or (purged_us is not None and copy.served_us <= purged_us):
             return None
--- a/rookbend/routing/endpoint_selection.py
+++ b/rookbend/routing/endpoint_selection.py
@@ -1,4 +1,4 @@
-"""Which cache an attempt goes to, and which parent fills it: the hash order, past those that can't take it."""
+"""Selection of the cache of an attempt and the parent of a fill: the first in hash order that can take it."""
 
 from __future__ import annotations
 
@@ -12,21 +12,22 @@
 from rookbend.routing.server_stats import ServerTable
 from rookbend.routing.slow_start import SlowStart
 
-CONGESTED_TIME_LEFT_RATIO = 1.5  # a cache is crowded for a transfer that takes this much of the time left
-CONGESTED_UTILIZATION_RATIO = 1.5  # fuller than this where all are crowded, it refuses a transfer of any size
-PARENT_CONGESTED_SHARE_RATIO = 4.0  # fills at a parent, in this router's share of its capacity
-SPILLOVER_UTILIZATION_RATIO = 0.33  # a crowded cache is left only for one that is so much less full
-SPILLOVER_MAX_SLOWNESS_RATIO = 1.5  # unless it is slower than this
+CONGESTED_TIME_LEFT_RATIO = 1.5  # a transfer that takes more than this share of the time left congests a cache
+CONGESTED_UTILIZATION_RATIO = 1.5  # without spillover, requests of any size are rejected above this
+PARENT_CONGESTED_SHARE_RATIO = 4.0  # fills at a parent, relative to this router's share of its capacity
+SPILLOVER_UTILIZATION_RATIO = 0.33  # spillover only to a cache below this share of the congested one's utilization,
+SPILLOVER_MAX_SLOWNESS_RATIO = 1.5  # unless the congested one is full or at least this slow
 
-# The first candidate that suits, the first that is not failing, and the first that may be used at all.
+# The first member that is healthy and not congested, the first that is healthy, and the first that is usable at all.
 Candidates = tuple[Member | None, Member | None, Member | None]
 
 
 class EndpointSelector:
-    """Picks from an object's hash order.
+    """Selects from an object's hash order.
 
-    Slow start budgets and drains bind always. Ejections and crowding give way when nothing better is left, but
-    an ejected server with an attempt of ours gets no other. Nothing is tried twice.
+    Slow start budgets and drains always apply. Ejection and congestion are ignored when no better server is left,
+    but an ejected server gets at most one attempt of this router at a time. Servers that the request has already
+    tried are skipped.
     """
 
     def __init__(
@@ -48,7 +49,7 @@
     def choose_cache(self, request: Request, preferred: int | None, now_us: int) -> Member | None:
         """The cache for the next attempt, `preferred` before others.
 
-        Sets `request.cannot_meet_objective` where it is the first attempt and would be late at every cache.
+        Sets `request.cannot_meet_objective` where this is the first attempt and it would be late at every cache.
         """
         order = self.membership.order(request.key).caches
         suitable, healthy, usable = self._scan(request, order, request.tried_servers, preferred, False, now_us)
@@ -75,7 +76,7 @@
         if preferred is not None:
             order = sorted(order, key=lambda member: member.server != preferred)
         healthy = usable = None
-        for member in order:  # mostly the first suits: the others are not looked at
+        for member in order:  # usually returns at the first member
             if member.state is not MemberState.READY or member.server in excluded:
                 continue
             if not self.slow_start.admits(member, now_us, request.slow_start_charge_us):
@@ -93,10 +94,11 @@
         return None, healthy, usable
 
     def _spillover(self, request: Request, primary: Member, alternative: Member | None, now_us: int) -> Member | None:
-        """Where a request goes whose home cache is crowded: to `other`, the first that is not, or home.
+        """Choose between `primary`, the congested first healthy cache, and `alternative`, the first not congested.
 
-        Home where there is no other or that is about as full: another fill there would take capacity from requests
-        that can be on time. At home the request has to fit, by its least transfer time where its size is a guess.
+        The primary is kept where there is no alternative or the alternative is about as full: a second fill there
+        would take capacity from requests that can be on time. The request must then fit at the primary; where its
+        size is estimated, its minimum transfer time decides.
         """
         stats = self.servers[primary.server]
         is_responsive = now_us >= stats.full_until_us and stats.slowness() < SPILLOVER_MAX_SLOWNESS_RATIO
@@ -112,7 +114,7 @@
         return primary
 
     def is_congested(self, member: Member, request: Request, transfer_us: float, now_us: int) -> bool:
-        """Whether a server holds so much that the transfer would be late there."""
+        """Whether a server is loaded so much that the transfer would be late."""
         stats = self.servers[member.server]
         if member.kind == self.settings.parent_kind:
             share = self.membership.weight(member) / self.settings.router_count
--- a/rookbend/routing/failure_attribution.py
+++ b/rookbend/routing/failure_attribution.py
@@ -1,4 +1,4 @@
-"""Whose fault the end of an attempt was: the cache's, the source's, the origin's or the request's own."""
+"""Attribution of a failed attempt to the cache, the source, the origin or the request itself."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from rookbend.routing.request_state import Attempt, Request
 from rookbend.routing.server_stats import ServerTable
 
-FULL_PAUSE_CONNECT_TIMEOUTS = 0.5  # how long a cache that turned an attempt away is passed over
+FULL_PAUSE_CONNECT_TIMEOUTS = 0.5  # how long a cache that rejected an attempt counts as full
 
 ANSWERED_BY_CACHE = (AttemptStatus.MISS, AttemptStatus.FULL, AttemptStatus.ERROR)
 UNATTRIBUTED_STATUSES = (AttemptStatus.CANCELLED, AttemptStatus.MOOT, AttemptStatus.MISS)
@@ -19,14 +19,14 @@
 
 
 def is_origin_failure(attempt: Attempt, detail: AttemptDetail, membership: Membership) -> bool:
-    """Whether the origin failed an attempt: by its answer through a parent, or as the source itself."""
+    """Whether the origin failed an attempt: as reported through a parent, or as the source itself."""
     if detail is AttemptDetail.ORIGIN_FAILED:
         return True
     return detail in SOURCE_UNAVAILABLE and membership.is_origin(attempt.source)
 
 
 class FailureAttribution:
-    """Tells cache, source and origin apart by status, detail and what else answers."""
+    """Attributes failures by status and detail, and by which other attempts are answered."""
 
     def __init__(
         self,
@@ -43,13 +43,13 @@
         self.origin_protection = origin_protection
 
     def attribute(self, attempt: Attempt, event: AttemptFinished, now_us: int) -> None:
-        """Record the end of an attempt with its servers, and with the request what it is not to try again."""
+        """Record the end of an attempt for its servers, and the servers that the request is not to try again."""
         status = event.status
         request = attempt.request
         if status is AttemptStatus.CANCELLED:
             self._cancelled(attempt)
         if status in ANSWERED_BY_CACHE:
-            self.outliers.record_answer(attempt.server, now_us)  # what is slow or fails lies behind it
+            self.outliers.record_answer(attempt.server, now_us)  # the cause of a delay or failure lies behind it
         if status in UNATTRIBUTED_STATUSES:
             return
         if status is AttemptStatus.OK:
@@ -61,7 +61,7 @@
             self.servers[attempt.server].full_until_us = now_us + pause_us
             request.tried_servers.add(attempt.server)
         elif status is AttemptStatus.ERROR:
-            # No failure of the server yet: a request that nobody can use errs everywhere.
+            # Counts against the server only once another one serves the request: an invalid request fails on all.
             request.tried_servers.add(attempt.server)
             request.erring_servers.append(attempt.server)
         else:
@@ -76,7 +76,7 @@
 
     def _served(self, attempt: Attempt, detail: AttemptDetail, now_us: int) -> None:
         request = attempt.request
-        for server in request.erring_servers:  # another one serves the request: it was they who failed
+        for server in request.erring_servers:  # another server serves the request, so these have failed
             self.outliers.record_failure(server, now_us)
         request.erring_servers.clear()
         self.outliers.record_success(attempt.server, now_us)
@@ -92,12 +92,12 @@
 
     def _unanswered(self, attempt: Attempt, request: Request, status: AttemptStatus, now_us: int) -> None:
         if status is AttemptStatus.RESET and not request.had_reset:
-            request.had_reset = True  # one connection broke, maybe with the answer: that cache has it by now
+            request.had_reset = True  # not excluded yet: if only the answer was lost, that cache now has the object
         else:
             request.tried_servers.add(attempt.server)
         if status is AttemptStatus.TIMEOUT:
             request.timeout_count += 1
             answered_others = self.servers[attempt.server].last_answer_us >= attempt.sent_us
             if attempt.timeout_us < request.expected_transfer_us or answered_others:
-                return  # it can't be sent in that time, or the server does answer: no fault of its own
+                return  # too short for the transfer, or the server answers other attempts: not its failure
         self.outliers.record_failure(attempt.server, now_us)
--- a/rookbend/routing/fill_concurrency.py
+++ b/rookbend/routing/fill_concurrency.py
@@ -1,4 +1,4 @@
-"""How many fills this router has in flight at most: fewer when they come late."""
+"""The adaptive limit of this router's fills in flight, which falls when fills are late."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 from rookbend.routing.fill_rate import FillRateLimiter
 
-TARGET_LATE_RATIO = 0.06  # share of fills that may come late before the limit falls
-DECREASE_RATIO = 0.05  # of the limit with each late fill, times the root of the location's routers
+TARGET_LATE_RATIO = 0.06  # share of fills that may be late before the limit falls
+DECREASE_RATIO = 0.05  # share of the limit per late fill, times the square root of the location's router count
 MAX_DECREASE_RATIO = 0.5
-MIN_INCREASE_FILLS = 0.06  # with each timely fill
-MIN_LIMIT_CAPACITY_RATIO = 0.08  # of this router's share of what the caches carry
+MIN_INCREASE_FILLS = 0.06  # per timely fill
+MIN_LIMIT_CAPACITY_RATIO = 0.08  # relative to `FillConcurrencyLimit.capacity`, as the next two
 INITIAL_LIMIT_CAPACITY_RATIO = 1.0
 MAX_LIMIT_CAPACITY_RATIO = 4.0
 MIN_CAPACITY_TRANSFERS = 1.0
@@ -19,19 +19,19 @@
 class FillConcurrencyLimit:
     """Fills in flight and their limit: additive increase with timely fills, multiplicative decrease with late ones.
 
-    `capacity` is this router's share of what the location's caches carry, in transfers.
+    `capacity` is this router's share of the capacity of the location's caches, in transfers.
     """
 
     def __init__(self, rate: FillRateLimiter) -> None:
         self.rate = rate
         self.in_flight = 0
         self.limit = 0.0
-        self.is_sized = False  # until the first membership there is no limit to speak of
+        self.is_sized = False  # False until the first membership update sets the limit
         self.capacity = MIN_CAPACITY_TRANSFERS
         self.decrease_ratio = DECREASE_RATIO
 
     def resize(self, cache_capacity: float, router_count: int) -> None:
-        """Fit the limit to the location: what its caches carry in transfers, shared by so many routers."""
+        """Fit the limit to the location: `cache_capacity`, in transfers, is shared by `router_count` routers."""
         share = cache_capacity / router_count
         self.capacity = max(share, MIN_CAPACITY_TRANSFERS)
         self.decrease_ratio = min(DECREASE_RATIO * math.sqrt(router_count), MAX_DECREASE_RATIO)
@@ -46,7 +46,7 @@
         return self.in_flight < self.limit and self.rate.has_token(now_us)
 
     def observe(self, late: bool) -> None:
-        """Adjust the limit to a fill that has ended."""
+        """Adjust the limit after a fill has ended."""
         if late:
             lower_bound = MIN_LIMIT_CAPACITY_RATIO * self.capacity
             self.limit = max(lower_bound, self.limit * (1 - self.decrease_ratio))
--- a/rookbend/routing/fill_queue.py
+++ b/rookbend/routing/fill_queue.py
@@ -4,7 +4,7 @@
 
 from rookbend.routing.request_state import Request
 
-FILL_TRANSFER_RATIO = 2.5  # what a fill takes, in the request's transfer times
+FILL_TRANSFER_RATIO = 2.5  # duration of a fill, relative to the request's transfer time
 MIN_TRANSFER_US = 1.0
 
 
@@ -14,12 +14,12 @@
 
 
 def latest_start_us(request: Request) -> float:
-    """When a fill has to start at the latest to meet the request's objective."""
+    """Latest start of a fill that meets the request's objective."""
     return request.objective_deadline_us - FILL_TRANSFER_RATIO * request.expected_transfer_us
 
 
 class FillQueue:
-    """Waiting requests, oldest first; `open_requests` are all that have no final answer yet."""
+    """Waiting requests, oldest first; `open_requests` holds all requests without a final answer."""
 
     def __init__(self, open_requests: dict[int, Request]) -> None:
         self.open_requests = open_requests
@@ -30,7 +30,7 @@
         return request.id in self.open_requests and request.attempt is None and can_be_on_time(request, now_us)
 
     def take_best(self, now_us: int) -> Request | None:
-        """Remove the request of the highest priority for its transfer among those that can be on time."""
+        """Remove and return the request with the highest `priority` among those that can be on time."""
         candidates = [request for request in self.waiting if self.admits(request, now_us)]
         if not candidates:
             return None
--- a/rookbend/routing/fill_rate.py
+++ b/rookbend/routing/fill_rate.py
@@ -1,14 +1,14 @@
-"""The rate of fills that is set from outside."""
+"""The externally set rate limit of fills."""
 
 from __future__ import annotations
 
-BURST_S = 0.5  # fills at once, in seconds of the rate
+BURST_S = 0.5  # bucket size, in seconds at the set rate
 MIN_BURST_FILLS = 1.0
 US_PER_S = 1e6
 
 
 class FillRateLimiter:
-    """A token bucket under the rate set from outside; None: any rate."""
+    """A token bucket of `per_second` fills, which is set from outside; None: no limit."""
 
     def __init__(self) -> None:
         self.per_second: float | None = None
@@ -16,7 +16,7 @@
         self.refilled_us = 0
 
     def set_rate(self, now_us: int, per_second: float | None, initial_tokens: float) -> None:
-        """Change the rate. A bucket that had none starts with `initial_tokens`."""
+        """Change the rate. Where there was no limit, the bucket starts with `initial_tokens`."""
         if self.per_second is None:
             self.tokens = initial_tokens
             self.refilled_us = now_us
@@ -25,12 +25,12 @@
         self.per_second = per_second
 
     def refill(self, now_us: int, per_second: float) -> float:
-        """Add what has come in since the last refill; returns the tokens."""
+        """Add the tokens due since the last refill; returns the tokens in the bucket."""
         burst = max(MIN_BURST_FILLS, BURST_S * per_second)
         self.tokens = min(burst, self.tokens + (now_us - self.refilled_us) * per_second / US_PER_S)
         self.refilled_us = now_us
         return self.tokens
 
     def has_token(self, now_us: int) -> bool:
-        """Whether a fill may start under the rate."""
+        """Whether the rate limit allows a fill now."""
         return self.per_second is None or self.refill(now_us, self.per_second) >= 1
--- a/rookbend/routing/membership.py
+++ b/rookbend/routing/membership.py
@@ -1,4 +1,4 @@
-"""The current membership: which members are ready, their role, and the hash order of an object over them."""
+"""The current membership: the members by role, their readiness, and the hash order of each object over them."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from rookbend.routing.request_state import ObjectKey
 
 MIN_WEIGHT_TRANSFERS = 1e-3
-UNIFORM_WEIGHT_TRANSFERS = 1.0  # of every member where weights say nothing of capacity
+UNIFORM_WEIGHT_TRANSFERS = 1.0  # of every member where the configured weights are not capacities
 INCREMENTAL_UPDATES = (MembershipUpdateKind.DELTA, MembershipUpdateKind.FAILED)
 
 
 class PreferenceOrder(NamedTuple):
-    """The members that an object hashes to, best first. Draining ones stay in, so that the order is stable."""
+    """Members in the hash order of an object, best first. Draining members stay in it, to keep the order stable."""
 
     caches: list[Member]
     parents: list[Member]
@@ -35,7 +35,7 @@
         self._hashed_parents: list[WeightedMember] = []
 
     def apply(self, event: MembershipUpdated) -> list[int]:
-        """Take over a full list or a change; returns the servers that are new or restarted."""
+        """Apply a full list or a change; returns the servers that are new or have restarted."""
         previous = self.all
         current = dict(previous) if event.kind in INCREMENTAL_UPDATES else {}
         for member in event.members:
@@ -89,19 +89,19 @@
         return UNIFORM_WEIGHT_TRANSFERS
 
     def cache_capacity(self) -> float:
-        """Transfers that the caches of this location carry together."""
+        """Total capacity of the caches of this location, in transfers."""
         return sum(map(self.weight, self.caches))
 
     def location_router_count(self) -> int:
-        """Routers at this router's location, at least 1; all routers where that is not known."""
+        """Number of routers at this router's location, at least 1; of all routers where that is unknown."""
         by_zone = self.settings.routers_by_zone
         zone = self.settings.zone
         return max(1, by_zone[zone] if zone < len(by_zone) else self.settings.router_count)
 
     def order(self, key: ObjectKey) -> PreferenceOrder:
-        """The order for an (object id, part).
+        """The hash order of an (object id, part).
 
-        Parts are spread over the caches, each cached by itself; all fills of an object meet at one parent.
+        Each part is cached separately, so parts are spread over the caches; all parts of an object share one parent.
         """
         order = self.orders.get(key)
         if order is None:
--- a/rookbend/routing/membership_updates.py
+++ b/rookbend/routing/membership_updates.py
@@ -1,4 +1,4 @@
-"""What a change of the membership leads to: restarted servers start afresh, departed ones are forgotten."""
+"""Effects of membership updates: statistics of restarted servers are reset, those of departed ones dropped."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from rookbend.routing.slow_start import SlowStart
 from rookbend.routing.timers import RouterTimer, TimerTable
 
-RESUBSCRIBE_POLL_INTERVAL_RATIO = 0.125  # a failed subscription is repeated after this share of the poll interval
+RESUBSCRIBE_POLL_INTERVAL_RATIO = 0.125  # delay after a failed subscription, relative to the poll interval
 
 
 class MembershipUpdates:
@@ -33,7 +33,7 @@
         self.is_subscribed = False
 
     def apply(self, event: MembershipUpdated) -> list[Action]:
-        """Apply an update; returns the actions that keep the subscription."""
+        """Apply an update; returns the actions that maintain the subscription."""
         for server in self.membership.apply(event):
             self.servers[server].reset()
         self._forget_departed()
@@ -49,7 +49,7 @@
         return []
 
     def _forget_departed(self) -> None:
-        """Drop servers that have left, once no attempt is at them: their replacements come under new ids."""
+        """Drop departed servers without attempts in flight: replacements get new ids, so old entries stay unused."""
         for server, stats in list(self.servers.items()):
             if server not in self.membership.all and not stats.in_flight + stats.fills_in_flight:
                 del self.servers[server]
--- a/rookbend/routing/outlier_detection.py
+++ b/rookbend/routing/outlier_detection.py
@@ -1,4 +1,4 @@
-"""Ejection of servers that fail, and their return by one attempt at a time."""
+"""Ejection of failing servers, and their return in a half-open state with one attempt at a time."""
 
 from __future__ import annotations
 
@@ -7,27 +7,27 @@
 
 MAX_CONSECUTIVE_FAILURES = 3
 MAX_ERROR_RATIO = 0.45
-ERROR_SPAN_ATTEMPTS = 8  # attempts over which ratios of a server are averaged
-FIRST_EJECTION_CONNECT_TIMEOUTS = 3.0  # each further one without a success in between takes twice as long
+ERROR_SPAN_ATTEMPTS = 8  # attempts over which a server's ratios are averaged
+FIRST_EJECTION_CONNECT_TIMEOUTS = 3.0  # doubles with each further ejection without a success in between
 MAX_EJECTION_WARM_UP_RATIO = 0.5
 
 
 class OutlierDetector:
-    """Ejects a server on failures in a row or on its failure rate; a success ends the ejection."""
+    """Ejects a server after consecutive failures or at a high error ratio; a success ends the ejection."""
 
     def __init__(self, settings: Settings, servers: ServerTable) -> None:
         self.settings = settings
         self.servers = servers
 
     def record_answer(self, server: int, now_us: int) -> ServerStats:
-        """The server answers, whatever it says: it is not silent."""
+        """Record any answer of the server, which shows that it is not silent."""
         stats = self.servers[server]
         stats.overdue_unanswered = 0
         stats.last_answer_us = now_us
         return stats
 
     def record_success(self, server: int, now_us: int) -> None:
-        """The server has served an attempt, or filled one."""
+        """Record that the server has served an attempt or filled one."""
         stats = self.record_answer(server, now_us)
         stats.consecutive_failures = 0
         stats.ejected_until_us = 0.0
@@ -36,7 +36,7 @@
         stats.ejection_us = 0.0
 
     def record_failure(self, server: int, now_us: int) -> None:
-        """The server has failed an attempt."""
+        """Record that the server has failed an attempt."""
         stats = self.servers[server]
         stats.consecutive_failures += 1
         stats.error_ratio += (1 - stats.error_ratio) / ERROR_SPAN_ATTEMPTS
@@ -48,7 +48,7 @@
             self.eject(server, now_us)
 
     def eject(self, server: int, now_us: int) -> None:
-        """Eject a server that is not ejected already."""
+        """Eject a server unless it is already ejected."""
         stats = self.servers[server]
         if now_us < stats.ejected_until_us:
             return
@@ -59,6 +59,6 @@
         stats.is_half_open = True
 
     def admits(self, server: int, now_us: int, in_use: int = 0) -> bool:
-        """Whether the server may get an attempt, with `in_use` of them at it: ejected none, on trial one."""
+        """Whether the server may get an attempt beside `in_use` others: none while ejected, one while half-open."""
         stats = self.servers[server]
         return now_us >= stats.ejected_until_us and not (stats.is_half_open and in_use)
--- a/rookbend/routing/read_sending.py
+++ b/rookbend/routing/read_sending.py
@@ -1,4 +1,4 @@
-"""Sends reads: to a cache, which may fill from a source, within all limits."""
+"""Sends reads to a cache, which may fill from a source, within all limits."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 
 OVERDUE_OBJECTIVE_RATIO = 0.7  # a read is overdue after these shares of its objective and its transfer time
 OVERDUE_TRANSFER_RATIO = 1.7
-TIMEOUT_OBJECTIVE_RATIO = 6.0  # long: a fill runs on, so that an early end only adds another
+TIMEOUT_OBJECTIVE_RATIO = 6.0  # long: a fill outlives its attempt, so an early time-out only adds another fill
 TIMEOUT_TRANSFER_RATIO = 6.0
 RETENTION_RANK = 1
-MIN_MAX_AGE_US = 1  # 0 would mean the class's fresh time
+MIN_MAX_AGE_US = 1  # 0 would select the class's freshness lifetime
 DEFAULT_MAX_AGE_US = 0
 
 
 class ReadSender:
-    """Sends reads. The actions of an attempt are appended to those of the event: its timer, then the attempt."""
+    """Sends reads. The actions of an attempt, its timer and then its fetch, are appended to those of the event."""
 
     def __init__(
         self,
@@ -64,7 +64,7 @@
         now_us: int,
         actions: list[Action],
     ) -> Denial | None:
-        """Send a read to the preferred cache and from the preferred source where these can take it, else to others.
+        """Send a read to the preferred cache, to fill from the preferred source, or to others if these can't take it.
 
         Returns why no attempt was sent, or None.
         """
@@ -84,7 +84,7 @@
     def _fetch(
         self, request: Request, member: Member, source: Member | None, now_us: int, actions: list[Action]
     ) -> Denial | None:
-        """Send a read to `member`, from cached copies alone where no fill may start."""
+        """Send a read to `member`, limited to cached copies where no fill may start."""
         purged_us = self.purges.latest(request.object_id, request.group, now_us)
         is_cached = self.copies.location(request, purged_us, now_us) == member.server
         cache_only = not is_cached and source is not None and not self.fill_limit.has_capacity(now_us)
@@ -114,9 +114,10 @@
         return None
 
     def _is_parent_only(self, request: Request, source: Member | None, cache_only: bool, now_us: int) -> bool:
-        """Whether the attempt may take what a parent holds, and not go on to the origin.
+        """Whether the attempt may use a copy at a parent but may not reach the origin.
 
-        A cache-only attempt does where parents are timely and the origin is what is slow: that takes no fill.
+        This holds for cache-only attempts while fills from parents are timely and those from the origin are late,
+        since it takes no fill capacity, and for some reads after a failure of the origin.
         """
         if cache_only and self.settings.answer_detail == "all" and self.fill_monitor.origin_is_slow():
             return True
@@ -125,21 +126,21 @@
         return self.origin_protection.skips_origin(request.id, now_us)
 
     def _max_age_us(self, request: Request, purged_us: int, now_us: int) -> int:
-        """Age below which a copy is younger than the purge."""
+        """Age in microseconds below which a copy is younger than the purge."""
         since_purge_us = now_us - purged_us - self.settings.clock_tick_us
         fresh_us = request.traffic_class.freshness_lifetime_us or now_us
         return max(MIN_MAX_AGE_US, min(since_purge_us, fresh_us))
 
 
 def timeout_us(request: Request) -> float:
-    """Time-out of a read, before it is doubled with each one that ran out."""
+    """Time-out of a read in microseconds, before `AttemptTracker.start` doubles it for each earlier time-out."""
     objective_us = request.traffic_class.latency_objective_us
     transfer_us = request.expected_transfer_us
     return TIMEOUT_OBJECTIVE_RATIO * objective_us + TIMEOUT_TRANSFER_RATIO * transfer_us
 
 
 def overdue_after_us(request: Request, slowness_ratio: float) -> float:
-    """How long a read takes at the most, unless it is overdue, at a server that is so slow."""
+    """Time in microseconds after which a read is overdue at a server of this slowness."""
     objective_us = request.traffic_class.latency_objective_us
     transfer_us = request.expected_transfer_us
     return OVERDUE_OBJECTIVE_RATIO * objective_us + OVERDUE_TRANSFER_RATIO * transfer_us * slowness_ratio
--- a/rookbend/routing/rendezvous_hash.py
+++ b/rookbend/routing/rendezvous_hash.py
@@ -20,13 +20,13 @@
 
 
 def uniform_draw(seed: int, value: int) -> float:
-    """A number from 0 to below 1 that routers of different seeds draw apart, the same each time for a value."""
+    """A pseudo-random number from 0 to below 1: the same for each seed and value, different between seeds."""
     return mix(seed ^ value) % 1024 / 1024
 
 
 @dataclass(frozen=True, slots=True)
 class WeightedMember:
-    """A member with what its score rests on: the hash of its id, and its weight (above 0)."""
+    """A member and the inputs of its score: the hash of its id, and its weight (above 0)."""
 
     server_hash: int
     weight: float
@@ -34,7 +34,7 @@
 
 
 def preference_order(object_hash: int, candidates: Iterable[WeightedMember]) -> list[Member]:
-    """Members for an object, best first. Each comes first for its weight's share of all objects."""
+    """Members for an object, best first. Each is first for a share of objects proportional to its weight."""
 
     def score(candidate: WeightedMember) -> float:
         uniform = ((mix(object_hash ^ candidate.server_hash) >> 11) + 0.5) / (1 << 53)
--- a/rookbend/routing/request_lifecycle.py
+++ b/rookbend/routing/request_lifecycle.py
@@ -1,6 +1,6 @@
-"""The way of a request from its arrival to its final answer.
+"""The lifecycle of a request, from its arrival to its final answer.
 
-A read waits for the fill of its object that is under way, or leads one, at the cache and the parent that it
+A read waits for a fill of its object that is in flight, or leads one at the cache and the parent that the object
 hashes to. A write goes to the origin.
 """
 
@@ -25,7 +25,7 @@
 
 
 class RequestLifecycle:
-    """Takes requests from step to step. `now_us` and `actions` belong to the event that is being handled."""
+    """Advances requests from step to step. `now_us` and `actions` belong to the event that is being handled."""
 
     def __init__(
         self,
@@ -66,16 +66,16 @@
             self.join_or_lead(request)
 
     def join_or_lead(self, request: Request) -> None:
-        """Wait for the fill of the object that is under way, or lead one; neither where a copy is known."""
+        """Wait for a fill of the object that is in flight, or lead one; neither where a copy is known."""
         purged_us = self.purges.latest(request.object_id, request.group, self.now_us)
         fill = self.collapser.fills.get(request.key)
         if fill is None:
             if self.copies.location(request, purged_us, self.now_us) is not None:
-                self.send(request)  # the copy is there: no fill to wait for
+                self.send(request)  # a server holds a copy, so no fill is needed
             else:
                 self.lead(request)
         elif purged_us is not None and fill.started_us <= purged_us:
-            self.collapser.discard(request.key)  # it may bring the purged copy: never wait for it
+            self.collapser.discard(request.key)  # it may deliver the purged copy: no request may wait for it
             self.lead(request, fill.waiters)
         else:
             self._wait(request, fill)
@@ -89,17 +89,17 @@
             self._stop_waiting(request, fill)
 
     def _stop_waiting(self, request: Request, fill: CollapsedFill) -> None:
-        """Send a waiter after the fill, to join it at the cache."""
+        """Send a waiter to the cache of its fill, to join the fill there."""
         self.detach(request)
         self.send(request, fill.server, fill.source)
 
     def lead(self, request: Request, waiters: Iterable[Request] = ()) -> None:
-        """Lead a fill; where the table is full the request goes on all the same, and may join at the cache."""
+        """Lead a fill. Where the table is full, the request is sent without waiters and may join at the cache."""
         self.collapser.start(request, waiters, self.now_us)
         self.send(request)
 
     def send(self, request: Request, server: int | None = None, source: int | None = None) -> None:
-        """Send a read, to `server` and from `source` where these are given and can take it."""
+        """Send a read, to `server` and to fill from `source` where these are given and can take it."""
         denial = self.reads.send(request, server, source, self.now_us, self.actions)
         if denial is None:
             return
@@ -109,18 +109,18 @@
             self.reject(request)
 
     def _queue(self, request: Request) -> None:
-        """Wait until a fill may start, as long as that can be on time."""
+        """Wait until a fill may start, as long as the request can be on time."""
         self.fill_queue.waiting.append(request)
         wait_us = latest_start_us(request) - self.now_us + ROUND_UP_US
         self.actions.append(self.timers.start(wait_us, request))
 
     def send_write(self, request: Request) -> None:
-        """Send a write."""
+        """Send a write, or answer it where no attempt can be made."""
         if self.writes.send(request, self.now_us, self.actions) is not None:
             self.reject(request)
 
     def start_queued_fill(self) -> bool:
-        """Send the best of the requests that wait for a fill; False where none can be on time."""
+        """Send the request of the highest priority in the fill queue; False where none can be on time."""
         request = self.fill_queue.take_best(self.now_us)
         if request is None:
             return False
@@ -128,7 +128,7 @@
         return True
 
     def timer_fired(self, request: Request, token: int) -> None:
-        """A timer of a request has fired: its wait for a fill, for capacity, or a write's backoff is over."""
+        """Handle a request's timer: its wait for a fill, its wait for fill capacity or a write's backoff is over."""
         if request.id not in self.open_requests or request.attempt is not None or request.timer_token != token:
             return
         if request.collapsed_fill is not None and not request.is_leader:
@@ -172,20 +172,20 @@
             self.send(request)
 
     def _release_waiters(self, leader: Request, attempt: Attempt) -> None:
-        """The leader was served: its waiters go to the same cache and source, and may join there."""
+        """Send the waiters of a served leader to the same cache and source, where they may join a fill."""
         fill = self.collapser.end(leader)
         for waiter in fill.waiters if fill is not None else ():
             waiter.collapsed_fill = None
             self.send(waiter, attempt.server, attempt.source)
 
     def promote_waiter(self, leader: Request) -> None:
-        """A leader goes without having been served: the oldest waiter leads, and chooses for itself."""
+        """Let the oldest waiter lead in place of a leader that was not served; it selects its own cache and source."""
         fill = self.collapser.end(leader)
         if fill is not None and fill.waiters:
             self.lead(fill.waiters.popleft(), fill.waiters)
 
     def detach(self, request: Request) -> None:
-        """Take a request out of the queue and away from the fill that it leads or waits for."""
+        """Remove a request from the fill queue and from the fill that it leads or waits for."""
         self.fill_queue.discard(request)
         if request.is_leader:
             self.promote_waiter(request)
@@ -193,19 +193,19 @@
             self.collapser.stop_waiting(request)
 
     def cancel(self, request_id: int) -> None:
-        """The client has gone."""
+        """Drop a request that its client no longer waits for."""
         request = self.open_requests.pop(request_id, None)
         if request is not None:
             self.detach(request)
 
     def fail(self, request: Request) -> None:
-        """The final answer where a repeat by the client would end no better."""
+        """Answer a request as failed, where a repeat by the client would fail too."""
         self.open_requests.pop(request.id, None)
         self.actions.append(Fail(request.id))
         self.detach(request)
 
     def reject(self, request: Request) -> None:
-        """The final answer at once, where no attempt can be made."""
+        """Give a request its final answer at once, where no attempt can be made."""
         self.open_requests.pop(request.id, None)
         self.actions.append(self.admission.final_answer(request))
         self.detach(request)
--- a/rookbend/routing/request_state.py
+++ b/rookbend/routing/request_state.py
@@ -13,10 +13,10 @@
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """An open request and what was tried for it. Times are absolute, in microseconds."""
+    """An open request and its attempts so far. Deadlines and times of events are absolute, in microseconds."""
 
     id: int
-    traffic_class: TrafficClass  # as it was when the request came
+    traffic_class: TrafficClass  # as of the arrival of the request
     class_index: int
     object_id: int
     group: int
@@ -24,10 +24,10 @@
     deadline_us: int
     is_write: bool
 
-    # Expectations, set on arrival
+    # Estimates, set on arrival
     size_is_known: bool = False
     expected_transfer_us: float = 0.0
-    min_transfer_us: float = 0.0  # what it surely takes: less than expected where the size is a guess
+    min_transfer_us: float = 0.0  # lower bound, below the expected time where the size is unknown
     slow_start_charge_us: float = 0.0
     objective_deadline_us: float = 0.0
     cannot_meet_objective: bool = False
@@ -43,9 +43,9 @@
     possibly_executed_us: int | None = None  # start of the first attempt that may have been executed
     possibly_executed_at: Member | None = None
 
-    # What it waits for
+    # What the request waits for
     attempt: Attempt | None = None
-    timer_token: int | None = None  # only the newest timer of a request counts
+    timer_token: int | None = None  # of the newest timer; others are ignored
     collapsed_fill: CollapsedFill | None = None
     is_leader: bool = False
 
@@ -60,14 +60,14 @@
     source: int | None
     sent_us: int
     timeout_us: int
-    may_fill: bool  # it may start a fill at its source
-    is_cache_only: bool = False  # for want of fill capacity, it takes only what is cached
-    cancelled_for: int | None = None  # the silent server that it was cancelled for
+    may_fill: bool  # may start a fill from its source
+    is_cache_only: bool = False  # no fill capacity was left, so only a cached copy is used
+    cancelled_for: int | None = None  # the silent server that caused its cancellation
 
 
 @dataclass(slots=True, eq=False)
 class CollapsedFill:
-    """A fill under way for an (object id, part): its leader, where it goes, and the requests that wait for it."""
+    """A fill in flight of an (object id, part): its leader, its cache and source, and the requests that wait for it."""
 
     leader: Request
     started_us: int
@@ -77,7 +77,7 @@
 
 
 def new_request(event: RequestArrived, traffic_class: TrafficClass) -> Request:
-    """The state of a request that has just arrived, without its expectations."""
+    """The state of a request that has just arrived, without its estimates."""
     return Request(
         event.request,
         traffic_class,
--- a/rookbend/routing/retry_policy.py
+++ b/rookbend/routing/retry_policy.py
@@ -9,8 +9,8 @@
 from rookbend.routing.membership import Membership
 from rookbend.routing.request_state import Attempt, Request
 
-MIN_TIME_LEFT_TRANSFER_RATIO = 0.5  # no attempt where less than this share of its transfer time is left
-MAX_ERRORS = 3  # servers that answer a request with an error before the request itself is at fault
+MIN_TIME_LEFT_TRANSFER_RATIO = 0.5  # no attempt if less than this share of the minimum transfer time is left
+MAX_ERRORS = 3  # servers that answer with an error before the request itself is considered invalid
 FIRST_WRITE_BACKOFF_CONNECT_TIMEOUTS = 0.5  # doubles with each attempt
 
 
@@ -28,7 +28,7 @@
 
 
 class NextStep(Enum):
-    """What becomes of a request after the end of an attempt."""
+    """The step of a request that follows the end of an attempt."""
 
     SERVED = "it was served"
     FAILED = "it has failed for good"
@@ -42,7 +42,7 @@
 
 
 class RetryPolicy:
-    """The rules for attempts after the first, and the bounds of all."""
+    """The rules for repeated attempts, and the limits of all attempts."""
 
     def __init__(self, settings: Settings, membership: Membership) -> None:
         self.settings = settings
@@ -51,7 +51,8 @@
     def denial(self, request: Request, member: Member, now_us: int) -> Denial | None:
         """Why a request may not be sent to a member, or None where it may.
 
-        What may have been executed is repeated only within its retry scope and its idempotency key's window.
+        A request that may have been executed is repeated if it is idempotent, or within the window of its
+        idempotency key and its retry scope.
         """
         if request.attempt_count >= self.settings.max_attempts:
             return Denial.ATTEMPTS_EXHAUSTED
@@ -67,11 +68,11 @@
         return None if in_retry_scope(request, member) else Denial.OUTSIDE_RETRY_SCOPE
 
     def next_step(self, request: Request, attempt: Attempt, event: AttemptFinished, now_us: int) -> NextStep:
-        """What follows the end of an attempt of an open request that has no other in flight, or a final one."""
+        """The step after an attempt of an open request; no other attempt is in flight, or the end is final."""
         if event.final:
             return NextStep.SERVED if event.status is AttemptStatus.OK else NextStep.FAILED
         if is_origin_failure(attempt, event.detail, self.membership):
-            # Retried by all routers, an overloaded origin stays down: reads are answered, writes pause.
+            # Retries by all routers would keep an overloaded origin down: reads are rejected, writes back off.
             backs_off = request.is_write and now_us + self.write_backoff_us(request) < request.objective_deadline_us
             return NextStep.BACK_OFF if backs_off else NextStep.REJECT
         if len(request.erring_servers) >= MAX_ERRORS:
@@ -81,17 +82,17 @@
         if attempt.is_cache_only and event.status is AttemptStatus.MISS:
             return NextStep.FILL_AFTER_MISS
         if event.detail is AttemptDetail.SOURCE_LACKS:
-            return NextStep.REJECT  # no parent has it, and the origin was to be spared
+            return NextStep.REJECT  # no parent has a copy, and the read may not reach the origin
         return NextStep.HAND_OVER_AND_RETRY if request.is_leader else NextStep.RETRY
 
     def write_backoff_us(self, request: Request) -> float:
-        """How long a write pauses after the origin has failed it."""
+        """Backoff of a write in microseconds after the origin has failed it."""
         first_us = FIRST_WRITE_BACKOFF_CONNECT_TIMEOUTS * self.settings.connect_timeout_us
         return first_us * float(2 ** (request.attempt_count - 1))
 
 
 def in_retry_scope(request: Request, member: Member) -> bool:
-    """Whether a member knows the idempotency keys of the one where the request may have been executed."""
+    """Whether a member knows the idempotency keys of the member where the request may have been executed."""
     first = request.possibly_executed_at
     scope = request.traffic_class.retry_scope
     if scope == "all" or first is None:
--- a/rookbend/routing/router.py
+++ b/rookbend/routing/router.py
@@ -1,4 +1,4 @@
-"""The router: dispatches each event to the parts that it concerns, and answers with their actions."""
+"""The router: dispatches each event to the components concerned, and returns their actions."""
 
 from __future__ import annotations
 
@@ -54,9 +54,9 @@
 
 
 class Router:
-    """One router. It takes events in order, and answers each with the actions to take.
+    """A router. It handles events in order, and returns the actions for each.
 
-    `seed` parts the draws of routers that would act in step.
+    `seed` gives each router random draws of its own, so that routers don't act in step.
     """
 
     def __init__(self, settings: Settings, seed: int = 0) -> None:
@@ -144,7 +144,7 @@
         }
 
     def handle(self, now_us: int, event: Event) -> list[Action]:
-        """Handle one event; returns the actions it leads to, in order."""
+        """Handle one event; returns the resulting actions in order."""
         actions: list[Action] = []
         self.lifecycle.now_us = now_us
         self.lifecycle.actions = actions
@@ -155,7 +155,7 @@
         return actions
 
     def is_ejected(self, server: int, now_us: int) -> bool:
-        """Whether a server is ejected as an outlier; one that was never seen is not."""
+        """Whether a server is ejected as an outlier; an unknown one is not."""
         return server in self.servers and self.servers[server].ejected_until_us > now_us
 
     def _on_membership(self, now_us: int, event: MembershipUpdated) -> None:
@@ -163,13 +163,13 @@
 
     def _on_limits(self, now_us: int, event: AdmissionLimitsChanged) -> None:
         self.admission.rejected_classes = event.rejected_classes
-        # A draw: routers that are limited together don't begin in step.
+        # The initial tokens are random, so that routers limited at the same time don't start in step.
         self.fill_rate.set_rate(now_us, event.fills_per_second, uniform_draw(self.seed, self.settings.router_index))
         while self.fill_limit.limit and self.fill_limit.has_capacity(now_us) and self.lifecycle.start_queued_fill():
             pass
 
     def _on_settings(self, now_us: int, event: SettingsChanged) -> None:
-        """Classes join or change in their places: their statistics go on."""
+        """Apply new settings. Classes keep their positions, so that existing statistics remain valid."""
         self.settings = event.settings
         for component in (
             self.membership,
--- a/rookbend/routing/server_load.py
+++ b/rookbend/routing/server_load.py
@@ -1,4 +1,4 @@
-"""How full a server is: this router's own transfers, and those of others by the server's last load report."""
+"""Load of a server: this router's transfers, and those of others according to the server's last load report."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from rookbend.routing.slow_start import SlowStart
 
 REPORT_MAX_AGE_CONNECT_TIMEOUTS = 4.0
-USUAL_HIT_RATIO = 1.5  # what a hit usually takes at the most, in its transfer time and
-USUAL_HIT_DELAY_OBJECTIVE_RATIO = 0.1  # this share of its objective
+USUAL_HIT_RATIO = 1.5  # usual upper bound of a hit's duration, relative to its transfer time plus delay
+USUAL_HIT_DELAY_OBJECTIVE_RATIO = 0.1  # that delay, relative to the latency objective
 IN_FLIGHT_FIELD = "inflight"
 
 
 class ServerLoad:
-    """Load of each server, against what it carries while it warms up."""
+    """Load of each server, relative to its capacity, which is lower during warm-up."""
 
     def __init__(self, settings: Settings, membership: Membership, servers: ServerTable, slow_start: SlowStart) -> None:
         self.settings = settings
@@ -42,7 +42,7 @@
         stats.slowness_ratio += (event.elapsed_us / usual_us - stats.slowness_ratio) / ERROR_SPAN_ATTEMPTS
 
     def transfers(self, server: int, now_us: int) -> float:
-        """Transfers at a server: own ones, and others' where its report is new enough."""
+        """Transfers at a server: those of this router, and those of others where its load report is recent."""
         stats = self.servers[server]
         report = stats.load_report
         max_age_us = REPORT_MAX_AGE_CONNECT_TIMEOUTS * self.settings.connect_timeout_us
@@ -51,6 +51,6 @@
         return stats.in_flight + max(0.0, report.in_flight - report.own_in_flight)
 
     def utilization(self, member: Member, now_us: int) -> float:
-        """Transfers over those that fit, with one more."""
+        """Transfers at a server plus one, relative to its current capacity."""
         capacity = self.membership.weight(member) * self.slow_start.capacity_ratio(member, now_us)
         return (self.transfers(member.server, now_us) + 1) / capacity
--- a/rookbend/routing/silence_detection.py
+++ b/rookbend/routing/silence_detection.py
@@ -1,4 +1,4 @@
-"""Silent servers: several attempts at one are overdue, and nothing has come from it since they were sent."""
+"""Detection of silent servers: several attempts are overdue, and the server has not answered since they were sent."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class SilenceDetector:
-    """Ejects hung and vanished servers without ending slow fills: any answer clears a server."""
+    """Ejects hung and vanished servers without cancelling slow fills: any answer shows that a server is alive."""
 
     def __init__(
         self,
@@ -33,7 +33,7 @@
     def attempt_overdue(self, attempt: Attempt, now_us: int) -> list[CancelAttempt]:
         """Record that an attempt is overdue; returns the cancellations of attempts at a silent server.
 
-        A parent is silent only while another one answers: else it is the link or the origin.
+        A parent counts as silent only while another parent answers; otherwise the link or the origin is the cause.
         """
         if self.in_flight.get((attempt.request.id, attempt.number)) is not attempt:
             return []
--- a/rookbend/routing/source_selection.py
+++ b/rookbend/routing/source_selection.py
@@ -9,11 +9,11 @@
 from rookbend.routing.request_state import Request
 from rookbend.routing.server_stats import ServerTable
 
-MIN_PARENT_SHARE_TRANSFERS = 4.0  # a smaller share of a parent tells nothing of its link
+MIN_PARENT_SHARE_TRANSFERS = 4.0  # with a smaller share, own fills don't show whether a parent's link is full
 
 
 class SourceSelector:
-    """Picks the source of a fill."""
+    """Selects the source of a fill."""
 
     def __init__(
         self,
@@ -30,7 +30,7 @@
         self.fill_limit = fill_limit
 
     def choose(self, request: Request, preferred: int | None, now_us: int) -> Member | None:
-        """A parent; the origin where there is none, or for some of the fills of a parent whose link is full."""
+        """A parent; the origin where no parent is available, and for some fills while the parent's link is full."""
         parent = self.endpoints.choose_parent(request, preferred, now_us)
         origin = self.membership.ready_origin()
         if parent is None:
@@ -45,7 +45,7 @@
         return MIN_PARENT_SHARE_TRANSFERS < share < self.servers[parent.server].fills_in_flight
 
     def _may_bypass_to(self, origin: Member) -> bool:
-        """Whether the origin has fewer fills of this router than its part of the location's share."""
+        """Whether this router has fewer fills at the origin than the location's capacity divided by all routers."""
         location_routers = self.membership.location_router_count()
         share = self.fill_limit.capacity * location_routers / self.settings.router_count
         return self.servers[origin.server].fills_in_flight < share
--- a/rookbend/routing/timers.py
+++ b/rookbend/routing/timers.py
@@ -1,4 +1,4 @@
-"""The router's timers: what each token stands for."""
+"""The router's timers, with the owner of each token."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class TimerTable:
-    """Owners of the timers that run, by token."""
+    """Owners of the running timers, by token."""
 
     __slots__ = ("last_token", "owners")
 
@@ -29,7 +29,7 @@
         self.owners: dict[int, TimerOwner] = {}
 
     def start(self, delay_us: float, owner: TimerOwner) -> SetTimer:
-        """The action that starts a timer. Of a request only the newest counts."""
+        """The action that starts a timer. Only the newest timer of a request has an effect."""
         self.last_token += 1
         self.owners[self.last_token] = owner
         if type(owner) is Request:
@@ -37,5 +37,5 @@
         return SetTimer(max(MIN_DELAY_US, int(delay_us)), self.last_token)
 
     def take(self, token: int) -> TimerOwner | None:
-        """The owner of a timer that has fired."""
+        """Remove and return the owner of a timer that has fired; None where there is none."""
         return self.owners.pop(token, None)
--- a/rookbend/routing/transfer_estimates.py
+++ b/rookbend/routing/transfer_estimates.py
@@ -1,4 +1,4 @@
-"""What a transfer takes: from its size where that is known, else from what the object or its class took before."""
+"""Estimates of transfer times, from the size where it is known, else from past transfers of the object or class."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 from rookbend.routing.cached_copies import CachedCopies
 from rookbend.routing.request_state import Request
 
-PRIOR_SAMPLES = 10  # weight of the first guess in a class's mean
-PRIOR_OBJECTIVE_RATIO = 1.5  # the first guess, in latency objectives
-CHARGE_MEAN_RATIO = 1.25  # work charged to a slow start budget, in the class's mean transfer time
-MIN_ESTIMATE_RATIO = 0.3  # share of a guess that is sure enough to refuse by: most objects are small
+PRIOR_SAMPLES = 10  # weight of the initial estimate in a class's mean
+PRIOR_OBJECTIVE_RATIO = 1.5  # the initial estimate, relative to the latency objective
+CHARGE_MEAN_RATIO = 1.25  # work charged to a slow start budget, relative to the class's mean transfer time
+MIN_ESTIMATE_RATIO = 0.3  # share of an estimate that may cause a rejection: most objects are small
 US_PER_S = 1e6
 
 
 class ClassStats:
-    """Mean transfer time of a class, in microseconds, guessed high until enough was seen."""
+    """Mean transfer time of a class, in microseconds, starting from a high initial estimate."""
 
     __slots__ = ("count", "total_us")
 
@@ -33,7 +33,7 @@
 
 
 class TransferEstimates:
-    """Expected transfer times; `class_stats` by the place of the class in the settings."""
+    """Expected transfer times; `class_stats` is indexed by the position of the class in the settings."""
 
     def __init__(self, settings: Settings, copies: CachedCopies) -> None:
         self.settings = settings
@@ -42,12 +42,12 @@
         self.add_classes()
 
     def add_classes(self) -> None:
-        """Begin the statistics of classes that the settings have gained: the others keep their places."""
+        """Start the statistics of classes that are new in the settings; the others keep their positions."""
         new_classes = self.settings.classes[len(self.class_stats) :]
         self.class_stats += [ClassStats(traffic_class) for traffic_class in new_classes]
 
     def estimate(self, request: Request, size_kb: float, now_us: int) -> None:
-        """Set what is expected of a request that has just arrived, from its size in KB (0: unknown)."""
+        """Set the estimates of a request that has just arrived, from its size in KB (0: unknown)."""
         class_stats = self.class_stats[request.class_index]
         request.slow_start_charge_us = CHARGE_MEAN_RATIO * class_stats.mean_us()
         if size_kb > 0 and self.settings.pace_kb_per_s > 0:
@@ -68,7 +68,7 @@
         request.objective_deadline_us = min(objective_us, request.deadline_us)
 
     def record_served(self, request: Request, server: int, now_us: int, elapsed_us: int) -> None:
-        """Record an attempt that was served: where its copy is, and what it took."""
+        """Record a served attempt: the location of the copy, and the transfer time."""
         if request.is_write:
             self.class_stats[request.class_index].add(elapsed_us)
             return
--- a/rookbend/routing/write_sending.py
+++ b/rookbend/routing/write_sending.py
@@ -1,4 +1,4 @@
-"""Sends writes, which run at the origin: straight where that is allowed, else through a cache."""
+"""Sends writes, which the origin executes: directly where that is allowed, otherwise through a cache."""
 
 from __future__ import annotations
 
@@ -56,9 +56,10 @@
 
 
 def timeout_us(request: Request) -> float:
-    """Time-out of a write in microseconds, before it is doubled once more as that of any attempt: four times each time.
+    """Time-out of a write in microseconds, before `AttemptTracker.start` doubles it for each earlier time-out.
 
-    What must not run twice gets no other attempt, and no time-out but its deadline: one would only drop answers.
+    Both double it, so it grows fourfold each time. A write that is not idempotent gets no second attempt, so it has
+    no time-out but its deadline: an earlier one would only discard its answer.
     """
     if request.traffic_class.idempotency is Idempotency.NOT_IDEMPOTENT:
         return math.inf
