--- a/rookbend/__init__.py
+++ b/rookbend/__init__.py
@@ -1,4 +1,4 @@
-"""rookbend: the decisions of a router in front of caches of large objects."""
+"""rookbend: a request director in front of caches of large objects. The router makes its decisions."""
 
 from rookbend.interface import Settings
 from rookbend.routing import Router
--- a/rookbend/interface/__init__.py
+++ b/rookbend/interface/__init__.py
@@ -1,7 +1,7 @@
-"""Settings, events and actions of the router policy: what goes in and what comes out.
+"""The interface of the router: its settings, the events that it handles and the actions that it returns.
 
-Times are integer microseconds on one monotonic clock. A server is named by an opaque integer,
-which an embedding router maps to an address of its own.
+Times are integer microseconds on one monotonic clock. A server is identified by an opaque integer,
+which the embedding program maps to an address.
 """
 
 from rookbend.interface.actions import (
--- a/rookbend/interface/actions.py
+++ b/rookbend/interface/actions.py
@@ -1,4 +1,4 @@
-"""Actions: what comes out of a router."""
+"""Actions: the output of a router."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(slots=True)
 class FetchCached:
-    """Starts an attempt that is answered from the server's own fresh copy, or is a miss. The origin has every object.
+    """Starts an attempt that the server answers from its own fresh copy or with a miss. The origin has every object.
 
     `timeout_us` 0: until the request's deadline.
     """
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True)
 class Reject:
-    """Answers the request as rejected: a repeat does no harm, after `retry_after_us` where that is not 0."""
+    """Answers the request as rejected: the client may repeat it, after `retry_after_us` where that is not 0."""
 
     request: int
     retry_after_us: int = 0
@@ -53,7 +53,7 @@
 
 @dataclass(slots=True)
 class CancelAttempt:
-    """Gives up an attempt in flight, by its number within the request."""
+    """Cancels an attempt in flight, by its number within the request."""
 
     request: int
     attempt: int
@@ -61,7 +61,7 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Has a `TimerFired` with this token come after the delay."""
+    """Requests a `TimerFired` with this token after the delay."""
 
     delay_us: int
     token: int
@@ -83,12 +83,12 @@
 
 @dataclass(slots=True)
 class ReloadMembership:
-    """Requests the whole membership anew."""
+    """Requests the whole membership again."""
 
 
 @dataclass(slots=True)
 class SubscribeMembership:
-    """Turns on or off that changes of the membership are pushed."""
+    """Turns the push of membership changes on or off."""
 
     on: bool = True
 
@@ -110,7 +110,7 @@
 
 @dataclass(slots=True)
 class InternalError:
-    """Reports a fault of the router's own."""
+    """Reports an internal fault of the router."""
 
     text: str
 
--- a/rookbend/interface/events.py
+++ b/rookbend/interface/events.py
@@ -1,4 +1,4 @@
-"""Events: what goes into a router."""
+"""Events: the input of a router."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from rookbend.interface.settings import AttemptDetail, AttemptStatus, Member, MembershipUpdateKind, Settings
 
-# Not frozen: a frozen one takes three times as long to make, and several are made for each request.
+# Not frozen: a frozen dataclass takes three times as long to create, and each request creates several events.
 
 
 @dataclass(slots=True)
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True)
 class RequestArrived:
-    """A request to decide on. `deadline_us` is absolute; `is_retry` marks the repeat of an earlier request."""
+    """A new request. `deadline_us` is absolute; `is_retry` marks the repeat of an earlier request."""
 
     request: int
     traffic_class: int
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True)
 class AttemptFinished:
-    """An attempt has ended. `final`: its request is closed, nothing more may be decided for it."""
+    """An attempt has ended. `final`: its request is closed, and no more actions may be taken for it."""
 
     request: int
     attempt: int
@@ -51,7 +51,7 @@
 
 @dataclass(slots=True)
 class ResponseStarted:
-    """The first bytes of an attempt's answer are there."""
+    """The first bytes of an attempt's response have arrived."""
 
     request: int
     attempt: int
@@ -61,14 +61,14 @@
 
 @dataclass(slots=True)
 class RequestCancelled:
-    """The request is closed, since its client has left or its time is over."""
+    """The request is closed, since its client has left or its deadline has passed."""
 
     request: int
 
 
 @dataclass(slots=True)
 class HealthCheckFinished:
-    """A check that was started by `StartHealthCheck` has ended."""
+    """A health check that `StartHealthCheck` started has ended."""
 
     server: int
     status: AttemptStatus
@@ -102,9 +102,10 @@
 
 @dataclass(slots=True)
 class AdmissionLimitsChanged:
-    """Limits from outside, until the next such event.
+    """Externally set limits, which apply until the next such event.
 
-    `rejected_classes` are rejected at once. `fills_per_second` bounds fills and direct requests; None: no bound.
+    Requests of `rejected_classes` are rejected at once. `fills_per_second` limits fills and direct requests;
+    None: no limit.
     """
 
     rejected_classes: frozenset[int] = frozenset()
@@ -113,10 +114,10 @@
 
 @dataclass(slots=True)
 class SettingsChanged:
-    """Other settings from now on.
+    """New settings apply from now on.
 
-    A class keeps its place in `classes`, whatever changes of it. A retired one stays there, and requests that
-    came before go on under the settings they came with.
+    A class keeps its position in `classes`, even if its settings change or it is retired. Requests that arrived
+    earlier keep the class settings of their arrival.
     """
 
     settings: Settings
@@ -124,7 +125,7 @@
 
 @dataclass(slots=True)
 class ActiveProcessesChanged:
-    """How many processes of this router send, this one included: budgets that bind all are divided by it."""
+    """The number of this router's processes that send requests, this one included. Shared budgets are divided by it."""
 
     processes: int = 1
 
--- a/rookbend/interface/settings.py
+++ b/rookbend/interface/settings.py
@@ -21,35 +21,35 @@
     ERROR = 2  # answered with an error
     FULL = 3  # rejected by the member: no capacity
     TIMEOUT = 4
-    CONNECT_FAILED = 5  # not sent whole
+    CONNECT_FAILED = 5  # the request was not sent completely
     RESET = 6
     CANCELLED = 7
-    MOOT = 8  # never sent, or no longer wanted
+    MOOT = 8  # never sent, or no longer needed
     MISS = 9  # a cache-only attempt found no copy
 
 
-# The request did not run there: a write may be repeated freely after these.
+# The server did not execute the request: after these, a write may be repeated without restriction.
 NEVER_EXECUTED = frozenset({AttemptStatus.FULL, AttemptStatus.CONNECT_FAILED, AttemptStatus.MOOT, AttemptStatus.MISS})
 
 
 class AttemptDetail(IntEnum):
-    """How an answer was made, or why a fill failed."""
+    """How a response was produced, or why a fill failed."""
 
     NONE = 0
     HIT = 1
-    FILLED = 2  # from a copy of the parent
+    FILLED = 2  # filled from a copy at the parent
     ORIGIN_ASKED = 3  # filled from the origin
-    JOINED = 4  # with a fill that was in flight
+    JOINED = 4  # joined a fill in flight
     STALE = 5
     SOURCE_REFUSED = 6
     SOURCE_UNREACHABLE = 7
-    SOURCE_LACKS = 8  # the parent has no copy, and was not to ask the origin
-    NO_FILL_PLACE = 9  # the cache's own capacity for fills is in use
+    SOURCE_LACKS = 8  # the parent has no copy, and the attempt was not allowed to reach the origin
+    NO_FILL_PLACE = 9  # the cache's own fill capacity is exhausted
     ORIGIN_FAILED = 10
 
 
 class MemberState(IntEnum):
-    """Whether a member takes requests: it has left, is in service, or finishes what it has."""
+    """Whether a member takes requests: it has left, is in service, or only finishes its open requests."""
 
     GONE = 0
     READY = 1
@@ -57,7 +57,7 @@
 
 
 class MembershipUpdateKind(IntEnum):
-    """What an update holds: all members, a cached state of them, nothing since it failed, or changes."""
+    """Content of an update: all members, a cached list of them, nothing because it failed, or changes."""
 
     FULL = 0
     CACHED = 1
@@ -84,7 +84,7 @@
     freshness_lifetime_us: int = 0
     stale_grace_us: int = 0
     stale_priority_weight: float = 0.0
-    is_retired: bool = False  # no longer in the settings: only requests that came before are of it
+    is_retired: bool = False  # removed from the settings: only requests that arrived earlier belong to it
 
 
 @dataclass(frozen=True, slots=True)
@@ -133,7 +133,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """A member. `weight` is the link out, in transfers at full pace, where weights are nominal."""
+    """A member. `weight` is the capacity of its outgoing link, in transfers at full pace, where weights are nominal."""
 
     server: int
     weight: float = 1.0
--- a/rookbend/platform_settings.py
+++ b/rookbend/platform_settings.py
@@ -1,6 +1,6 @@
-"""The platform's settings as typed values, and as the router's own.
+"""The platform's settings as typed values, and their conversion to the router's settings.
 
-The names of the JSON keys are the platform's; each is mapped once, here, to the term that the program uses.
+The platform names the JSON keys; only this module maps them to the terms of this program.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
 
 class CachingConfig(msgspec.Struct, rename="camel"):
-    """How objects are cached and filled. Lists with `by_class` have one value a class, or none."""
+    """Settings of caches and fills. Lists with `by_class` in their names hold one value per class, or none."""
 
     freshness_lifetime_us_by_class: list[int] = msgspec.field(name="classFreshUs", default=[])
     stale_grace_us_by_class: list[int] = msgspec.field(name="graceForUs", default=[])
@@ -58,7 +58,7 @@
 
 
 class MemberRulesConfig(msgspec.Struct, rename="camel"):
-    """What holds for every member: cold capacity, overload, draining."""
+    """Settings of every member: cold capacity, overload, draining."""
 
     cold_capacity_ratio: float = msgspec.field(name="startCapacity")
     warm_up_us: int
@@ -69,7 +69,7 @@
 
 
 class RouterLimitsConfig(msgspec.Struct, rename="camel"):
-    """What a director may do, and how much of it. `idle_close_us`: members close idle connections after it."""
+    """Permissions and limits of a director. Members close idle connections after `idle_close_us`."""
 
     max_attempts: int
     max_requests_in_flight: int = msgspec.field(name="maxOpen")
@@ -85,14 +85,14 @@
 
 
 class LoadReportConfig(msgspec.Struct):
-    """Which figures members report with their answers."""
+    """The figures that members report with their answers."""
 
     fields: tuple[str, ...] = ()
     source: str = "none"
 
 
 class PlatformSettings(msgspec.Struct, rename="camel"):
-    """All of them, nested as in the JSON file."""
+    """All settings, nested as in the JSON file."""
 
     classes: list[TrafficClassConfig] = msgspec.field(name="lanes")
     caching: CachingConfig = msgspec.field(name="familyInfo")
@@ -110,7 +110,7 @@
 
 
 class ProcessLimits(msgspec.Struct):
-    """What the machine leaves to one director."""
+    """Machine resources available to one director."""
 
     cores: float = 1.0
     memory_mb: int = 192
@@ -118,7 +118,7 @@
 
 
 def to_router_settings(platform: PlatformSettings) -> api.Settings:
-    """The router's own settings."""
+    """Converts the platform's settings to the router's."""
     settings = api.Settings(
         classes=tuple(
             _traffic_class(traffic_class, index, platform.caching)
--- a/rookbend/routing/admission.py
+++ b/rookbend/routing/admission.py
@@ -30,7 +30,7 @@
         return Reject(request.id, self._retry_after_us(request.id))
 
     def _retry_after_us(self, request_id: int) -> int:
-        """Randomized while external limits reject many requests at once, so that they don't return together."""
+        """Randomized under external limits, so that requests that are rejected together don't return together."""
         longest_us = self.settings.max_retry_after_us
         if not self.rejected_classes and self.rate.per_second is None:
             return longest_us
--- a/rookbend/routing/endpoint_selection.py
+++ b/rookbend/routing/endpoint_selection.py
@@ -12,11 +12,11 @@
 from rookbend.routing.server_stats import ServerTable
 from rookbend.routing.slow_start import SlowStart
 
-CONGESTED_TIME_LEFT_RATIO = 1.5  # a transfer that takes more than this share of the time left congests a cache
-CONGESTED_UTILIZATION_RATIO = 1.5  # without spillover, requests of any size are rejected above this
+CONGESTED_TIME_LEFT_RATIO = 1.5  # a cache is congested if a transfer takes longer than the time left times this
+CONGESTED_UTILIZATION_RATIO = 1.5  # without spillover, requests of any size are rejected above this utilization
 PARENT_CONGESTED_SHARE_RATIO = 4.0  # fills at a parent, relative to this router's share of its capacity
-SPILLOVER_UTILIZATION_RATIO = 0.33  # spillover only to a cache below this share of the congested one's utilization,
-SPILLOVER_MAX_SLOWNESS_RATIO = 1.5  # unless the congested one is full or at least this slow
+SPILLOVER_UTILIZATION_RATIO = 0.33  # highest utilization of a spillover target, relative to the congested cache
+SPILLOVER_MAX_SLOWNESS_RATIO = 1.5  # a cache this slow spills over to a target of any utilization
 
 # The first member that is healthy and not congested, the first that is healthy, and the first that is usable at all.
 Candidates = tuple[Member | None, Member | None, Member | None]
--- a/rookbend/routing/failure_attribution.py
+++ b/rookbend/routing/failure_attribution.py
@@ -43,7 +43,7 @@
         self.origin_protection = origin_protection
 
     def attribute(self, attempt: Attempt, event: AttemptFinished, now_us: int) -> None:
-        """Record the end of an attempt for its servers, and the servers that the request is not to try again."""
+        """Record the end of an attempt with its servers, and exclude servers from further attempts of the request."""
         status = event.status
         request = attempt.request
         if status is AttemptStatus.CANCELLED:
--- a/rookbend/routing/fill_concurrency.py
+++ b/rookbend/routing/fill_concurrency.py
@@ -7,7 +7,7 @@
 from rookbend.routing.fill_rate import FillRateLimiter
 
 TARGET_LATE_RATIO = 0.06  # share of fills that may be late before the limit falls
-DECREASE_RATIO = 0.05  # share of the limit per late fill, times the square root of the location's router count
+DECREASE_RATIO = 0.05  # decrease per late fill, times the square root of the location's router count
 MAX_DECREASE_RATIO = 0.5
 MIN_INCREASE_FILLS = 0.06  # per timely fill
 MIN_LIMIT_CAPACITY_RATIO = 0.08  # relative to `FillConcurrencyLimit.capacity`, as the next two
--- a/rookbend/routing/fill_lateness.py
+++ b/rookbend/routing/fill_lateness.py
@@ -40,7 +40,8 @@
             return
         if event.status is AttemptStatus.OK:
             if event.detail is not AttemptDetail.HIT:
-                self.limit.observe(event.elapsed_us - event.fill_queue_us > late_after_us)  # less the source's queue
+                # Time in the source's fill queue is not counted.
+                self.limit.observe(event.elapsed_us - event.fill_queue_us > late_after_us)
         elif event.status is AttemptStatus.FULL and event.detail in (AttemptDetail.NONE, AttemptDetail.NO_FILL_PLACE):
             self.limit.observe(True)  # failures behind the cache say nothing about the location's link
 
--- a/rookbend/routing/server_stats.py
+++ b/rookbend/routing/server_stats.py
@@ -5,7 +5,7 @@
 from collections import defaultdict
 from dataclasses import dataclass
 
-MAX_SLOWNESS_RATIO = 4.0  # upper bound of a server's slowness as a factor of timers and transfer times
+MAX_SLOWNESS_RATIO = 4.0  # upper bound of the slowness that lengthens timers and expected transfer times
 
 
 @dataclass(slots=True)
--- a/rookbend/routing/slow_start.py
+++ b/rookbend/routing/slow_start.py
@@ -9,7 +9,7 @@
 from rookbend.routing.rendezvous_hash import mix
 
 BUDGET_USE_RATIO = 0.7  # share of the configured overload multiple that is used
-MAX_BUDGET_CAPACITY_RATIO = 1.7  # upper bound of the budget, relative to the current capacity
+MAX_BUDGET_CAPACITY_RATIO = 1.7  # upper bound of the budget, relative to the capacity at the start of the window
 RESTART_BUDGET_RATIO = 0.5  # share of the budget while work sent before this router's restart is unknown
 
 
--- a/rookbend/simhost.py
+++ b/rookbend/simhost.py
@@ -21,10 +21,10 @@
 
 
 def read_exactly(stream: BinaryIO, size: int) -> bytes:
-    """The next `size` bytes. Raises `WireError` where the input ends before."""
+    """Reads exactly `size` bytes. Raises `WireError` if the input ends before."""
     data = stream.read(size)
     if len(data) < size:
-        raise WireError("the input ends inside a frame")
+        raise WireError("input ends within a frame")
     return data
 
 
@@ -35,7 +35,7 @@
         self._routers: dict[int, Router] = {}
 
     def handle(self, now_us: int, instance: int, record: Record) -> list[bytes]:
-        """Applies one record; the records of the actions it led to. Raises `WireError`."""
+        """Applies one record; returns the resulting actions as records. Raises `WireError` for unusable records."""
         if isinstance(record, StartInstance):
             self._routers[instance] = Router(parse_settings(record.settings_text), record.seed)
             return []
@@ -44,19 +44,19 @@
             return []
         router = self._routers.get(instance)
         if router is None:
-            raise WireError(f"an event for instance {instance}, which has not started")
+            raise WireError(f"event for router instance {instance}, which is not running")
         return [write_action(instance, action) for action in router.handle(now_us, record)]
 
 
 def serve(stdin: BinaryIO, stdout: BinaryIO) -> None:
-    """Answers every batch until the input ends. Raises `WireError` at the first that breaks the wire format."""
+    """Answers every batch until the input ends. Raises `WireError` at the first violation of the wire format."""
     host = RouterHost()
     while header := stdin.read(HEADER.size):
         if len(header) < HEADER.size:
-            raise WireError("the input ends inside a frame header")
+            raise WireError("input ends within a frame header")
         now_us, size, count, batch_number = HEADER.unpack(header)
         if not HEADER.size <= size <= MAX_FRAME_BYTES:
-            raise WireError(f"a frame cannot be {size} bytes long")
+            raise WireError(f"invalid frame size: {size} bytes")
         replies: list[bytes] = []
         for instance, record in read_batch(read_exactly(stdin, size - HEADER.size), count):
             replies += host.handle(now_us, instance, record)
@@ -66,7 +66,7 @@
 
 
 def main() -> int:
-    """Serves standard input; the exit code: 2 for broken input, 1 where the output was closed."""
+    """Serves standard input. Returns the exit code: 2 for malformed input, 1 if the output was closed."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except WireError as error:
--- a/rookbend/simulator_actions.py
+++ b/rookbend/simulator_actions.py
@@ -1,4 +1,4 @@
-"""The simulator's wire format: actions as the bytes of their records.
+"""The simulator's wire format: encoding of actions as records.
 
 A record is a code, the instance that acts, and the action's fields; integers are big-endian.
 """
@@ -11,7 +11,7 @@
 
 from rookbend import interface as api
 
-EVERY_PEER = 0xFFFF  # in place of a peer's index
+EVERY_PEER = 0xFFFF  # peer index of a message to all peers
 _MAX_U32 = 0xFFFFFFFF
 _MAX_TEXT_BYTES = 0xFFFF
 _SERVER_BYTES = 6  # IPv4 address and port
@@ -114,8 +114,8 @@
 
 
 def write_action(instance: int, action: api.Action) -> bytes:
-    """One action as the bytes of its record. Raises `TypeError` for what is no action."""
+    """Encodes an action as a record. Raises `TypeError` for any other object."""
     write = _WRITERS_BY_TYPE.get(type(action))
     if write is None:
-        raise TypeError(f"no action: {action!r}")
+        raise TypeError(f"not an action: {action!r}")
     return write(instance, action)
--- a/rookbend/simulator_codec.py
+++ b/rookbend/simulator_codec.py
@@ -1,4 +1,4 @@
-"""The simulator's wire format: frame headers, and the records of a batch as events.
+"""The simulator's wire format: frame headers, and decoding of a batch's records as events.
 
 Integers are big-endian. A frame from the simulator is `HEADER` and records, each a code, an instance and fields;
 the reply is `REPLY_HEADER` and the records of `simulator_actions`.
@@ -38,7 +38,7 @@
 
 
 class WireError(Exception):
-    """A frame or a settings text that does not follow the wire format."""
+    """A frame or a settings text that violates the wire format."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -59,7 +59,7 @@
 
 
 class RecordReader:
-    """Reads the fields of one batch in order. Raises `WireError` at each overrun."""
+    """Reads the fields of a batch in order. Raises `WireError` when a read runs past the end."""
 
     def __init__(self, data: bytes) -> None:
         self._data = data
@@ -77,11 +77,11 @@
         return code
 
     def read(self, layout: struct.Struct) -> tuple[Any, ...]:
-        """The next fields, of that layout."""
+        """The next fields, in the given layout."""
         try:
             fields = layout.unpack_from(self._data, self._offset)
         except struct.error:
-            raise WireError("a record runs past the end of its frame") from None
+            raise WireError("record runs past the end of its frame") from None
         self._offset += layout.size
         return fields
 
@@ -89,18 +89,18 @@
         """The next `size` bytes."""
         end = self._offset + size
         if end > len(self._data):
-            raise WireError("a record runs past the end of its frame")
+            raise WireError("record runs past the end of its frame")
         data = self._data[self._offset : end]
         self._offset = end
         return data
 
     def read_floats(self, count: int) -> tuple[float, ...]:
-        """The next `count` numbers of single precision."""
+        """The next `count` single-precision floats."""
         return struct.unpack(f">{count}f", self.read_bytes(_FLOAT_BYTES * count))
 
 
 def server_id(address: int, port: int) -> int:
-    """A server's identity in the router: its IPv4 address and port in one integer."""
+    """A server's id in the router: its IPv4 address and port as one integer."""
     return address << 16 | port
 
 
@@ -108,11 +108,11 @@
     try:
         return enum(value)
     except ValueError:
-        raise WireError(f"{value} is no {enum.__name__}") from None
+        raise WireError(f"invalid {enum.__name__}: {value}") from None
 
 
 def _attempt_detail(value: int) -> api.AttemptDetail:
-    """The detail, or none where the simulator sends one that is unknown here."""
+    """The detail; NONE for a value that is unknown here."""
     known = value in api.AttemptDetail._value2member_map_
     return api.AttemptDetail(value) if known else api.AttemptDetail.NONE
 
@@ -122,7 +122,7 @@
     try:
         return StartInstance(seed, reader.read_bytes(size).decode("utf-8"))
     except UnicodeDecodeError:
-        raise WireError("the settings are not UTF-8") from None
+        raise WireError("settings text is not valid UTF-8") from None
 
 
 def _read_stop_instance(reader: RecordReader) -> StopInstance:
@@ -134,9 +134,9 @@
     data = reader.read_bytes(_MEMBER.size * count)
     members = tuple(
         api.Member(
-            server_id(address, port), weight, cell, zone, since, _enum_value(api.MemberState, state), member_kind
+            server_id(address, port), weight, cell, zone, started_us, _enum_value(api.MemberState, state), member_kind
         )
-        for weight, address, port, cell, zone, since, state, member_kind in _MEMBER.iter_unpack(data)
+        for weight, address, port, cell, zone, started_us, state, member_kind in _MEMBER.iter_unpack(data)
     )
     return api.MembershipUpdated(_enum_value(api.MembershipUpdateKind, kind), version, members)
 
@@ -157,7 +157,7 @@
             bool(options & _WRITE_FLAG),
         )
     except (ValueError, OverflowError):
-        raise WireError("a request's group or part is no number") from None
+        raise WireError("group or part of a request is not a finite number") from None
 
 
 def _read_health_check(reader: RecordReader) -> api.HealthCheckFinished:
@@ -225,12 +225,12 @@
 
 
 def read_batch(body: bytes, count: int) -> list[tuple[int, Record]]:
-    """The records of a batch, each with its instance. Raises `WireError` where `body` is not `count` records."""
+    """Decodes the records of a batch, each with its instance. Raises `WireError` if `body` is not `count` records."""
     reader = RecordReader(body)
     records: list[tuple[int, Record]] = []
     for _ in range(count):
         if reader.at_end:
-            raise WireError("a frame holds fewer records than it says")
+            raise WireError("frame has fewer records than its header states")
         code = reader.read_code()
         read_record = _READERS_BY_CODE.get(code)
         if read_record is None:
@@ -238,5 +238,5 @@
         (instance,) = reader.read(_INSTANCE)
         records.append((instance, read_record(reader)))
     if not reader.at_end:
-        raise WireError("a frame holds more bytes than its records")
+        raise WireError("frame has extra bytes after its last record")
     return records
--- a/rookbend/simulator_settings.py
+++ b/rookbend/simulator_settings.py
@@ -1,6 +1,6 @@
-"""The simulator's settings text (`path=value` lines) as the router's settings.
+"""Parser of the simulator's settings text (`path=value` lines) into the router's settings.
 
-The paths are the simulator's; each is mapped once, here, to the term that the program uses. Unknown paths are skipped.
+The simulator names the paths; only this module maps them to the terms of this program. Unknown paths are ignored.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
                 self._values[path.strip()] = value.strip()
 
     def get(self, path: str, convert: Callable[[str], Value], default: Value | None = None) -> Value:
-        """The value at `path`. Raises `WireError` where it is unusable, or missing without a default."""
+        """The value at `path`. Raises `WireError` if it is invalid, or missing without a default."""
         raw = self._values.get(path)
         if raw is None or raw == "":
             if default is None:
@@ -42,12 +42,12 @@
         try:
             return convert(raw)
         except (ValueError, OverflowError):
-            raise WireError(f"setting {path} has no usable value") from None
+            raise WireError(f"invalid value of setting {path}") from None
 
 
 @dataclass(frozen=True, slots=True)
 class SettingPath:
-    """Where a field of the router's settings stands in the text; without a default it is required."""
+    """The path of a field of the router's settings. A field without a default is required."""
 
     field: str
     path: str
@@ -83,7 +83,7 @@
     return tuple(LOAD_REPORT_FIELD_ALIASES.get(name, name) for name in raw.split(","))
 
 
-# Of all classes in one list, by index; what the list lacks is the default.
+# Lists with one value per class; classes beyond the end of a list get the default.
 _CLASS_LISTS = (
     SettingPath("freshness_lifetime_us", "familyInfo.classFreshUs", _int, 0),
     SettingPath("stale_grace_us", "familyInfo.graceForUs", _int, 0),
@@ -91,7 +91,7 @@
     SettingPath("is_write", "familyInfo.goesThrough", _bool, False),
     SettingPath("has_parts", "familyInfo.inPieces", _bool, False),
 )
-# Of one class, below `lanes.INDEX.`.
+# Paths of one class, under `lanes.INDEX.`.
 _CLASS_PATHS = (
     SettingPath("latency_objective_us", "aimUs", _int),
     SettingPath("deadline_us", "hardLimitUs", _int),
@@ -160,7 +160,7 @@
 
 
 def parse_settings(settings_text: str) -> api.Settings:
-    """The settings of a router instance. Raises `WireError` with the first path that is missing or unusable."""
+    """Parses the settings of a router instance. Raises `WireError` with the first missing or invalid path."""
     text = SettingsText(settings_text)
     class_count = text.get("lanes.count", _int)
     class_lists = {p.field: text.get(p.path, _list(p.convert), ()) for p in _CLASS_LISTS}
