--- a/tests/router_harness.py
+++ b/tests/router_harness.py
@@ -105,7 +105,7 @@
         number=None,
         load_report=(),
     ):
-        """Ends the newest attempt of a request, as the action that made it says."""
+        """Ends the newest attempt of a request, or attempt `number`; `attempt` is the action that started it."""
         self.now += after
         number = self.attempt_numbers[attempt.request] if number is None else number
         final = status is api.AttemptStatus.OK if final is None else final
@@ -114,7 +114,7 @@
         )
 
     def run_timers(self, until):
-        """Fires the timers due by then, in order; returns what they caused."""
+        """Fires the timers that are due at `until`, in order; returns the resulting actions."""
         out = []
         while True:
             due = sorted(t for t in self.timers if t[0] <= until)
--- a/tests/test_deployment_independence.py
+++ b/tests/test_deployment_independence.py
@@ -1,6 +1,6 @@
-"""No name and no figures of one deployment in the program, the deploy files or the lab: these come from settings.
+"""The program, the deploy files and the benchmarks hold no names or figures of a deployment, only the settings do.
 
-The sites under deploy/sites are two of them; the customers' own names are listed here, and nowhere else.
+The sites under deploy/sites are two deployments. The names that customers use are listed only in this file.
 """
 
 import ast
@@ -11,7 +11,7 @@
 
 ROOT = Path(__file__).parent.parent
 SITES = sorted((ROOT / "deploy" / "sites").glob("*.toml"))
-CUSTOMERS = {
+CUSTOMER_NAMES = {
     "halvorsen",
     "tour-video",
     "page-image",
@@ -23,7 +23,7 @@
     "entry-submit",
     "edge-fleet",
 }
-# Their classes: latency aim and deadline, in milliseconds.
+# Latency objective and deadline of the customers' classes, in milliseconds.
 CUSTOMER_CLASSES = {(600, 5000), (300, 2500), (600, 3000), (500, 5000), (250, 3000), (800, 3000)}
 
 
@@ -39,29 +39,29 @@
     return [tomllib.loads(path.read_text()) for path in SITES]
 
 
-NAMES = CUSTOMERS.union(*map(names_of, read_sites()))
+NAMES = CUSTOMER_NAMES.union(*map(names_of, read_sites()))
 CLASSES = CUSTOMER_CLASSES.union(*map(classes_of, read_sites()))
 
 
 def figures(node):
-    """The numbers that stand in the expression itself, not in those within it."""
-    parts = [child.value if isinstance(child, ast.keyword) else child for child in ast.iter_child_nodes(node)]
-    return {n.value for n in parts if isinstance(n, ast.Constant) and isinstance(n.value, (int, float))}
+    """The numbers directly in the expression, without those in nested expressions."""
+    children = [child.value if isinstance(child, ast.keyword) else child for child in ast.iter_child_nodes(node)]
+    return {n.value for n in children if isinstance(n, ast.Constant) and isinstance(n.value, (int, float))}
 
 
 def findings(source, python=True):
-    """Names in the text; in Python, also rows of figures with a class's aim and deadline, in milliseconds or
-    microseconds."""
+    """Names in the text; in Python, also expressions with the latency objective and the deadline of a class, in
+    milliseconds or microseconds."""
     found = [name for name in sorted(NAMES) if f'"{name}' in source or f" {name}" in source or f"'{name}" in source]
     if not python:
         return found
     for node in ast.walk(ast.parse(source)):
         if isinstance(node, (ast.Call, ast.Dict, ast.Tuple)) and (numbers := figures(node)):
             found += [
-                f"line {node.lineno}: {aim} and {deadline} ms"
-                for aim, deadline in sorted(CLASSES)
+                f"line {node.lineno}: {objective} and {deadline} ms"
+                for objective, deadline in sorted(CLASSES)
                 for unit in (1, 1000)
-                if {aim * unit, deadline * unit} <= numbers
+                if {objective * unit, deadline * unit} <= numbers
             ]
     return found
 
@@ -98,7 +98,7 @@
     sites = read_sites()
     assert len(sites) == 2
     first, second = sites
-    assert not names_of(first) & names_of(second) and not (names_of(first) | names_of(second)) & CUSTOMERS
+    assert not names_of(first) & names_of(second) and not (names_of(first) | names_of(second)) & CUSTOMER_NAMES
     unsafe = [[c["effect"] for c in site["class"]].index("unsafe") for site in sites]
     assert unsafe[0] != unsafe[1] and len(first["class"]) != len(second["class"])
     assert {e for site in sites for c in site["class"] for e in [c["effect"]]} == {"safe", "keyed", "unsafe"}
--- a/tests/test_endpoint_selection.py
+++ b/tests/test_endpoint_selection.py
@@ -1,4 +1,4 @@
-"""Which endpoint an attempt goes to: parents, silent and crowded servers, servers that err, shared connections."""
+"""Endpoint selection with parents, silent, congested and failing servers, and connection sharing by the pool."""
 
 from types import SimpleNamespace
 
@@ -46,8 +46,8 @@
     rig = Rig()
     set_fill_limit(rig, 100.0)
     by_parent = {}
-    for obj in range(1, 40):
-        a = sent_fetches(rig.arrive(obj, after=1000)[1])[0]
+    for object_id in range(1, 40):
+        a = sent_fetches(rig.arrive(object_id, after=1000)[1])[0]
         by_parent.setdefault(a.source, []).append(a)
     unresponsive, other = list(by_parent)[:2]
     rig.now += 300_000
@@ -60,8 +60,8 @@
 def test_started_responses_prevent_ejection():
     rig = Rig()
     set_fill_limit(rig, 100.0)
-    for obj in range(1, 12):
-        a = sent_fetches(rig.arrive(obj, after=1000)[1])[0]
+    for object_id in range(1, 12):
+        a = sent_fetches(rig.arrive(object_id, after=1000)[1])[0]
         rig.feed(api.ResponseStarted(a.request, 0, a.server, 1000), after=1000)
     rig.run_timers(rig.now + 700_000)
     assert all(rig.router.outliers.admits(m.server, rig.now) for m in CACHES)
@@ -79,38 +79,40 @@
 def test_congested_cache_spills_over_only_to_a_much_less_loaded_one():
     for load, spills_over in ((1.0, True), (40.0, False)):
         rig = Rig(classes=(MEDIA,))
-        home = sent_fetches(rig.arrive(8, size=900.0)[1])[0]
-        rig.finish(home, api.AttemptStatus.MISS, after=1000)
+        primary = sent_fetches(rig.arrive(8, size=900.0)[1])[0]
+        rig.finish(primary, api.AttemptStatus.MISS, after=1000)
         for m in CACHES:
-            rig.router.load.record_report(m.server, (60.0 if m.server == home.server else load,), rig.now)
+            rig.router.load.record_report(m.server, (60.0 if m.server == primary.server else load,), rig.now)
         rig.router.collapser.fills.clear()
         sent = sent_fetches(rig.arrive(8, size=900.0)[1])
-        assert bool(sent) is spills_over and all(a.server != home.server for a in sent)
+        assert bool(sent) is spills_over and all(a.server != primary.server for a in sent)
 
 
 def test_departed_servers_are_forgotten_once_their_attempts_have_ended():
     rig = Rig()
     out = sent_fetches(rig.arrive(5)[1])[0]
     for version in range(2, 300):
-        fresh = api.Member(1000 + version, weight=8.0, zone=1)
-        rig.feed(api.MembershipUpdated(api.MembershipUpdateKind.FULL, version, (fresh, *PARENTS, ORIGIN)), after=1000)
-        for obj in range(3):
-            rig.arrive(version * 10 + obj)
+        replacement = api.Member(1000 + version, weight=8.0, zone=1)
+        rig.feed(
+            api.MembershipUpdated(api.MembershipUpdateKind.FULL, version, (replacement, *PARENTS, ORIGIN)), after=1000
+        )
+        for object_id in range(3):
+            rig.arrive(version * 10 + object_id)
     rig.finish(out, detail=api.AttemptDetail.FILLED)
-    waiting = {f.server for f in rig.router.attempts.in_flight.values()} | {
+    attempt_servers = {f.server for f in rig.router.attempts.in_flight.values()} | {
         f.source for f in rig.router.attempts.in_flight.values()
     }
     for a in list(rig.router.attempts.in_flight.values()):
         rig.feed(api.AttemptFinished(a.request.id, a.number, a.server, api.AttemptStatus.OK, 10, True))
     rig.feed(api.MembershipUpdated(api.MembershipUpdateKind.FULL, 400, (*CACHES, *PARENTS, ORIGIN)))
-    assert len(waiting) > 100 and len(rig.router.servers) < 10 and len(rig.router.slow_start.sent) < 10
+    assert len(attempt_servers) > 100 and len(rig.router.servers) < 10 and len(rig.router.slow_start.sent) < 10
 
 
 def test_request_that_fails_on_every_server_ejects_none():
-    """Guards against clients whose requests nobody can use: they had the parents passed over."""
+    """Guards against invalid requests of clients, which fail on every server and once had the parents ejected."""
     rig = Rig()
-    for obj in range(1, 21):
-        request, out = rig.arrive(obj)
+    for object_id in range(1, 21):
+        request, out = rig.arrive(object_id)
         servers = []
         while sent_fetches(out):
             servers.append(sent_fetches(out)[0].server)
@@ -121,8 +123,8 @@
 
 def test_server_with_errors_on_requests_that_others_serve_is_ejected():
     rig, failing = Rig(), CACHES[0].server
-    for obj in range(1, 60):
-        out = rig.arrive(obj)[1]
+    for object_id in range(1, 60):
+        out = rig.arrive(object_id)[1]
         while sent_fetches(out):
             attempt = sent_fetches(out)[0]
             status = api.AttemptStatus.ERROR if attempt.server == failing else api.AttemptStatus.OK
@@ -135,6 +137,6 @@
 
 @pytest.mark.parametrize("rate, share", [(0, 1), (600, 1), (625, 2), (950, 15), (7000, 40)])
 def test_streams_per_connection_follow_the_attempt_rate(rate, share):
-    """Guards the CPU at thousands of attempts a second, and at a few hundred over the bound the others on a
-    connection that breaks: one step from a connection each to forty on one lost them."""
+    """Guards against CPU load at thousands of attempts per second. At a few hundred above the bound, it guards the
+    attempts that share a broken connection: a single step from one stream to forty per connection lost them."""
     assert Pool.streams_per_connection.fget(SimpleNamespace(attempt_rate_per_s=rate, max_streams=40)) == share
--- a/tests/test_no_duplicate_execution.py
+++ b/tests/test_no_duplicate_execution.py
@@ -1,4 +1,4 @@
-"""What is left when members fail or a size is only guessed: nobody is asked twice, and no guess refuses alone."""
+"""Failing members and estimated sizes: no server is tried twice, and an estimate alone causes no rejection."""
 
 import pytest
 
@@ -7,7 +7,7 @@
 
 
 def follow_attempts(rig, attempt, status, detail=api.AttemptDetail.NONE):
-    """The servers and sources that a request meets while each attempt ends like that, and its last actions."""
+    """Ends each attempt of a request with `status`; returns its servers and sources, and the last actions."""
     visited = [(attempt.server, getattr(attempt, "source", None))]
     while True:
         out = rig.finish(attempt, status, detail=detail, after=2_000)
@@ -42,7 +42,7 @@
 
 
 def test_with_every_cache_ejected_each_gets_one_attempt_at_a_time():
-    """Guards boxes that return cold: requests that nobody else can take fell on them all at once."""
+    """Guards caches that return cold: requests that no other cache could take reached them all at once."""
     rig = Rig(allows_retry_after=True)
     for i in range(30):
         follow_attempts(rig, sent_fetches(rig.arrive(1000 + i)[1])[0], api.AttemptStatus.CONNECT_FAILED)
@@ -64,7 +64,7 @@
 
 
 def test_request_of_estimated_size_is_sent_where_one_of_known_size_is_rejected():
-    """A quarter of a second is left; by the guess half of sending takes longer."""
+    """The deadline is in 250 ms, which is less than half of the estimated transfer time."""
     rig = Rig(allows_retry_after=True)
     assert sent_fetches(rig.arrive(5, size=0.0, deadline_in_us=250_000)[1])
     assert not sent_fetches(rig.arrive(6, size=750.0, deadline_in_us=250_000)[1])
@@ -77,12 +77,12 @@
 
 def test_request_is_rejected_where_even_its_minimum_estimate_is_too_long():
     rig = Rig(allows_retry_after=True)
-    out = rig.arrive(5, size=0.0, deadline_in_us=100_000)[1]  # a third of 750 ms, of which half must be left
+    out = rig.arrive(5, size=0.0, deadline_in_us=100_000)[1]  # below half of the minimum estimate, a third of 750 ms
     assert final_answers(out) and not sent_fetches(out)
 
 
 def test_request_of_estimated_size_is_rejected_where_every_cache_is_full():
-    """Guards those who can be in time in a burst: a guess counts by its third only where a cache has room."""
+    """Guards requests that can be on time in a burst: an estimate is reduced to a third only if a cache has room."""
     rig = Rig(allows_retry_after=True)
     for i in range(60):
         rig.arrive(100 + i, size=400.0)
--- a/tests/test_origin_protection.py
+++ b/tests/test_origin_protection.py
@@ -1,4 +1,4 @@
-"""An origin that turned an attempt away: reads are had from parents alone for a while, ever fewer of them."""
+"""After the origin has rejected an attempt, a falling share of reads uses only parents' copies for a while."""
 
 from rookbend import interface as api
 from tests.router_harness import ORIGIN, SECOND, Rig, final_answers, sent_fetches
@@ -15,7 +15,7 @@
 
 
 def origin_skip_ratio(rig, first, after=0):
-    """Of that many reads of new objects, each ended at once, the share that may not go past a parent."""
+    """The share of READ_COUNT reads of new objects, each ended at once, that may not reach the origin."""
     rig.now += after
     count = 0
     for i in range(READ_COUNT):
@@ -73,5 +73,5 @@
         rig.now += 10 * SECOND
     assert rig.router.fill_limit.limit == before
     attempt = sent_fetches(rig.arrive(5000)[1])[0]
-    rig.finish(attempt, api.AttemptStatus.FULL, after=1_000)  # a cache's own refusal still does
+    rig.finish(attempt, api.AttemptStatus.FULL, after=1_000)  # the cache's own rejection lowers it
     assert rig.router.fill_limit.limit < before
--- a/tests/test_request_collapsing.py
+++ b/tests/test_request_collapsing.py
@@ -1,4 +1,4 @@
-"""The ordinary path: leaders, waiters, hand-over, the near-aim exit, the hash."""
+"""Request collapsing and hashing: leaders, waiters, hand-over, the end of a wait near the objective."""
 
 from rookbend import interface as api
 from tests.router_harness import (
@@ -32,9 +32,9 @@
     rig = Rig()
     attempt = sent_fetches(rig.arrive(5)[1])[0]
     waiter, _ = rig.arrive(5)
-    after = sent_fetches(rig.finish(attempt, detail=api.AttemptDetail.FILLED, after=50_000))
-    assert [a.request for a in after] == [waiter]
-    assert (after[0].server, after[0].source, after[0].join_fill) == (attempt.server, attempt.source, True)
+    actions = sent_fetches(rig.finish(attempt, detail=api.AttemptDetail.FILLED, after=50_000))
+    assert [a.request for a in actions] == [waiter]
+    assert (actions[0].server, actions[0].source, actions[0].join_fill) == (attempt.server, attempt.source, True)
 
 
 def test_oldest_waiter_leads_after_the_leader_has_failed():
@@ -42,16 +42,16 @@
     attempt = sent_fetches(rig.arrive(5)[1])[0]
     oldest, _ = rig.arrive(5)
     rig.arrive(5)
-    after = sent_fetches(rig.finish(attempt, api.AttemptStatus.ERROR, after=20_000))
-    assert [a.request for a in after] == [oldest]
+    actions = sent_fetches(rig.finish(attempt, api.AttemptStatus.ERROR, after=20_000))
+    assert [a.request for a in actions] == [oldest]
 
 
 def test_oldest_waiter_leads_after_the_leader_is_cancelled():
     rig = Rig()
     attempt = sent_fetches(rig.arrive(5)[1])[0]
     oldest, _ = rig.arrive(5)
-    after = rig.feed(api.RequestCancelled(attempt.request), after=1000)
-    assert [a.request for a in sent_fetches(after)] == [oldest]
+    actions = rig.feed(api.RequestCancelled(attempt.request), after=1000)
+    assert [a.request for a in sent_fetches(actions)] == [oldest]
 
 
 def test_waiter_near_its_objective_joins_the_fill_at_the_cache():
@@ -86,26 +86,26 @@
 
 
 def test_all_routers_agree_on_cache_and_parent():
-    here, there = Rig(router_index=0), Rig(router_index=2, members=tuple(reversed(ALL_MEMBERS)))
-    for obj in range(1, 30):
-        a, b = sent_fetches(here.arrive(obj)[1])[0], sent_fetches(there.arrive(obj)[1])[0]
-        here.finish(a, detail=api.AttemptDetail.HIT)
-        there.finish(b, detail=api.AttemptDetail.HIT)
+    first_router, second_router = Rig(router_index=0), Rig(router_index=2, members=tuple(reversed(ALL_MEMBERS)))
+    for object_id in range(1, 30):
+        a, b = sent_fetches(first_router.arrive(object_id)[1])[0], sent_fetches(second_router.arrive(object_id)[1])[0]
+        first_router.finish(a, detail=api.AttemptDetail.HIT)
+        second_router.finish(b, detail=api.AttemptDetail.HIT)
         assert (a.server, a.source) == (b.server, b.source)
         assert a.server in {m.server for m in CACHES} and a.source in {m.server for m in PARENTS}
 
 
 def test_every_location_hashes_over_all_parents():
-    west = Rig(zone=2)
-    east = Rig()
-    used = set()
-    for obj in range(1, 30):
-        a, b = sent_fetches(east.arrive(obj)[1])[0], sent_fetches(west.arrive(obj)[1])[0]
-        east.finish(a, detail=api.AttemptDetail.HIT)
-        west.finish(b, detail=api.AttemptDetail.HIT)
+    other_zone = Rig(zone=2)
+    own_zone = Rig()
+    sources = set()
+    for object_id in range(1, 30):
+        a, b = sent_fetches(own_zone.arrive(object_id)[1])[0], sent_fetches(other_zone.arrive(object_id)[1])[0]
+        own_zone.finish(a, detail=api.AttemptDetail.HIT)
+        other_zone.finish(b, detail=api.AttemptDetail.HIT)
         assert a.source == b.source and b.server == OTHER_ZONE_CACHE.server
-        used.add(a.source)
-    assert used == {m.server for m in PARENTS}
+        sources.add(a.source)
+    assert sources == {m.server for m in PARENTS}
 
 
 def test_writes_are_not_collapsed_and_go_to_the_origin():
--- a/tests/test_robust.py
+++ b/tests/test_robust.py
@@ -1,4 +1,4 @@
-"""Events about nothing, empty lists, and defences against failing servers."""
+"""Events for unknown ids, empty membership lists, and failing servers and origins."""
 
 import random
 
@@ -39,7 +39,7 @@
 def test_unresponsive_cache_is_ejected_and_its_requests_move():
     rig = Rig()
     set_fill_limit(rig, 100.0)
-    first = [sent_fetches(rig.arrive(obj, after=1000)[1])[0] for obj in range(1, 12)]
+    first = [sent_fetches(rig.arrive(object_id, after=1000)[1])[0] for object_id in range(1, 12)]
     cancelled = []
     while not cancelled:
         cancelled = [a for a in rig.run_timers(rig.now + 10_000) if isinstance(a, api.CancelAttempt)]
@@ -98,7 +98,7 @@
 @pytest.mark.parametrize("direct", (False, True))
 def test_request_that_would_be_late_at_every_cache_is_answered_at_once(direct):
     rig = Rig(classes=(MEDIA,), allows_direct_to_source=direct)
-    attempts = [sent_fetches(rig.arrive(obj, after=1000)[1])[0] for obj in range(1, 4)]
+    attempts = [sent_fetches(rig.arrive(object_id, after=1000)[1])[0] for object_id in range(1, 4)]
     for a in attempts:
         rig.finish(a, detail=api.AttemptDetail.FILLED, after=1000, load_report=(10.0,))
     assert sent_fetches(rig.arrive(7, size=900.0)[1])
@@ -124,16 +124,16 @@
 def test_random_events_give_each_request_one_final_answer():
     rng = random.Random(3)
     rig = Rig(allows_retry_after=True)
-    out_now, answered, asked = [], [], []
+    open_attempts, answered, arrived = [], [], []
     for _ in range(600):
         rig.now += rng.randrange(1, 40_000)
         out = rig.run_timers(rig.now)
-        if rng.random() < 0.5 or not out_now:
+        if rng.random() < 0.5 or not open_attempts:
             request, more = rig.arrive(rng.randrange(1, 12), class_index=rng.randrange(4))
-            asked.append(request)
+            arrived.append(request)
             out += more
         else:
-            attempt, number = out_now.pop(rng.randrange(len(out_now)))
+            attempt, number = open_attempts.pop(rng.randrange(len(open_attempts)))
             status = rng.choice(
                 [
                     api.AttemptStatus.OK,
@@ -145,24 +145,24 @@
             if status is api.AttemptStatus.OK and attempt.request in rig.router.open_requests:
                 answered.append(attempt.request)
             out += rig.finish(attempt, status, number=number)
-        out_now += [(a, rig.attempt_numbers[a.request]) for a in sent_fetches(out)]
+        open_attempts += [(a, rig.attempt_numbers[a.request]) for a in sent_fetches(out)]
         answered += [a.request for a in final_answers(out)]
-    while out_now:
-        attempt, number = out_now.pop()
+    while open_attempts:
+        attempt, number = open_attempts.pop()
         out = rig.finish(attempt, api.AttemptStatus.TIMEOUT, number=number, after=1000)
-        out_now += [(a, rig.attempt_numbers[a.request]) for a in sent_fetches(out)]
+        open_attempts += [(a, rig.attempt_numbers[a.request]) for a in sent_fetches(out)]
         answered += [a.request for a in final_answers(out)]
     rig_out = rig.run_timers(rig.now + 20 * SECOND)
     answered += [a.request for a in final_answers(rig_out)]
-    assert sorted(answered) == asked
+    assert sorted(answered) == arrived
     assert not rig.router.open_requests and not rig.router.collapser.fills
 
 
 def test_tables_are_bounded():
     rig = Rig(max_requests_in_flight=10)
-    for obj in range(1, 200):
-        rig.feed(api.PurgeReceived(obj, 0, 0))
-        for a in sent_fetches(rig.arrive(obj)[1]):
+    for object_id in range(1, 200):
+        rig.feed(api.PurgeReceived(object_id, 0, 0))
+        for a in sent_fetches(rig.arrive(object_id)[1]):
             rig.finish(a, detail=api.AttemptDetail.FILLED)
     assert len(rig.router.copies.by_key) <= 10 and len(rig.router.purges.purged_us) <= 10
     assert len(rig.router.membership.orders) <= 10 and not rig.router.attempts.in_flight
--- a/tests/test_routing_reasons.py
+++ b/tests/test_routing_reasons.py
@@ -1,4 +1,4 @@
-"""The reasons that routing's rules give: why an attempt is denied, and what follows the end of one."""
+"""The results of the retry policy: why an attempt is denied, and which step follows the end of an attempt."""
 
 from dataclasses import replace
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The five rules, each kept by one router alone."""
+"""Rules that each router keeps by itself: final answers, repeated execution, draining, slow start and purges."""
 
 from rookbend import interface as api
 from tests.router_harness import ALL_MEMBERS, CACHES, ORIGIN, PARENTS, SECOND, Rig, final_answers, sent_fetches
@@ -54,10 +54,10 @@
 
 
 def test_non_idempotent_request_has_no_timeout_but_its_deadline():
-    """Guards a slow origin's answers: given up early, a write that can't be repeated failed for nothing."""
+    """Guards answers of a slow origin: an early time-out failed a write needlessly that cannot be repeated."""
     rig = Rig(allows_direct_to_source=True)
-    unsafe, keyed = (sent_fetches(rig.arrive(5, class_index=class_index)[1])[0] for class_index in (3, 2))
-    assert unsafe.timeout_us == 3 * SECOND and keyed.timeout_us < 0.7 * SECOND
+    non_idempotent, keyed = (sent_fetches(rig.arrive(5, class_index=class_index)[1])[0] for class_index in (3, 2))
+    assert non_idempotent.timeout_us == 3 * SECOND and keyed.timeout_us < 0.7 * SECOND
 
 
 def test_non_idempotent_request_that_was_not_executed_is_retried():
@@ -76,7 +76,7 @@
 
 
 def test_keyed_request_is_retried_only_in_its_cell_and_otherwise_failed():
-    class_index = api.TrafficClass(
+    traffic_class = api.TrafficClass(
         "k",
         700_000,
         3 * SECOND,
@@ -84,24 +84,24 @@
         retry_scope="cell",
         idempotency_key_window_us=2 * SECOND,
     )
-    rig = Rig(classes=(class_index,), allows_retry_after=True)
+    rig = Rig(classes=(traffic_class,), allows_retry_after=True)
     request, out = rig.arrive(5)
     first = sent_fetches(out)[0]
-    seen = {m.server: m.cell for m in CACHES}
-    after = rig.finish(first, api.AttemptStatus.ERROR, after=10_000)
-    for a in sent_fetches(after):
-        assert seen[a.server] == seen[first.server]
-    if not sent_fetches(after):
-        assert final_answers(after) == [api.Fail(request)]
+    cells = {m.server: m.cell for m in CACHES}
+    actions = rig.finish(first, api.AttemptStatus.ERROR, after=10_000)
+    for a in sent_fetches(actions):
+        assert cells[a.server] == cells[first.server]
+    if not sent_fetches(actions):
+        assert final_answers(actions) == [api.Fail(request)]
 
 
 def test_draining_cache_gets_no_released_waiters():
     rig = Rig()
     attempt = sent_fetches(rig.arrive(5)[1])[0]
     rig.arrive(5)
-    drained = [m for m in CACHES if m.server == attempt.server][0]
-    gone = api.Member(drained.server, 8.0, drained.cell, 1, 0, api.MemberState.DRAINING)
-    rig.feed(api.MembershipUpdated(api.MembershipUpdateKind.DELTA, 2, (gone,)), after=1000)
+    cache = [m for m in CACHES if m.server == attempt.server][0]
+    draining = api.Member(cache.server, 8.0, cache.cell, 1, 0, api.MemberState.DRAINING)
+    rig.feed(api.MembershipUpdated(api.MembershipUpdateKind.DELTA, 2, (draining,)), after=1000)
     released = sent_fetches(rig.finish(attempt, detail=api.AttemptDetail.FILLED, after=50_000))
     assert released and released[0].server != attempt.server
 
@@ -110,16 +110,16 @@
     rig = Rig()
     home = sent_fetches(rig.arrive(5)[1])[0].source
     rig.feed(api.MembershipUpdated(api.MembershipUpdateKind.FULL, 2, tuple(m for m in ALL_MEMBERS if m.server != home)))
-    for obj in range(1, 40):
-        for a in sent_fetches(rig.arrive(obj)[1]):
+    for object_id in range(1, 40):
+        for a in sent_fetches(rig.arrive(object_id)[1]):
             assert a.source != home
 
 
 def work_sent(rig, matches, seconds, class_index=0, size=400.0):
-    """Work sent to servers, at the class's mean sending time, in seconds."""
+    """Work of the fetches that `matches` selects, in seconds of transfer time."""
     total = 0.0
-    for obj in range(int(seconds * 100)):
-        _, out = rig.arrive(obj + 1000, class_index=class_index, size=size, after=10_000)
+    for object_id in range(int(seconds * 100)):
+        _, out = rig.arrive(object_id + 1000, class_index=class_index, size=size, after=10_000)
         for a in sent_fetches(out):
             total += size / 1000.0 if matches(a) else 0.0
             rig.finish(a, detail=api.AttemptDetail.FILLED)
@@ -196,14 +196,14 @@
             overload_window_us=2 * SECOND,
         )
         rig.router.slow_start.router_started_us = now - 20 * SECOND
-        sent.append(sum(a.source == 200 for obj in range(20) for a in sent_fetches(rig.arrive(obj + 1)[1])))
+        sent.append(sum(a.source == 200 for object_id in range(20) for a in sent_fetches(rig.arrive(object_id + 1)[1])))
     assert 0 < sum(map(bool, sent)) < routers
     assert sum(sent) * 0.1 <= 2.0 * 30 * 2 * (0.06 + 0.94 * 4 / 22)
 
 
 def test_some_fills_bypass_a_parent_whose_link_is_full():
-    """Guards against one parent that is left for all: every fill joined its queue, each came late, and what
-    was given up ran on at it. A router can judge by its own fills only where its share of the link is large."""
+    """Guards against overload of the only parent left: every fill joined its queue and was late, and abandoned
+    fills continued at it. A router can judge the link by its own fills only if its share of the link is large."""
     alone = (*CACHES, PARENTS[0], ORIGIN)
 
     def sources(**changes):
@@ -212,6 +212,6 @@
         sent = [sent_fetches(rig.arrive(7000 + i, size=10.0)[1])[0].source for i in range(40)]
         return sent.count(PARENTS[0].server), sent.count(ORIGIN.server)
 
-    parent, origin = sources()  # its link of 30 is shared by 3, the location's 24 by the same 3
+    parent, origin = sources()  # 3 routers share the parent's link of 30 and the location's capacity of 24
     assert parent > 30 / 3 and 0 < origin <= 24 / 3, (parent, origin)
-    assert sources(router_count=30, routers_by_zone=(0, 30)) == (40, 0), "too small a share tells nothing"
+    assert sources(router_count=30, routers_by_zone=(0, 30)) == (40, 0), "share too small to judge the link by"
--- a/tests/test_simulator_codec.py
+++ b/tests/test_simulator_codec.py
@@ -1,4 +1,4 @@
-"""The wire: frames of our own, malformed ones, settings."""
+"""The simulator's wire format: valid and malformed frames, and settings texts."""
 
 import struct
 import subprocess
@@ -141,7 +141,7 @@
         work = frame(
             10_002_000, 2, *(request_record(i, 70 + n, 5 + n, 16_002_000) for i in instances for n in range(4))
         )
-        return run(start + work).stdout[16:]  # past the first reply and the second's header
+        return run(start + work).stdout[16:]  # after the first reply and the header of the second
 
     assert actions(3, 4, 5) == actions(3) + actions(4) + actions(5)
     assert len(actions(3)) > 100
--- a/tests/test_slow_start_fleet.py
+++ b/tests/test_slow_start_fleet.py
@@ -1,8 +1,8 @@
-"""A cold cache and a cold parent under the sum of what all directors send, with the real decision module.
+"""A cold cache and a cold parent under the total load of all directors, with the real routing module.
 
-The bound is that of the fleet: N calls of mean work in the stated window, N being what the settings allow of the
-capacity that is sure, and 2 x root of N + 2 for chance. Directors see unequal traffic, hear of the start at
-different times, and half of them are restarted in the middle, not knowing what their past process has sent.
+The bound applies to the fleet: N fetches of mean work per overload window, where N is what the settings allow of the
+guaranteed capacity, plus 2 * sqrt(N) + 2 for random variation. Directors see unequal traffic and learn of the start
+at different times; half of them restart during the run, without knowing what their previous process sent.
 """
 
 import heapq
@@ -27,11 +27,11 @@
 CACHE_COLD_RATIO, CACHE_WARM_UP_US = 0.2, 20 * SECOND
 PARENT_COLD_RATIO, PARENT_WARM_UP_US = 0.06, 22 * SECOND
 OVERLOAD_MULTIPLE, WINDOW_US = 2.0, 2 * SECOND
-LOCATIONS_BY_DIRECTORS = {3: 1, 30: 3, 200: 20}  # directors, and the locations they stand at
+LOCATIONS_BY_DIRECTORS = {3: 1, 30: 3, 200: 20}  # number of locations by number of directors
 
 
 class Fleet:
-    """Routers in one simulated time; every attempt is answered after the same time."""
+    """Routers on one simulated clock; every attempt is answered after RESPONSE_TIME_US."""
 
     def __init__(self, directors, seed):
         self.random, self.locations = random.Random(seed), LOCATIONS_BY_DIRECTORS[directors]
@@ -145,7 +145,7 @@
         for index in range(self.directors):
             self.update_membership(START - SECOND, index, False)
             self.schedule(START + self.random.randrange(MAX_MEMBERSHIP_DELAY_US), self.update_membership, index, True)
-            share = self.random.choice((0.3, 1.0, 1.0, 3.0))  # some see several times the mean
+            share = self.random.choice((0.3, 1.0, 1.0, 3.0))  # some directors see several times the mean
             self.schedule(START + self.random.randrange(SECOND), self.arrive, index, REQUESTS_PER_S * share)
             if index % 2:
                 self.schedule(RESTART_AT + self.random.randrange(SECOND), self.restart, index)
@@ -161,7 +161,7 @@
 
 
 def max_budget_use(times, weight, cold_ratio, warm_up_us):
-    """The largest share of what is allowed in any window, and the calls of all of them."""
+    """The highest ratio of fetches to `max_calls` in any window, and the number of all fetches."""
     times = [t for t in times if t >= START]
     shares = [
         sum(window_start <= t < window_start + WINDOW_US for t in times)
@@ -193,7 +193,7 @@
 
 
 class FleetWithoutSlowStart(Fleet):
-    """Directors that take a cold member for a warm one."""
+    """Directors that treat cold members as warm."""
 
     def start(self, index):
         router = super().start(index)
