--- a/rookbend/interface/events.py
+++ b/rookbend/interface/events.py
@@ -6,7 +6,7 @@
 
 from rookbend.interface.settings import AttemptDetail, AttemptStatus, Member, MembershipUpdateKind, Settings
 
-# Not frozen: a frozen dataclass takes three times as long to create, and each request creates several events.
+# Not frozen: a frozen dataclass takes three times as long to create, and each request needs several events.
 
 
 @dataclass(slots=True)
--- a/rookbend/routing/endpoint_selection.py
+++ b/rookbend/routing/endpoint_selection.py
@@ -14,7 +14,7 @@
 
 CONGESTED_TIME_LEFT_RATIO = 1.5  # a cache is congested if a transfer takes longer than the time left times this
 CONGESTED_UTILIZATION_RATIO = 1.5  # without spillover, requests of any size are rejected above this utilization
-PARENT_CONGESTED_SHARE_RATIO = 4.0  # fills at a parent, relative to this router's share of its capacity
+PARENT_CONGESTED_SHARE_RATIO = 4.0  # a parent is congested above this multiple of the router's share of it
 SPILLOVER_UTILIZATION_RATIO = 0.33  # highest utilization of a spillover target, relative to the congested cache
 SPILLOVER_MAX_SLOWNESS_RATIO = 1.5  # a cache this slow spills over to a target of any utilization
 
--- a/rookbend/routing/fill_rate.py
+++ b/rookbend/routing/fill_rate.py
@@ -8,7 +8,7 @@
 
 
 class FillRateLimiter:
-    """A token bucket of `per_second` fills, which is set from outside; None: no limit."""
+    """A token bucket with the externally set rate `per_second`; None: no limit."""
 
     def __init__(self) -> None:
         self.per_second: float | None = None
--- a/rookbend/routing/read_sending.py
+++ b/rookbend/routing/read_sending.py
@@ -16,7 +16,7 @@
 from rookbend.routing.source_selection import SourceSelector
 from rookbend.routing.timers import TimerTable
 
-OVERDUE_OBJECTIVE_RATIO = 0.7  # a read is overdue after these shares of its objective and its transfer time
+OVERDUE_OBJECTIVE_RATIO = 0.7  # a read is overdue after its objective and its transfer time, in these ratios
 OVERDUE_TRANSFER_RATIO = 1.7
 TIMEOUT_OBJECTIVE_RATIO = 6.0  # long: a fill outlives its attempt, so an early time-out only adds another fill
 TIMEOUT_TRANSFER_RATIO = 6.0
@@ -117,7 +117,7 @@
         """Whether the attempt may use a copy at a parent but may not reach the origin.
 
         This holds for cache-only attempts while fills from parents are timely and those from the origin are late,
-        since it takes no fill capacity, and for some reads after a failure of the origin.
+        since a parent's copy takes no fill capacity, and for some reads after a failure of the origin.
         """
         if cache_only and self.settings.answer_detail == "all" and self.fill_monitor.origin_is_slow():
             return True
--- a/rookbend/routing/write_sending.py
+++ b/rookbend/routing/write_sending.py
@@ -58,8 +58,8 @@
 def timeout_us(request: Request) -> float:
     """Time-out of a write in microseconds, before `AttemptTracker.start` doubles it for each earlier time-out.
 
-    This function doubles it too, so it grows fourfold each time. A write that is not idempotent gets no second
-    attempt, and no time-out but its deadline: an earlier one would only discard its answer.
+    This function doubles it too, so it grows fourfold each time. A write that is not idempotent cannot be repeated
+    after a time-out, so it has none but its deadline: an earlier one would only discard its answer.
     """
     if request.traffic_class.idempotency is Idempotency.NOT_IDEMPOTENT:
         return math.inf
