--- a/rookbend/routing/silence_detection.py
+++ b/rookbend/routing/silence_detection.py
@@ -1,4 +1,4 @@
-"""Silent servers: several attempts at one are overdue, and nothing has come from it since they were sent."""
+"""Detection of silent servers: several attempts are overdue, and the server has not answered since they were sent."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class SilenceDetector:
-    """Ejects hung and vanished servers without ending slow fills: any answer clears a server."""
+    """Ejects hung and vanished servers without cancelling slow fills: any answer shows that a server is alive."""
 
     def __init__(
         self,
@@ -33,15 +33,15 @@
     def attempt_overdue(self, attempt: Attempt, now_us: int) -> list[CancelAttempt]:
         """Record that an attempt is overdue; returns the cancellations of attempts at a silent server.
 
-        A parent is silent only while another one answers: else it is the link or the origin.
+        A parent counts as silent only while another parent answers; otherwise the link or the origin is the cause.
         """
         if self.in_flight.get((attempt.request.id, attempt.number)) is not attempt:
             return []
         server = attempt.server
-        cancelled = self._overdue_at(attempt, server, lambda other: other.server == server, now_us)
+        cancelled = self._record_overdue(attempt, server, lambda other: other.server == server, now_us)
         source = attempt.source
         if attempt.may_fill and source is not None and self._other_parent_answers(attempt):
-            cancelled += self._overdue_at(
+            cancelled += self._record_overdue(
                 attempt, source, lambda other: other.may_fill and other.source == source, now_us
             )
         return cancelled
@@ -53,8 +53,8 @@
             if parent.server != attempt.source
         )
 
-    def _overdue_at(
-        self, attempt: Attempt, server: int, is_at: Callable[[Attempt], bool], now_us: int
+    def _record_overdue(
+        self, attempt: Attempt, server: int, matches: Callable[[Attempt], bool], now_us: int
     ) -> list[CancelAttempt]:
         stats = self.servers[server]
         if stats.last_answer_us >= attempt.sent_us:
@@ -67,7 +67,7 @@
         cancelled = []
         for other in self.in_flight.values():
             is_newest = other.request.attempt is other
-            if is_at(other) and other.sent_us > stats.last_answer_us and is_newest and not other.request.is_write:
+            if matches(other) and other.sent_us > stats.last_answer_us and is_newest and not other.request.is_write:
                 other.cancelled_for = server
                 cancelled.append(CancelAttempt(other.request.id, other.number))
         return cancelled
