--- a/rookbend/config.py
+++ b/rookbend/config.py
@@ -20,7 +20,7 @@
     TrafficClassConfig,
     to_router_settings,
 )
-from rookbend.protocol.coordinator_stream import Known, split_address
+from rookbend.protocol.coordinator_stream import KnownEvents, split_address
 from rookbend.settings import Settings
 from rookbend.simulator_settings import EFFECTS
 
@@ -54,7 +54,7 @@
     peers_all: str = ""
     flow_bytes_per_s: float = 0.0
     link_bytes_per_s: float = 0.0
-    known: Known = msgspec.field(default_factory=Known)
+    known: KnownEvents = msgspec.field(default_factory=KnownEvents)
     keys: Any = None  # those that the file has, set by `load`: see operations/reload_validation.py
 
     def router_settings(self) -> api.Settings:
--- a/rookbend/core/attempts.py
+++ b/rookbend/core/attempts.py
@@ -121,7 +121,7 @@
         open_request = self._requests.by_id.get(action.request)
         attempt = open_request.current_attempt if open_request is not None else None
         if attempt is not None and attempt.number == action.attempt:
-            self.backend.undo(attempt)
+            self.backend.abort(attempt)
             self.finished(attempt, AttemptResult(AttemptStatus.CANCELLED))
 
     def abandon(self, open_request: OpenRequest) -> None:
@@ -129,18 +129,18 @@
         attempt = open_request.current_attempt
         open_request.current_attempt = None
         if attempt is not None and not attempt.is_finished:
-            self.backend.undo(attempt)
+            self.backend.abort(attempt)
             self.finished(attempt, AttemptResult(AttemptStatus.CANCELLED))
 
     def withdraw(self, open_request: OpenRequest, attempt: Attempt) -> None:
         """Takes back the attempt in flight of a request that is answered next; the caller finishes it."""
         open_request.current_attempt = None
-        if self.backend.undo(attempt) not in NEVER_EXECUTED:
+        if self.backend.abort(attempt) not in NEVER_EXECUTED:
             retry_safety.note_possible_run(open_request, attempt, self._endpoints.get(attempt.server))
 
     def expire(self, attempt: Attempt) -> None:
         """Ends an attempt whose time is over."""
-        self.finished(attempt, AttemptResult(self.backend.undo(attempt)))
+        self.finished(attempt, AttemptResult(self.backend.abort(attempt)))
 
     def finished(self, attempt: Attempt, result: AttemptResult) -> None:
         """The attempt has ended. Only the first call counts."""
--- a/rookbend/core/counters.py
+++ b/rookbend/core/counters.py
@@ -52,7 +52,7 @@
     # Bounded: one entry for each name that the settings have had, and outcome.
     by_class: Counter[tuple[str, FinalOutcome]] = field(default_factory=Counter)
 
-    def ended(self, class_name: str, outcome: FinalOutcome) -> None:
+    def count_answer(self, class_name: str, outcome: FinalOutcome) -> None:
         """Counts a final answer, whoever gave it."""
         counter_name = outcome.value
         setattr(self, counter_name, getattr(self, counter_name) + 1)
--- a/rookbend/core/deadlines.py
+++ b/rookbend/core/deadlines.py
@@ -12,7 +12,7 @@
 from rookbend.interface import RequestCancelled, TimerFired
 
 
-class DeadlineKeeper:
+class DeadlineEnforcer:
     """`finish_all_at_us` is the time by which everything is answered, 0 while no such time is set."""
 
     def __init__(
--- a/rookbend/core/engine.py
+++ b/rookbend/core/engine.py
@@ -14,7 +14,7 @@
 from rookbend.core.attempts import AttemptRunner
 from rookbend.core.clock import Clock
 from rookbend.core.counters import Counters
-from rookbend.core.deadlines import DeadlineKeeper
+from rookbend.core.deadlines import DeadlineEnforcer
 from rookbend.core.membership_view import MembershipView
 from rookbend.core.model import Answer, AttemptResult, Endpoint, FinalOutcome, MembershipChange, Purge, Request
 from rookbend.core.open_request import OpenRequest, OpenRequestTable
@@ -27,7 +27,7 @@
 from rookbend.core.traffic_classes import TrafficClassIndex
 from rookbend.interface import AttemptStatus, Idempotency
 
-LONGEST_PEER_MESSAGE_BYTES = 256
+MAX_PEER_MESSAGE_BYTES = 256
 
 
 class Engine:
@@ -51,12 +51,12 @@
         self.counters = counters
         self.log = log
         self.peers: PeerTransport | None = None
-        self.on_peer: Callable[[int, bytes], bool] | None = None  # takes the messages that are not the router's
+        self.on_peer_message: Callable[[int, bytes], bool] | None = None  # takes messages not meant for the router
         self.lag_us = 0  # how late the loop ran last: what is read now may have waited as long
         self.timers = TimerQueue()
         self.requests = OpenRequestTable(counters)
         self.traffic_classes = TrafficClassIndex(settings, clock)
-        self.membership = MembershipView(settings, clock, lambda server: self.backend.forget(server))
+        self.membership = MembershipView(settings, clock, lambda server: self.backend.disconnect(server))
         self.purges = ReceivedPurges(settings, clock)
         self._driver = RouterDriver(router, clock)
         self.attempts = AttemptRunner(
@@ -65,7 +65,7 @@
         self._driver.handlers = ActionHandlers(
             self.requests, self.attempts, self.timers, self._driver, log, self._send_to_peer
         ).by_type()
-        self._deadlines = DeadlineKeeper(self.timers, self.requests, self.attempts, self._driver, clock, counters)
+        self._deadlines = DeadlineEnforcer(self.timers, self.requests, self.attempts, self._driver, clock, counters)
         self._settings = settings
         self.endpoints = self.membership.endpoints
         # Bound here, since a method that passes the call on would cost a layer for each request.
@@ -119,7 +119,7 @@
             request.deadline_us = min(request.deadline_us, finish_all_at_us)
         if request.deadline_us <= self.clock.now() or request.request_id in self.requests.request_ids:
             # An id in use names another request: members could not tell the two apart.
-            self.counters.ended(request.class_name, FinalOutcome.FAILED)
+            self.counters.count_answer(request.class_name, FinalOutcome.FAILED)
             reply(Answer(FinalOutcome.FAILED))
             return None
         settings = self._settings
@@ -161,7 +161,7 @@
         open_request.client_half_closed = True
         attempt = open_request.current_attempt
         if attempt is not None:
-            if self.backend.is_out(attempt):
+            if self.backend.is_fully_sent(attempt):
                 return
             self.attempts.withdraw(open_request, attempt)
         self.counters.clients_left += 1
@@ -236,11 +236,11 @@
     def peer_message(self, sender: int, data: bytes) -> None:
         """A datagram from another director, known by its number."""
         self.counters.peer_messages += 1
-        if self.on_peer is not None and self.on_peer(sender, data):
+        if self.on_peer_message is not None and self.on_peer_message(sender, data):
             return
         self._post(api.PeerMessageReceived(sender, data))
 
     def _send_to_peer(self, peer: int | None, data: bytes) -> None:
-        is_allowed = self._settings.allows_peer_messages and len(data) <= LONGEST_PEER_MESSAGE_BYTES
+        is_allowed = self._settings.allows_peer_messages and len(data) <= MAX_PEER_MESSAGE_BYTES
         if is_allowed and self.peers is not None:
             self.peers.send(peer, data)
--- a/rookbend/core/open_request.py
+++ b/rookbend/core/open_request.py
@@ -9,7 +9,7 @@
 from rookbend.core.model import Answer, Attempt, Request
 from rookbend.interface import Member
 
-LARGEST_REQUEST_NUMBER = 0xFFFFFFFF  # numbers start again at 1 after it
+MAX_REQUEST_NUMBER = 0xFFFFFFFF  # numbers start again at 1 after it
 
 
 @dataclass(slots=True, eq=False)
@@ -55,7 +55,7 @@
     ) -> OpenRequest:
         """Opens a request under the next number; its client's id must not be in use."""
         self.request_ids.add(request.request_id)
-        number = self.last_id % LARGEST_REQUEST_NUMBER + 1
+        number = self.last_id % MAX_REQUEST_NUMBER + 1
         self.last_id = number
         open_request = OpenRequest(number, request, reply, request.deadline_us, is_idempotent, max_attempts)
         self.by_id[number] = open_request
@@ -66,7 +66,7 @@
         request = open_request.request
         del self.by_id[open_request.id]
         self.request_ids.discard(request.request_id)
-        self._counters.ended(request.class_name, answer.outcome)
+        self._counters.count_answer(request.class_name, answer.outcome)
         open_request.reply(answer)
 
     def remove(self, open_request: OpenRequest) -> bool:
--- a/rookbend/core/ports.py
+++ b/rookbend/core/ports.py
@@ -22,16 +22,16 @@
 class Backend(Protocol):
     """Carries attempts to members."""
 
-    def send(self, attempt: Attempt, entry: Endpoint) -> None:
+    def send(self, attempt: Attempt, endpoint: Endpoint) -> None:
         """Sends the attempt as soon as a connection takes it; the engine learns of its end by `finished`."""
 
-    def undo(self, attempt: Attempt) -> AttemptStatus:
+    def abort(self, attempt: Attempt) -> AttemptStatus:
         """Gives the attempt up; returns TIMEOUT if it may have run, CONNECT_FAILED if it never did."""
 
-    def is_out(self, attempt: Attempt) -> bool:
+    def is_fully_sent(self, attempt: Attempt) -> bool:
         """Whether the attempt has gone out whole; what has not can still be withheld from its member."""
 
-    def forget(self, server: int) -> None:
+    def disconnect(self, server: int) -> None:
         """Drops the connections to a member that has left or has another address."""
 
     def close_idle(self, server: int) -> None:
--- a/rookbend/core/token_bucket.py
+++ b/rookbend/core/token_bucket.py
@@ -24,23 +24,23 @@
             self.filled_us = now_us
 
     @property
-    def has_one(self) -> bool:
+    def has_token(self) -> bool:
         """Whether there is a whole token."""
         return self.units >= UNITS_PER_TOKEN
 
     def spend(self) -> None:
-        """Removes a token; `has_one` must have been true."""
+        """Removes a token; `has_token` must have been true."""
         self.units -= UNITS_PER_TOKEN
 
     def take(self, now_us: int) -> bool:
         """Removes a token if there is one now; returns whether there was."""
         self.fill(now_us)
-        if not self.has_one:
+        if not self.has_token:
             return False
         self.spend()
         return True
 
-    def next_us(self) -> int:
+    def next_token_us(self) -> int:
         """When there is a token, if none is removed before."""
         missing_units = UNITS_PER_TOKEN - self.units
         wait_us = -(-missing_units // max(1, int(self.rate)))
--- a/rookbend/fronts/platform.py
+++ b/rookbend/fronts/platform.py
@@ -144,7 +144,7 @@
         queued, self._queued = self._queued, {}
         for stream, request in queued.items():
             engine.counters.requests += 1
-            engine.counters.ended(request.class_name, FinalOutcome.REJECTED)
+            engine.counters.count_answer(request.class_name, FinalOutcome.REJECTED)
             self._answer(stream, Answer(FinalOutcome.REJECTED, retry_after_us=engine.retry_after_us))
         for open_request in list(self.open_streams.values()):
             engine.client_half_closed(open_request)
@@ -154,7 +154,7 @@
         could make up names without end."""
         class_name = (frame.fields or {}).get(frames.TRAFFIC_CLASS_FIELD, "")
         if self.front.engine.class_index(class_name) is not None:
-            self.front.engine.counters.ended(class_name, outcome)
+            self.front.engine.counters.count_answer(class_name, outcome)
 
     def _answer(self, stream: int, answer: Answer) -> None:
         del self.open_streams[stream]
--- a/rookbend/net/leases.py
+++ b/rookbend/net/leases.py
@@ -97,8 +97,8 @@
             wanted.report_ledger, wanted.report_file, self.machine.leases, self.now, self.log, self.feed
         )
         self._nursery: trio.Nursery | None = None
-        self._forward_datagram = context.engine.on_peer
-        context.engine.on_peer = self._datagram_received
+        self._forward_datagram = context.engine.on_peer_message
+        context.engine.on_peer_message = self._datagram_received
         self.recovery.on_boot_raised = lambda: self.feed(events.StaleStorageDetected())
         self.recovery.machine.admission.assigned_quota = self.machine.parts.ramp_allocator.share.ratio
         if "checks" in config.tasks:
--- a/rookbend/net/member_connection.py
+++ b/rookbend/net/member_connection.py
@@ -59,7 +59,7 @@
         """The connection has ended: the owner calls `close`, and settles what was in flight."""
 
     def cancel(self, connection: MemberConnection, attempt: Attempt) -> AttemptStatus:
-        """Gives up an attempt in flight on the connection; see `Backend.undo`."""
+        """Gives up an attempt in flight on the connection; see `Backend.abort`."""
 
 
 class MemberConnection:
--- a/rookbend/net/pool.py
+++ b/rookbend/net/pool.py
@@ -80,15 +80,15 @@
             member_pool = self.members[attempt.server] = MemberPool(self, endpoint)
         member_pool.send(attempt)
 
-    def undo(self, attempt: Attempt) -> AttemptStatus:
-        """See `Backend.undo`."""
+    def abort(self, attempt: Attempt) -> AttemptStatus:
+        """See `Backend.abort`."""
         connection = self._connection_of(attempt)
         if connection is None:
             return AttemptStatus.CONNECT_FAILED  # never written: it waits for a connection, or has none
         return connection.owner.cancel(connection, attempt)
 
-    def is_out(self, attempt: Attempt) -> bool:
-        """See `Backend.is_out`."""
+    def is_fully_sent(self, attempt: Attempt) -> bool:
+        """See `Backend.is_fully_sent`."""
         connection = self._connection_of(attempt)
         return connection is not None and connection.is_sent(connection.in_flight[attempt.request.request_id])
 
@@ -101,8 +101,8 @@
         pending = connection.in_flight.get(attempt.request.request_id)
         return connection if pending is not None and pending.attempt is attempt else None
 
-    def forget(self, server: int) -> None:
-        """See `Backend.forget`."""
+    def disconnect(self, server: int) -> None:
+        """See `Backend.disconnect`."""
         member_pool = self.members.pop(server, None)
         if member_pool is not None:
             member_pool.retire()
--- a/rookbend/net/recovery.py
+++ b/rookbend/net/recovery.py
@@ -18,7 +18,7 @@
 from rookbend.net.component import ComponentContext
 from rookbend.net.machine_driver import INCARNATION_BITS, ActionHandlers, MachineDriver
 from rookbend.net.recovery_setup import persisted_rows, recovery_config
-from rookbend.protocol.gossip import is_ours
+from rookbend.protocol.gossip import is_gossip_datagram
 from rookbend.recovery.actions import (
     ApplyOrder,
     ApplyPurge,
@@ -80,7 +80,7 @@
         context.watch.purged = self._purge_received
         context.watch.stream_received = lambda: self.feed(StreamActive())
         context.engine.attempts.on_attempt = self._attempt_changed
-        context.engine.on_peer = self._datagram_received
+        context.engine.on_peer_message = self._datagram_received
         context.gauges.append(self.gauges)
         self.begin()
 
@@ -113,7 +113,7 @@
 
     def _datagram_received(self, sender: int, data: bytes) -> bool:
         """Whether it belongs to this exchange, and not to the router's."""
-        if not is_ours(data):
+        if not is_gossip_datagram(data):
             return False
         self.feed(DatagramReceived(sender, data))
         return True
--- a/rookbend/net/watch.py
+++ b/rookbend/net/watch.py
@@ -18,7 +18,7 @@
 
 from rookbend.core.engine import Engine
 from rookbend.core.model import MembershipChange, Purge
-from rookbend.protocol.coordinator_stream import Known, StreamError, Translator, Update
+from rookbend.protocol.coordinator_stream import KnownEvents, StreamError, Translator, Update
 from rookbend.protocol.event_stream import EventStream, StreamEnd, UnreadableEvent
 
 STREAM_PATH = "/v2/stream"
@@ -86,7 +86,7 @@
         # waited for.
         self._call_scope.cancel()
 
-    def apply_known_events(self, known: Known) -> None:
+    def apply_known_events(self, known: KnownEvents) -> None:
         """Applies the events that the configuration brings along."""
         for update in known.updates:
             self._apply(update)
--- a/rookbend/protocol/coordinator_stream.py
+++ b/rookbend/protocol/coordinator_stream.py
@@ -59,7 +59,7 @@
     purge: PurgeEvent | None = msgspec.field(name="evict", default=None)
 
 
-class Known(msgspec.Struct):
+class KnownEvents(msgspec.Struct):
     """The events that the configuration brings along, up to `index`."""
 
     index: int = 0
--- a/rookbend/protocol/gossip.py
+++ b/rookbend/protocol/gossip.py
@@ -21,7 +21,7 @@
 MAGIC = b"RB\x01"
 MAX_DATAGRAM_BYTES = 256
 MAX_AGE_MS = 10 * 365 * 86_400_000
-FIGURE_LIMIT = 1 << 48
+INTEGER_LIMIT = 1 << 48
 ROW_KINDS = "order", "purge", "drain"  # by the index that travels
 
 
@@ -120,7 +120,7 @@
     return int.from_bytes(blake2b(name.encode(), digest_size=4).digest(), "big")
 
 
-def is_ours(data: bytes) -> bool:
+def is_gossip_datagram(data: bytes) -> bool:
     """Whether a datagram belongs to this exchange, of any version, and not to the router's."""
     return data.startswith(MAGIC[:2])
 
@@ -166,26 +166,26 @@
 def decode(data: bytes) -> Message:
     """The message of a datagram. Raises GossipDecodeError."""
     if len(data) > MAX_DATAGRAM_BYTES or not data.startswith(MAGIC):
-        raise GossipDecodeError("another version" if is_ours(data) else "not of this exchange")
+        raise GossipDecodeError("another version" if is_gossip_datagram(data) else "not of this exchange")
     try:
         message: Message = _decoder.decode(data[len(MAGIC) :])
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
         raise GossipDecodeError(str(error)) from None
-    figures = [message.number, message.incarnation]
+    integers = [message.number, message.incarnation]
     if isinstance(message, Hello):
         if len(message.digests) != len(ROW_KINDS) or message.age_ms > MAX_AGE_MS:
             raise GossipDecodeError(f"{len(message.digests)} digests, age {message.age_ms} ms")
-        figures += _figures_of_hello(message)
+        integers += _integers_of_hello(message)
     elif not 0 <= message.kind < len(ROW_KINDS):
         raise GossipDecodeError(f"unknown kind of row {message.kind}")
-    if min(figures) < 0 or max(figures) >= FIGURE_LIMIT:
-        raise GossipDecodeError(f"figures out of range: {min(figures)} to {max(figures)}")
+    if min(integers) < 0 or max(integers) >= INTEGER_LIMIT:
+        raise GossipDecodeError(f"figures out of range: {min(integers)} to {max(integers)}")
     return message
 
 
-def _figures_of_hello(hello: Hello) -> list[int]:
-    figures = [hello.boot_number, hello.heartbeat, hello.phase, hello.stage, hello.age_ms, hello.revision]
-    figures += [*hello.digests, *hello.origin, *hello.known]
+def _integers_of_hello(hello: Hello) -> list[int]:
+    integers = [hello.boot_number, hello.heartbeat, hello.phase, hello.stage, hello.age_ms, hello.revision]
+    integers += [*hello.digests, *hello.origin, *hello.known]
     for summary in hello.others:
-        figures += [summary.number, summary.boot_number, summary.heartbeat, summary.phase, summary.age_s]
-    return figures
+        integers += [summary.number, summary.boot_number, summary.heartbeat, summary.phase, summary.age_s]
+    return integers
--- a/rookbend/scheduling/scheduler.py
+++ b/rookbend/scheduling/scheduler.py
@@ -96,7 +96,7 @@
         self._queue_due(now_us)
         self._bucket.fill(now_us)
         started = []
-        while self._bucket.has_one:
+        while self._bucket.has_token:
             ready = [use for use in self._budget_uses() if self._has_startable(use)]
             if not ready:
                 break
@@ -121,8 +121,8 @@
         times_us = []
         if self._not_due:
             times_us.append(self._not_due[0].order_us)
-        if not self._bucket.has_one and any(self._has_startable(use) for use in self._budget_uses()):
-            times_us.append(max(now_us + 1, self._bucket.next_us()))
+        if not self._bucket.has_token and any(self._has_startable(use) for use in self._budget_uses()):
+            times_us.append(max(now_us + 1, self._bucket.next_token_us()))
         return min(times_us, default=0)
 
     def _budget_uses(self) -> Iterator[BudgetUse]:
--- a/rookbend/testing/simulation/node.py
+++ b/rookbend/testing/simulation/node.py
@@ -49,15 +49,15 @@
             self.fleet.note(result.status.name.lower(), result.detail.name.lower())
             self.engine.finished(job.attempt, result)
 
-    def undo(self, attempt: Attempt) -> AttemptStatus:
+    def abort(self, attempt: Attempt) -> AttemptStatus:
         self.fleet.note("undone")
         self.sim.after(self.fleet.world.way_s, self.fleet.boxes[attempt.server].give_up, attempt.connection)
         return AttemptStatus.TIMEOUT
 
-    def is_out(self, attempt: Attempt) -> bool:
+    def is_fully_sent(self, attempt: Attempt) -> bool:
         return True  # what is sent is on its way at once
 
-    def forget(self, server: int) -> None:
+    def disconnect(self, server: int) -> None:
         pass  # attempts that are out end by themselves
 
     def close_idle(self, server: int) -> None:
--- a/tests/engine_harness.py
+++ b/tests/engine_harness.py
@@ -40,17 +40,17 @@
             MembershipChange(False, 1, [Endpoint(m, f"m{m.server}", ("127.0.0.1", m.server)) for m in members])
         )
 
-    def send(self, attempt, entry):
+    def send(self, attempt, endpoint):
         self.sent.append(attempt)
 
-    def undo(self, attempt):
+    def abort(self, attempt):
         self.undone.append(attempt)
         return AttemptStatus.TIMEOUT
 
-    def is_out(self, attempt):
+    def is_fully_sent(self, attempt):
         return attempt in self.sent
 
-    def forget(self, server):
+    def disconnect(self, server):
         pass
 
     def ask(self, cls=0, seconds=2.0, obj=5, rid=None):
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -70,8 +70,8 @@
     """On a connection that others share, what is half out goes out whole."""
     bench = Bench(Script([fetch()]))
     open_request = bench.ask(cls=3)
-    bench.is_out = lambda attempt: False
-    bench.undo = lambda attempt: undone
+    bench.is_fully_sent = lambda attempt: False
+    bench.abort = lambda attempt: undone
     bench.engine.client_half_closed(open_request)
     bench.engine.finished(bench.sent[0], AttemptResult(AttemptStatus.OK))
     assert bench.verdicts() == [verdict] and bench.engine.open_requests == 0
--- a/tests/test_member_connections.py
+++ b/tests/test_member_connections.py
@@ -68,7 +68,7 @@
         """)
         engine = stage.service.engine
         (open_request,) = engine.requests.by_id.values()
-        engine.backend.undo(open_request.current_attempt)  # as the module does where the source is silent
+        engine.backend.abort(open_request.current_attempt)  # as the module does where the source is silent
         engine.finished(open_request.current_attempt, AttemptResult(AttemptStatus.CANCELLED))
         await stage.play("""
             cache1 expect nothing
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -91,7 +91,7 @@
         engine = stage.service.engine
         now = engine.clock.now()
         open_request = engine.submit(Request("f" * 16, 0, "video", OBJ, int(OBJ, 16), now + 3_000_000), print)
-        assert engine.backend.undo(open_request.current_attempt) is AttemptStatus.CONNECT_FAILED
+        assert engine.backend.abort(open_request.current_attempt) is AttemptStatus.CONNECT_FAILED
         await stage.play("""
             cache1 expect nothing
             client send request 2 video chunk=7
