--- a/rookbend/core/__init__.py
+++ b/rookbend/core/__init__.py
@@ -1,1 +1,1 @@
-"""The director's engine: requests, attempts and outcomes. It knows no wire, no socket and no trio."""
+"""The director's engine: requests, attempts and outcomes. Independent of wire protocols, sockets and trio."""
--- a/rookbend/core/actions.py
+++ b/rookbend/core/actions.py
@@ -1,4 +1,4 @@
-"""Who carries out each action of the router."""
+"""Dispatches each type of router action to its handler."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class ActionHandlers:
-    """Carries out what is no attempt's own: final answers, timers, log lines and messages to peers."""
+    """Carries out final answers, timers, log lines and messages to peers; actions on attempts go to `AttemptRunner`."""
 
     def __init__(
         self,
@@ -53,14 +53,14 @@
         }
 
     def _fail(self, action: api.Fail) -> None:
-        self._end(action.request, Answer(FinalOutcome.FAILED))
+        self._answer(action.request, Answer(FinalOutcome.FAILED))
 
     def _reject(self, action: api.Reject) -> None:
         open_request = self._requests.by_id.get(action.request)
         if open_request is not None:
-            self._end(action.request, rejection(open_request, action.retry_after_us))
+            self._answer(action.request, rejection(open_request, action.retry_after_us))
 
-    def _end(self, number: int, answer: Answer) -> None:
+    def _answer(self, number: int, answer: Answer) -> None:
         open_request = self._requests.by_id.get(number)
         if open_request is not None:
             self._requests.answer(open_request, answer)
@@ -82,4 +82,4 @@
         self._log("module_fault", "error", text=action.text)
 
     def _ignore(self, action: api.Action) -> None:
-        """The director has no use for this action."""
+        """Does nothing: the director does not need this action."""
--- a/rookbend/core/attempts.py
+++ b/rookbend/core/attempts.py
@@ -1,4 +1,4 @@
-"""The attempts of open requests: begun as the router decides, ended once, whatever becomes of the request."""
+"""Starts the attempts that the router decides on, and finishes each exactly once, however its request ends."""
 
 from __future__ import annotations
 
@@ -29,10 +29,10 @@
 
 
 class AttemptRunner:
-    """Starts, cancels and finishes attempts; `backend` has to be set before the first one.
+    """Starts, cancels and finishes attempts; `backend` must be set before the first one.
 
-    `on_attempt(attempt, result)` is called as an attempt goes out, with None, and with its result as it ends.
-    `on_attempt_end(server, status)` is called at its end alone.
+    `on_attempt(attempt, result)` is called when an attempt starts, with None, and when it ends, with its result.
+    `on_attempt_end(server, status)` is called only when an attempt ends.
     """
 
     backend: Backend
@@ -48,7 +48,7 @@
         counters: Counters,
     ) -> None:
         self.settings = settings
-        self.oldest_copy_us = 0  # copies that left the origin before this are not asked for; 0: as the router says
+        self.oldest_copy_us = 0  # copies that left the origin before this time are not accepted; 0: no limit
         self.on_attempt: Callable[[Attempt, AttemptResult | None], None] | None = None
         self.on_attempt_end: Callable[[int, AttemptStatus], None] | None = None
         self._requests = requests
@@ -59,16 +59,16 @@
         self._counters = counters
 
     def start(self, action: FetchCached | Fetch) -> None:
-        """Begins the attempt that the router decided, or ends it as MOOT where a guard forbids it."""
+        """Starts the attempt that the router decided on, or ends it as MOOT if it is not permitted."""
         now_us = self._driver.now_us
         open_request = self._requests.by_id.get(action.request)
         if open_request is None:
-            return self._forbid(action, 0, is_final=True)
+            return self._end_as_moot(action, 0, is_final=True)
         number = open_request.attempt_count
         open_request.attempt_count += 1
         endpoint = self._endpoints.get(action.server)
         if endpoint is None or not self._may_start(open_request, number, endpoint, now_us):
-            return self._forbid(action, number, is_final=False)
+            return self._end_as_moot(action, number, is_final=False)
         deadline_us = open_request.deadline_us
         due_us = min(now_us + action.timeout_us, deadline_us) if action.timeout_us else deadline_us
         attempt = Attempt(open_request.request, open_request.id, number, action.server, 0, now_us, due_us)
@@ -76,9 +76,9 @@
             self._set_fill_options(attempt, action, now_us)
         if open_request.may_have_run:
             attempt.retry_deadline_us = retry_safety.retry_deadline_us(open_request, self.settings)
-        # Guards a request that was lost once to a reset: its next try goes out on a new connection. Writes
-        # are not sent on new connections as such: each director doing so kept dozens of idle ones at the
-        # origin, whose table, shared by a fleet, turned nine writes in ten away (docs/design/fleet.md).
+        # After an attempt was lost to a connection reset, the next one uses a new connection. Writes do not use
+        # new connections in general: when they did, each director held dozens of idle connections to the origin,
+        # and its connection table, shared by the fleet, refused nine writes in ten (docs/design/fleet.md).
         attempt.new_connection = open_request.had_reset
         open_request.current_attempt = attempt
         self._counters.attempts += 1
@@ -89,7 +89,7 @@
         self.backend.send(attempt, endpoint)
 
     def _may_start(self, open_request: OpenRequest, number: int, endpoint: Endpoint, now_us: int) -> bool:
-        """One attempt at a time, a limited number of them, none after the deadline, and no unsafe repeat."""
+        """Permits one attempt at a time, a limited number of them, none after the deadline and no unsafe retry."""
         settings = self.settings
         if open_request.current_attempt is not None or open_request.deadline_us <= now_us:
             return False
@@ -108,16 +108,16 @@
         attempt.refresh_in_background = action.refresh_in_background
         attempt.parent_no_store = action.parent_no_store
         if self.oldest_copy_us:
-            # Guards against a purge that was made while this director could not receive it.
+            # Covers purges that were issued while this director could not receive them.
             oldest_age_us = max(1, now_us - self.oldest_copy_us)
             attempt.max_age_us = min(attempt.max_age_us or oldest_age_us, oldest_age_us)
 
-    def _forbid(self, action: FetchCached | Fetch, number: int, is_final: bool) -> None:
+    def _end_as_moot(self, action: FetchCached | Fetch, number: int, is_final: bool) -> None:
         self._counters.moot += 1
         self._driver.enqueue(AttemptFinished(action.request, number, action.server, AttemptStatus.MOOT, 0, is_final))
 
     def cancel(self, action: CancelAttempt) -> None:
-        """Gives up an attempt that the router no longer wants, if it is the one in flight."""
+        """Aborts an attempt that the router no longer needs, if it is the one in flight."""
         open_request = self._requests.by_id.get(action.request)
         attempt = open_request.current_attempt if open_request is not None else None
         if attempt is not None and attempt.number == action.attempt:
@@ -125,7 +125,7 @@
             self.finished(attempt, AttemptResult(AttemptStatus.CANCELLED))
 
     def abandon(self, open_request: OpenRequest) -> None:
-        """Gives up the attempt in flight of a request that is closed."""
+        """Aborts the attempt in flight of a closed request."""
         attempt = open_request.current_attempt
         open_request.current_attempt = None
         if attempt is not None and not attempt.is_finished:
@@ -133,17 +133,17 @@
             self.finished(attempt, AttemptResult(AttemptStatus.CANCELLED))
 
     def withdraw(self, open_request: OpenRequest, attempt: Attempt) -> None:
-        """Takes back the attempt in flight of a request that is answered next; the caller finishes it."""
+        """Aborts the attempt in flight of a request that is about to be answered; the caller calls `finished`."""
         open_request.current_attempt = None
         if self.backend.abort(attempt) not in NEVER_EXECUTED:
             retry_safety.note_possible_run(open_request, attempt, self._endpoints.get(attempt.server))
 
     def expire(self, attempt: Attempt) -> None:
-        """Ends an attempt whose time is over."""
+        """Ends an attempt that has timed out."""
         self.finished(attempt, AttemptResult(self.backend.abort(attempt)))
 
     def finished(self, attempt: Attempt, result: AttemptResult) -> None:
-        """The attempt has ended. Only the first call counts."""
+        """Handles the end of an attempt. Only the first call for an attempt has an effect."""
         if attempt.is_finished:
             return
         attempt.is_finished = True
@@ -175,7 +175,7 @@
             self.on_attempt(attempt, result)
 
     def _answer_if_last(self, open_request: OpenRequest, attempt: Attempt, result: AttemptResult) -> bool:
-        """Answers the request if no further attempt may follow this one; returns whether it did."""
+        """Answers the request if no further attempt may follow this one; returns whether it was answered."""
         status = result.status
         if status is AttemptStatus.OK:
             answer = Answer(FinalOutcome.SERVED, result.body, result.unchanged, 0, attempt.server)
--- a/rookbend/core/check_result.py
+++ b/rookbend/core/check_result.py
@@ -1,4 +1,4 @@
-"""Results of a health check, as the health protocols report them and the health decisions take them."""
+"""Results of health checks: reported by the health protocols, evaluated by the health decisions."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
     PASSED = "passed"
     DEGRADED = "degraded"  # passed, and the member reports reduced performance
     FAILED = "failed"  # an answer, but not the expected one
-    DISMISSED = "dismissed"  # the member requests to be taken out of service at once
+    DISMISSED = "dismissed"  # the member requests its immediate removal from service
     REFUSED = "refused"  # connection refused
-    SILENT = "silent"  # no whole answer by the deadline
+    SILENT = "silent"  # no complete answer by the deadline
     BROKEN = "broken"  # connection reset or closed early, or an answer that can't be parsed
 
     @property
     def passes(self) -> bool:
-        """Whether the member may be used after it."""
+        """Whether the member may be used."""
         return self in (CheckOutcome.PASSED, CheckOutcome.DEGRADED)
 
 
 class CheckResult(NamedTuple):
-    """A check's outcome; `reason` is empty where nothing needs an explanation."""
+    """A check's outcome; `reason` is empty if there is nothing to explain."""
 
     outcome: CheckOutcome
     reason: str
@@ -33,9 +33,9 @@
 
 @dataclass(frozen=True, slots=True)
 class AgentReport:
-    """The parsed line of a health agent; None where the line leaves a matter open.
+    """The parsed line of a health agent; a field that the line does not mention is None.
 
-    `weight` is percent, 0 to 100; `admin` is ready, drain or maint; `up` whether the member is up or down.
+    `weight` is a percentage, 0 to 100; `admin` is ready, drain or maint; `up` is whether the member is up.
     """
 
     up: bool | None = None
@@ -43,4 +43,4 @@
     weight: int | None = None
     max_connections: int | None = None
     reason: str = ""
-    unknown: int = 0  # how many tokens of the line are unknown
+    unknown: int = 0  # number of unknown words in the line
--- a/rookbend/core/counters.py
+++ b/rookbend/core/counters.py
@@ -13,16 +13,16 @@
 
 @dataclass(slots=True)
 class Counters:
-    """One counter a field, and the answers by class and outcome."""
+    """One counter per field, and the answers by class and outcome."""
 
     requests: int = 0  # received from clients, all fronts
-    retries: int = 0  # of these, marked as a client's repeat
+    retries: int = 0  # of these, marked as retries by the client
     malformed: int = 0  # requests answered without reaching the router
     cancelled: int = 0  # ended by their client
-    clients_left: int = 0  # ended since their client had closed its side before an attempt began
+    clients_left: int = 0  # ended without a further attempt: the client had closed its sending side
     attempts: int = 0  # handed to the backend
-    withheld: int = 0  # not written: member drained, object purged, or time over by then
-    undone: int = 0  # given up after they were written
+    withheld: int = 0  # not written: the member drained, the object was purged or the time ran out first
+    undone: int = 0  # aborted after they were written
     served: int = 0
     refused: int = 0
     failed: int = 0
@@ -45,15 +45,15 @@
     connects: int = 0  # connections opened to members
     garbage: int = 0  # connections to members closed for answers that can't be parsed
     peer_messages: int = 0
-    written: int = 0  # attempts written whole to members
+    written: int = 0  # attempts written in full to members
     reloads_ok: int = 0  # SIGHUP: configuration applied
     reloads_failed: int = 0  # SIGHUP: configuration rejected
     component_faults: int = 0  # unexpected exceptions that ended the task of one caller, check, lookup or datagram
-    # Bounded: one entry for each name that the settings have had, and outcome.
+    # Bounded: one entry for each outcome of each class name that the settings have had.
     by_class: Counter[tuple[str, FinalOutcome]] = field(default_factory=Counter)
 
     def count_answer(self, class_name: str, outcome: FinalOutcome) -> None:
-        """Counts a final answer, whoever gave it."""
+        """Counts a final answer, whichever component gave it."""
         counter_name = outcome.value
         setattr(self, counter_name, getattr(self, counter_name) + 1)
         self.by_class[class_name, outcome] += 1
--- a/rookbend/core/deadlines.py
+++ b/rookbend/core/deadlines.py
@@ -1,4 +1,4 @@
-"""Runs the timers, and sees to it that every request has its answer by its deadline."""
+"""Runs the timers, and ensures that every request is answered by its deadline."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class DeadlineEnforcer:
-    """`finish_all_at_us` is the time by which everything is answered, 0 while no such time is set."""
+    """Runs due timers. `finish_all_at_us` is the time by which every request must be answered; 0: no such time."""
 
     def __init__(
         self,
@@ -33,7 +33,7 @@
         self._counters = counters
 
     def run_due(self) -> int:
-        """Runs every timer that is due; returns when the next one is, or 0."""
+        """Runs every timer that is due; returns when the next one is due, or 0 if there is none."""
         now_us = self._clock.now()
         for timer in self._timers.pop_due(now_us):
             kind = timer.kind
@@ -48,7 +48,7 @@
         return self._timers.next_due_us
 
     def finish_all_by(self, at_us: int) -> None:
-        """No request, open or to come, is answered later than this."""
+        """Limits the deadline of every request, open or future, to `at_us`."""
         self.finish_all_at_us = at_us
         for open_request in list(self._requests.by_id.values()):
             if open_request.deadline_us > at_us:
@@ -56,7 +56,7 @@
                 self._timers.schedule(at_us, TimerKind.REQUEST_DEADLINE, open_request)
 
     def _expire(self, open_request: OpenRequest) -> None:
-        """Guards against a router that still holds the request when its time is over."""
+        """Fails a request that the router has not ended by its deadline."""
         if open_request.current_attempt is not None:
             self._attempts.expire(open_request.current_attempt)
         if self._requests.by_id.get(open_request.id) is open_request:
--- a/rookbend/core/decimal_text.py
+++ b/rookbend/core/decimal_text.py
@@ -1,10 +1,13 @@
-"""Texts that are a number in decimal digits, as peers, callers and files write them."""
+"""Validates decimal numbers in texts from peers, clients and files."""
 
 from __future__ import annotations
 
-MAX_DIGITS = 18  # fits into 64 bits; Python refuses to convert thousands
+MAX_DIGITS = 18  # fits into 64 bits; int() raises ValueError on thousands of digits
 
 
 def is_decimal(text: str | bytes) -> bool:
-    """Whether a text is one to `MAX_DIGITS` ASCII digits; str.isdigit alone takes others, as "²", which int refuses."""
+    """Whether a text consists of 1 to `MAX_DIGITS` ASCII digits.
+
+    str.isdigit alone also accepts characters such as "²", which int() rejects.
+    """
     return text.isascii() and text.isdigit() and len(text) <= MAX_DIGITS
--- a/rookbend/core/engine.py
+++ b/rookbend/core/engine.py
@@ -1,8 +1,9 @@
 """The engine: owns the open requests, feeds events to the router and carries out its actions.
 
-Whatever the router decides, the engine keeps to this: one final answer a request, by its deadline; one attempt at a
-time, `max_attempts` at most; no repeat of what may have run, but under its idempotency key; nothing to a member that
-drains or has left, and nothing decided before a purge that was received since.
+Whatever the router decides, the engine enforces the following: a request gets one final answer, by its deadline; it
+has one attempt at a time, and at most `max_attempts`; one that is not idempotent and may have run is retried only under
+its idempotency key; no attempt is sent to a member that drains or has left, or after a purge that came since its
+decision.
 """
 
 from __future__ import annotations
@@ -31,11 +32,11 @@
 
 
 class Engine:
-    """One director's requests, attempts and timers, between the fronts, the router and the backend.
+    """Manages one director's requests, attempts and timers, between the fronts, the router and the backend.
 
-    `backend` has to be set before the first request, `peers` only where there are any. `endpoints` are the known
-    members by number. Three calls are its collaborators' own: `may_write` of `SendGuard`, `finished` of
-    `AttemptRunner` and `class_index`, which is `TrafficClassIndex.index_of`.
+    `backend` must be set before the first request, `peers` only if the director has peers. `endpoints` are the known
+    members by number. Three attributes are bound methods of other objects: `may_write` of `SendGuard`, `finished` of
+    `AttemptRunner`, and `class_index`, which is `TrafficClassIndex.index_of`.
     """
 
     def __init__(
@@ -52,7 +53,7 @@
         self.log = log
         self.peers: PeerTransport | None = None
         self.on_peer_message: Callable[[int, bytes], bool] | None = None  # takes messages not meant for the router
-        self.lag_us = 0  # how late the loop ran last: what is read now may have waited as long
+        self.lag_us = 0  # latest delay of the event loop: data read now may have waited this long
         self.timers = TimerQueue()
         self.requests = OpenRequestTable(counters)
         self.traffic_classes = TrafficClassIndex(settings, clock)
@@ -68,7 +69,7 @@
         self._deadlines = DeadlineEnforcer(self.timers, self.requests, self.attempts, self._driver, clock, counters)
         self._settings = settings
         self.endpoints = self.membership.endpoints
-        # Bound here, since a method that passes the call on would cost a layer for each request.
+        # Bound directly: a delegating method would add a call to each request.
         self.may_write = SendGuard(self.membership, self.purges, clock).may_write
         self.finished = self.attempts.finished
         self.class_index = self.traffic_classes.index_of
@@ -76,7 +77,7 @@
 
     @property
     def settings(self) -> api.Settings:
-        """The settings in force."""
+        """The current settings."""
         return self._settings
 
     @settings.setter
@@ -88,7 +89,7 @@
 
     @property
     def backend(self) -> Backend:
-        """What carries attempts to members."""
+        """The backend that sends attempts to members."""
         return self.attempts.backend
 
     @backend.setter
@@ -102,15 +103,15 @@
 
     @property
     def open_requests(self) -> int:
-        """How many requests are owed their answer."""
+        """The number of requests that have no final answer yet."""
         return len(self.requests.by_id)
 
     # Called by the fronts
 
     def submit(self, request: Request, reply: Callable[[Answer], None]) -> OpenRequest | None:
-        """Takes a request; `reply` is called exactly once, unless the request is cancelled first.
+        """Accepts a request; `reply` is called exactly once, unless the request is cancelled first.
 
-        Returns None where it was answered within the call.
+        Returns None if the request fails at once, because its deadline has passed or its id is in use.
         """
         self.counters.requests += 1
         self.counters.retries += request.is_retry
@@ -118,7 +119,7 @@
         if finish_all_at_us:
             request.deadline_us = min(request.deadline_us, finish_all_at_us)
         if request.deadline_us <= self.clock.now() or request.request_id in self.requests.request_ids:
-            # An id in use names another request: members could not tell the two apart.
+            # Members identify requests by this id alone, so two open requests must not share one.
             self.counters.count_answer(request.class_name, FinalOutcome.FAILED)
             reply(Answer(FinalOutcome.FAILED))
             return None
@@ -144,7 +145,7 @@
         return open_request
 
     def cancel(self, open_request: OpenRequest | None) -> None:
-        """The client has gone: nobody waits for an answer, and none is given."""
+        """Ends a request whose client no longer waits for it, without an answer."""
         if open_request is None or not self.requests.remove(open_request):
             return
         self.counters.cancelled += 1
@@ -152,9 +153,9 @@
         self.attempts.abandon(open_request)
 
     def client_half_closed(self, open_request: OpenRequest | None) -> None:
-        """The client has closed its sending side, and may be gone for good: no attempt begins for it.
+        """Handles a client that has closed its sending side, and may have disconnected: no further attempt starts.
 
-        An attempt that is out may still bring the answer. Anything else ends now.
+        An attempt that is fully sent may still bring the answer; otherwise the request ends now.
         """
         if open_request is None or open_request.id not in self.requests.by_id:
             return
@@ -173,49 +174,49 @@
     # Called by the lifecycle
 
     def apply_settings(self, settings: api.Settings) -> None:
-        """Takes other settings: requests under way keep their class as it was when they came.
+        """Replaces the settings. Open requests keep their class as it was when they arrived.
 
-        `settings.classes` begins with the classes known before, each in its place. What is on its way to one
-        that is retired is still taken, nothing else.
+        `settings.classes` starts with the classes known before, in the same order. Requests for a retired class are
+        accepted only if they were already on their way (`RETIRED_GRACE_US`).
         """
         self.traffic_classes.apply_settings(settings)
         self.settings = settings
         self._post(api.SettingsChanged(settings))
 
     def set_active_processes(self, processes: int) -> None:
-        """How many processes of this director send: see `interface.ActiveProcessesChanged`."""
+        """Sets how many processes of this director send: see `interface.ActiveProcessesChanged`."""
         self._post(api.ActiveProcessesChanged(processes))
 
     def finish_all_by(self, at_us: int) -> None:
-        """No request, open or to come, is answered later than this."""
+        """Limits the deadline of every request, open or future, to `at_us`."""
         self._deadlines.finish_all_by(at_us)
 
     def run_due(self) -> int:
-        """Runs every timer that is due; returns when the next one is, or 0."""
+        """Runs every timer that is due; returns when the next one is due, or 0 if there is none."""
         return self._deadlines.run_due()
 
     def has_member_in_service(self) -> bool:
-        """Whether any request could be served."""
+        """Whether any known member accepts new requests."""
         return self.membership.has_member_in_service()
 
     def is_in_service(self, server: int) -> bool:
-        """Whether a member is known and takes new requests."""
+        """Whether a member is known and accepts new requests."""
         return self.membership.is_in_service(server)
 
     # Called by the coordinator's watch, by health, recovery and the peers
 
     def membership_changed(self, change: MembershipChange) -> None:
-        """The membership, or a part of it: from here on nothing new goes to a member that is not in service."""
+        """Applies a change of the membership: from now on no new attempt goes to a member that is not in service."""
         self.counters.roster_changes += 1
         self._post(self.membership.apply(change))
 
     def health_changed(self, endpoints: list[Endpoint]) -> None:
-        """Members whose state or weight differs from that of the membership, by other evidence."""
+        """Applies the members whose state or weight, by health evidence, differs from that of the membership."""
         self.counters.judgements += len(endpoints)
         self._post(self.membership.apply(MembershipChange(False, 0, endpoints)))
 
     def member_restarted(self, server: int) -> None:
-        """A member was seen to restart: it is cold from now on, until the membership reports its start."""
+        """Handles a detected restart: the member counts as started now until the membership reports its start."""
         endpoint = self.endpoints.get(server)
         if endpoint is None:
             return
@@ -225,16 +226,16 @@
         self._post(self.membership.apply(MembershipChange(False, 0, [endpoint])))
 
     def purged(self, purge: Purge) -> None:
-        """A purge: what was decided before it is not written any more."""
+        """Handles a purge: attempts that were decided before it are no longer written."""
         self.counters.purges += 1
         self._post(self.purges.record(purge))
 
     def set_admission_limits(self, rejected_classes: frozenset[int], fills_per_s: float | None) -> None:
-        """Limits for the router: see `interface.AdmissionLimitsChanged`."""
+        """Sets the router's admission limits: see `interface.AdmissionLimitsChanged`."""
         self._post(api.AdmissionLimitsChanged(rejected_classes, fills_per_s))
 
     def peer_message(self, sender: int, data: bytes) -> None:
-        """A datagram from another director, known by its number."""
+        """Handles a datagram from another director; `sender` is its number."""
         self.counters.peer_messages += 1
         if self.on_peer_message is not None and self.on_peer_message(sender, data):
             return
--- a/rookbend/core/membership_view.py
+++ b/rookbend/core/membership_view.py
@@ -1,4 +1,4 @@
-"""The members as the coordinator's membership, health and the members' own connections show them."""
+"""The known members, according to the coordinator's membership, health checks and the members' connections."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 from rookbend.core.model import Endpoint, MembershipChange
 from rookbend.interface import Member, MembershipUpdated, MembershipUpdateKind, MemberState, Settings
 
-# A reported start is that of the restart that was detected if it lies no more than this before it.
+# A reported start refers to a detected restart if it is at most this much earlier.
 START_TOLERANCE_US = 2_000_000
 
 
 class MembershipView:
     """The known members by number.
 
-    `on_disconnect(server)` is called for a member that has left or has another address, before the change is
-    applied to it.
+    `on_disconnect(server)` is called for a member that has left, and for one with another address before the change
+    is applied to it.
     """
 
     def __init__(self, settings: Settings, clock: Clock, on_disconnect: Callable[[int], None]) -> None:
@@ -25,24 +25,24 @@
         self.endpoints: dict[int, Endpoint] = {}
         self._clock = clock
         self._on_disconnect = on_disconnect
-        # When a member was seen to restart; until the membership reports it, or the member is warm or has left.
+        # Times of detected restarts, kept until the membership reports the start, or the member is warm or has left.
         self._restarted_us: dict[int, int] = {}
 
     def is_in_service(self, server: int) -> bool:
-        """Whether a member is known and takes new requests."""
+        """Whether a member is known and accepts new requests."""
         endpoint = self.endpoints.get(server)
         return endpoint is not None and endpoint.member.state is MemberState.READY
 
     def has_member_in_service(self) -> bool:
-        """Whether any request could be served."""
+        """Whether any known member accepts new requests."""
         return any(endpoint.member.state is MemberState.READY for endpoint in self.endpoints.values())
 
     def note_restart(self, server: int) -> None:
-        """The member's process was seen to restart now: it is cold, whatever start the membership reports."""
+        """Records a restart detected now: the member counts as cold even if the membership reports an earlier start."""
         self._restarted_us[server] = self._clock.now()
 
     def apply(self, change: MembershipChange) -> MembershipUpdated:
-        """Takes a change; returns the event that reports it to the router."""
+        """Applies a change; returns the event that reports it to the router."""
         if change.complete:
             named = {endpoint.member.server for endpoint in change.endpoints}
             for server in [server for server in self.endpoints if server not in named]:
@@ -72,7 +72,7 @@
             self._on_disconnect(server)
 
     def _with_detected_start(self, endpoint: Endpoint) -> Endpoint:
-        """The endpoint with the start that was detected, where the reported one is the previous process's."""
+        """The endpoint with the detected start time, if the reported one is that of the previous process."""
         member = endpoint.member
         restarted_us = self._restarted_us.get(member.server)
         if restarted_us is None:
--- a/rookbend/core/model.py
+++ b/rookbend/core/model.py
@@ -34,12 +34,12 @@
     is_retry: bool = False
     known_version: str = ""
     body: bytes = b""
-    idempotency_key: str = ""  # the client's, for a class that may be repeated under it; forwarded unchanged
+    idempotency_key: str = ""  # the client's, for a class with retries under a key; forwarded unchanged
 
 
 @dataclass(slots=True)
 class Answer:
-    """The one final answer. `server` names the member that served it."""
+    """The one final answer. `server` is the number of the member that served it."""
 
     outcome: FinalOutcome
     body: bytes = b""
@@ -50,13 +50,13 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """One try of a request at one member. `due_us` is absolute."""
+    """One try of a request at one member. It times out at `due_us`, an absolute time."""
 
     request: Request
     id: int
     number: int
     server: int
-    source: int  # equal to `server` or 0: nothing is filled
+    source: int  # equal to `server`, or 0: no fill
     sent_us: int
     due_us: int
     retention_rank: int = 0
@@ -65,15 +65,15 @@
     only_if_cached: bool = False
     parent_no_store: bool = False
     refresh_in_background: bool = False
-    new_connection: bool = False  # to go out on a connection that was not used before
-    retry_deadline_us: int = 0  # a repeat's first byte goes out before this; 0: it is none
+    new_connection: bool = False  # to be sent on a connection that was not used before
+    retry_deadline_us: int = 0  # the first byte of a retry is written before this time; 0: no limit
     is_finished: bool = False
-    connection: object = None  # the backend's own: where the attempt is
+    connection: object = None  # set by the backend: the connection that carries the attempt
 
 
 @dataclass(slots=True)
 class AttemptResult:
-    """How an attempt ended, as the backend saw it."""
+    """How an attempt ended, as reported by the backend."""
 
     status: AttemptStatus
     detail: AttemptDetail = AttemptDetail.NONE
@@ -94,7 +94,7 @@
 
 @dataclass(slots=True)
 class MembershipChange:
-    """The whole membership, or the entries of it that changed."""
+    """The whole membership (`complete`), or the entries of it that changed."""
 
     complete: bool
     version: int
@@ -103,7 +103,7 @@
 
 @dataclass(slots=True)
 class Purge:
-    """A purge of one object, or of a whole group where `object_id` is None. Unix microseconds."""
+    """A purge of one object, or of a whole group where `object_id` is None. Its time is Unix microseconds."""
 
     object_id: int | None
     group: int
--- a/rookbend/core/open_request.py
+++ b/rookbend/core/open_request.py
@@ -1,4 +1,4 @@
-"""Requests that are owed their final answer."""
+"""Requests that have no final answer yet."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from rookbend.core.model import Answer, Attempt, Request
 from rookbend.interface import Member
 
-MAX_REQUEST_NUMBER = 0xFFFFFFFF  # numbers start again at 1 after it
+MAX_REQUEST_NUMBER = 0xFFFFFFFF  # numbering restarts at 1 after this
 
 
 @dataclass(slots=True, eq=False)
 class OpenRequest:
-    """A request that is owed its final answer. One that is not `is_idempotent` may not simply be repeated."""
+    """A request without a final answer. If it is not `is_idempotent`, `retry_safety` limits its retries."""
 
     id: int
     request: Request
@@ -26,21 +26,21 @@
     current_attempt: Attempt | None = None  # the attempt in flight
     may_have_run: bool = False
     first_run_us: int = 0  # when the first attempt that may have run was decided
-    first_run_member: Member | None = None  # and the member that it went to
+    first_run_member: Member | None = None  # the member that this attempt went to
     had_reset: bool = False  # an attempt was lost to a reset connection
-    client_half_closed: bool = False  # its client may be gone: no further attempt begins
+    client_half_closed: bool = False  # the client may have disconnected: no further attempt starts
 
     @property
     def may_be_rejected(self) -> bool:
-        """Whether the client may be told that a repeat does no harm.
+        """Whether the client may be told that a retry does no harm.
 
-        Not where a request that is not idempotent may have run or is in flight.
+        False for a request that is not idempotent and may have run or has an attempt in flight.
         """
         return self.is_idempotent or not (self.may_have_run or self.current_attempt is not None)
 
 
 class OpenRequestTable:
-    """The open requests by the number that the router knows them by. Each gets at most one answer."""
+    """The open requests by their number at the router. Each gets at most one answer."""
 
     __slots__ = ("_counters", "by_id", "last_id", "request_ids")
 
@@ -53,7 +53,7 @@
     def add(
         self, request: Request, reply: Callable[[Answer], None], is_idempotent: bool, max_attempts: int
     ) -> OpenRequest:
-        """Opens a request under the next number; its client's id must not be in use."""
+        """Adds a request under the next number; its client's id must not be in use."""
         self.request_ids.add(request.request_id)
         number = self.last_id % MAX_REQUEST_NUMBER + 1
         self.last_id = number
@@ -70,7 +70,7 @@
         open_request.reply(answer)
 
     def remove(self, open_request: OpenRequest) -> bool:
-        """Closes a request that gets no answer; returns False where it was closed before."""
+        """Closes a request without an answer; returns False if it was closed before."""
         if self.by_id.pop(open_request.id, None) is None:
             return False
         self.request_ids.discard(open_request.request.request_id)
--- a/rookbend/core/ports.py
+++ b/rookbend/core/ports.py
@@ -1,4 +1,4 @@
-"""What the engine requires of its surroundings: a router, a backend and a transport to peers."""
+"""Interfaces that the engine depends on: a router, a backend and a transport to peers."""
 
 from __future__ import annotations
 
@@ -13,33 +13,33 @@
     """Decides what is done with each request."""
 
     def handle(self, now_us: int, event: Event) -> Iterable[Action]:
-        """Takes one event and returns the actions to carry out, in order."""
+        """Handles one event and returns the actions to carry out, in order."""
 
     def is_ejected(self, server: int, now_us: int) -> bool:
         """Whether the policy has ejected a server as an outlier."""
 
 
 class Backend(Protocol):
-    """Carries attempts to members."""
+    """Sends attempts to members."""
 
     def send(self, attempt: Attempt, endpoint: Endpoint) -> None:
-        """Sends the attempt as soon as a connection takes it; the engine learns of its end by `finished`."""
+        """Sends the attempt as soon as a connection is available; calls the engine's `finished` when it ends."""
 
     def abort(self, attempt: Attempt) -> AttemptStatus:
-        """Gives the attempt up; returns TIMEOUT if it may have run, CONNECT_FAILED if it never did."""
+        """Aborts the attempt; returns TIMEOUT if it may have run, CONNECT_FAILED if it never did."""
 
     def is_fully_sent(self, attempt: Attempt) -> bool:
-        """Whether the attempt has gone out whole; what has not can still be withheld from its member."""
+        """Whether the attempt was sent in full; if not, it can still be withheld from its member."""
 
     def disconnect(self, server: int) -> None:
-        """Drops the connections to a member that has left or has another address."""
+        """Closes the connections to a member that has left or has another address."""
 
     def close_idle(self, server: int) -> None:
         """Closes the connections to a member that carry no attempt."""
 
 
 class PeerTransport(Protocol):
-    """Carries messages to other directors."""
+    """Sends messages to other directors."""
 
     def send(self, peer: int | None, data: bytes) -> None:
         """Sends a datagram to one director by its number, or to all where `peer` is None."""
--- a/rookbend/core/rejection.py
+++ b/rookbend/core/rejection.py
@@ -1,4 +1,4 @@
-"""How a request ends that no further attempt is made for."""
+"""The final answer to a request that gets no further attempt."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def rejection(open_request: OpenRequest, retry_after_us: int) -> Answer:
-    """REJECTED, or FAILED where the request may have run: a rejection promises that a repeat does no harm."""
+    """REJECTED, or FAILED where the request may have run: a rejection promises that a retry does no harm."""
     if not open_request.may_be_rejected:
         return Answer(FinalOutcome.FAILED)
     return Answer(FinalOutcome.REJECTED, retry_after_us=retry_after_us)
--- a/rookbend/core/restart_detection.py
+++ b/rookbend/core/restart_detection.py
@@ -1,8 +1,8 @@
 """Detects that a member's process has restarted, from its connections and before the membership reports it.
 
-A process that dies resets its connections, and refuses new ones until it is back; then its cache is cold. The
-membership reports the new start seconds later, and until then all directors would send to it as to a warm one. A
-reset alone, or a refusal alone (a full connection table also refuses), proves nothing.
+When a process dies, its connections are reset, and new ones are refused until it has restarted with a cold cache. The
+membership reports the new start seconds later, and until then all directors would treat the member as warm. A reset
+alone proves nothing, nor does a refusal alone: a member with a full connection table also refuses.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 
     RUNNING = "running"
     RESET = "reset"  # a connection was reset
-    DOWN = "down"  # and with none left, a new one was refused
+    DOWN = "down"  # then, with no connection left, a new one was refused
 
 
 class RestartDetector:
-    """Fed what happens to one member's connections; `connected` reports a restart, once."""
+    """Receives the events of one member's connections; `connected` reports each restart once."""
 
     __slots__ = ("phase",)
 
@@ -27,17 +27,17 @@
         self.phase = RestartPhase.RUNNING
 
     def connection_lost(self, reset: bool) -> None:
-        """A connection has ended; `reset` tells whether by a reset."""
+        """Handles the end of a connection; `reset` is whether it was reset."""
         if reset and self.phase is RestartPhase.RUNNING:
             self.phase = RestartPhase.RESET
 
     def connect_failed(self, refused: bool, others_open: bool) -> None:
-        """A new connection did not come up; `others_open` tells whether any is left."""
+        """Handles a failed connection attempt; `others_open` is whether other connections to the member are open."""
         if refused and not others_open and self.phase is RestartPhase.RESET:
             self.phase = RestartPhase.DOWN
 
     def connected(self) -> bool:
-        """A new connection is up; returns whether the process behind it is another than before."""
+        """Handles a new connection; returns whether the member's process has restarted."""
         was_down = self.phase is RestartPhase.DOWN
         self.phase = RestartPhase.RUNNING
         return was_down
--- a/rookbend/core/retry_safety.py
+++ b/rookbend/core/retry_safety.py
@@ -1,7 +1,7 @@
-"""Whether a request that may have run may be tried again, by the idempotency of its class.
+"""Decides whether a request that may have run may be retried, by the idempotency of its class.
 
-A class that is not idempotent is never repeated. One with idempotency keys is repeated within the stated window of
-its first attempt, and only at members of the stated retry scope, which know the request by its key.
+Requests of a class that is not idempotent are not retried. Those of a class with idempotency keys are retried within
+the window that starts at the first attempt, and only at members of the retry scope, which recognise the key.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from rookbend.core.open_request import OpenRequest
 from rookbend.interface import Idempotency, Member, Settings
 
-WINDOW_MARGIN_US = 20_000  # left of the window for the way to the member
+WINDOW_MARGIN_US = 20_000  # end of the window, reserved for the network delay to the member
 
 
 def note_possible_run(open_request: OpenRequest, attempt: Attempt, endpoint: Endpoint | None) -> None:
@@ -23,7 +23,7 @@
 
 
 def retry_deadline_us(open_request: OpenRequest, settings: Settings) -> int:
-    """Until when a retry may begin; 0 where the request has not run, or is idempotent."""
+    """The time until which a retry may start; 0 if the request has not run or is idempotent."""
     if open_request.is_idempotent or not open_request.may_have_run:
         return 0
     traffic_class = settings.classes[open_request.request.traffic_class]
@@ -31,10 +31,10 @@
 
 
 def may_retry(open_request: OpenRequest, member: Member, settings: Settings, now_us: int) -> bool:
-    """Whether an attempt at `member` may begin, as far as earlier ones may have run.
+    """Whether an attempt at `member` may start, given that earlier ones may have run.
 
-    The engine's rule is stricter than the router's (`routing/retry_policy.py`) and wins: no write counts as
-    idempotent, and the window of an idempotency key ends `WINDOW_MARGIN_US` early.
+    The engine's rule is stricter than the router's (`routing/retry_policy.py`) and takes precedence: no write
+    counts as idempotent, and the window of an idempotency key ends `WINDOW_MARGIN_US` early.
     """
     if open_request.is_idempotent or not open_request.may_have_run:
         return True
--- a/rookbend/core/router_driver.py
+++ b/rookbend/core/router_driver.py
@@ -1,4 +1,4 @@
-"""Feeds events to the router and has its actions carried out."""
+"""Passes events to the router, and its actions to their handlers."""
 
 from __future__ import annotations
 
@@ -12,27 +12,27 @@
 
 
 class RouterDriver:
-    """The router takes one event at a time. `handlers` names who carries out each type of action."""
+    """Passes events to the router one at a time. `handlers` maps each type of action to its handler."""
 
     __slots__ = ("_clock", "_events", "_is_running", "_router", "handlers", "now_us")
 
     def __init__(self, router: RoutingPolicy, clock: Clock) -> None:
         self.handlers: dict[type[Action], Callable[[Any], None]] = {}
-        self.now_us = 0  # the time of the event that is handled
+        self.now_us = 0  # the time of the event being handled
         self._router = router
         self._clock = clock
         self._events: deque[Event] = deque()
         self._is_running = False
 
     def post(self, event: Event) -> None:
-        """Feeds an event to the router. One that an action causes waits until all actions are carried out."""
+        """Passes an event to the router. An event that an action causes waits until all actions are carried out."""
         events = self._events
         events.append(event)
         if self._is_running:
             return
         self._is_running = True
         try:
-            # One reading of the clock for an event and all that it causes at once.
+            # The clock is read once for an event and the events that its actions cause.
             now_us = self._clock.now()
             self.now_us = now_us
             handle = self._router.handle
@@ -44,5 +44,5 @@
             self._is_running = False
 
     def enqueue(self, event: Event) -> None:
-        """Adds an event while an action is carried out."""
+        """Queues an event while an action is being carried out."""
         self._events.append(event)
--- a/rookbend/core/send_guard.py
+++ b/rookbend/core/send_guard.py
@@ -1,4 +1,4 @@
-"""What keeps a decided attempt from going out: its member's state, its time, and purges since the decision."""
+"""Checks before an attempt is written: its members' state, its deadline, and purges since the decision."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class SendGuard:
-    """`may_write` is the one place that lets an attempt's first byte out."""
+    """No byte of an attempt is written before `may_write` returns True for it."""
 
     __slots__ = ("_clock", "_membership", "_purges")
 
@@ -19,10 +19,10 @@
         self._clock = clock
 
     def may_write(self, attempt: Attempt) -> bool:
-        """Called as the attempt's first byte is written, after any wait for a connection or a full buffer.
+        """Called just before the attempt's first byte is written, after any wait for a connection or buffer space.
 
-        Guards against what was reported in between: a drain of the cache or of the source, or a purge that the
-        age limit, fixed when the attempt was decided, does not cover.
+        Guards against changes since the attempt was decided: a drain of the cache or of the source, or a purge that
+        the attempt's age limit, fixed at the decision, does not cover.
         """
         if attempt.is_finished:
             return False
--- a/rookbend/core/timers.py
+++ b/rookbend/core/timers.py
@@ -9,15 +9,15 @@
 
 
 class TimerKind(Enum):
-    """What a timer is for, and with that what its `subject` is."""
+    """What a timer is for; this determines the type of its `subject`."""
 
     ATTEMPT_TIMEOUT = "attempt timeout"  # an Attempt
     REQUEST_DEADLINE = "request deadline"  # an OpenRequest
-    ROUTER = "router"  # the router's own token
+    ROUTER = "router"  # the router's token
 
 
 class Timer(NamedTuple):
-    """One entry of the heap. `sequence` keeps timers that are due together in the order of their setting."""
+    """One entry of the heap. `sequence` orders timers that are due at the same time by when they were set."""
 
     due_us: int
     sequence: int
@@ -26,11 +26,11 @@
 
 
 def _ignore_earlier_due(due_us: int) -> None:
-    """Stands in until somebody runs the timers."""
+    """The initial `on_earlier_due`, before a driver of the timers is attached."""
 
 
 class TimerQueue:
-    """Timers by due time. `on_earlier_due(due_us)` is called when the next timer comes earlier than before."""
+    """Timers by due time. `on_earlier_due(due_us)` is called when the next due time becomes earlier."""
 
     __slots__ = ("_heap", "_sequence", "next_due_us", "on_earlier_due")
 
@@ -41,7 +41,7 @@
         self._sequence = 0
 
     def schedule(self, due_us: int, kind: TimerKind, subject: Any) -> None:
-        """Sets a timer. Timers are never cancelled: whoever runs them skips those that no longer matter."""
+        """Sets a timer. Timers are never cancelled: the caller of `pop_due` ignores those that no longer apply."""
         self._sequence += 1
         heapq.heappush(self._heap, Timer(due_us, self._sequence, kind, subject))
         if due_us < self.next_due_us or not self.next_due_us:
@@ -49,7 +49,7 @@
             self.on_earlier_due(due_us)
 
     def pop_due(self, now_us: int) -> Iterator[Timer]:
-        """Removes and yields the timers that are due, with those that are set meanwhile and are due as well."""
+        """Removes and yields the timers that are due, including those set during the iteration."""
         heap = self._heap
         while heap and heap[0].due_us <= now_us:
             yield heapq.heappop(heap)
--- a/rookbend/core/traffic_classes.py
+++ b/rookbend/core/traffic_classes.py
@@ -1,4 +1,4 @@
-"""The traffic classes by name, with those that the settings have just retired."""
+"""The traffic classes by name, including those that the settings have recently retired."""
 
 from __future__ import annotations
 
@@ -7,27 +7,27 @@
 from rookbend.core.clock import Clock
 from rookbend.interface import Settings
 
-RETIRED_GRACE_US = 1_500_000  # a request that was on its way as its class was retired is taken for so long
+RETIRED_GRACE_US = 1_500_000  # requests already on their way when their class is retired are accepted this long
 
 
 @dataclass(frozen=True, slots=True)
 class RetiredClass:
-    """The place of a class that is retired, and until when its requests are still taken."""
+    """The index of a retired class, and the time until which its requests are accepted."""
 
     index: int
     accepted_until_us: int
 
 
 class TrafficClassIndex:
-    """The place of each class in `Settings.classes`, by its name."""
+    """The index of each class in `Settings.classes`, by its name."""
 
     def __init__(self, settings: Settings, clock: Clock) -> None:
-        self.by_name = _places(settings)
+        self.by_name = _indices_by_name(settings)
         self._clock = clock
-        self._retired: dict[str, RetiredClass] = {}  # bounded: one entry a name that the settings ever had
+        self._retired: dict[str, RetiredClass] = {}  # bounded: one entry per name that the settings ever had
 
     def index_of(self, name: str) -> int | None:
-        """The class of a new request; None where the settings have none of that name."""
+        """The class index of a new request; None if the settings have no class of that name."""
         index = self.by_name.get(name)
         if index is not None:
             return index
@@ -37,15 +37,15 @@
         return None
 
     def apply_settings(self, settings: Settings) -> None:
-        """Takes other settings, whose classes begin with those known before, each in its place."""
+        """Replaces the settings, whose classes start with those known before, in the same order."""
         accepted_until_us = self._clock.now() + RETIRED_GRACE_US
         for name, index in self.by_name.items():
             if settings.classes[index].is_retired:
                 self._retired[name] = RetiredClass(index, accepted_until_us)
-        self.by_name = _places(settings)
+        self.by_name = _indices_by_name(settings)
 
 
-def _places(settings: Settings) -> dict[str, int]:
+def _indices_by_name(settings: Settings) -> dict[str, int]:
     return {
         traffic_class.name: index
         for index, traffic_class in enumerate(settings.classes)
--- a/rookbend/protocol/__init__.py
+++ b/rookbend/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""Pure state machines: fed bytes, they give events and bytes. They know no socket."""
+"""Protocol codecs without I/O: state machines that take received bytes and return events and bytes to send."""
