--- a/rookbend/protocol/admin_api.py
+++ b/rookbend/protocol/admin_api.py
@@ -1,16 +1,16 @@
-"""The admin API, over HTTP on the loopback: tables of what runs, operators' commands, metrics.
+"""The admin API, over HTTP on the loopback interface: status tables, operators' commands and metrics.
 
-GET  /members           {"members": [...]}: one object a member (see docs/HEALTH.md)
+GET  /members           {"members": [...]}: one object per member (see docs/HEALTH.md)
 POST /orders            {"member": "s-1", "order": "drain", "by": "name"}; for the limits see `order_limits`
 GET  /background        {"jobs": n, ...}
-GET  /fleet             the directors as this one sees them, where recovery is on
-GET  /recovery          the stage of the recovery and what it waits for
+GET  /fleet             the directors as seen by this one, if recovery is enabled
+GET  /recovery          the recovery's stage and what it waits for
 POST /recovery          {"order": "hold"}; also resume, skip
-GET  /owners            who holds which lease of the fleet, where ownership is on
+GET  /owners            the holders of the fleet's leases, if ownership is enabled
 POST /owners            {"order": "move", "scope": "checks/3", "place": 2}; also pin, unpin, without
-GET  /metrics           text for Prometheus, where that is on
+GET  /metrics           Prometheus text format, if metrics are enabled
 
-What can't be done is answered with a 4xx or 5xx and {"fault": "..."}.
+A request that can't be carried out is answered with a 4xx or 5xx and {"fault": "..."}.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 
 class MemberOrder(msgspec.Struct, forbid_unknown_fields=True):
-    """The body of POST /orders; `fleet` orders it on all directors."""
+    """The body of POST /orders; `fleet` applies the order at all directors."""
 
     member: str
     order: str
@@ -57,7 +57,7 @@
 
 
 class CommandResult(NamedTuple):
-    """An HTTP status and, where the command was not carried out, the reason."""
+    """An HTTP status and, if the command was not carried out, the reason."""
 
     status: int
     error: str
@@ -72,13 +72,13 @@
 
 
 class Ownership(Protocol):
-    """What the API needs of the fleet's leases."""
+    """The operations on the fleet's leases that the API uses."""
 
     async def command(self, command: str, scope_name: str, director: int, /) -> tuple[int, str]:
-        """Moves, pins or unpins a scope; an HTTP status, and an error or an empty text."""
+        """Moves, pins or unpins a scope; returns an HTTP status, and an error or an empty text."""
 
     def describe(self, without: int = -1, /) -> object:
-        """Scopes and holders; with `without`, as they would be if that director were gone."""
+        """Returns scopes and holders; with `without`, as they would be if that director were gone."""
 
 
 MemberOrderHandler = Callable[[str, Order, str, bool], Awaitable[CommandResult]]
@@ -86,7 +86,7 @@
 
 
 class AdminApi:
-    """Answers requests; a part that is None is off, and its calls are unknown."""
+    """Answers requests; a part that is None is disabled, and its calls are rejected."""
 
     def __init__(
         self,
@@ -96,8 +96,8 @@
         command_recovery: Callable[[str], None] | None = None,
         ownership: Ownership | None = None,
     ):
-        """`tables` are by path; `order_member` takes the member, the order, the operator and whether it is for
-        the whole fleet, and returns once the order is in effect."""
+        """`tables` are by path; `order_member` is called with the member, the order, the operator and whether the
+        order is for the whole fleet, and returns once the order is in effect."""
         self._tables = tables
         self._order_member = order_member
         self._metrics = metrics
@@ -167,14 +167,14 @@
 
 
 def _require_loopback_host(request: HttpRequest) -> None:
-    """Guards against DNS rebinding: a page in a browser on this machine that uses a name of its own."""
+    """Guards against DNS rebinding: a web page in a local browser that reaches this API by its own host name."""
     host = request.headers.get(b"host", b"").decode("ascii", "replace")
     if not host.startswith(LOOPBACK_HOSTS):
         raise RequestRejectedError(HTTPStatus.FORBIDDEN, "only by an address of the loopback")
 
 
 def _decode_body(request: HttpRequest, body_type: type[Body]) -> Body:
-    # Guards against cross-site requests: a form in a browser can't send this type.
+    # Guards against cross-site requests: an HTML form can't send this content type.
     if not request.headers.get(b"content-type", b"").startswith(JSON.encode()):
         raise RequestRejectedError(HTTPStatus.UNSUPPORTED_MEDIA_TYPE, f"an order is {JSON}")
     try:
--- a/rookbend/protocol/agent_check.py
+++ b/rookbend/protocol/agent_check.py
@@ -1,11 +1,11 @@
 """HAProxy's agent check, both sides (HAProxy Configuration Manual, `agent-check`, `agent-send`).
 
-The client connects, sends a text if one is set, and reads one line of ASCII: words between blanks, tabs or
-commas, in any order and case, ended by CR, LF or the end of the connection. What a line does not mention stays
-as it is. After `#` follows a reason up to the end of the line.
+The client connects, sends a text if one is set, and reads one line of ASCII: words separated by blanks, tabs or
+commas, in any order and case, terminated by CR, LF or the end of the connection. A state that the line does not
+mention is unchanged. `#` starts a reason, which extends to the end of the line.
 
-    75%                     weight, percent of the usual
-    maxconn:30              connections at most
+    75%                     weight, in percent of the configured weight
+    maxconn:30              maximum number of connections
     ready drain maint       administrative state
     up, down fail stopped   operational state
 """
@@ -61,10 +61,10 @@
 
 
 def parse_line(line: str) -> AgentReport:
-    """Parses one line without its end.
+    """Parses one line without its terminator.
 
-    Of two weights or limits the later counts. Of two states the more restrictive counts: a line that says both
-    is no reason to send requests.
+    Of two weights or limits the later applies. Of two states the more restrictive applies, because a contradictory
+    line is no reason to send requests.
     """
     words, _, reason = line.partition("#")
     parser = _LineParser()
@@ -81,7 +81,7 @@
 
 
 class AgentCheckClient:
-    """One exchange with an agent, without a socket; `result` is set once it is known."""
+    """One exchange with an agent, without I/O; `result` is set once it is known."""
 
     def __init__(self, send: str, max_bytes: int):
         """`send` is the text of `agent-send`; a line longer than `max_bytes` is an error."""
@@ -95,10 +95,10 @@
         return self._send
 
     def feed(self, data: bytes) -> bytes:
-        """Takes received bytes, empty at the end of the connection; there is never anything to send."""
+        """Takes received bytes, empty at the end of the connection; there are never bytes to send."""
         if self.result is not None:
             return b""
-        # An agent may send without an end: no more is buffered than a line may have.
+        # An agent may send without end: at most one byte more than the longest line is buffered.
         self._buffer += data[: self._max_bytes - len(self._buffer) + 1]
         end = LINE_END.search(self._buffer)
         if end is not None:
@@ -111,10 +111,10 @@
 
     def _result_at_close(self) -> AgentReport | CheckResult:
         if not self._buffer.strip():
-            return CheckResult(CheckOutcome.BROKEN, "closed without a word")
-        # A line that only the close ends may have been cut, so each of its words must be known.
+            return CheckResult(CheckOutcome.BROKEN, "connection closed without data")
+        # A line terminated only by the close may be truncated, so each of its words must be known.
         if parse_line(_decode(self._buffer)).unknown:
-            return CheckResult(CheckOutcome.BROKEN, "closed in the middle of a line")
+            return CheckResult(CheckOutcome.BROKEN, "connection closed in the middle of a line")
         return _result_of(self._buffer)
 
 
@@ -128,14 +128,14 @@
     fields = (report.up, report.admin, report.weight, report.max_connections)
     if all(value is None for value in fields):
         quoted = "".join(char if char.isascii() and char.isprintable() else "." for char in text[:MAX_QUOTED_CHARS])
-        return CheckResult(CheckOutcome.BROKEN, f"nothing to go by in {quoted!r}")
+        return CheckResult(CheckOutcome.BROKEN, f"no known word in {quoted!r}")
     return report
 
 
 def encode_line(admin: str, up: bool, weight: int, max_connections: int, reason: str = "") -> bytes:
     """The line that this director's own agent sends.
 
-    `weight` is percent; `max_connections` 0 leaves the limit out.
+    `weight` is in percent; with `max_connections` 0, the line has no limit.
     """
     words = [UP if up else "down", admin]
     if up and admin == "ready":
--- a/rookbend/protocol/cache_lines.py
+++ b/rookbend/protocol/cache_lines.py
@@ -1,22 +1,22 @@
-"""The line protocol of the platform's caches (docs of the platform), seen from the director.
+"""The line protocol of the platform's caches (docs of the platform), as the director uses it.
 
     command   do ID PARAMETERS SIZE CRLF BODY CRLF
     cancel    undo ID CRLF
     answer    ID STATUS FIELDS SIZE CRLF BODY CRLF
 
-Parameters and fields are NAME=VALUE with commas between them, or `-` for none. Of a command:
+Parameters and fields are NAME=VALUE pairs separated by commas, or `-` for none. Parameters of a command:
 
     c, k, p   class, key and part of the object
     w         time left, milliseconds
     next      the member that a miss is filled from
     admit     retention rank
-    agelim    greatest age of a copy, milliseconds
-    ways      flags, with `+` between them
+    agelim    maximum age of a copy, milliseconds
+    ways      flags, separated by `+`
     cached    version of the client's copy
     i         idempotency key
 
-Of an answer: `note` how it was made, `slow` time in the fill queue in milliseconds, `sum` the version of the copy,
-`load` the load report.
+Fields of an answer: `note`, how it was produced; `slow`, the time in the fill queue in milliseconds; `sum`, the version
+of the copy; `load`, the load report.
 """
 
 from __future__ import annotations
@@ -31,9 +31,9 @@
 
 MAX_LINE_BYTES = 4096
 MAX_BODY_BYTES = 240_000
-SHOWN_BYTES = 80
+MAX_QUOTED_BYTES = 80
 
-# The caches' statuses, by what they mean here.
+# The caches' statuses, with the attempt statuses that they map to.
 OK_STATUS = b"ok"
 NOT_MODIFIED_STATUS = b"current"
 STATUSES = {
@@ -56,8 +56,8 @@
     b"crowded": AttemptDetail.NO_FILL_PLACE,
     b"behind": AttemptDetail.ORIGIN_FAILED,
 }
-# Figures of a load report that have a second name.
-FIGURE_ALIASES = {b"utilization": b"util", b"outstanding": b"inflight"}
+# Values of a load report that have two names: the settings' name and the short one.
+LOAD_VALUE_ALIASES = {b"utilization": b"util", b"outstanding": b"inflight"}
 # Flags of a command.
 JOIN_FILL = "wait-for"
 ONLY_IF_CACHED = "no-fetch"
@@ -66,14 +66,14 @@
 
 
 class LineError(ProtocolError):
-    """Bytes that are no answers of a cache: the connection can't go on. `answers` came whole before them."""
+    """Malformed bytes from a cache: the connection can't be used further. `answers` were complete before them."""
 
     answers: Sequence[CacheAnswer] = ()
 
 
 @dataclass(slots=True)
 class CacheAnswer:
-    """An answer, the id of its request, and the version of the copy that it brings or names."""
+    """An answer, the id of its request, and the version of the copy that it contains or names."""
 
     request_id: str
     result: AttemptResult
@@ -82,16 +82,18 @@
     def result_for(self, known_version: str) -> AttemptResult:
         """The result for a request whose client has the copy `known_version`.
 
-        A not-modified answer that names another copy, or to a client that has none, is an error: passed on, it
-        would confirm bytes that no cache has named.
+        A not-modified answer that names another copy, or to a client that has none, is an error: forwarded,
+        it would confirm a copy that no cache has named.
         """
-        if self.result.unchanged and (not known_version or _comparable(self.version) != _comparable(known_version)):
+        if self.result.unchanged and (
+            not known_version or _normalized_version(self.version) != _normalized_version(known_version)
+        ):
             return AttemptResult(AttemptStatus.ERROR)
         return self.result
 
 
-def _comparable(version: str) -> str:
-    """Without quotes, leading zeros and case."""
+def _normalized_version(version: str) -> str:
+    """The version without quotes and leading zeros, in lower case."""
     return version.strip('"').lstrip("0").lower()
 
 
@@ -105,7 +107,7 @@
     if attempt.retention_rank:
         parameters.append(f"admit={attempt.retention_rank}")
     if attempt.max_age_us:
-        # An age under a millisecond must not become 0, which would mean the class's fresh time.
+        # An age below a millisecond must not become 0, which means the class's freshness lifetime.
         parameters.append(f"agelim={max(1, attempt.max_age_us // 1000)}")
     flags = [
         name
@@ -128,81 +130,81 @@
 
 
 def write_cancel(request_id: str) -> bytes:
-    """Notifies the cache that nobody waits for the request any more."""
+    """The command that cancels a request, as no client waits for it any more."""
     return b"undo %b\r\n" % request_id.encode()
 
 
 class AnswerParser:
-    """Fed a cache's bytes, returns its answers. `load_report_fields` is the order of a load report's values."""
+    """Parses a cache's bytes into answers. `load_report_fields` is the order of a load report's values."""
 
     def __init__(self, load_report_fields: tuple[str, ...] = ()) -> None:
         names = (name.encode() for name in load_report_fields)
-        self._load_report_fields = tuple(FIGURE_ALIASES.get(name, name) for name in names)
+        self._load_report_fields = tuple(LOAD_VALUE_ALIASES.get(name, name) for name in names)
         self._buffer = bytearray()
-        self._partial: CacheAnswer | None = None  # its line was read, its body is awaited
-        self._body_size = 0  # of that body
+        self._partial: CacheAnswer | None = None  # the answer whose line was read and whose body is incomplete
+        self._body_size = 0  # size of that body
 
     @property
     def has_partial(self) -> bool:
-        """Whether an answer has begun that is not complete."""
+        """Whether an incomplete answer was received."""
         return bool(self._buffer) or self._partial is not None
 
     def feed(self, data: bytes) -> list[CacheAnswer]:
-        """The answers that are complete now. Raises LineError, whose `answers` are still good."""
+        """Returns the answers that are now complete. Raises LineError, whose `answers` are still valid."""
         answers: list[CacheAnswer] = []
         try:
             self._feed(data, answers)
         except LineError as error:
-            # Guards those who were answered in time by bytes that came before the malformed ones.
+            # Answers that were complete before the malformed bytes must still reach their requests.
             error.answers = answers
             raise
         return answers
 
     def _feed(self, received: bytes, answers: list[CacheAnswer]) -> None:
-        # What is whole is taken from the received bytes: only a part of an answer is ever buffered, and copied.
+        # Complete answers are parsed from the received bytes: only an incomplete one is buffered, and thus copied.
         data: bytes | bytearray = received
         if self._buffer:
             self._buffer += received
             data = self._buffer
-        at, size = 0, len(data)
+        offset, size = 0, len(data)
         while True:
             if self._partial is None:
-                line_end = data.find(b"\r\n", at)
+                line_end = data.find(b"\r\n", offset)
                 if line_end < 0:
-                    if size - at > MAX_LINE_BYTES:
-                        raise LineError(f"an answer's line is over {MAX_LINE_BYTES} bytes long")
+                    if size - offset > MAX_LINE_BYTES:
+                        raise LineError(f"answer line longer than {MAX_LINE_BYTES} bytes")
                     break
-                self._partial = self._read_line(bytes(data[at:line_end]))
-                at = line_end + 2
+                self._partial = self._read_line(bytes(data[offset:line_end]))
+                offset = line_end + 2
             body_size = self._body_size
-            if size - at < body_size + 2:
+            if size - offset < body_size + 2:
                 break
-            self._partial.result.body = self._read_body(data, at, body_size)
-            at += body_size + 2
+            self._partial.result.body = self._read_body(data, offset, body_size)
+            offset += body_size + 2
             answers.append(self._partial)
             self._partial = None
         if data is not self._buffer:
-            self._buffer += data[at:]
-        elif at:
-            del self._buffer[:at]
+            self._buffer += data[offset:]
+        elif offset:
+            del self._buffer[:offset]
 
     @staticmethod
-    def _read_body(data: bytes | bytearray, at: int, size: int) -> bytes:
-        if data[at + size : at + size + 2] != b"\r\n":
-            raise LineError(f"an answer's body does not end after {size} bytes")
+    def _read_body(data: bytes | bytearray, offset: int, size: int) -> bytes:
+        if data[offset + size : offset + size + 2] != b"\r\n":
+            raise LineError(f"answer body not terminated after {size} bytes")
         if not size:
             return b""
         with memoryview(data) as view:
-            return bytes(view[at : at + size])
+            return bytes(view[offset : offset + size])
 
     def _read_line(self, line: bytes) -> CacheAnswer:
-        """The answer that the line begins; the size of its body goes to `_body_size`."""
+        """Parses the line that starts an answer; the size of the answer's body goes to `_body_size`."""
         try:
             request_id, status, fields, size = line.split(b" ")
             body_size = self._body_size = int(size)
             result, version = AttemptResult(STATUSES[status]), ""
             if not 0 <= body_size <= MAX_BODY_BYTES or (body_size and status != OK_STATUS):
-                raise LineError(f"an answer's body cannot be {body_size} bytes long: {line[:SHOWN_BYTES]!r}")
+                raise LineError(f"invalid body size {body_size} in answer line {line[:MAX_QUOTED_BYTES]!r}")
             result.unchanged = status == NOT_MODIFIED_STATUS
             if fields != b"-":
                 for pair in fields.split(b","):
@@ -217,25 +219,25 @@
                         result.load_report = read_load_report(value, self._load_report_fields)
             return CacheAnswer(request_id.decode("ascii"), result, version)
         except (ValueError, KeyError, OverflowError):
-            raise LineError(f"no answer: {line[:SHOWN_BYTES]!r}") from None
+            raise LineError(f"malformed answer line {line[:MAX_QUOTED_BYTES]!r}") from None
 
 
 @lru_cache(maxsize=256)
 def read_load_report(value: bytes, fields: tuple[bytes, ...]) -> tuple[float, ...]:
-    """The report's values in the order of `fields`, cut off before the first that is missing. Cached: a member's
-    report stays the same for many answers.
+    """The report's values in the order of `fields`, up to the first that is missing. Cached, because a member sends
+    the same report in many answers.
 
-    Raises ValueError on a value that is no number.
+    Raises ValueError on a value that is not a number.
     """
-    figures: dict[bytes, bytes] = {}
+    values_by_name: dict[bytes, bytes] = {}
     for pair in value.split(b";"):
-        name, figure = pair.split(b":", 1)
-        # Guards against two names for one figure: the settings' own and the short one. Unknown to each
-        # other, they had every report of every member thrown away.
-        figures[FIGURE_ALIASES.get(name, name)] = figure
+        name, text = pair.split(b":", 1)
+        # A value may have the settings' name or the short one. Without this mapping, every report of every member
+        # was discarded.
+        values_by_name[LOAD_VALUE_ALIASES.get(name, name)] = text
     values: list[float] = []
     for name in fields:
-        if name not in figures:
+        if name not in values_by_name:
             break
-        values.append(float(figures[name]))
+        values.append(float(values_by_name[name]))
     return tuple(values)
--- a/rookbend/protocol/client_frames.py
+++ b/rookbend/protocol/client_frames.py
@@ -1,4 +1,4 @@
-"""The binary frames of the platform's client protocol (docs of the platform), seen from the director.
+"""The binary frames of the platform's client protocol (docs of the platform), as the director uses them.
 
 frame     u32 length of what follows, u8 type, u32 stream, payload; integers are big-endian
 request   fields, then the body
@@ -17,15 +17,15 @@
 LENGTH_BYTES = 4
 HEADER = struct.Struct(">IBI")
 ANSWER_HEADER = struct.Struct(">IBIB")
-ANSWER_HEADER_BYTES = ANSWER_HEADER.size - LENGTH_BYTES  # as a frame's length counts them
-MIN_FRAME_BYTES = 5  # of the length in a header: without its own four bytes
+ANSWER_HEADER_BYTES = ANSWER_HEADER.size - LENGTH_BYTES  # as counted in a frame's length
+MIN_FRAME_BYTES = 5  # smallest length in a header; it does not count its own four bytes
 MAX_FRAME_BYTES = 262_144
-MAX_BUFFERED_BYTES = 65_536  # no request of a client is longer: a longer frame is discarded as it comes
+MAX_BUFFERED_BYTES = 65_536  # no valid request is longer: a longer frame is discarded as it arrives
 
 # Frame types, as the platform numbers them.
 READINESS_REQUEST_TYPE = 1
 READINESS_TYPE = 2
-GOAWAY_TYPE = 3  # the client is to send no new request on this connection
+GOAWAY_TYPE = 3  # the client must not send new requests on this connection
 REQUEST_TYPE = 7
 ANSWER_TYPE = 8
 CANCEL_TYPE = 9
@@ -33,9 +33,9 @@
 # Status codes of an answer.
 STATUS_OK = 0
 STATUS_FAILED = 2
-STATUS_UNAVAILABLE = 14  # rejected without any effect, or not ready: another try does no harm
+STATUS_UNAVAILABLE = 14  # rejected without any effect, or not ready: a retry does no harm
 
-# The platform's names of fields, by what they carry.
+# The platform's field names.
 TRAFFIC_CLASS_FIELD = "method"
 REQUEST_ID_FIELD = "rid"
 KEY_FIELD = "obj"
@@ -51,7 +51,7 @@
 
 @dataclass(slots=True)
 class RequestFrame:
-    """A request; `fields` is None where they can't be read: the stream is known all the same."""
+    """A request; `fields` is None if they can't be parsed, and only the stream is known."""
 
     stream: int
     fields: dict[str, str] | None = field(default_factory=dict)
@@ -67,7 +67,7 @@
 
 @dataclass(slots=True)
 class ReadinessFrame:
-    """A query whether the director is ready."""
+    """A query for the director's readiness."""
 
     stream: int
 
@@ -76,69 +76,69 @@
 
 
 class FrameError(ProtocolError):
-    """Bytes that are no frames of a client: the connection can't go on. `frames` came whole before them."""
+    """Malformed bytes from a client: the connection can't be used further. `frames` were complete before them."""
 
     def __init__(self, message: str, frames: Sequence[ClientFrame]) -> None:
         super().__init__(message)
         self.frames = frames
 
 
-def read_fields(data: bytes, at: int) -> tuple[dict[str, str] | None, int]:
-    """The fields that begin at `at`, and where they end; None where the bytes don't hold them."""
+def read_fields(data: bytes, offset: int) -> tuple[dict[str, str] | None, int]:
+    """The fields that start at `offset`, and the offset of their end; None if the bytes hold no valid fields."""
     try:
-        count = data[at]
-        at += 1
+        count = data[offset]
+        offset += 1
         fields: dict[str, str] = {}
         for _ in range(count):
-            name_end = at + 1 + data[at]
+            name_end = offset + 1 + data[offset]
             value_start = name_end + 2
             value_end = value_start + (data[name_end] << 8 | data[name_end + 1])
             if value_end > len(data):
-                return None, at
-            fields[str(data[at + 1 : name_end], "utf-8")] = str(data[value_start:value_end], "utf-8")
-            at = value_end
-        return fields, at
+                return None, offset
+            fields[str(data[offset + 1 : name_end], "utf-8")] = str(data[value_start:value_end], "utf-8")
+            offset = value_end
+        return fields, offset
     except (IndexError, UnicodeDecodeError):
-        return None, at
+        return None, offset
 
 
 class FrameParser:
-    """Fed a client's bytes, returns its frames. Buffers one incomplete frame of MAX_BUFFERED_BYTES at most."""
+    """Parses a client's bytes into frames. Buffers one incomplete frame of at most MAX_BUFFERED_BYTES."""
 
     def __init__(self) -> None:
         self._buffer = b""
-        self._discard_bytes = 0  # of a frame too long to buffer that are still to come
+        self._discard_bytes = 0  # still to be received of a frame that is too long to buffer
 
     @property
     def has_partial(self) -> bool:
-        """Whether a frame has begun that is not complete."""
+        """Whether an incomplete frame was received."""
         return bool(self._buffer) or self._discard_bytes > 0
 
     def feed(self, data: bytes) -> list[ClientFrame]:
-        """The frames that are complete now. Raises FrameError, whose `frames` are still good."""
+        """Returns the frames that are now complete. Raises FrameError, whose `frames` are still valid."""
         if self._buffer:
             data = self._buffer + data
         size = len(data)
         frames: list[ClientFrame] = []
-        at = min(self._discard_bytes, size)
-        self._discard_bytes -= at
-        while size - at >= LENGTH_BYTES:
-            length = int.from_bytes(data[at : at + LENGTH_BYTES], "big")
+        offset = min(self._discard_bytes, size)
+        self._discard_bytes -= offset
+        while size - offset >= LENGTH_BYTES:
+            length = int.from_bytes(data[offset : offset + LENGTH_BYTES], "big")
             if not MIN_FRAME_BYTES <= length <= MAX_FRAME_BYTES:
-                raise FrameError(f"a frame cannot be {length} bytes long", frames)
-            end = at + LENGTH_BYTES + length
+                raise FrameError(f"invalid frame length: {length} bytes", frames)
+            end = offset + LENGTH_BYTES + length
             if end > size:
-                if length > MAX_BUFFERED_BYTES and size - at >= HEADER.size:
-                    # Guards the memory: the stream is answered as failed, the rest is never buffered.
-                    frames.append(self._oversized_request(data, at, frames))
+                if length > MAX_BUFFERED_BYTES and size - offset >= HEADER.size:
+                    # Bounds memory: the stream is answered as failed, and the rest of the frame is never buffered.
+                    frames.append(self._oversized_request(data, offset, frames))
                     self._discard_bytes = end - size
-                    at = size
+                    offset = size
                 break
-            _, frame_type, stream = HEADER.unpack_from(data, at)
+            _, frame_type, stream = HEADER.unpack_from(data, offset)
             if frame_type == REQUEST_TYPE and stream and length > MAX_BUFFERED_BYTES:
                 frames.append(RequestFrame(stream, None))
             elif frame_type == REQUEST_TYPE and stream:
-                payload = data[at + HEADER.size : end]
+                payload = data[offset + HEADER.size : end]
                 fields, fields_end = read_fields(payload, 0)
                 frames.append(RequestFrame(stream, fields, payload[fields_end:] if fields is not None else b""))
             elif frame_type == CANCEL_TYPE and stream:
@@ -146,21 +146,21 @@
             elif frame_type == READINESS_REQUEST_TYPE:
                 frames.append(ReadinessFrame(stream))
             else:
-                raise FrameError(f"a client cannot send type {frame_type} on stream {stream}", frames)
-            at = end
-        self._buffer = data[at:] if at else data
+                raise FrameError(f"unexpected frame of type {frame_type} on stream {stream}", frames)
+            offset = end
+        self._buffer = data[offset:] if offset else data
         return frames
 
     @staticmethod
-    def _oversized_request(data: bytes, at: int, frames: list[ClientFrame]) -> RequestFrame:
-        length, frame_type, stream = HEADER.unpack_from(data, at)
+    def _oversized_request(data: bytes, offset: int, frames: list[ClientFrame]) -> RequestFrame:
+        length, frame_type, stream = HEADER.unpack_from(data, offset)
         if frame_type != REQUEST_TYPE or not stream:
-            raise FrameError(f"type {frame_type} on stream {stream} cannot be {length} bytes long", frames)
+            raise FrameError(f"frame of type {frame_type} on stream {stream} is too long: {length} bytes", frames)
         return RequestFrame(stream, None)
 
 
 def write_fields(fields: dict[str, str]) -> bytes:
-    """Fields as they stand in an answer."""
+    """The encoded fields of an answer."""
     parts = [bytes((len(fields),))]
     for name, value in fields.items():
         name_bytes, value_bytes = name.encode(), value.encode()
@@ -174,7 +174,7 @@
 def write_answer(
     stream: int, status: int, fields: bytes = NO_FIELDS, body_size: int = 0, frame_type: int = ANSWER_TYPE
 ) -> bytes:
-    """An answer up to its body, whose bytes follow as they are."""
+    """An answer up to its body; the caller sends the body's bytes after it."""
     return ANSWER_HEADER.pack(ANSWER_HEADER_BYTES + len(fields) + body_size, frame_type, stream, status) + fields
 
 
@@ -184,5 +184,5 @@
 
 
 def write_goaway() -> bytes:
-    """Notifies the client to send no new request on this connection."""
+    """The frame that tells the client to send no new requests on this connection."""
     return HEADER.pack(MIN_FRAME_BYTES, GOAWAY_TYPE, 0)
--- a/rookbend/protocol/coordinator_stream.py
+++ b/rookbend/protocol/coordinator_stream.py
@@ -1,4 +1,4 @@
-"""The events in the stream of the platform's coordinator (docs of the platform), and what they mean to the core."""
+"""The events in the stream of the platform's coordinator (docs of the platform), and their translation for the core."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 from rookbend.interface import Member, MemberState
 from rookbend.protocol.errors import ProtocolError
 
-# The coordinator's phases of a member, by what they mean here.
+# The coordinator's phases of a member, with the member states that they map to.
 MEMBER_STATES = {"SERVING": MemberState.READY, "DRAINING": MemberState.DRAINING, "DELETED": MemberState.GONE}
-UNKNOWN_KIND = 0xFFFF  # of a member: none that the settings name
+UNKNOWN_KIND = 0xFFFF  # a member's kind that the settings don't name
 UNKNOWN_ZONE = 0xFF
 SERVER_NUMBER_BYTES = 6
-ZERO_OBJECT_NUMBER = 1 << 64  # stands for 0, which would mean a whole group to the module
+ZERO_OBJECT_NUMBER = 1 << 64  # replaces 0, which means a whole group to the router
 
 
 class StreamError(ProtocolError):
-    """What came is no stream of events, or an event that can't be used."""
+    """The received bytes are not a stream of events, or an event can't be used."""
 
 
 class EndpointRecord(msgspec.Struct):
-    """A member as the coordinator describes it; the names on the wire stand in the fields."""
+    """A member as the coordinator describes it; `name` in a field is the name on the wire, where it differs."""
 
     name: str = msgspec.field(name="id")
     address: str = msgspec.field(name="host_port", default="")
@@ -52,7 +52,7 @@
 
 
 class Update(msgspec.Struct):
-    """An event of the coordinator, by its number in the stream; of a kind unknown here, both are None."""
+    """An event of the coordinator; `index` is its number in the stream. For an unknown kind of event, both are None."""
 
     index: int = 0
     membership: MembershipEvent | None = msgspec.field(name="endpoints", default=None)
@@ -60,37 +60,37 @@
 
 
 class KnownEvents(msgspec.Struct):
-    """The events that the configuration brings along, up to `index`."""
+    """The events up to number `index`, as included in the configuration."""
 
     index: int = 0
     updates: list[Update] = []
 
 
 def object_number(name: str) -> int:
-    """The number of an object by its name, hex digits. Raises ValueError on others."""
+    """The number of an object by its name in hex digits. Raises ValueError on other names."""
     return int(name, 16) or ZERO_OBJECT_NUMBER
 
 
 def server_number(name: str) -> int:
-    """The same number for a member's name at every director: the module's shared hash rests on it."""
+    """The number of a member by its name, the same at every director: the router's shared hash depends on it."""
     return int.from_bytes(blake2b(name.encode(), digest_size=SERVER_NUMBER_BYTES).digest(), "big") or 1
 
 
 def split_address(text: str) -> tuple[str, int]:
-    """Host and port of `host:port` or `[host]:port`. Raises ValueError where there is no port."""
+    """Host and port of `host:port` or `[host]:port`. Raises ValueError if there is no port."""
     host, _, port = text.rpartition(":")
     return host.strip("[]"), int(port)
 
 
 class Translator:
-    """Turns the coordinator's events into the core's; `zones` and `kinds` are named in the settings' order."""
+    """Translates the coordinator's events for the core; `zones` and `kinds` are names in the settings' order."""
 
     def __init__(self, zones: tuple[str, ...], kinds: tuple[str, ...]) -> None:
         self._zones = {name: index for index, name in enumerate(zones)}
         self._kinds = {name: index for index, name in enumerate(kinds)}
 
     def translate(self, update: Update) -> MembershipChange | Purge | None:
-        """The event for the core; None for a kind unknown here. Raises StreamError where it can't be used."""
+        """Returns the event for the core; None for an unknown kind. Raises StreamError if the event can't be used."""
         try:
             if (membership := update.membership) is not None:
                 endpoints = [self._endpoint(record) for record in membership.members]
@@ -99,12 +99,12 @@
                 object_id = None if purge.key is None else object_number(purge.key)
                 return Purge(object_id, purge.group or 0, purge.unix_ms * 1000)
         except (ValueError, KeyError) as error:
-            raise StreamError(f"an event can't be used: {error}") from None
+            raise StreamError(f"event can't be used: {error}") from None
         return None
 
     def _endpoint(self, record: EndpointRecord) -> Endpoint:
         state = MEMBER_STATES[record.phase]
-        # What is gone needs no address, and a zone or kind that the settings don't name takes no part.
+        # A member that has left needs no address; a member of an unnamed zone or kind takes no part in routing.
         address = split_address(record.address) if state is not MemberState.GONE else ("", 0)
         member = Member(
             server=server_number(record.name),
--- a/rookbend/protocol/dns.py
+++ b/rookbend/protocol/dns.py
@@ -1,6 +1,6 @@
-"""DNS messages of the server (RFC 1035, RFC 6891, RFC 8914), by dnspython: queries parsed, replies built.
+"""DNS messages of the server (RFC 1035, RFC 6891, RFC 8914), with dnspython: parses queries and builds replies.
 
-A query name under the zone carries what a request needs, the most specific label first:
+A query name under the zone holds the parameters of a request, the most specific label first:
 
     p3.7f3a9c21e0b4d655.g17.video.ZONE                         part, object, group, class
     r9b1f03aa5c7e2d41.p0.7f3a9c21e0b4d655.g17.form.ZONE       the same with the request's id: a write
@@ -24,14 +24,14 @@
 
 from rookbend.protocol.errors import ProtocolError
 
-MIN_UDP_BYTES = 512  # what every client takes (RFC 1035, 2.3.4)
-MAX_UDP_BYTES = 1232  # what passes every network without fragments
+MIN_UDP_BYTES = 512  # accepted by every client (RFC 1035, 2.3.4)
+MAX_UDP_BYTES = 1232  # passes every network without fragmentation
 MAX_MESSAGE_BYTES = 65_535
 HEADER_BYTES = 12
 RESPONSE_BIT = 0x80  # in the header's third byte
 OPCODE_AND_RD_BITS = 0x79
 MAX_GROUP = 255
-RECORD_TTL_S = 0  # nobody may go on naming a member that drains a moment later
+RECORD_TTL_S = 0  # no resolver may cache the name of a member that may drain a moment later
 ADDRESS_TYPES = (dns.rdatatype.A, dns.rdatatype.AAAA)
 
 _PART = re.compile(r"p([0-9]{1,7})")
@@ -43,7 +43,7 @@
 
 
 class NoReplyError(ProtocolError):
-    """Bytes to which no reply may be sent: too short for an id, or themselves a response."""
+    """A message to which no reply may be sent: too short for a header, or itself a response."""
 
 
 @dataclass(slots=True)
@@ -65,10 +65,10 @@
 
 @dataclass(slots=True)
 class LookupOutcome:
-    """What a reply is built from, the same for every repeat of the lookup.
+    """The data that a reply is built from, the same for every retry of the lookup.
 
     `server` is the number of the member that `target`, the CNAME's target, names; `note` is the text of an
-    extended error.
+    extended DNS error.
     """
 
     rcode: dns.rcode.Rcode
@@ -79,10 +79,10 @@
 
 
 def parse_query(wire: bytes, zone: dns.name.Name) -> Lookup | dns.message.Message:
-    """The lookup in a message, or the reply that it gets at once.
+    """Returns the lookup in a message, or the immediate reply to it.
 
     Raises:
-        NoReplyError: there is nothing to reply to.
+        NoReplyError: the message must not be replied to.
     """
     if len(wire) < HEADER_BYTES or wire[2] & RESPONSE_BIT:
         raise NoReplyError
@@ -125,7 +125,7 @@
 
 
 def _bare_reply(wire: bytes, rcode: dns.rcode.Rcode) -> dns.message.Message:
-    """A reply to what could not be parsed: its id and opcode, and no question."""
+    """A reply without a question, with the id and opcode of a message that can't be handled."""
     reply = dns.message.Message(id=int.from_bytes(wire[:2], "big"))
     reply.flags = dns.flags.Flag(dns.flags.QR | (wire[2] & OPCODE_AND_RD_BITS) << 8)
     reply.set_rcode(rcode)
@@ -146,7 +146,7 @@
 
 
 def _add_records(reply: dns.message.Message, query: dns.message.Message, outcome: LookupOutcome) -> None:
-    """The CNAME, and its target's address where the query asks for that type."""
+    """Adds the CNAME, and its target's address if the query asks for that type."""
     question = query.question[0]
     target = dns.name.from_text(outcome.target)
     reply.answer.append(dns.rrset.from_text(question.name, RECORD_TTL_S, "IN", "CNAME", target.to_text()))
@@ -163,7 +163,7 @@
 
 
 def encode_reply(reply: dns.message.Message, query_wire: bytes, over_udp: bool) -> bytes:
-    """The reply's bytes; one that is longer than the client takes over UDP is truncated and flagged so."""
+    """The reply's bytes; one longer than the client accepts over UDP is truncated, with the TC flag set."""
     try:
         return reply.to_wire(max_size=_max_udp_bytes(query_wire) if over_udp else MAX_MESSAGE_BYTES)
     except dns.exception.TooBig:
--- a/rookbend/protocol/dns_resolver.py
+++ b/rookbend/protocol/dns_resolver.py
@@ -1,4 +1,4 @@
-"""The messages of a stub resolver (RFC 1034, 5.3.1), by dnspython: a query for addresses, and its response."""
+"""The messages of a stub resolver (RFC 1034, 5.3.1), with dnspython: a query for addresses, and its response."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 
 class ResolverError(ProtocolError):
-    """The resolver's response is no use; the message says why."""
+    """The resolver's response can't be used; the message says why."""
 
 
 class UnmatchedResponseError(ResolverError):
-    """These bytes are malformed, or respond to another query: the response may still come."""
+    """The bytes are malformed or respond to another query; the expected response may still arrive."""
 
 
 def address_query(name: str, record_type: str, query_id: int) -> dns.message.Message:
@@ -26,10 +26,10 @@
 
 
 def parse_addresses(query: dns.message.Message, wire: bytes) -> list[str] | None:
-    """The addresses in the response to `query`; None where it is truncated and TCP is to be used.
+    """The addresses in the response to `query`; None if it is truncated and TCP must be used.
 
     Raises:
-        UnmatchedResponseError: these bytes are malformed or respond to another query.
+        UnmatchedResponseError: the bytes are malformed or respond to another query.
         ResolverError: the response is an error or can't be parsed.
     """
     try:
@@ -39,7 +39,7 @@
     except dns.exception.DNSException as error:
         raise ResolverError(str(error)) from error
     if not query.is_response(response):
-        raise UnmatchedResponseError("the answer to another question")
+        raise UnmatchedResponseError("response to another query")
     if response.flags & dns.flags.TC:
         return None
     if response.rcode() != dns.rcode.NOERROR:
--- a/rookbend/protocol/dns_tcp.py
+++ b/rookbend/protocol/dns_tcp.py
@@ -1,4 +1,4 @@
-"""The framing of DNS messages over TCP (RFC 1035, 4.2.2): a message after its length in two bytes."""
+"""The framing of DNS messages over TCP (RFC 1035, 4.2.2): each message is preceded by its length in two bytes."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def frame(message: bytes) -> bytes:
-    """The message as it goes over TCP."""
+    """The message with its length prefix."""
     return len(message).to_bytes(LENGTH_BYTES, "big") + message
 
 
--- a/rookbend/protocol/errors.py
+++ b/rookbend/protocol/errors.py
@@ -1,7 +1,7 @@
-"""The root of the errors of all protocols; each is defined beside its parser."""
+"""The base class of all protocol errors; each subclass is defined in the module of its parser."""
 
 from __future__ import annotations
 
 
 class ProtocolError(Exception):
-    """Bytes that the protocol does not allow; the message says which, and what is wrong with them."""
+    """Bytes that the protocol does not allow; the message describes the fault."""
--- a/rookbend/protocol/event_stream.py
+++ b/rookbend/protocol/event_stream.py
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True)
 class UnreadableEvent:
-    """An event whose data can't be read; those that follow it can. `index` is 0 where it has no number."""
+    """An event whose data can't be parsed; later events still can. `index` is 0 if the event has no number."""
 
     index: int
     reason: str
@@ -34,10 +34,10 @@
 
 
 class EventStream:
-    """One request of the stream: returns the request's bytes, is fed the response's, returns updates."""
+    """One HTTP request for the stream, without I/O: encodes the request and parses the response into updates."""
 
     def __init__(self, host: str, path: str, last_index: int) -> None:
-        """`last_index` is the number of the last event known: the stream begins after it."""
+        """`last_index` is the number of the last known event: the stream starts after it."""
         self._http = h11.Connection(h11.CLIENT)
         self._request = h11.Request(
             method="GET",
@@ -45,7 +45,7 @@
             headers=[("Host", host), ("Accept", "text/event-stream"), ("Last-Event-ID", str(last_index))],
         )
         self._line_buffer = b""
-        self._event_data: list[bytes] = []  # of the event that is not complete
+        self._event_data: list[bytes] = []  # data of the incomplete event
         self._event_index = 0
 
     def start(self) -> bytes:
@@ -53,9 +53,9 @@
         return (self._http.send(self._request) or b"") + (self._http.send(h11.EndOfMessage()) or b"")
 
     def feed(self, data: bytes) -> list[StreamItem]:
-        """The items that are complete now. Empty `data` means the end of the connection.
+        """Returns the items that are now complete. Empty `data` means the end of the connection.
 
-        Raises StreamError on what is no stream of events.
+        Raises StreamError if the response is not a stream of events.
         """
         try:
             self._http.receive_data(data)
@@ -65,18 +65,18 @@
                 if event is h11.NEED_DATA or event is h11.PAUSED:
                     return items
                 if isinstance(event, h11.Response) and event.status_code != 200:
-                    raise StreamError(f"the coordinator answered {event.status_code}")
+                    raise StreamError(f"coordinator answered with HTTP status {event.status_code}")
                 if isinstance(event, h11.Data):
                     items += self._read_events(bytes(event.data))
                 elif isinstance(event, (h11.EndOfMessage, h11.ConnectionClosed)):
                     return [*items, StreamEnd()]
         except h11.RemoteProtocolError as error:
-            raise StreamError(f"no HTTP: {error}") from None
+            raise StreamError(f"invalid HTTP response: {error}") from None
 
     def _read_events(self, data: bytes) -> list[StreamItem]:
         self._line_buffer += data
         if len(self._line_buffer) > MAX_EVENT_BYTES:
-            raise StreamError(f"an event is over {MAX_EVENT_BYTES} bytes long")
+            raise StreamError(f"event longer than {MAX_EVENT_BYTES} bytes")
         lines = self._line_buffer.replace(b"\r\n", b"\n").split(b"\n")
         self._line_buffer = lines.pop()
         items: list[StreamItem] = []
