--- a/rookbend/protocol/gossip.py
+++ b/rookbend/protocol/gossip.py
@@ -1,14 +1,14 @@
-"""Gossip between directors: msgpack in datagrams of 256 bytes at most; they may be lost, late or duplicated.
+"""Gossip between directors: msgpack in datagrams of at most 256 bytes, which may be lost, late or duplicated.
 
     "RB" version [type, fleet, number, incarnation, ...]
 
     Hello       identity, age and stage of the sender, digests of its rows; what it knows of the receiver; other peers
-    RowRequest  requests rows of a kind, from a key on
-    RowBatch    rows of a kind, in the order of their keys; `more` where others follow
+    RowRequest  requests rows of a kind, after a key
+    RowBatch    rows of a kind, in the order of their keys; `more` if others follow
 
-`fleet` is a hash of the fleet's name, `number` the sender's place in `peers`, `incarnation` a number drawn at each
-start, which tells two starts with one boot number apart. Times travel as ages, so that no two Unix clocks are
-compared. The order of the fields is the format on the wire.
+`fleet` is a hash of the fleet's name, `number` the sender's index in `peers`, `incarnation` a number drawn at each
+start, which distinguishes two starts with the same boot number. Times are sent as ages, so that the Unix clocks of two
+hosts are never compared. The order of the fields is the wire format.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 MAX_DATAGRAM_BYTES = 256
 MAX_AGE_MS = 10 * 365 * 86_400_000
 INTEGER_LIMIT = 1 << 48
-ROW_KINDS = "order", "purge", "drain"  # by the index that travels
+ROW_KINDS = "order", "purge", "drain"  # by their index on the wire
 
 
 class GossipError(Exception):
@@ -30,20 +30,20 @@
 
 
 class GossipDecodeError(GossipError):
-    """A datagram that is none of this exchange, or holds figures out of range; says why."""
+    """A datagram that is not of this protocol or holds integers out of range; the message says why."""
 
 
 class DatagramTooLongError(GossipError):
     """A message that does not fit into one datagram."""
 
     def __init__(self, length: int):
-        super().__init__(f"{length} bytes, {MAX_DATAGRAM_BYTES} at most")
+        super().__init__(f"{length} bytes in a datagram, {MAX_DATAGRAM_BYTES} at most")
         self.length = length
 
 
 class OriginLoad(NamedTuple):
-    """What the sender sees of the origin: the fleet's rate in tenths of a call a second, 0: unlimited; its recent
-    calls, and of these the failed and the slow ones; the fastest call."""
+    """The origin's load as the sender sees it: the fleet's rate in tenths of a call per second, 0: unlimited; the
+    sender's recent calls, and of these the failed and the slow ones; the fastest call."""
 
     rate_tenths: int
     calls: int
@@ -60,7 +60,7 @@
 
 
 class PeerSummary(msgspec.Struct, array_like=True, frozen=True):
-    """A row on a third director, relayed."""
+    """A relayed row about a third director."""
 
     number: int
     boot_number: int
@@ -70,8 +70,9 @@
 
 
 class Hello(msgspec.Struct, array_like=True, frozen=True, tag=1):
-    """A heartbeat. `heartbeat` grows with each Hello of an incarnation; `age_ms` is the incarnation's;
-    `purges_covered`: it knows every purge of its outage; `revision` is the membership's; `digests` by `ROW_KINDS`."""
+    """A heartbeat. `heartbeat` grows with each Hello of an incarnation; `age_ms` is the incarnation's age;
+    `purges_covered`: the sender knows every purge of its outage; `revision` is the membership's; `digests` are in the
+    order of `ROW_KINDS`."""
 
     fleet: int
     number: int
@@ -90,7 +91,7 @@
 
 
 class RowRequest(msgspec.Struct, array_like=True, frozen=True, tag=2):
-    """Requests the rows of a kind behind the key `after`."""
+    """Requests the rows of a kind whose keys follow `after`."""
 
     fleet: int
     number: int
@@ -116,12 +117,12 @@
 
 
 def fleet_number(name: str) -> int:
-    """The hash of a fleet's name that travels."""
+    """The hash that stands for a fleet's name on the wire."""
     return int.from_bytes(blake2b(name.encode(), digest_size=4).digest(), "big")
 
 
 def is_gossip_datagram(data: bytes) -> bool:
-    """Whether a datagram belongs to this exchange, of any version, and not to the router's."""
+    """Whether a datagram belongs to this protocol, of any version, and not to the router's."""
     return data.startswith(MAGIC[:2])
 
 
@@ -134,7 +135,7 @@
 
 
 def encode_hello(message: Hello, others: list[PeerSummary]) -> bytes:
-    """The datagram of a Hello with as many of the summaries, from the first, as fit."""
+    """The datagram of a Hello with as many of the summaries as fit, from the first on."""
     low = 0
     high = len(others)
     best = encode(message)
@@ -149,24 +150,24 @@
 
 
 def encode_rows(fleet: int, number: int, incarnation: int, kind: int, rows: list[tuple[str, bytes]]) -> bytes:
-    """The datagram of a RowBatch with as many rows, from the first, as fit; a row that never fits is skipped."""
-    taken: list[tuple[str, bytes]] = []
+    """The datagram of a RowBatch with as many rows as fit, from the first on; a row that never fits is skipped."""
+    included: list[tuple[str, bytes]] = []
     best = encode(RowBatch(fleet, number, incarnation, kind, (), False))
     for index, row in enumerate(rows):
         more = index + 1 < len(rows)
         try:
-            best = encode(RowBatch(fleet, number, incarnation, kind, (*taken, row), more))
-            taken.append(row)
+            best = encode(RowBatch(fleet, number, incarnation, kind, (*included, row), more))
+            included.append(row)
         except DatagramTooLongError:
-            if taken:
-                return encode(RowBatch(fleet, number, incarnation, kind, tuple(taken), True))
+            if included:
+                return encode(RowBatch(fleet, number, incarnation, kind, tuple(included), True))
     return best
 
 
 def decode(data: bytes) -> Message:
     """The message of a datagram. Raises GossipDecodeError."""
     if len(data) > MAX_DATAGRAM_BYTES or not data.startswith(MAGIC):
-        raise GossipDecodeError("another version" if is_gossip_datagram(data) else "not of this exchange")
+        raise GossipDecodeError("unsupported protocol version" if is_gossip_datagram(data) else "not a gossip datagram")
     try:
         message: Message = _decoder.decode(data[len(MAGIC) :])
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
@@ -174,12 +175,12 @@
     integers = [message.number, message.incarnation]
     if isinstance(message, Hello):
         if len(message.digests) != len(ROW_KINDS) or message.age_ms > MAX_AGE_MS:
-            raise GossipDecodeError(f"{len(message.digests)} digests, age {message.age_ms} ms")
+            raise GossipDecodeError(f"invalid Hello: {len(message.digests)} digests, age {message.age_ms} ms")
         integers += _integers_of_hello(message)
     elif not 0 <= message.kind < len(ROW_KINDS):
-        raise GossipDecodeError(f"unknown kind of row {message.kind}")
+        raise GossipDecodeError(f"unknown row kind {message.kind}")
     if min(integers) < 0 or max(integers) >= INTEGER_LIMIT:
-        raise GossipDecodeError(f"figures out of range: {min(integers)} to {max(integers)}")
+        raise GossipDecodeError(f"integers out of range: {min(integers)} to {max(integers)}")
     return message
 
 
--- a/rookbend/protocol/grpc_health_client.py
+++ b/rookbend/protocol/grpc_health_client.py
@@ -1,4 +1,4 @@
-"""The client of gRPC health checking: one call of Check or Watch (gRPC, Health Checking Protocol), by h2.
+"""The client of gRPC health checking: one call of Check or Watch (gRPC, Health Checking Protocol), with h2.
 
 The status of a call is in its trailers, `grpc-status` (gRPC over HTTP/2, Responses).
 """
@@ -33,17 +33,17 @@
 
 
 class GrpcHealthClient:
-    """One call on one connection, without a socket.
+    """One call on one connection, without I/O.
 
-    A Check sets `result` once. A Watch sets `result` with each status received; whoever drives it takes the
-    result and sets it to None. Once `ended` is set, an earlier status of a Watch no longer holds.
+    A Check sets `result` once. A Watch sets `result` with each status received; the caller takes the result and
+    resets it to None. Once `ended` is set, an earlier status of a Watch is no longer valid.
     """
 
     def __init__(self, host: str, service: str, watch: bool = False):
         self.watch = watch
         self.result: CheckResult | None = None
         self.ended = False
-        self.watch_unimplemented = False  # the server has no Watch: its Check may do
+        self.watch_unimplemented = False  # the server has no Watch; Check may still work
         self.pong_received = True
         self._host = host
         self._service = service
@@ -72,7 +72,7 @@
         return self._connection.data_to_send()
 
     def ping(self) -> bytes:
-        """Returns a PING, which tells a Watch without changes from a dead connection."""
+        """Returns a PING, which distinguishes a Watch without changes from a dead connection."""
         self.pong_received = False
         self._connection.ping(PING_PAYLOAD)
         return self._connection.data_to_send()
@@ -82,13 +82,13 @@
         if self.ended:
             return b""
         if not data:
-            self._end(CheckOutcome.BROKEN, "closed before the answer")
+            self._end(CheckOutcome.BROKEN, "connection closed before the response")
             return b""
         try:
             for event in self._connection.receive_data(data):
                 self._handle(event)
         except (h2.exceptions.ProtocolError, GrpcMessageError, DecodeError) as error:
-            self._end(CheckOutcome.BROKEN, f"no gRPC: {error}"[:MAX_REASON_CHARS])
+            self._end(CheckOutcome.BROKEN, f"invalid gRPC: {error}"[:MAX_REASON_CHARS])
         return self._connection.data_to_send()
 
     def _end(self, outcome: CheckOutcome, reason: str) -> None:
@@ -114,15 +114,15 @@
         elif isinstance(event, h2.events.TrailersReceived):
             self._handle_trailers(_fields(event.headers))
         elif isinstance(event, h2.events.StreamReset):
-            self._end(CheckOutcome.BROKEN, "the stream was reset")
+            self._end(CheckOutcome.BROKEN, "stream reset")
         elif isinstance(event, h2.events.StreamEnded):
-            self._end(CheckOutcome.BROKEN, "ended without a status")
+            self._end(CheckOutcome.BROKEN, "call ended without a status")
 
     def _handle_headers(self, fields: dict[str, str]) -> None:
         if fields.get(":status") != "200":
             self._end(CheckOutcome.FAILED, f"HTTP status {fields.get(':status')}")
         elif "grpc-status" in fields:
-            self._handle_trailers(fields)  # a response of trailers only
+            self._handle_trailers(fields)  # a Trailers-Only response
 
     def _handle_data(self, event: h2.events.DataReceived) -> None:
         self._connection.acknowledge_received_data(event.flow_controlled_length, self._stream_id)
@@ -131,7 +131,7 @@
 
     def _handle_status(self, status: int) -> None:
         if self.result is not None and not self.watch:
-            raise GrpcMessageError("a second message in answer to a Check")
+            raise GrpcMessageError("second message in the response to a Check")
         if status == ServingStatus.SERVING:
             self.result = CheckResult(CheckOutcome.PASSED, "")
         else:
@@ -141,7 +141,7 @@
         code = fields.get("grpc-status", "")
         self.watch_unimplemented = self.watch and code == f"{GrpcStatus.UNIMPLEMENTED:d}"
         if code == f"{GrpcStatus.OK:d}":
-            self._end(CheckOutcome.BROKEN, "ended without a status")
+            self._end(CheckOutcome.BROKEN, "call ended without a status")
             return
         # A status received before an error does not count: the call as a whole has failed.
         self.result = None
@@ -153,7 +153,7 @@
 
 
 def _status_name(status: int) -> str:
-    """The status by name, or by number where the protocol does not define it: proto3 enums are open."""
+    """The status by name, or by number if the protocol does not define it: proto3 enums are open."""
     try:
         return ServingStatus(status).name
     except ValueError:
--- a/rookbend/protocol/grpc_health_messages.py
+++ b/rookbend/protocol/grpc_health_messages.py
@@ -1,6 +1,6 @@
 """The messages of gRPC health checking (gRPC, Health Checking Protocol, `grpc/health/v1/health.proto`).
 
-Protobuf builds the message classes from a description, so that no generated code is needed. On the wire a
+The protobuf library builds the message classes from a descriptor, so that no generated code is needed. On the wire a
 message is `compressed:1 length:4 bytes` (gRPC over HTTP/2, Length-Prefixed-Message).
 """
 
@@ -71,7 +71,7 @@
 
 
 def _descriptor_pool() -> Any:
-    """A pool of its own: the default one may hold the same names from generated code."""
+    """A separate pool: the default one may contain the same names from generated code."""
     file = descriptor_pb2.FileDescriptorProto(name="grpc/health/v1/health.proto", package=PACKAGE, syntax="proto3")
     _describe_request(file)
     _describe_response(file)
@@ -90,7 +90,7 @@
 
 
 def encode_request(service: str) -> bytes:
-    """A framed HealthCheckRequest; an empty name is the server as a whole."""
+    """A framed HealthCheckRequest; an empty service name means the server as a whole."""
     return _frame(HealthCheckRequest(service=service))
 
 
@@ -105,12 +105,12 @@
 
 
 def header_text(value: bytes | str) -> str:
-    """A header's name or value as h2 gives it."""
+    """The text of a header name or value from h2."""
     return value.decode("utf-8", "replace") if isinstance(value, bytes) else value
 
 
 class MessageReader:
-    """The length-prefixed messages of one stream."""
+    """Splits the bytes of one stream into length-prefixed messages."""
 
     def __init__(self) -> None:
         self._buffer = b""
--- a/rookbend/protocol/grpc_health_server.py
+++ b/rookbend/protocol/grpc_health_server.py
@@ -1,4 +1,4 @@
-"""The server of gRPC health checking: Check and Watch for one connection (gRPC, Health Checking Protocol), by h2."""
+"""The server of gRPC health checking: Check and Watch for one connection (gRPC, Health Checking Protocol), with h2."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 MAX_STREAMS = 64
 MAX_ERROR_CHARS = 100
-MIN_WINDOW_BYTES = 16  # what a response takes at most
+MIN_WINDOW_BYTES = 16  # maximum size of a response
 WHOLE_SERVER = frozenset({""})
 
 
@@ -48,10 +48,10 @@
 
 
 class GrpcHealthServer:
-    """One connection, without a socket.
+    """One connection, without I/O.
 
-    `status` returns SERVING or NOT_SERVING; `changed` is to be called when that may have changed. `ended` is
-    set once the connection can't go on.
+    `status` returns SERVING or NOT_SERVING; `changed` must be called when that may have changed. `ended` is set once
+    the connection can't be used further.
     """
 
     def __init__(self, status: Callable[[], ServingStatus], services: frozenset[str] = WHOLE_SERVER):
@@ -156,7 +156,7 @@
         self._connection.send_headers(stream_id, [(":status", "200"), ("content-type", CONTENT_TYPE)])
 
     def _send_error(self, stream_id: int, code: GrpcStatus, text: str) -> None:
-        """Ends a call with a response of trailers only."""
+        """Ends a call with a Trailers-Only response."""
         self._connection.send_headers(
             stream_id,
             [
@@ -173,7 +173,7 @@
         status = self._status() if watcher.service_known else ServingStatus.SERVICE_UNKNOWN
         if status == watcher.sent_status:
             return
-        # A watcher without window is notified when its window opens or with the next change.
+        # A watcher without a sufficient flow-control window is notified by a later call of `changed`.
         if self._connection.local_flow_control_window(stream_id) >= MIN_WINDOW_BYTES:
             watcher.sent_status = status
             self._connection.send_data(stream_id, encode_response(status))
@@ -183,7 +183,7 @@
     """The service that a request names.
 
     Raises:
-        DecodeError: there is not exactly one message, or it is no HealthCheckRequest.
+        DecodeError: there is not exactly one message, or it is not a HealthCheckRequest.
     """
     if len(messages) != 1:
         raise DecodeError(f"one message, not {len(messages)}")
--- a/rookbend/protocol/http_server.py
+++ b/rookbend/protocol/http_server.py
@@ -1,4 +1,4 @@
-"""The server's side of one HTTP/1.1 connection (RFC 9112), by h11."""
+"""The server side of one HTTP/1.1 connection (RFC 9112), with h11."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True)
 class HttpRequest:
-    """A whole request; header names are in lower case, `path` is without the query."""
+    """A complete request; header names are in lower case, `path` is without the query."""
 
     method: str
     path: str
@@ -35,7 +35,7 @@
 class HttpServerConnection:
     """Parses requests, one at a time: the next is parsed once `respond` was called.
 
-    `ended` is set once the connection can't go on; `error_response` is then to be sent first.
+    `ended` is set once the connection can't be used further; `error_response` must be sent before it is closed.
     """
 
     def __init__(self) -> None:
@@ -45,7 +45,7 @@
         self._request: HttpRequest | None = None
 
     def feed(self, data: bytes) -> HttpRequest | None:
-        """Takes received bytes, empty at the end of the connection; returns a request once it is whole."""
+        """Takes received bytes, empty at the end of the connection; returns a request once it is complete."""
         try:
             self._http.receive_data(data)
         except h11.RemoteProtocolError as error:
@@ -54,7 +54,7 @@
         return self.next_request()
 
     def next_request(self) -> HttpRequest | None:
-        """Returns the next whole request among the bytes received, if there is one."""
+        """Returns the next complete request in the bytes received, if there is one."""
         try:
             return self._parse_request()
         except h11.RemoteProtocolError as error:
@@ -101,7 +101,7 @@
             self.ended = True
         elif not self.ended:
             self._http.start_next_cycle()
-            self._request = None  # a rejection of what follows is no response to it
+            self._request = None  # a rejection of later bytes is not a response to it
         return data
 
 
--- a/rookbend/protocol/lease_messages.py
+++ b/rookbend/protocol/lease_messages.py
@@ -1,6 +1,6 @@
 """The messages of the lease protocol; `rookbend.protocol.leases` is their codec.
 
-All are msgpack arrays: the order of the fields and the tags are the format.
+All are msgpack arrays: the order of the fields and the tags are the wire format.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class LeaseRow(NamedTuple):
-    """A request for one scope; a token of 0 asks who holds it."""
+    """A request for one scope; a token of 0 only asks for the holder."""
 
     scope: int
     token: int
@@ -19,7 +19,7 @@
 
 
 class VoteRow(NamedTuple):
-    """The answer for one scope: `token` is the highest granted, `holder` the director it is granted to."""
+    """The answer for one scope: `token` is the highest granted, `holder` the director that it is granted to."""
 
     scope: int
     round: int
@@ -30,7 +30,7 @@
 
 
 class ReleaseRow(NamedTuple):
-    """A released scope; `successor` is a director or -1."""
+    """A released scope; `successor` is a director's number, or -1 for none."""
 
     scope: int
     token: int
@@ -38,7 +38,7 @@
 
 
 class OfferRow(NamedTuple):
-    """A scope that is free for its successor, above this token."""
+    """A scope that is released for its successor, which needs a higher token than this one."""
 
     scope: int
     token: int
@@ -54,7 +54,7 @@
 
 
 class OrderOrigin(NamedTuple):
-    """Who passed an order on: no order is written twice for one origin."""
+    """The director that forwarded an order, and its id there: an origin has at most one entry in the log."""
 
     director: int
     incarnation: int
@@ -62,7 +62,7 @@
 
 
 class Entry(NamedTuple):
-    """An entry of the log of orders; `target` is a member, or a scope after an `@`."""
+    """An entry of the log of orders; `target` is a member, or `@` and a scope."""
 
     number: int
     token: int
@@ -73,7 +73,7 @@
 
 
 class Header(msgspec.Struct, array_like=True, frozen=True):
-    """What all messages begin with: a hash of the fleet's name, the sender's index and its incarnation."""
+    """The fields that all messages start with: a hash of the fleet's name, the sender's index and its incarnation."""
 
     fleet: int
     sender: int
@@ -81,7 +81,9 @@
 
 
 class LeaseRequest(Header, frozen=True, tag=1):
-    """Requests grants or their renewal; without rows, only the highest token. `voters` digests the sender's voters."""
+    """Requests grants or their renewal; without rows, only the highest token. `voters` is a digest of the sender's
+    voters.
+    """
 
     voters: int
     highest_token: int
@@ -89,7 +91,7 @@
 
 
 class LeaseVote(Header, frozen=True, tag=2):
-    """The answer to a request of that incarnation."""
+    """The answer to a request of the incarnation `to_incarnation`."""
 
     voters: int
     highest_token: int
@@ -104,22 +106,22 @@
 
 
 class LeaseOffer(Header, frozen=True, tag=4):
-    """To a successor: these scopes were released for it."""
+    """Notifies a successor that these scopes were released for it."""
 
     rows: tuple[OfferRow, ...]
 
 
 class TokenRejected(Header, frozen=True, tag=5):
-    """A request came with an older token than the highest seen."""
+    """Reports that a request had an older token than the highest seen."""
 
     scope: int
     highest_token: int
 
 
 class ShardResults(Header, frozen=True, tag=6):
-    """Check results of a shard, in parts: findings of members that are not plainly healthy.
+    """Check results of a shard, in parts: findings of members that are not fully healthy.
 
-    `covered` is the exclusive or of the numbers of all members that the leader has a result of.
+    `covered` is the XOR of the numbers of all members for which the leader has a result.
     """
 
     scope: int
@@ -132,7 +134,7 @@
 
 
 class SubmitOrder(Header, frozen=True, tag=7):
-    """An operator's order for the fleet, to the leader of the orders."""
+    """An operator's order for the fleet, sent to the leader of the orders."""
 
     id: int
     target: str
@@ -149,7 +151,7 @@
 
 
 class AppendEntry(Header, frozen=True, tag=9):
-    """To voters: store this entry; all entries up to `committed` are committed."""
+    """Has voters store an entry; all entries up to `committed` are committed."""
 
     token: int
     committed: int
@@ -157,7 +159,7 @@
 
 
 class AppendAck(Header, frozen=True, tag=10):
-    """The entry of that number is durable."""
+    """Confirms that the entry `number` is durable."""
 
     to_incarnation: int
     token: int
@@ -165,14 +167,14 @@
 
 
 class FetchEntries(Header, frozen=True, tag=11):
-    """Requests entries after a number: committed ones, or with a new writer's token all that there are."""
+    """Requests the entries after a number: the committed ones or, with a new writer's token, all of them."""
 
     token: int
     after: int
 
 
 class EntriesFetched(Header, frozen=True, tag=12):
-    """The answer: `after` is that of the request, `last` the highest number that the sender may give."""
+    """The answer: `after` is that of the request, `last` the highest number that the sender may return."""
 
     to_incarnation: int
     token: int
--- a/rookbend/protocol/leases.py
+++ b/rookbend/protocol/leases.py
@@ -1,9 +1,9 @@
-"""The lease protocol between directors: msgpack in datagrams of at most 256 bytes, which may be lost, late or doubled.
+"""The lease protocol between directors: msgpack in datagrams of up to 256 bytes, which may be lost, late or duplicated.
 
     "RO" version [kind, fleet, sender, incarnation, ...]
 
-Beside the datagrams of `rookbend.protocol.gossip` on the same socket. Every request on behalf of the fleet carries
-the fencing token of its scope. The messages are those of `rookbend.protocol.lease_messages`.
+The datagrams share a socket with those of `rookbend.protocol.gossip`. Every request on behalf of the fleet carries the
+fencing token of its scope. The messages are those of `rookbend.protocol.lease_messages`.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 MAGIC_ANY_VERSION = MAGIC[:2]
 MAX_DATAGRAM_BYTES = 256
 INTEGER_LIMIT = 1 << 62
-ENTRY_NUMBER_LIMIT = 1 << 48  # far from the other: numbers after it are still in range
+ENTRY_NUMBER_LIMIT = 1 << 48  # far below INTEGER_LIMIT: numbers after it are still in range
 
 
 class LeaseProtocolError(Exception):
@@ -38,52 +38,52 @@
 
 
 def is_lease_datagram(data: bytes) -> bool:
-    """Whether a datagram belongs to this protocol, of whatever version."""
+    """Whether a datagram belongs to this protocol, of any version."""
     return data.startswith(MAGIC_ANY_VERSION)
 
 
 def encode(message: Message) -> bytes:
-    """The datagram of a message. Raises LeaseProtocolError where it does not fit."""
+    """The datagram of a message. Raises LeaseProtocolError if the message does not fit."""
     data = MAGIC + _encoder.encode(message)
     if len(data) > MAX_DATAGRAM_BYTES:
-        raise LeaseProtocolError(f"{len(data)} bytes")
+        raise LeaseProtocolError(f"message too long for a datagram: {len(data)} bytes")
     return data
 
 
 def encode_rows(message: LeaseRequest | LeaseVote | ShardResults, rows: list[tuple[int, ...]]) -> list[bytes]:
-    """As many datagrams of the message as its rows need. Raises LeaseProtocolError where one row does not fit."""
+    """As many datagrams of the message as its rows need. Raises LeaseProtocolError if one row does not fit."""
     if not rows:
         return [encode(msgspec.structs.replace(message, rows=()))]
     datagrams: list[bytes] = []
-    taken: list[tuple[int, ...]] = []
+    included: list[tuple[int, ...]] = []
     data = b""
     for row in rows:
         try:
-            data = encode(msgspec.structs.replace(message, rows=(*taken, row)))
-            taken.append(row)
+            data = encode(msgspec.structs.replace(message, rows=(*included, row)))
+            included.append(row)
         except LeaseProtocolError:
-            if taken:
+            if included:
                 datagrams.append(data)
-            taken = [row]
+            included = [row]
             data = encode(msgspec.structs.replace(message, rows=(row,)))
     return [*datagrams, data]
 
 
 def decode(data: bytes) -> Message:
-    """Raises LeaseProtocolError: not this protocol, another version, malformed, or a field out of range.
+    """Decodes a datagram; a message that is built from the result fits into a datagram again.
 
-    A message built from what is decoded here fits into a datagram.
+    Raises LeaseProtocolError on another protocol or version, a malformed message, or a field out of range.
     """
     if len(data) > MAX_DATAGRAM_BYTES or not data.startswith(MAGIC):
-        raise LeaseProtocolError("another version" if is_lease_datagram(data) else "not ours")
+        raise LeaseProtocolError("unsupported protocol version" if is_lease_datagram(data) else "not a lease datagram")
     try:
         message = _decoder.decode(data[len(MAGIC) :])
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
         raise LeaseProtocolError(str(error)) from None
     if not _integers_in_range(msgspec.structs.astuple(message)):
-        raise LeaseProtocolError("an integer out of range")
+        raise LeaseProtocolError("integer out of range")
     if not _order_in_range(message):
-        raise LeaseProtocolError("an order's texts or number out of range")
+        raise LeaseProtocolError("text or number of an order out of range")
     return message
 
 
--- a/rookbend/protocol/order_limits.py
+++ b/rookbend/protocol/order_limits.py
@@ -1,11 +1,11 @@
 """Limits of the texts of an operator's order, in bytes of UTF-8.
 
-They travel between directors in datagrams of 256 bytes: an order within the limits fits, whatever its numbers.
+Orders are sent between directors in datagrams of 256 bytes: an order within the limits fits, whatever its numbers.
 """
 
 from __future__ import annotations
 
-SCOPE_PREFIX = "@"  # a target that begins so is a scope, not a member
+SCOPE_PREFIX = "@"  # a target with this prefix is a scope, not a member
 MAX_TARGET_BYTES = 72  # a member, or a scope
 MAX_ORDER_BYTES = 16
 MAX_OPERATOR_BYTES = 40
@@ -17,7 +17,7 @@
 
 
 def check_text(field: str, text: str, max_bytes: int) -> None:
-    """Raises OrderLimitError."""
+    """Raises OrderLimitError if the text is too long or not printable."""
     length = len(text.encode())
     if length > max_bytes:
         raise OrderLimitError(f"`{field}` has {length} bytes, {max_bytes} at most")
--- a/rookbend/protocol/proxy.py
+++ b/rookbend/protocol/proxy.py
@@ -1,4 +1,4 @@
-"""The PROXY protocol's version 2 header (The PROXY protocol, section 2.2), as one who connects writes it."""
+"""The PROXY protocol's version 2 header (The PROXY protocol, section 2.2), as the connecting side sends it."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 
 def local_header() -> bytes:
-    """A connection of the sender's own, as a health check is: the receiver goes by its real ends."""
+    """For a connection of the sender's own, such as a health check: the receiver uses its real endpoints."""
     return SIGNATURE + struct.pack(">BBH", LOCAL, UNSPEC, 0)
 
 
 def proxy_header(source: tuple[str, int], destination: tuple[str, int]) -> bytes:
-    """A TCP connection on behalf of `source`. Both ends of one family; raises ValueError else."""
-    first, second = ipaddress.ip_address(source[0]), ipaddress.ip_address(destination[0])
-    if first.version != second.version:
-        raise ValueError("the two ends are of different families")
-    body = first.packed + second.packed + struct.pack(">HH", source[1], destination[1])
-    family = TCP4 if first.version == 4 else TCP6
+    """For a TCP connection on behalf of `source`. Raises ValueError if the address families differ."""
+    source_ip, destination_ip = ipaddress.ip_address(source[0]), ipaddress.ip_address(destination[0])
+    if source_ip.version != destination_ip.version:
+        raise ValueError("source and destination are of different address families")
+    body = source_ip.packed + destination_ip.packed + struct.pack(">HH", source[1], destination[1])
+    family = TCP4 if source_ip.version == 4 else TCP6
     return SIGNATURE + struct.pack(">BBH", PROXY, family, len(body)) + body
--- a/rookbend/protocol/upgrade.py
+++ b/rookbend/protocol/upgrade.py
@@ -1,11 +1,11 @@
-"""The messages between two processes of one director over their Unix socket: one JSON object a line.
+"""The messages between two processes of one director over their Unix socket: one JSON object per line.
 
     successor    {"type":"ask","version":1,"name":"n3"}
-    predecessor  {"type":"give","listeners":["tcp 10.0.0.4 7001"]}     the descriptors come with it, in this order
+    predecessor  {"type":"give","listeners":["tcp 10.0.0.4 7001"]}     with the descriptors attached, in this order
     successor    {"type":"serving"}
-    both         {"type":"ban","member":"s-1","out":true}              an exclusion that one of them was asked for
+    both         {"type":"ban","member":"s-1","out":true}              an exclusion that one of them received
 
-A process of another version is given nothing, and starts by itself. The form is rookbend's own.
+A process of another version is given no sockets, and starts without them. The protocol is specific to rookbend.
 """
 
 from __future__ import annotations
@@ -19,25 +19,25 @@
 
 
 class UpgradeError(ProtocolError):
-    """The other process sent what is no message, or is not one that may be served."""
+    """The other process sent an invalid message, or must not be served."""
 
 
 class RequestListeners(msgspec.Struct, tag="ask"):
-    """A successor asks for the listening sockets."""
+    """A successor requests the listening sockets."""
 
     version: int
     name: str
 
 
 class GiveListeners(msgspec.Struct, tag="give"):
-    """The predecessor's answer; the descriptors come with it, in the order of the names."""
+    """The predecessor's answer; the descriptors are attached, in the order of the names."""
 
     listeners: list[str] = []
     version: int = VERSION
 
 
 class Serving(msgspec.Struct, tag="serving"):
-    """The successor serves."""
+    """Reports that the successor serves."""
 
 
 class SetExclusion(msgspec.Struct, tag="ban"):
@@ -52,21 +52,21 @@
 
 
 def encode(message: Message) -> bytes:
-    """One line."""
+    """Encodes a message as one line."""
     return msgspec.json.encode(message) + b"\n"
 
 
 class MessageReader:
-    """Fed bytes, gives messages; holds one incomplete line of `MAX_LINE_BYTES` at most."""
+    """Parses bytes into messages. Buffers one incomplete line of at most `MAX_LINE_BYTES`."""
 
     def __init__(self) -> None:
         self._incomplete = b""
 
     def feed(self, data: bytes) -> list[Message]:
-        """The messages that these bytes complete; UpgradeError where one can't be read."""
+        """Returns the messages that are now complete. Raises UpgradeError if one can't be parsed."""
         *lines, self._incomplete = (self._incomplete + data).split(b"\n")
         if len(self._incomplete) > MAX_LINE_BYTES:
-            raise UpgradeError("a line without end")
+            raise UpgradeError("incomplete line is too long")
         try:
             return [_decoder.decode(line) for line in lines]
         except msgspec.MsgspecError as error:
