--- a/tests/engine_harness.py
+++ b/tests/engine_harness.py
@@ -1,4 +1,4 @@
-"""An engine under test: a backend that keeps what it is given, and a module that can be scripted."""
+"""A harness for the engine: a backend that records its calls, and a router that returns scripted actions."""
 
 from rookbend import interface as api
 from rookbend.core.clock import Clock
@@ -12,25 +12,25 @@
 SECOND = 1_000_000
 
 
-class Script:
-    """A module that does what the test says, whatever the event."""
+class ScriptedRouter:
+    """A router that returns the given lists of actions in turn, whatever the events are."""
 
-    def __init__(self, *answers):
-        self.answers, self.events = list(answers), []
+    def __init__(self, *action_lists):
+        self.action_lists, self.events = list(action_lists), []
 
     def handle(self, now, event):
         if isinstance(event, api.MembershipUpdated):
             return []
         self.events.append(event)
-        return self.answers.pop(0) if self.answers else []
+        return self.action_lists.pop(0) if self.action_lists else []
 
 
-class Bench:
+class EngineHarness:
     def __init__(self, router, members=(CACHE, PARENT, router_harness.ORIGIN)):
-        self.seconds, self.sent, self.undone, self.answers, self.lines = 100.0, [], [], [], []
-        clock = Clock(lambda: self.seconds, lambda: self.seconds)
+        self.now_s, self.sent, self.aborted, self.answers, self.log_lines = 100.0, [], [], [], []
+        clock = Clock(lambda: self.now_s, lambda: self.now_s)
         self.engine = Engine(
-            router_harness.settings(allows_direct_to_source=True), router, clock, Counters(), self.lines.append
+            router_harness.settings(allows_direct_to_source=True), router, clock, Counters(), self.log_lines.append
         )
         self.engine.backend = self
         self.membership(*members)
@@ -44,7 +44,7 @@
         self.sent.append(attempt)
 
     def abort(self, attempt):
-        self.undone.append(attempt)
+        self.aborted.append(attempt)
         return AttemptStatus.TIMEOUT
 
     def is_fully_sent(self, attempt):
@@ -53,20 +53,27 @@
     def disconnect(self, server):
         pass
 
-    def ask(self, cls=0, seconds=2.0, obj=5, rid=None):
+    def submit_request(self, traffic_class=0, timeout_s=2.0, object_id=5, request_id=None):
         now = self.engine.clock.now()
         return self.engine.submit(
-            Request(rid or f"{self.engine.requests.last_id:016x}", cls, "c", "k", obj, now + int(seconds * SECOND)),
+            Request(
+                request_id or f"{self.engine.requests.last_id:016x}",
+                traffic_class,
+                "c",
+                "k",
+                object_id,
+                now + int(timeout_s * SECOND),
+            ),
             self.answers.append,
         )
 
-    def run_until(self, seconds):
-        while self.engine.timers.next_due_us and self.engine.timers.next_due_us <= seconds * SECOND:
-            self.seconds = max(self.seconds, self.engine.timers.next_due_us / SECOND)
+    def run_until(self, until_s):
+        while self.engine.timers.next_due_us and self.engine.timers.next_due_us <= until_s * SECOND:
+            self.now_s = max(self.now_s, self.engine.timers.next_due_us / SECOND)
             self.engine.run_due()
-        self.seconds = seconds
+        self.now_s = until_s
 
-    def verdicts(self):
+    def outcomes(self):
         return [a.outcome for a in self.answers]
 
 
