--- a/tests/test_health_protocols.py
+++ b/tests/test_health_protocols.py
@@ -1,4 +1,4 @@
-"""Agent-check, HTTP and gRPC health as state machines: every word, and what is none."""
+"""The codecs of the agent check, HTTP checks, the PROXY header and gRPC health checks: valid and malformed bytes."""
 
 import random
 
@@ -14,7 +14,7 @@
 
 
 @pytest.mark.parametrize(
-    "line, words",
+    "line, report",
     [
         ("up", AgentReport(up=True)),
         ("UP", AgentReport(up=True)),
@@ -41,8 +41,8 @@
         ("", AgentReport()),
     ],
 )
-def test_every_word_of_an_agent(line, words):
-    assert parse_line(line) == words
+def test_agent_lines_are_parsed(line, report):
+    assert parse_line(line) == report
 
 
 @pytest.mark.parametrize(
@@ -58,43 +58,46 @@
         ((b"x" * 50, b"x" * 51), (CheckOutcome.BROKEN, "no end of line in 100 bytes")),
     ],
 )
-def test_an_agents_line_is_read_to_its_end(parts, result):
-    ask = AgentCheckClient("", 100)
+def test_an_agent_line_is_read_up_to_its_terminator(parts, result):
+    check_client = AgentCheckClient("", 100)
     for part in parts:
-        assert ask.result is None
-        ask.feed(part)
-    assert ask.result == result
-    ask.feed(b"down\n")
-    assert ask.result == result and len(ask._buffer) <= 101
+        assert check_client.result is None
+        check_client.feed(part)
+    assert check_client.result == result
+    check_client.feed(b"down\n")
+    assert check_client.result == result and len(check_client._buffer) <= 101
 
 
-def test_what_we_say_is_what_we_would_read():
+def test_an_encoded_agent_line_is_parsed_to_the_same_values():
     assert parse_line(encode_line("ready", True, 70, 300, "lag").decode().strip()) == AgentReport(
         True, "ready", 70, 300, "lag"
     )
     assert encode_line("drain", True, 70, 300) == b"up drain\n"
 
 
-def http(answer, **changes):
-    ask = HttpCheckClient(
+def check_http(response, **changes):
+    check_client = HttpCheckClient(
         **{**dict(method="GET", path="/health", host="a", statuses=((200, 299),), body="", max_bytes=100), **changes}
     )
-    assert ask.start().startswith(b"GET /health HTTP/1.1\r\nHost: a\r\n")
-    for i in range(len(answer)):
-        ask.feed(answer[i : i + 1])
-    if ask.result is None:
-        ask.feed(b"")
-    return ask.result[0]
+    assert check_client.start().startswith(b"GET /health HTTP/1.1\r\nHost: a\r\n")
+    for i in range(len(response)):
+        check_client.feed(response[i : i + 1])
+    if check_client.result is None:
+        check_client.feed(b"")
+    return check_client.result[0]
 
 
-def test_http_goes_by_status_then_body():
+def test_an_http_check_evaluates_the_status_and_then_the_body():
     ok = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello"
-    assert http(ok) is CheckOutcome.PASSED and http(ok, body="ell") is CheckOutcome.PASSED
-    assert http(ok, body="bye") is CheckOutcome.FAILED and http(ok, statuses=((204, 204),)) is CheckOutcome.FAILED
-    assert http(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhe", body="bye") is CheckOutcome.BROKEN
-    assert http(b"HTTP/1.1 200 OK\r\n\r\n" + b"x" * 200, body="bye") is CheckOutcome.FAILED
-    assert http(b"HTTP/1.1 100 Continue\r\n\r\n" + ok) is CheckOutcome.PASSED
-    assert http(b"SSH-2.0-x\r\n") is CheckOutcome.BROKEN and http(b"") is CheckOutcome.BROKEN
+    assert check_http(ok) is CheckOutcome.PASSED and check_http(ok, body="ell") is CheckOutcome.PASSED
+    assert (
+        check_http(ok, body="bye") is CheckOutcome.FAILED
+        and check_http(ok, statuses=((204, 204),)) is CheckOutcome.FAILED
+    )
+    assert check_http(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhe", body="bye") is CheckOutcome.BROKEN
+    assert check_http(b"HTTP/1.1 200 OK\r\n\r\n" + b"x" * 200, body="bye") is CheckOutcome.FAILED
+    assert check_http(b"HTTP/1.1 100 Continue\r\n\r\n" + ok) is CheckOutcome.PASSED
+    assert check_http(b"SSH-2.0-x\r\n") is CheckOutcome.BROKEN and check_http(b"") is CheckOutcome.BROKEN
 
 
 def test_the_proxy_header_is_as_specified():
@@ -107,52 +110,55 @@
         proxy_header(("::1", 1), ("127.0.0.1", 2))
 
 
-class Grpc:
-    """Both sides, with bytes carried between them."""
+class GrpcPair:
+    """A client and a server, with bytes passed between them."""
 
     def __init__(self, service="", watch=False, status=ServingStatus.SERVING):
         self.status = status
         self.server, self.client = GrpcHealthServer(lambda: self.status), GrpcHealthClient("a", service, watch)
-        self.carry(self.client.start(), self.server.start())
+        self.exchange(self.client.start(), self.server.start())
 
-    def carry(self, up=b"", down=b""):
-        while up or down:
-            up, down = self.client.feed(down) if down else b"", self.server.feed(up) if up else b""
+    def exchange(self, to_server=b"", to_client=b""):
+        while to_server or to_client:
+            to_server, to_client = (
+                self.client.feed(to_client) if to_client else b"",
+                self.server.feed(to_server) if to_server else b"",
+            )
 
     @property
     def result(self):
         return self.client.result
 
 
-def test_grpc_check_tells_serving_not_serving_and_what_is_unknown():
-    assert Grpc().result[0] is CheckOutcome.PASSED
-    assert Grpc(status=ServingStatus.NOT_SERVING).result == (CheckOutcome.FAILED, "NOT_SERVING")
-    assert Grpc(service="other").result == (CheckOutcome.FAILED, "grpc-status 5")
+def test_grpc_check_reports_serving_not_serving_and_unknown_services():
+    assert GrpcPair().result[0] is CheckOutcome.PASSED
+    assert GrpcPair(status=ServingStatus.NOT_SERVING).result == (CheckOutcome.FAILED, "NOT_SERVING")
+    assert GrpcPair(service="other").result == (CheckOutcome.FAILED, "grpc-status 5")
 
 
-def test_grpc_watch_tells_each_change_and_its_end():
-    g = Grpc(watch=True)
-    assert g.result[0] is CheckOutcome.PASSED and not g.client.ended
-    g.status = ServingStatus.NOT_SERVING
-    g.carry(down=g.server.changed())
-    assert g.result == (CheckOutcome.FAILED, "NOT_SERVING") and g.server.changed() == b""
-    g.carry(up=g.client.ping())
-    assert g.client.pong_received
-    g.client.feed(b"")
-    assert g.client.ended and g.result[0] is CheckOutcome.BROKEN
-    assert Grpc(service="other", watch=True).result == (CheckOutcome.FAILED, "SERVICE_UNKNOWN")
+def test_grpc_watch_reports_each_change_and_its_end():
+    pair = GrpcPair(watch=True)
+    assert pair.result[0] is CheckOutcome.PASSED and not pair.client.ended
+    pair.status = ServingStatus.NOT_SERVING
+    pair.exchange(to_client=pair.server.changed())
+    assert pair.result == (CheckOutcome.FAILED, "NOT_SERVING") and pair.server.changed() == b""
+    pair.exchange(to_server=pair.client.ping())
+    assert pair.client.pong_received
+    pair.client.feed(b"")
+    assert pair.client.ended and pair.result[0] is CheckOutcome.BROKEN
+    assert GrpcPair(service="other", watch=True).result == (CheckOutcome.FAILED, "SERVICE_UNKNOWN")
 
 
-def test_a_server_without_watch_is_told_apart():
-    g = Grpc.__new__(Grpc)
-    g.server, g.client = GrpcHealthServer(lambda: ServingStatus.SERVING), GrpcHealthClient("a", "", True)
-    g.server._dispatch = lambda stream_id, call: g.server._send_error(stream_id, 12, "no")
-    g.carry(g.client.start(), g.server.start())
-    assert g.client.watch_unimplemented and g.result == (CheckOutcome.FAILED, "grpc-status 12")
+def test_a_server_without_watch_is_detected():
+    pair = GrpcPair.__new__(GrpcPair)
+    pair.server, pair.client = GrpcHealthServer(lambda: ServingStatus.SERVING), GrpcHealthClient("a", "", True)
+    pair.server._dispatch = lambda stream_id, call: pair.server._send_error(stream_id, 12, "no")
+    pair.exchange(pair.client.start(), pair.server.start())
+    assert pair.client.watch_unimplemented and pair.result == (CheckOutcome.FAILED, "grpc-status 12")
 
 
 @pytest.mark.parametrize("data", [b"HTTP/1.1 400 x\r\n\r\n", b"\0" * 50, b"\xff" * 5000])
-def test_what_is_no_grpc_ends_either_side(data):
+def test_malformed_grpc_ends_both_sides(data):
     client, server = GrpcHealthClient("a", ""), GrpcHealthServer(lambda: ServingStatus.SERVING)
     client.start(), server.start()
     client.feed(data), server.feed(data)
@@ -160,27 +166,27 @@
     assert client.result[0] is CheckOutcome.BROKEN and client.ended and server.ended
 
 
-def test_no_bytes_raise_in_any_of_them():
-    """A check that raised would end the director. Noise, and good answers with a few bytes changed."""
+def test_no_bytes_make_a_health_codec_raise():
+    """Random bytes, and valid ones with a few bytes changed. A check that raised would end the director."""
     rng = random.Random(11)
     server = GrpcHealthServer(lambda: ServingStatus.SERVING)
-    asked = GrpcHealthClient("a", "").start()
-    grpc = server.start() + server.feed(asked)
-    samples = [b"up 50% #x\r\n", b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello", grpc, asked]
+    request = GrpcHealthClient("a", "").start()
+    grpc = server.start() + server.feed(request)
+    samples = [b"up 50% #x\r\n", b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello", grpc, request]
     for turn in range(3000):
         data = bytearray(rng.choice(samples) if turn % 4 else rng.randbytes(40))
         for _ in range(rng.randrange(4)):
             data[rng.randrange(len(data))] = rng.randrange(256)
-        ask = GrpcHealthClient("a", "", bool(turn % 2))
-        ask.start()
-        for machine in (
+        check_client = GrpcHealthClient("a", "", bool(turn % 2))
+        check_client.start()
+        for codec in (
             AgentCheckClient("", 64),
-            ask,
+            check_client,
             GrpcHealthServer(lambda: ServingStatus.SERVING),
             HttpCheckClient("GET", "/", "a", ((200, 299),), "x", 64),
         ):
-            if isinstance(machine, GrpcHealthServer | HttpCheckClient):
-                machine.start()
+            if isinstance(codec, GrpcHealthServer | HttpCheckClient):
+                codec.start()
             for part in (bytes(data[:9]), bytes(data[9:]), b""):
-                machine.feed(part)
-            assert getattr(machine, "result", None) is not None or isinstance(machine, GrpcHealthServer)
+                codec.feed(part)
+            assert getattr(codec, "result", None) is not None or isinstance(codec, GrpcHealthServer)
--- a/tests/test_hostile_bytes.py
+++ b/tests/test_hostile_bytes.py
@@ -1,6 +1,6 @@
-"""Every codec under changed bytes, cut anywhere: declared errors only. Those of health protocols: test_health_protocols.
+"""Codecs raise only their declared errors on mutated bytes. For health protocols, see test_health_protocols.
 
-By hand, with more inputs: ROOKBEND_FUZZ_INPUTS=100000 pytest tests/test_hostile_bytes.py
+To run with more inputs: ROOKBEND_FUZZ_INPUTS=100000 pytest tests/test_hostile_bytes.py
 """
 
 import contextlib
@@ -20,26 +20,29 @@
 from rookbend.protocol.errors import ProtocolError
 from rookbend.protocol.event_stream import EventStream
 from rookbend.protocol.lease_messages import AppendEntry, EntriesFetched, Entry, LeaseRequest, LeaseRow, OrderOrigin
-from tests.test_protocol import CACHE, CLIENT, EVENTS, TCP
+from tests.test_protocol import CACHE_ANSWERS, CLIENT_FRAMES, DNS_TCP_MESSAGES, EVENT_STREAM_RESPONSE
 
 INPUTS = int(os.environ.get("ROOKBEND_FUZZ_INPUTS", "2000"))
 SEED = 7
-MOST_CHANGES = 4
-BORDERS = 0, 1, 3, 4, 28, 33, 41, 0x7F, 0x80, 0xC0, 0xD0, 0xFE, 0xFF
-MEMBERSHIP = (
+MAX_CHANGES = 4
+BOUNDARY_BYTES = 0, 1, 3, 4, 28, 33, 41, 0x7F, 0x80, 0xC0, 0xD0, 0xFE, 0xFF
+MEMBERSHIP_EVENT = (
     b'id: 4\ndata: {"index":4,"endpoints":{"complete":true,"version":3,"members":[{"id":"c1","host_port":"127.0.0.1:80",'
     b'"locality":"edge","flavor":"standard","phase":"SERVING","size":50.0,"started_ms":1}]}}\n\n'
 )
-MEMBERS = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n" % (len(MEMBERSHIP), MEMBERSHIP)
+MEMBERSHIP_RESPONSE = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n" % (
+    len(MEMBERSHIP_EVENT),
+    MEMBERSHIP_EVENT,
+)
 ZONE = dns.name.from_text("route.example.org.")
-READ = "p3.7f3a9c21e0b4d655.g17.video.route.example.org"
-WRITE = "r9b1f03aa5c7e2d41.p0.7f3a9c21e0b4d655.g17.form.route.example.org"
-QUESTION = address_query("c1.example.org.", "A", 7)
+READ_NAME = "p3.7f3a9c21e0b4d655.g17.video.route.example.org"
+WRITE_NAME = "r9b1f03aa5c7e2d41.p0.7f3a9c21e0b4d655.g17.form.route.example.org"
+RESOLVER_QUERY = address_query("c1.example.org.", "A", 7)
 ENTRY = Entry(3, 9, "c1", "drain", "kim", OrderOrigin(1, 2, 3))
 
 
-def resolver_answer():
-    reply = dns.message.make_response(QUESTION)
+def resolver_response():
+    reply = dns.message.make_response(RESOLVER_QUERY)
     reply.answer.append(dns.rrset.from_text("c1.example.org.", 60, "IN", "CNAME", "d.example.org."))
     reply.answer.append(dns.rrset.from_text("d.example.org.", 60, "IN", "A", "127.0.0.1", "127.0.0.2"))
     reply.answer.append(dns.rrset.from_text("d.example.org.", 60, "IN", "AAAA", "::1"))
@@ -55,8 +58,8 @@
     encode_reply(found, wire, over_udp=True)
 
 
-def in_parts(make):
-    """Fed in two parts and, where the codec takes it, an end."""
+def feed_in_two_parts(make):
+    """A function that feeds its bytes to a new codec in two parts."""
 
     def feed(data):
         codec, middle = make(), len(data) // 2
@@ -66,7 +69,7 @@
     return feed
 
 
-def stream(data):
+def feed_event_stream(data):
     events = EventStream("h", "/", 0)
     events.start()
     translator = Translator(("edge",), ("standard",))
@@ -77,16 +80,24 @@
 
 
 CODECS = {
-    "client_frames": ([CLIENT], in_parts(client_frames.FrameParser), ProtocolError),
-    "cache_lines": ([CACHE], in_parts(lambda: cache_lines.AnswerParser(("utilization", "x1"))), ProtocolError),
-    "event_stream": ([EVENTS, MEMBERS], stream, StreamError),
-    "dns_tcp": ([TCP], in_parts(dns_tcp.MessageReader), ProtocolError),
+    "client_frames": ([CLIENT_FRAMES], feed_in_two_parts(client_frames.FrameParser), ProtocolError),
+    "cache_lines": (
+        [CACHE_ANSWERS],
+        feed_in_two_parts(lambda: cache_lines.AnswerParser(("utilization", "x1"))),
+        ProtocolError,
+    ),
+    "event_stream": ([EVENT_STREAM_RESPONSE, MEMBERSHIP_RESPONSE], feed_event_stream, StreamError),
+    "dns_tcp": ([DNS_TCP_MESSAGES], feed_in_two_parts(dns_tcp.MessageReader), ProtocolError),
     "dns_query": (
-        [dns.message.make_query(name, "A", use_edns=edns).to_wire() for name in (READ, WRITE) for edns in (None, 0)],
+        [
+            dns.message.make_query(name, "A", use_edns=edns).to_wire()
+            for name in (READ_NAME, WRITE_NAME)
+            for edns in (None, 0)
+        ],
         answer_query,
         ProtocolError,
     ),
-    "dns_answer": ([resolver_answer()], lambda data: parse_addresses(QUESTION, data), ResolverError),
+    "dns_answer": ([resolver_response()], lambda data: parse_addresses(RESOLVER_QUERY, data), ResolverError),
     "gossip": (
         [
             gossip.encode(gossip.RowBatch(5, 1, 2, 0, (("1/c1", b"abc"),), True)),
@@ -106,34 +117,34 @@
     ),
     "upgrade": (
         [upgrade.encode(upgrade.Serving()), upgrade.encode(upgrade.SetExclusion("c1", True))],
-        in_parts(upgrade.MessageReader),
+        feed_in_two_parts(upgrade.MessageReader),
         upgrade.UpgradeError,
     ),
 }
 
 
-def changed(generator, sample):
+def mutated(generator, sample):
     data = bytearray(sample)
-    for _ in range(generator.randint(1, MOST_CHANGES)):
-        at = generator.randrange(len(data) + 1)
-        way = generator.randrange(4)
-        if way == 0:
-            del data[at : at + generator.randint(1, 4)]
-        elif way == 1:
-            data[at:at] = generator.randbytes(generator.randint(1, 4))
-        elif at < len(data):
-            data[at] = generator.randrange(256) if way == 2 else generator.choice(BORDERS)
+    for _ in range(generator.randint(1, MAX_CHANGES)):
+        offset = generator.randrange(len(data) + 1)
+        mutation = generator.randrange(4)
+        if mutation == 0:
+            del data[offset : offset + generator.randint(1, 4)]
+        elif mutation == 1:
+            data[offset:offset] = generator.randbytes(generator.randint(1, 4))
+        elif offset < len(data):
+            data[offset] = generator.randrange(256) if mutation == 2 else generator.choice(BOUNDARY_BYTES)
     return bytes(data)
 
 
 @pytest.mark.parametrize("name", CODECS)
-def test_changed_bytes_raise_declared_errors_only(name):
-    # Guards against bytes of a caller or a peer that end the task which reads them.
+def test_mutated_bytes_raise_declared_errors_only(name):
+    # Guards against bytes of a client or a peer that end the task that reads them.
     samples, feed, declared = CODECS[name]
     for sample in samples:
         feed(sample)
     generator = random.Random(f"{SEED} {name}")
     for _ in range(INPUTS):
-        data = changed(generator, generator.choice(samples))
+        data = mutated(generator, generator.choice(samples))
         with contextlib.suppress(declared):
             feed(data)
--- a/tests/test_hostile_peers.py
+++ b/tests/test_hostile_peers.py
@@ -1,4 +1,4 @@
-"""Bytes of a peer that must never raise out of the codec: the connection or the lookup ends, the director goes on."""
+"""Malformed bytes of a peer end only its connection or lookup: the codec does not raise, and the director goes on."""
 
 import dns.message
 import dns.rdataclass
@@ -16,7 +16,7 @@
 @pytest.mark.parametrize(
     "rest", [b"\x00\x01\r\n\r\n", b"GET /\r\n\r\n", b"NONSENSE\r\n\r\n"], ids=["bytes", "no-version", "no-request"]
 )
-def test_a_head_request_and_then_what_is_no_http_ends_the_connection(rest):
+def test_malformed_http_after_a_head_request_ends_the_connection(rest):
     http = HttpServerConnection()
     assert http.feed(b"HEAD /health HTTP/1.1\r\nHost: a\r\n\r\n") is not None
     http.respond(200, b"ready\n", "text/plain")
@@ -62,8 +62,8 @@
             request = None if http.ended else http.next_request()
 
 
-def test_a_director_serves_on_after_a_head_request_and_then_what_is_no_http():
-    # Guards against a director that ends with one connection to its health listener.
+def test_a_director_goes_on_serving_after_malformed_http_behind_a_head_request():
+    # Guards against a director that is ended by one connection to its health listener.
     async def steps(stage):
         _, server, _ = stage.service.balancer  # agent check, HTTP, gRPC
         for _ in range(2):
@@ -76,7 +76,7 @@
     on_stage(steps)
 
 
-def test_an_address_of_another_class_than_internet_is_no_address():
+def test_an_address_record_of_another_class_than_in_is_not_an_address():
     query = address_query("c1.example.org.", "A", 7)
     response = dns.message.make_response(query)
     response.answer.append(dns.rrset.from_text("c1.example.org.", 60, dns.rdataclass.HS, "A", r"\# 4 7f000001"))
--- a/tests/test_member_restart.py
+++ b/tests/test_member_restart.py
@@ -1,4 +1,4 @@
-"""A member that dies and returns cold before the membership tells: its connections show it."""
+"""A member that restarts with a cold cache: its connections show it before the membership reports it."""
 
 import pytest
 
@@ -15,12 +15,12 @@
 """
 
 
-def started(stage):
+def member_start_us(stage):
     return stage.service.engine.router.membership.all[CACHE].started_us
 
 
-async def seen_dead(stage):
-    """Dies under a request, whose next try elsewhere is answered."""
+async def kill_during_request(stage):
+    """Kills the cache during a request, whose next attempt at another member is answered."""
     await stage.play(SERVED)
     await stage.actors["cache1"].die()
     await stage.play("""
@@ -31,8 +31,8 @@
     """)
 
 
-async def returns(stage, number):
-    """Back at its old address, and asked again once its ejection is over."""
+async def restart(stage, number):
+    """Restarts the cache at its old address; it receives requests again once its ejection is over."""
     await stage.actors["cache1"].open()
     await stage.play(f"""
         director wait 5
@@ -43,35 +43,35 @@
     """)
 
 
-def test_a_member_that_died_and_returned_is_cold_until_the_membership_tells_its_start():
+def test_a_restarted_member_is_cold_until_the_membership_reports_its_start():
     async def check(stage):
-        await seen_dead(stage)
-        assert started(stage) == 0
-        await returns(stage, 3)
+        await kill_during_request(stage)
+        assert member_start_us(stage) == 0
+        await restart(stage, 3)
         now = stage.service.clock.now()
-        assert now - 1_000_000 < started(stage) <= now
+        assert now - 1_000_000 < member_start_us(stage) <= now
         assert stage.service.counters.restarts_seen == 1
-        # A change that still tells the start before: the cache stays cold.
+        # A change that still reports the previous start: the cache stays cold.
         await stage.tell(stage.actors["coordinator"], {**stage.member("cache1"), "size": 40.0})
         await stage.play("director wait 0.01")
-        assert started(stage) > now - 1_000_000
-        # And the start itself, as the membership knows it.
-        told_ms = (now - 500_000) // 1000
-        await stage.tell(stage.actors["coordinator"], {**stage.member("cache1"), "up_since_ms": told_ms})
+        assert member_start_us(stage) > now - 1_000_000
+        # The membership reports the new start.
+        reported_ms = (now - 500_000) // 1000
+        await stage.tell(stage.actors["coordinator"], {**stage.member("cache1"), "up_since_ms": reported_ms})
         await stage.play("director wait 0.01")
-        assert started(stage) == told_ms * 1000
+        assert member_start_us(stage) == reported_ms * 1000
 
     on_stage(check)
 
 
-def test_a_start_that_was_seen_ends_with_the_warm_up():
+def test_a_detected_start_is_dropped_after_the_warm_up():
     async def check(stage):
-        await seen_dead(stage)
-        await returns(stage, 3)
+        await kill_during_request(stage)
+        await restart(stage, 3)
         await stage.play("director wait 16")
         await stage.tell(stage.actors["coordinator"], stage.member("cache1"))
         await stage.play("director wait 0.01")
-        assert started(stage) == 0
+        assert member_start_us(stage) == 0
 
     on_stage(check)
 
@@ -88,9 +88,9 @@
         ([("lost", True), ("failed", True, False), ("lost", True)], True),
     ],
 )
-def test_only_a_reset_and_then_a_refusal_with_nothing_open_is_a_restart(steps, restarted):
-    evidence = RestartDetector()
-    for what, *args in steps:
-        (evidence.connection_lost if what == "lost" else evidence.connect_failed)(*args)
-    assert evidence.connected() is restarted
-    assert not evidence.connected()
+def test_only_a_reset_and_then_a_refusal_without_open_connections_is_a_restart(steps, restarted):
+    detector = RestartDetector()
+    for event, *args in steps:
+        (detector.connection_lost if event == "lost" else detector.connect_failed)(*args)
+    assert detector.connected() is restarted
+    assert not detector.connected()
--- a/tests/test_order_limits.py
+++ b/tests/test_order_limits.py
@@ -1,4 +1,4 @@
-"""What an operator's order may say: refused at the door beyond it, and within it a message to any director."""
+"""Limits of an operator's order: the admin API rejects what exceeds them; an order within them fits any message."""
 
 import json
 
@@ -26,25 +26,25 @@
 )
 
 
-def ordered(**fields):
-    """The status and the fault of an order, and the orders that went beyond the door."""
-    given = []
+def post_order(**fields):
+    """Posts an order; returns the status and the fault of the response, and the orders that the API passed on."""
+    accepted = []
 
-    async def give(*order):
-        given.append(order)
+    async def accept(*order):
+        accepted.append(order)
         return CommandResult(200, "")
 
     async def main():
         body = json.dumps({"member": "c1", "order": "drain", "by": "kim", "fleet": True} | fields).encode()
-        return await AdminApi({}, give, None).answer(HttpRequest("POST", "/orders", HEADERS, body))
+        return await AdminApi({}, accept, None).answer(HttpRequest("POST", "/orders", HEADERS, body))
 
     response = trio.run(main)
-    return response.status, json.loads(response.body).get("fault", ""), given
+    return response.status, json.loads(response.body).get("fault", ""), accepted
 
 
 @pytest.mark.parametrize("fleet", [True, False])
 @pytest.mark.parametrize(
-    "field, text, says",
+    "field, text, fault",
     [
         ("member", "c1" * 200, "`member` has 400 bytes, 72 at most"),
         ("member", "m" * 73, "`member` has 73 bytes, 72 at most"),
@@ -56,15 +56,15 @@
         ("by", "kim\r\nlee", "`by` holds a character that can't be printed"),
     ],
 )
-def test_an_order_beyond_the_limits_is_refused_at_the_door_and_goes_no_further(field, text, says, fleet):
-    # Guards against an order that fits into no datagram: it ended the director, or was cut off without a word.
-    assert ordered(**{field: text, "fleet": fleet}) == (400, says, [])
+def test_an_order_beyond_the_limits_is_rejected_and_not_passed_on(field, text, fault, fleet):
+    # Guards against an order that fits into no datagram: it ended the director, or was truncated silently.
+    assert post_order(**{field: text, "fleet": fleet}) == (400, fault, [])
 
 
 @pytest.mark.parametrize("field, text", [("member", "m" * 72), ("by", "k" * 40), ("by", "\u00fc" * 20), ("by", "")])
-def test_an_order_at_the_limits_is_taken_as_it_is(field, text):
-    status, _, (given,) = ordered(**{field: text})
-    assert status == 200 and text in given
+def test_an_order_at_the_limits_is_accepted_unchanged(field, text):
+    status, _, (accepted,) = post_order(**{field: text})
+    assert status == 200 and text in accepted
 
 
 @pytest.mark.parametrize(
@@ -98,6 +98,6 @@
     ],
     ids=["submit", "text", "number", "committed"],
 )
-def test_what_would_not_fit_when_it_is_sent_on_is_not_decoded(message):
+def test_a_message_that_would_not_fit_when_forwarded_is_not_decoded(message):
     with pytest.raises(LeaseProtocolError, match="out of range"):
         decode(encode(message))
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -1,4 +1,4 @@
-"""The pure state machines: the same events however the bytes are cut, and plain errors."""
+"""Protocol codecs: the same events however the bytes are split, and the declared errors."""
 
 import random
 
@@ -12,19 +12,21 @@
 from rookbend.protocol.event_stream import EventStream, StreamEnd, UnreadableEvent
 from rookbend.testing.open_loop_client import encode_frame
 
-CLIENT = encode_frame(7, 1, {"method": "m", "rid": "0" * 16}, b"body") + encode_frame(9, 1) + encode_frame(1, 0, {})
-CACHE = (
+CLIENT_FRAMES = (
+    encode_frame(7, 1, {"method": "m", "rid": "0" * 16}, b"body") + encode_frame(9, 1) + encode_frame(1, 0, {})
+)
+CACHE_ANSWERS = (
     b"a1 ok note=parent,slow=12.5,sum=ab,t0=1,load=inflight:7;util:0.61 5\r\nhel\r\n\r\n"
     b"a2 nothing - 0\r\n\r\na3 current sum=ab 0\r\n\r\na4 refused note=crowded,load=util:0.5 0\r\n\r\n"
 )
-EVENTS = (
+EVENT_STREAM_RESPONSE = (
     b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n:\n\r\n"
     b'3b\r\nid: 4\ndata: {"index":4,"evict":{"shard":17,"unix_ms":5}}\n\n\n\r\n0\r\n\r\n'
 )
-TCP = dns_tcp.frame(b"one") + dns_tcp.frame(b"") + dns_tcp.frame(b"three")
+DNS_TCP_MESSAGES = dns_tcp.frame(b"one") + dns_tcp.frame(b"") + dns_tcp.frame(b"three")
 
 
-def cut(data, seed):
+def split_randomly(data, seed):
     rng, at = random.Random(seed), 0
     while at < len(data):
         size = rng.randint(1, 7)
@@ -32,32 +34,32 @@
         at += size
 
 
-MACHINES = [
-    (client_frames.FrameParser, CLIENT, 3),
-    (lambda: cache_lines.AnswerParser(("utilization", "inflight", "x1")), CACHE, 4),
-    (lambda: EventStream("h", "/", 0), EVENTS, 2),
-    (dns_tcp.MessageReader, TCP, 3),
+CODECS = [
+    (client_frames.FrameParser, CLIENT_FRAMES, 3),
+    (lambda: cache_lines.AnswerParser(("utilization", "inflight", "x1")), CACHE_ANSWERS, 4),
+    (lambda: EventStream("h", "/", 0), EVENT_STREAM_RESPONSE, 2),
+    (dns_tcp.MessageReader, DNS_TCP_MESSAGES, 3),
 ]
 
 
-@pytest.mark.parametrize("make, data, count", MACHINES)
-def test_the_cuts_between_reads_change_nothing(make, data, count):
-    def started():
-        machine = make()
-        if isinstance(machine, EventStream):
-            machine.start()
-        return machine
+@pytest.mark.parametrize("make_codec, data, count", CODECS)
+def test_a_codec_returns_the_same_events_however_the_bytes_are_split(make_codec, data, count):
+    def new_codec():
+        codec = make_codec()
+        if isinstance(codec, EventStream):
+            codec.start()
+        return codec
 
-    whole = started().feed(data)
+    whole = new_codec().feed(data)
     assert len(whole) == count
     for seed in range(5):
-        machine = started()
-        assert [event for piece in cut(data, seed) for event in machine.feed(piece)] == whole
+        codec = new_codec()
+        assert [event for piece in split_randomly(data, seed) for event in codec.feed(piece)] == whole
 
 
-def test_cache_answers_carry_note_wait_load_and_bytes():
+def test_cache_answers_have_detail_queue_time_load_report_and_body():
     first, second, third, fourth = (
-        a.result for a in cache_lines.AnswerParser(("utilization", "outstanding")).feed(CACHE)
+        a.result for a in cache_lines.AnswerParser(("utilization", "outstanding")).feed(CACHE_ANSWERS)
     )
     assert (first.status, first.detail, first.fill_queue_us, first.load_report, first.body) == (
         AttemptStatus.OK,
@@ -74,11 +76,11 @@
     )
 
 
-@pytest.mark.parametrize("asked", [("util", "inflight", "x1"), ("utilization", "outstanding", "x1")])
-@pytest.mark.parametrize("told", [b"util:0.5;inflight:7;x1:0", b"x1:0;utilization:0.500;outstanding:7.000"])
-def test_a_load_report_is_read_under_either_name_of_its_figures(asked, told):
-    """Guards the module's belief about load: under the other names, no report ever reached it."""
-    (answer,) = cache_lines.AnswerParser(asked).feed(b"a1 ok load=%b 0\r\n\r\n" % told)
+@pytest.mark.parametrize("field_names", [("util", "inflight", "x1"), ("utilization", "outstanding", "x1")])
+@pytest.mark.parametrize("report_bytes", [b"util:0.5;inflight:7;x1:0", b"x1:0;utilization:0.500;outstanding:7.000"])
+def test_a_load_report_is_read_under_either_name_of_its_values(field_names, report_bytes):
+    """Guards against load reports under the other names, none of which reached the router."""
+    (answer,) = cache_lines.AnswerParser(field_names).feed(b"a1 ok load=%b 0\r\n\r\n" % report_bytes)
     assert answer.result.load_report == (0.5, 7.0, 0.0)
 
 
@@ -96,26 +98,26 @@
         b"\xff ok - 0\r\n\r\n",
     ],
 )
-def test_what_is_no_answer_is_an_error(data):
+def test_a_malformed_answer_is_an_error(data):
     with pytest.raises(cache_lines.LineError):
         cache_lines.AnswerParser(("util",)).feed(data)
 
 
-def test_answers_before_the_spoilt_bytes_count():
+def test_answers_before_malformed_bytes_are_kept():
     parser = cache_lines.AnswerParser()
     with pytest.raises(cache_lines.LineError) as error:
-        parser.feed(CACHE + b"%%\r\n")
+        parser.feed(CACHE_ANSWERS + b"%%\r\n")
     assert [a.request_id for a in error.value.answers] == ["a1", "a2", "a3", "a4"]
 
 
-def test_a_part_of_an_answer_shows_as_begun():
+def test_an_incomplete_answer_is_reported_as_partial():
     parser = cache_lines.AnswerParser()
-    for data, begun in ((b"a1 ok - 5", True), (b"\r\n", True), (b"hello", True), (b"\r\n", False)):
+    for data, is_partial in ((b"a1 ok - 5", True), (b"\r\n", True), (b"hello", True), (b"\r\n", False)):
         parser.feed(data)
-        assert parser.has_partial is begun
+        assert parser.has_partial is is_partial
 
 
-def test_a_command_says_what_the_attempt_says():
+def test_a_command_has_the_parameters_of_its_attempt():
     request = Request("9" * 16, 0, "video", "7f", 127, 0, part=3, known_version="ab", body=b"xy")
     attempt = Attempt(
         request,
@@ -138,7 +140,7 @@
 
 def test_members_and_purges_are_translated():
     translate = Translator(("hub", "edge"), ("standard", "parent")).translate
-    line = {
+    record = {
         "id": "s1",
         "host_port": "127.0.0.1:9",
         "locality": "edge",
@@ -148,7 +150,7 @@
         "size": 4,
         "up_since_ms": 7,
     }
-    change = translate(msgspec.convert({"endpoints": {"revision": 3, "members": [line]}}, Update))
+    change = translate(msgspec.convert({"endpoints": {"revision": 3, "members": [record]}}, Update))
     member = change.endpoints[0].member
     assert (
         isinstance(change, MembershipChange) and not change.complete and change.endpoints[0].address == ("127.0.0.1", 9)
@@ -162,19 +164,19 @@
     )
     evict = {"evict": {"ref": "0000000000000000", "unix_ms": 5}}
     purge = translate(msgspec.convert(evict, Update))
-    assert purge == Purge(1 << 64, 0, 5000)  # number 0 would mean a group
+    assert purge == Purge(1 << 64, 0, 5000)  # number 0 would mean a whole group
     gone = {"endpoints": {"members": [{"id": "s1", "phase": "DELETED"}]}}
     assert translate(msgspec.convert(gone, Update)).endpoints[0].member.state is MemberState.GONE
 
 
-@pytest.mark.parametrize("line", [{"id": "s", "phase": "ODD"}, {"id": "s", "host_port": "nowhere"}])
-def test_an_event_that_cannot_be_used_is_an_error(line):
+@pytest.mark.parametrize("record", [{"id": "s", "phase": "ODD"}, {"id": "s", "host_port": "nowhere"}])
+def test_an_event_that_cannot_be_used_is_an_error(record):
     with pytest.raises(StreamError):
-        Translator((), ()).translate(msgspec.convert({"endpoints": {"members": [line]}}, Update))
+        Translator((), ()).translate(msgspec.convert({"endpoints": {"members": [record]}}, Update))
 
 
-def test_an_event_that_cannot_be_read_is_told_by_its_number_and_those_after_it_are_read():
-    """It was an error of the whole stream, which was then called again for the same event, without end."""
+def test_an_unreadable_event_is_reported_by_its_number_and_later_events_are_read():
+    """Guards against an error of the whole stream, which was then requested again for the same event, without end."""
     stream = EventStream("h", "/", 0)
     stream.start()
     bad, good = stream.feed(b'HTTP/1.1 200 OK\r\n\r\nid: 7\ndata: {\n\nid: 8\ndata: {"index": 8}\n\n')
@@ -189,14 +191,14 @@
         b"nonsense\r\n\r\n",
     ],
 )
-def test_a_stream_that_is_none_is_an_error(data):
+def test_a_response_that_is_not_an_event_stream_is_an_error(data):
     stream = EventStream("h", "/", 0)
     stream.start()
     with pytest.raises(StreamError):
         stream.feed(data)
 
 
-def test_the_end_of_the_stream_is_told():
+def test_the_end_of_the_stream_is_reported():
     stream = EventStream("h", "/", 9)
     assert b"Last-Event-ID: 9" in stream.start()
-    assert isinstance(stream.feed(EVENTS)[-1], StreamEnd)
+    assert isinstance(stream.feed(EVENT_STREAM_RESPONSE)[-1], StreamEnd)
