--- a/rookbend/core/clock.py
+++ b/rookbend/core/clock.py
@@ -7,10 +7,10 @@
 
 
 class Clock:
-    """Unix time in microseconds, set by `anchor` and advanced by the monotonic clock.
+    """Unix time in microseconds, read at the start and by `anchor`, and advanced by the monotonic clock.
 
     All times inside the program are on this clock. Purges and deadlines of other processes are on the system's Unix
-    clock, so `anchor` is called again with the coordinator's events. The offset between the two never decreases.
+    clock, so `anchor` is called again with the coordinator's events. The offset to the monotonic clock never decreases.
     """
 
     def __init__(self, monotonic: Callable[[], float], unix: Callable[[], float] = time.time) -> None:
--- a/rookbend/core/counters.py
+++ b/rookbend/core/counters.py
@@ -26,7 +26,7 @@
     served: int = 0
     refused: int = 0
     failed: int = 0
-    late_guard: int = 0  # answered by the deadline guard, not by the router
+    late_guard: int = 0  # answered by the deadline enforcer, not by the router
     ok: int = 0
     miss: int = 0
     full: int = 0
@@ -39,7 +39,7 @@
     roster_changes: int = 0  # changes of the membership
     restarts_seen: int = 0  # members found restarted by their connections, before the membership reported it
     events_unusable: int = 0  # events of the coordinator that can't be parsed or applied
-    judgements: int = 0  # members whose state or weight was changed by health
+    judgements: int = 0  # members whose state or weight was changed by health evidence
     clients: int = 0  # connections accepted
     clients_dropped: int = 0  # of these, closed for bad input or for reading too slowly
     connects: int = 0  # connections opened to members
@@ -48,7 +48,7 @@
     written: int = 0  # attempts written in full to members
     reloads_ok: int = 0  # SIGHUP: configuration applied
     reloads_failed: int = 0  # SIGHUP: configuration rejected
-    component_faults: int = 0  # unexpected exceptions that ended the task of one caller, check, lookup or datagram
+    component_faults: int = 0  # unexpected exceptions that ended the task of one client, check, lookup or datagram
     # Bounded: one entry for each outcome of each class name that the settings have had.
     by_class: Counter[tuple[str, FinalOutcome]] = field(default_factory=Counter)
 
--- a/rookbend/core/engine.py
+++ b/rookbend/core/engine.py
@@ -98,7 +98,7 @@
 
     @property
     def retry_after_us(self) -> int:
-        """The Retry-After of a rejection; 0 where the settings allow none."""
+        """The Retry-After of a rejection; 0 if the settings allow none."""
         return retry_after_us(self._settings)
 
     @property
--- a/rookbend/core/model.py
+++ b/rookbend/core/model.py
@@ -34,7 +34,7 @@
     is_retry: bool = False
     known_version: str = ""
     body: bytes = b""
-    idempotency_key: str = ""  # the client's, for a class with retries under a key; forwarded unchanged
+    idempotency_key: str = ""  # the client's, for a class that allows retries under a key; forwarded unchanged
 
 
 @dataclass(slots=True)
@@ -103,7 +103,7 @@
 
 @dataclass(slots=True)
 class Purge:
-    """A purge of one object, or of a whole group where `object_id` is None. Its time is Unix microseconds."""
+    """A purge of one object, or of a whole group if `object_id` is None. Its time is Unix microseconds."""
 
     object_id: int | None
     group: int
--- a/rookbend/core/retry_safety.py
+++ b/rookbend/core/retry_safety.py
@@ -10,7 +10,7 @@
 from rookbend.core.open_request import OpenRequest
 from rookbend.interface import Idempotency, Member, Settings
 
-WINDOW_MARGIN_US = 20_000  # end of the window, reserved for the network delay to the member
+WINDOW_MARGIN_US = 20_000  # reserved at the end of the window for the network delay to the member
 
 
 def note_possible_run(open_request: OpenRequest, attempt: Attempt, endpoint: Endpoint | None) -> None:
--- a/rookbend/protocol/cache_lines.py
+++ b/rookbend/protocol/cache_lines.py
@@ -130,7 +130,7 @@
 
 
 def write_cancel(request_id: str) -> bytes:
-    """The command that cancels a request, as no client waits for it any more."""
+    """The command that cancels a request that no client waits for any more."""
     return b"undo %b\r\n" % request_id.encode()
 
 
--- a/rookbend/protocol/coordinator_stream.py
+++ b/rookbend/protocol/coordinator_stream.py
@@ -44,7 +44,7 @@
 
 
 class PurgeEvent(msgspec.Struct):
-    """A purge of one object, or of a group where `key` is None. Unix milliseconds."""
+    """A purge of one object, or of a group if `key` is None. Unix milliseconds."""
 
     key: str | None = msgspec.field(name="ref", default=None)
     group: int | None = msgspec.field(name="shard", default=None)
@@ -52,7 +52,7 @@
 
 
 class Update(msgspec.Struct):
-    """An event of the coordinator; `index` is its number in the stream. For an unknown kind of event, both are None."""
+    """An event of the coordinator, by its number in the stream; both other fields are None for an unknown kind."""
 
     index: int = 0
     membership: MembershipEvent | None = msgspec.field(name="endpoints", default=None)
--- a/rookbend/protocol/dns.py
+++ b/rookbend/protocol/dns.py
@@ -48,7 +48,7 @@
 
 @dataclass(slots=True)
 class Lookup:
-    """A well-formed query under the zone; `request_id` is empty where the name carries none."""
+    """A well-formed query under the zone; `request_id` is empty if the name carries none."""
 
     query: dns.message.Message
     class_name: str
--- a/rookbend/protocol/grpc_health_messages.py
+++ b/rookbend/protocol/grpc_health_messages.py
@@ -1,7 +1,7 @@
 """The messages of gRPC health checking (gRPC, Health Checking Protocol, `grpc/health/v1/health.proto`).
 
 The protobuf library builds the message classes from a descriptor, so that no generated code is needed. On the wire a
-message is `compressed:1 length:4 bytes` (gRPC over HTTP/2, Length-Prefixed-Message).
+message is `compressed` (1 byte), `length` (4 bytes) and the encoded bytes (gRPC over HTTP/2, Length-Prefixed-Message).
 """
 
 from __future__ import annotations
