--- a/tests/test_member_connections.py
+++ b/tests/test_member_connections.py
@@ -54,7 +54,7 @@
 
 
 def test_a_cancelled_request_is_sent_to_the_same_cache_again_only_after_it_read_the_cancel():
-    """Otherwise the cache handles it twice: the `do` on an idle connection overtook the `undo` on the other."""
+    """Otherwise the cache handles it twice: the `do` on an idle connection overtook the `abort` on the other."""
 
     async def check(stage):
         await stage.play("""
@@ -68,7 +68,7 @@
         """)
         engine = stage.service.engine
         (open_request,) = engine.requests.by_id.values()
-        engine.backend.undo(open_request.current_attempt)  # as the routing module does when the source does not answer
+        engine.backend.abort(open_request.current_attempt)  # as the routing module does when the source does not answer
         engine.finished(open_request.current_attempt, AttemptResult(AttemptStatus.CANCELLED))
         await stage.play("""
             cache1 expect nothing
