--- a/rookbend/net/member_pool.py
+++ b/rookbend/net/member_pool.py
@@ -136,7 +136,7 @@
         connection.send(attempt, cache_lines.write_command(attempt, now, source), now)
 
     def cancel(self, connection: MemberConnection, attempt: Attempt) -> AttemptStatus:
-        """Cancels an attempt in flight on this connection; see `Backend.undo`."""
+        """Cancels an attempt in flight on this connection; see `Backend.abort`."""
         request_id, now = attempt.request.request_id, self.context.engine.clock.now()
         pending = connection.in_flight.pop(request_id)
         if connection.withdraw(pending):
