--- a/rookbend/config.py
+++ b/rookbend/config.py
@@ -71,7 +71,7 @@
     operators = settings.load(environ, SETTINGS_FILE)
     limits = config.settings.limits
     has_peers = limits.allows_peer_messages and bool(config.peer_listen and config.peers)
-    settings.check_permits(operators, limits.allows_probes, has_peers, len(config.peers))
+    settings.check_platform_permits(operators, limits.allows_probes, has_peers, len(config.peers))
     return config, operators
 
 
--- a/rookbend/settings/__init__.py
+++ b/rookbend/settings/__init__.py
@@ -5,9 +5,9 @@
 all of it.
 """
 
-from rookbend.settings.consistency import check_permits
+from rookbend.settings.consistency import check_platform_permits
 from rookbend.settings.parser import load, parse
-from rookbend.settings.reader import Place, SettingsError
+from rookbend.settings.reader import SettingsError, SourceLocation
 from rookbend.settings.sections import Check, Settings
 
-__all__ = ["Check", "SettingsError", "Place", "Settings", "check_permits", "load", "parse"]
+__all__ = ["Check", "SettingsError", "SourceLocation", "Settings", "check_platform_permits", "load", "parse"]
--- a/rookbend/settings/consistency.py
+++ b/rookbend/settings/consistency.py
@@ -5,9 +5,9 @@
 from collections.abc import Iterator
 from typing import NamedTuple
 
-from rookbend.settings.reader import Place, SettingsError
+from rookbend.settings.reader import SettingsError, SourceLocation
 from rookbend.settings.sections import Check, Dns, Health, Ownership, Recovery, Settings
-from rookbend.settings.values import show_time
+from rookbend.settings.values import format_duration
 
 CHECK_TYPES_BY_DIRECTIVE = {
     "send": ("agent",),
@@ -31,20 +31,20 @@
     text: str
 
 
-def check_section(section: object, section_place: Place, places: dict[str, Place]) -> None:
-    """Checks a section's directives against each other; `places` are those of the directives in the file.
+def check_section(section: object, section_location: SourceLocation, locations: dict[str, SourceLocation]) -> None:
+    """Checks a section's directives against each other; `locations` are those of the directives in the file.
 
     Raises:
         SettingsError: the first conflict.
     """
-    for conflict in _conflicts(section, places):
-        place = places.get(conflict.directive, section_place)
-        raise SettingsError(place, f"{conflict.directive}: {conflict.text}")
+    for conflict in _conflicts(section, locations):
+        location = locations.get(conflict.directive, section_location)
+        raise SettingsError(location, f"{conflict.directive}: {conflict.text}")
 
 
-def _conflicts(section: object, places: dict[str, Place]) -> Iterator[Conflict]:
+def _conflicts(section: object, locations: dict[str, SourceLocation]) -> Iterator[Conflict]:
     if isinstance(section, Check):
-        yield from _check_conflicts(section, places)
+        yield from _check_conflicts(section, locations)
     elif isinstance(section, Health):
         yield from _health_conflicts(section)
     elif isinstance(section, Recovery):
@@ -55,11 +55,11 @@
         yield Conflict("box-name", "needs {id}, the box's name in the membership")
 
 
-def _check_conflicts(check: Check, places: dict[str, Place]) -> Iterator[Conflict]:
+def _check_conflicts(check: Check, locations: dict[str, SourceLocation]) -> Iterator[Conflict]:
     for name, types in CHECK_TYPES_BY_DIRECTIVE.items():
-        if name in places and check.type not in types:
+        if name in locations and check.type not in types:
             yield Conflict(name, f"only for checks of type {' or '.join(types)}, not {check.type}")
-    if check.type == "tcp" and not check.port and "port" in places:
+    if check.type == "tcp" and not check.port and "port" in locations:
         yield Conflict("port", "0 is the membership's, which needs no directive")
     yield from _check_time_conflicts(check)
     for name, value in (("path", check.path), ("host", check.host)):
@@ -70,26 +70,26 @@
 
 def _check_time_conflicts(check: Check) -> Iterator[Conflict]:
     if check.answer_by_us > check.interval_us:
-        answer_by = show_time(check.answer_by_us)
-        interval = show_time(check.interval_us)
+        answer_by = format_duration(check.answer_by_us)
+        interval = format_duration(check.interval_us)
         yield Conflict("answer-by", f"{answer_by} is longer than the interval of {interval}: checks would pile up")
     if check.fast_us > check.interval_us:
-        yield Conflict("fast", f"{show_time(check.fast_us)} is longer than the interval")
+        yield Conflict("fast", f"{format_duration(check.fast_us)} is longer than the interval")
     if check.stale_us < MIN_STALE_INTERVALS * check.interval_us:
-        stale = show_time(check.stale_us)
+        stale = format_duration(check.stale_us)
         yield Conflict("stale", f"{stale} is less than two intervals: a single late answer would void what it says")
 
 
 def _health_conflicts(health: Health) -> Iterator[Conflict]:
     if health.hold_us > health.hold_most_us:
-        yield Conflict("hold", f"{show_time(health.hold_us)} is longer than hold-most")
+        yield Conflict("hold", f"{format_duration(health.hold_us)} is longer than hold-most")
 
 
 def _recovery_conflicts(recovery: Recovery) -> Iterator[Conflict]:
     if recovery.full_rate < recovery.first_rate:
         yield Conflict("full-rate", f"{recovery.full_rate} is less than first-rate, {recovery.first_rate}")
     if recovery.full_by_us < recovery.ready_by_us:
-        yield Conflict("full-by", f"{show_time(recovery.full_by_us)} is sooner than ready-by")
+        yield Conflict("full-by", f"{format_duration(recovery.full_by_us)} is sooner than ready-by")
 
 
 def _ownership_conflicts(ownership: Ownership) -> Iterator[Conflict]:
@@ -100,8 +100,8 @@
     if ownership.lease_us < MIN_LEASE_ROUND_TRIPS * uncertainty_us:
         yield Conflict(
             "lease",
-            f"{show_time(ownership.lease_us)} is less than three times the round trip of "
-            f"{show_time(ownership.round_trip_us)} and the drift of {ownership.drift:.0%}",
+            f"{format_duration(ownership.lease_us)} is less than three times the round trip of "
+            f"{format_duration(ownership.round_trip_us)} and the drift of {ownership.drift:.0%}",
         )
     if ownership.report_ledger is not None and ownership.report_file:
         yield Conflict("report-file", "a ledger or a file, not both")
@@ -110,12 +110,12 @@
 def check_sections(settings: Settings) -> None:
     """Checks which sections need others. Raises `SettingsError`."""
     if settings.ownership is not None and (settings.recovery is None or not settings.recovery.peers):
-        raise SettingsError(settings.ownership.place, "[ownership] needs [recovery] with peers")
+        raise SettingsError(settings.ownership.location, "[ownership] needs [recovery] with peers")
     if settings.checks and settings.health is None:
-        raise SettingsError(settings.checks[0].place, "a check needs the section [health]")
+        raise SettingsError(settings.checks[0].location, "a check needs the section [health]")
 
 
-def check_permits(settings: Settings, probes: bool, peers: bool = False, directors: int = 0) -> None:
+def check_platform_permits(settings: Settings, probes: bool, peers: bool = False, directors: int = 0) -> None:
     """Checks against the platform's settings: whether they permit probes and datagrams between directors, and how
     many directors there are. Raises `SettingsError`.
 
@@ -123,14 +123,16 @@
     """
     if settings.checks and not probes:
         check = settings.checks[0]
-        raise SettingsError(check.place, f"[check {check.name}] probes members, which the platform's settings forbid")
+        raise SettingsError(
+            check.location, f"[check {check.name}] probes members, which the platform's settings forbid"
+        )
     if settings.recovery is not None and settings.recovery.peers and not peers:
         text = (
             "[recovery] talks to other directors, which the platform's settings don't permit or name; "
             "`peers no` does without"
         )
-        raise SettingsError(settings.recovery.place, text)
+        raise SettingsError(settings.recovery.location, text)
     ownership = settings.ownership
     if ownership is not None and any(voter >= directors for voter in ownership.voters):
         text = f"[ownership] voters: {max(ownership.voters)} is no place in peers, which are {directors}"
-        raise SettingsError(ownership.place, text)
+        raise SettingsError(ownership.location, text)
--- a/rookbend/settings/parser.py
+++ b/rookbend/settings/parser.py
@@ -7,10 +7,10 @@
 from typing import Any
 
 from rookbend.settings.consistency import check_section, check_sections
-from rookbend.settings.reader import Directive, Place, Section, SettingsError, read
+from rookbend.settings.reader import Directive, Section, SettingsError, SourceLocation, read_sections
 from rookbend.settings.schema import SECTIONS, SectionSchema
 from rookbend.settings.sections import Check, Settings
-from rookbend.settings.values import Form
+from rookbend.settings.values import DirectiveSpec
 
 SETTINGS_VARIABLE = "NODE_SETTINGS"
 
@@ -18,13 +18,13 @@
 def parse(text: str, file: str) -> Settings:
     """The settings in a file's text. Raises `SettingsError` on the first thing that is wrong."""
     fields: dict[str, Any] = {}
-    first_places: dict[tuple[str, str], Place] = {}
+    first_locations: dict[tuple[str, str], SourceLocation] = {}
     checks: list[Check] = []
-    for section in read(text, file):
+    for section in read_sections(text, file):
         schema = _schema_of(section)
-        first = first_places.setdefault((section.kind, section.name), section.place)
-        if first is not section.place:
-            raise SettingsError(section.place, f"{section.title} stands twice, first in line {first.line}")
+        first = first_locations.setdefault((section.kind, section.name), section.location)
+        if first is not section.location:
+            raise SettingsError(section.location, f"{section.header} stands twice, first in line {first.line}")
         struct = _build(section, schema)
         if isinstance(struct, Check):
             checks.append(struct)
@@ -48,57 +48,57 @@
     try:
         text = path.read_text(encoding="utf-8")
     except OSError as error:
-        raise SettingsError(Place(str(path), 0), f"can't be read: {error.strerror}") from None
+        raise SettingsError(SourceLocation(str(path), 0), f"can't be read: {error.strerror}") from None
     except UnicodeDecodeError:
-        raise SettingsError(Place(str(path), 0), "is no text in UTF-8") from None
+        raise SettingsError(SourceLocation(str(path), 0), "is no text in UTF-8") from None
     return parse(text, str(path) if named else default.name)
 
 
 def _schema_of(section: Section) -> SectionSchema:
     schema = SECTIONS.get(section.kind)
     if schema is None:
-        raise SettingsError(section.place, f"no section {section.title}" + _suggestion(section.kind, SECTIONS))
+        raise SettingsError(section.location, f"no section {section.header}" + _suggestion(section.kind, SECTIONS))
     if bool(section.name) != schema.named:
-        raise SettingsError(section.place, f"[{section.kind}] takes " + ("a name" if schema.named else "no name"))
+        raise SettingsError(section.location, f"[{section.kind}] takes " + ("a name" if schema.named else "no name"))
     return schema
 
 
 def _build(section: Section, schema: SectionSchema) -> object:
     """The section's struct, its directives checked against each other."""
     fields: dict[str, Any] = {}
-    places: dict[str, Place] = {}
+    locations: dict[str, SourceLocation] = {}
     for directive in section.directives:
-        form = schema.directives.get(directive.name)
-        if form is None:
-            text = f"{section.title} knows no {directive.name}" + _suggestion(directive.name, schema.directives)
-            raise SettingsError(directive.place, text)
-        if directive.name in places:
-            first_line = places[directive.name].line
-            raise SettingsError(directive.place, f"{directive.name} stands twice, first in line {first_line}")
-        places[directive.name] = directive.place
-        fields[schema.field_of(directive.name)] = _value(directive, form)
-    for name, form in schema.directives.items():
-        if form.required and name not in places:
-            raise SettingsError(section.place, f"{section.title} needs {name}")
+        spec = schema.directives.get(directive.name)
+        if spec is None:
+            text = f"{section.header} knows no {directive.name}" + _suggestion(directive.name, schema.directives)
+            raise SettingsError(directive.location, text)
+        if directive.name in locations:
+            first_line = locations[directive.name].line
+            raise SettingsError(directive.location, f"{directive.name} stands twice, first in line {first_line}")
+        locations[directive.name] = directive.location
+        fields[schema.field_of(directive.name)] = _value(directive, spec)
+    for name, spec in schema.directives.items():
+        if spec.required and name not in locations:
+            raise SettingsError(section.location, f"{section.header} needs {name}")
     if schema.named:
         fields["name"] = section.name
-    if "place" in schema.struct.__struct_fields__:
-        fields["place"] = section.place
+    if "location" in schema.struct.__struct_fields__:
+        fields["location"] = section.location
     struct = schema.struct(**fields)
-    check_section(struct, section.place, places)
+    check_section(struct, section.location, locations)
     return struct
 
 
-def _value(directive: Directive, form: Form) -> object:
-    if not form.many and len(directive.values) != 1:
-        raise SettingsError(directive.place, f"{directive.name} takes one value, not {len(directive.values)}")
+def _value(directive: Directive, spec: DirectiveSpec) -> object:
+    if not spec.multiple and len(directive.values) != 1:
+        raise SettingsError(directive.location, f"{directive.name} takes one value, not {len(directive.values)}")
     if not directive.values:
-        raise SettingsError(directive.place, f"{directive.name} needs a value")
+        raise SettingsError(directive.location, f"{directive.name} needs a value")
     try:
-        values = [form.read(word) for word in directive.values]
+        values = [spec.parse(word) for word in directive.values]
     except ValueError as error:
-        raise SettingsError(directive.place, f"{directive.name}: {error}") from None
-    return tuple(values) if form.many else values[0]
+        raise SettingsError(directive.location, f"{directive.name}: {error}") from None
+    return tuple(values) if spec.multiple else values[0]
 
 
 def _suggestion(name: str, known: Iterable[str]) -> str:
--- a/rookbend/settings/reader.py
+++ b/rookbend/settings/reader.py
@@ -5,8 +5,8 @@
         interval   2s           one directive a line: a name and its values
         send       "ask\\n"      a value with blanks or escapes stands in double quotes
 
-Indentation has no meaning. `read` yields sections and directives with the line each came from, so that every later
-error can name it.
+Indentation has no meaning. `read_sections` yields sections and directives with the line that each came from, so that
+every later error can name it.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class SourceLocation:
     """A place in the settings: a file as it was named, and a line, from 1."""
 
     file: str
@@ -33,9 +33,9 @@
 class SettingsError(Exception):
     """One thing that is wrong, worded `FILE:LINE: fault`."""
 
-    def __init__(self, place: Place, text: str):
-        super().__init__(f"{place}: {text}")
-        self.place = place
+    def __init__(self, location: SourceLocation, text: str):
+        super().__init__(f"{location}: {text}")
+        self.location = location
         self.text = text
 
 
@@ -45,7 +45,7 @@
 
     name: str
     values: list[str]
-    place: Place
+    location: SourceLocation
 
 
 @dataclass(slots=True)
@@ -54,16 +54,16 @@
 
     kind: str
     name: str
-    place: Place
+    location: SourceLocation
     directives: list[Directive] = field(default_factory=list)
 
     @property
-    def title(self) -> str:
+    def header(self) -> str:
         """The section's head, as in the file."""
         return f"[{self.kind} {self.name}]" if self.name else f"[{self.kind}]"
 
 
-def words(text: str, place: Place) -> list[str]:
+def split_words(text: str, location: SourceLocation) -> list[str]:
     """The words of a line up to a comment; quotes keep blanks and `#`, and may only enclose whole words."""
     found = []
     position = 0
@@ -74,10 +74,10 @@
         elif char == "#":
             break
         elif char == '"':
-            word, position = _quoted_word(text, position + 1, place)
+            word, position = _quoted_word(text, position + 1, location)
             found.append(word)
         else:
-            word, position = _bare_word(text, position, place)
+            word, position = _bare_word(text, position, location)
             found.append(word)
     return found
 
@@ -86,17 +86,17 @@
     return position >= len(text) or text[position].isspace() or text[position] == "#"
 
 
-def _bare_word(text: str, start: int, place: Place) -> tuple[str, int]:
+def _bare_word(text: str, start: int, location: SourceLocation) -> tuple[str, int]:
     """The word that begins at `start`, and the position behind it."""
     position = start
     while not _is_end_of_word(text, position):
         if text[position] == '"':
-            raise SettingsError(place, "a quote stands in the middle of a word")
+            raise SettingsError(location, "a quote stands in the middle of a word")
         position += 1
     return text[start:position], position
 
 
-def _quoted_word(text: str, start: int, place: Place) -> tuple[str, int]:
+def _quoted_word(text: str, start: int, location: SourceLocation) -> tuple[str, int]:
     """The word whose opening quote is before `start`, and the position behind its closing quote."""
     chars = []
     position = start
@@ -106,51 +106,51 @@
             position += 1
             escape = text[position : position + 1]
             if escape not in ESCAPES:
-                raise SettingsError(place, f"no escape: \\{escape}")
+                raise SettingsError(location, f"no escape: \\{escape}")
             char = ESCAPES[escape]
         chars.append(char)
         position += 1
     if position >= len(text):
-        raise SettingsError(place, "a quote is not closed")
+        raise SettingsError(location, "a quote is not closed")
     word = "".join(chars)
     if not _is_end_of_word(text, position + 1):
-        raise SettingsError(place, f"a blank is missing behind the quoted {word!r}")
+        raise SettingsError(location, f"a blank is missing behind the quoted {word!r}")
     return word, position + 1
 
 
-def _section(text: str, place: Place) -> Section:
+def _parse_section_header(text: str, location: SourceLocation) -> Section:
     """The section that a line with a bracket opens."""
     head, bracket, rest = text.partition("]")
     if not bracket:
-        raise SettingsError(place, "a section's bracket is not closed")
-    if words(rest, place):
-        raise SettingsError(place, "something stands behind a section's bracket")
-    parts = words(head[1:], place)
+        raise SettingsError(location, "a section's bracket is not closed")
+    if split_words(rest, location):
+        raise SettingsError(location, "something stands behind a section's bracket")
+    parts = split_words(head[1:], location)
     if not 1 <= len(parts) <= 2:
-        raise SettingsError(place, "a section is [KIND] or [KIND NAME]")
-    return Section(parts[0], parts[1] if len(parts) == 2 else "", place)
+        raise SettingsError(location, "a section is [KIND] or [KIND NAME]")
+    return Section(parts[0], parts[1] if len(parts) == 2 else "", location)
 
 
-def read(text: str, file: str) -> Iterator[Section]:
+def read_sections(text: str, file: str) -> Iterator[Section]:
     """The sections of a file, in their order. Raises `SettingsError` on the first line that can't be read."""
     section: Section | None = None
     for number, line in enumerate(text.splitlines(), 1):
-        place = Place(file, number)
+        location = SourceLocation(file, number)
         if len(line) > MAX_LINE_CHARS:
-            raise SettingsError(place, f"a line is longer than {MAX_LINE_CHARS} characters")
+            raise SettingsError(location, f"a line is longer than {MAX_LINE_CHARS} characters")
         if any(ord(char) < FIRST_PRINTABLE and char != "\t" for char in line):
-            raise SettingsError(place, "a control character")
+            raise SettingsError(location, "a control character")
         line = line.strip()
         if line.startswith("["):
             if section is not None:
                 yield section
-            section = _section(line, place)
+            section = _parse_section_header(line, location)
             continue
-        parts = words(line, place)
+        parts = split_words(line, location)
         if not parts:
             continue
         if section is None:
-            raise SettingsError(place, f"{parts[0]} stands before the first section")
-        section.directives.append(Directive(parts[0], parts[1:], place))
+            raise SettingsError(location, f"{parts[0]} stands before the first section")
+        section.directives.append(Directive(parts[0], parts[1:], location))
     if section is not None:
         yield section
--- a/rookbend/settings/schema.py
+++ b/rookbend/settings/schema.py
@@ -25,7 +25,7 @@
     Server,
     State,
 )
-from rookbend.settings.values import Form
+from rookbend.settings.values import DirectiveSpec
 
 HOUR_US = 60 * MINUTE_US
 
@@ -38,7 +38,7 @@
     """
 
     struct: type[msgspec.Struct]
-    directives: dict[str, Form]
+    directives: dict[str, DirectiveSpec]
     named: bool = False
 
     def field_of(self, directive: str) -> str:
@@ -47,17 +47,17 @@
         return field if field in self.struct.__struct_fields__ else f"{field}_us"
 
 
-LISTEN = Form(values.address, required=True)
-PERIOD = Form(values.time(10_000, HOUR_US))
-COUNT = Form(values.whole(1, 100))
+LISTEN = DirectiveSpec(values.address, required=True)
+PERIOD = DirectiveSpec(values.duration(10_000, HOUR_US))
+COUNT = DirectiveSpec(values.integer(1, 100))
 
 SECTIONS: dict[str, SectionSchema] = {
     "log": SectionSchema(
         struct=Log,
         directives={
-            "format": Form(values.one_of("text", "json")),
-            "level": Form(values.one_of("debug", "info", "warning", "error")),
-            "burst": Form(values.whole(1, 10_000)),
+            "format": DirectiveSpec(values.one_of("text", "json")),
+            "level": DirectiveSpec(values.one_of("debug", "info", "warning", "error")),
+            "burst": DirectiveSpec(values.integer(1, 10_000)),
             "per": PERIOD,
         },
     ),
@@ -65,10 +65,10 @@
         struct=Dns,
         directives={
             "listen": LISTEN,
-            "zone": Form(values.text(1, 255)),
-            "box-name": Form(values.text(1, 255)),
-            "resolver": Form(values.address),
-            "budget": Form(values.time(1_000, 60 * SECOND_US)),
+            "zone": DirectiveSpec(values.text(1, 255)),
+            "box-name": DirectiveSpec(values.text(1, 255)),
+            "resolver": DirectiveSpec(values.address),
+            "budget": DirectiveSpec(values.duration(1_000, 60 * SECOND_US)),
         },
     ),
     "agent-server": SectionSchema(struct=Server, directives={"listen": LISTEN}),
@@ -77,95 +77,99 @@
     "headroom": SectionSchema(
         struct=Headroom,
         directives={
-            "lag": Form(values.time(1_000, 10 * SECOND_US)),
-            "step": Form(values.share(0.01, 0.5)),
+            "lag": DirectiveSpec(values.duration(1_000, 10 * SECOND_US)),
+            "step": DirectiveSpec(values.percentage(0.01, 0.5)),
             "rise": PERIOD,
-            "least": Form(values.share(0.01, 1.0)),
+            "least": DirectiveSpec(values.percentage(0.01, 1.0)),
         },
     ),
     "admin": SectionSchema(
-        struct=Admin, directives={"listen": Form(values.loopback, required=True), "metrics": Form(values.yes_or_no)}
+        struct=Admin,
+        directives={
+            "listen": DirectiveSpec(values.loopback_address, required=True),
+            "metrics": DirectiveSpec(values.boolean),
+        },
     ),
     "background": SectionSchema(
         struct=Background,
         directives={
-            "rate": Form(values.whole(1, 100_000)),
-            "running": Form(values.whole(1, 10_000)),
-            "descriptors": Form(values.whole(1, 10_000)),
-            "watches": Form(values.whole(1, 10_000)),
+            "rate": DirectiveSpec(values.integer(1, 100_000)),
+            "running": DirectiveSpec(values.integer(1, 10_000)),
+            "descriptors": DirectiveSpec(values.integer(1, 10_000)),
+            "watches": DirectiveSpec(values.integer(1, 10_000)),
         },
     ),
     "state": SectionSchema(
         struct=State,
         directives={
-            "folder": Form(values.text(1, 4096), required=True),
-            "fleet": Form(values.text(1, 100)),
-            "most": Form(values.size(64 << 10, 1 << 30)),
+            "folder": DirectiveSpec(values.text(1, 4096), required=True),
+            "fleet": DirectiveSpec(values.text(1, 100)),
+            "most": DirectiveSpec(values.size(64 << 10, 1 << 30)),
         },
     ),
     "recovery": SectionSchema(
         struct=Recovery,
         directives={
-            "peers": Form(values.yes_or_no),
-            "fleet": Form(values.text(1, 100)),
-            "ready-share": Form(values.share(0.01, 1.0)),
+            "peers": DirectiveSpec(values.boolean),
+            "fleet": DirectiveSpec(values.text(1, 100)),
+            "ready-share": DirectiveSpec(values.percentage(0.01, 1.0)),
             "ready-by": PERIOD,
             "full-by": PERIOD,
-            "first-rate": Form(values.whole(1, 100_000)),
-            "full-rate": Form(values.whole(1, 1_000_000)),
+            "first-rate": DirectiveSpec(values.integer(1, 100_000)),
+            "full-rate": DirectiveSpec(values.integer(1, 1_000_000)),
         },
     ),
     "ownership": SectionSchema(
         struct=Ownership,
         directives={
-            "voters": Form(values.whole(0, 10_000), many=True),
-            "lease": Form(values.time(100_000, MINUTE_US)),
-            "drift": Form(values.share(0.0, 0.2)),
-            "round-trip": Form(values.time(1_000, MINUTE_US)),
-            "shards": Form(values.whole(1, 200)),
-            "report-ledger": Form(values.address),
-            "report-file": Form(values.text(1, 4096)),
+            "voters": DirectiveSpec(values.integer(0, 10_000), multiple=True),
+            "lease": DirectiveSpec(values.duration(100_000, MINUTE_US)),
+            "drift": DirectiveSpec(values.percentage(0.0, 0.2)),
+            "round-trip": DirectiveSpec(values.duration(1_000, MINUTE_US)),
+            "shards": DirectiveSpec(values.integer(1, 200)),
+            "report-ledger": DirectiveSpec(values.address),
+            "report-file": DirectiveSpec(values.text(1, 4096)),
             "report-every": PERIOD,
         },
     ),
     "health": SectionSchema(
         struct=Health,
         directives={
-            "max-out": Form(values.share()),
+            "max-out": DirectiveSpec(values.percentage()),
             "panic-hold": PERIOD,
             "hold": PERIOD,
             "hold-most": PERIOD,
             "flap-window": PERIOD,
-            "slow-start": Form(values.time(0, HOUR_US)),
-            "start-at": Form(values.share(0.01, 1.0)),
-            "passive-fall": Form(values.whole(0, 1000)),
+            "slow-start": DirectiveSpec(values.duration(0, HOUR_US)),
+            "start-at": DirectiveSpec(values.percentage(0.01, 1.0)),
+            "passive-fall": DirectiveSpec(values.integer(0, 1000)),
             "passive-hold": PERIOD,
-            "weigh": Form(values.one_of("caches", "all", "none")),
+            "weigh": DirectiveSpec(values.one_of("caches", "all", "none")),
         },
     ),
     "check": SectionSchema(
         struct=Check,
         named=True,
         directives={
-            "type": Form(values.one_of("agent", "http", "grpc", "grpc-watch", "tcp"), required=True),
-            "port": Form(values.whole(0, 65535)),
-            "tier": Form(values.one_of("cache", "parent", "origin", "all")),
+            "type": DirectiveSpec(values.one_of("agent", "http", "grpc", "grpc-watch", "tcp"), required=True),
+            "port": DirectiveSpec(values.integer(0, 65535)),
+            "tier": DirectiveSpec(values.one_of("cache", "parent", "origin", "all")),
             "interval": PERIOD,
             "fast": PERIOD,
             "down": PERIOD,
-            "answer-by": Form(values.time(1_000, MINUTE_US)),
+            "answer-by": DirectiveSpec(values.duration(1_000, MINUTE_US)),
             "rise": COUNT,
             "fall": COUNT,
             "stale": PERIOD,
-            "most-bytes": Form(values.size(64, 1 << 20)),
-            "send": Form(values.text()),
-            "method": Form(values.one_of("GET", "HEAD", "OPTIONS")),
-            "path": Form(values.text(1)),
-            "host": Form(values.text(1, 255)),
-            "expect-status": Form(values.status_range, many=True),
-            "expect-body": Form(values.text(1)),
-            "service": Form(values.text()),
-            "proxy": Form(values.one_of("no", "local", "proxy")),
+            "most-bytes": DirectiveSpec(values.size(64, 1 << 20)),
+            "send": DirectiveSpec(values.text()),
+            "method": DirectiveSpec(values.one_of("GET", "HEAD", "OPTIONS")),
+            "path": DirectiveSpec(values.text(1)),
+            "host": DirectiveSpec(values.text(1, 255)),
+            "expect-status": DirectiveSpec(values.status_range, multiple=True),
+            "expect-body": DirectiveSpec(values.text(1)),
+            "service": DirectiveSpec(values.text()),
+            "proxy": DirectiveSpec(values.one_of("no", "local", "proxy")),
         },
     ),
 }
--- a/rookbend/settings/sections.py
+++ b/rookbend/settings/sections.py
@@ -4,11 +4,11 @@
 
 import msgspec
 
-from rookbend.settings.reader import Place
+from rookbend.settings.reader import SourceLocation
 
 SECOND_US = 1_000_000
 MINUTE_US = 60 * SECOND_US
-DEFAULT_PLACE = Place("", 0)  # of a section that no file holds
+DEFAULT_LOCATION = SourceLocation("", 0)  # of a section that no file holds
 MAX_DEFAULT_VOTERS = 5
 
 
@@ -100,7 +100,7 @@
     expect_body: str = ""
     service: str = ""
     proxy: str = "no"
-    place: Place = DEFAULT_PLACE
+    location: SourceLocation = DEFAULT_LOCATION
 
 
 class State(msgspec.Struct, frozen=True):
@@ -121,7 +121,7 @@
     full_by_us: int = 30 * SECOND_US
     first_rate: int = 40
     full_rate: int = 400
-    place: Place = DEFAULT_PLACE
+    location: SourceLocation = DEFAULT_LOCATION
 
 
 class Ownership(msgspec.Struct, frozen=True):
@@ -136,7 +136,7 @@
     report_ledger: tuple[str, int] | None = None
     report_file: str = ""
     report_every_us: int = MINUTE_US
-    place: Place = DEFAULT_PLACE
+    location: SourceLocation = DEFAULT_LOCATION
 
 
 class Settings(msgspec.Struct, frozen=True):
--- a/rookbend/settings/values.py
+++ b/rookbend/settings/values.py
@@ -18,11 +18,11 @@
 MAX_STATUS = 599
 NUMBER = re.compile(r"(\d+(?:\.\d+)?)([a-zA-Z%]*)")
 
-Reader = Callable[[str], Any]
+ValueParser = Callable[[str], Any]
 Number = TypeVar("Number", int, float)
 
 
-def _measured(word: str, units: dict[str, int], quantity: str) -> int:
+def _quantity(word: str, units: dict[str, int], quantity: str) -> int:
     match = NUMBER.fullmatch(word)
     if match is None:
         raise ValueError(f"no {quantity}: {word!r}")
@@ -49,7 +49,7 @@
     return within
 
 
-def show_time(us: int) -> str:
+def format_duration(us: int) -> str:
     """A time in the largest unit that divides it."""
     for unit, size in reversed(TIME_UNITS.items()):
         if us and us % size == 0:
@@ -57,47 +57,47 @@
     return "0s"
 
 
-def time(least_us: int = 0, most_us: int = 24 * TIME_UNITS["h"]) -> Reader:
+def duration(least_us: int = 0, most_us: int = 24 * TIME_UNITS["h"]) -> ValueParser:
     """A time, in microseconds."""
-    return bounded(lambda word: _measured(word, TIME_UNITS, "time"), least_us, most_us, show_time)
+    return bounded(lambda word: _quantity(word, TIME_UNITS, "time"), least_us, most_us, format_duration)
 
 
-def size(least: int, most: int) -> Reader:
+def size(least: int, most: int) -> ValueParser:
     """A size, in bytes."""
-    return bounded(lambda word: _measured(word, SIZE_UNITS, "size"), least, most, lambda size_bytes: f"{size_bytes}b")
+    return bounded(lambda word: _quantity(word, SIZE_UNITS, "size"), least, most, lambda size_bytes: f"{size_bytes}b")
 
 
-def _whole(word: str) -> int:
+def _integer(word: str) -> int:
     if not (word.isascii() and word.isdigit()):
         raise ValueError(f"no whole number: {word!r}")
     return int(word)
 
 
-def whole(least: int, most: int) -> Reader:
+def integer(least: int, most: int) -> ValueParser:
     """A whole number."""
-    return bounded(_whole, least, most)
+    return bounded(_integer, least, most)
 
 
-def _share(word: str) -> float:
+def _percentage(word: str) -> float:
     match = NUMBER.fullmatch(word)
     if match is None or match[2] != "%":
         raise ValueError(f"a share is written in percent, as 50%: {word!r}")
     return float(match[1]) / 100
 
 
-def share(least: float = 0.0, most: float = 1.0) -> Reader:
+def percentage(least: float = 0.0, most: float = 1.0) -> ValueParser:
     """A share of 1, written in percent."""
-    return bounded(_share, least, most, lambda value: f"{value * 100:g}%")
+    return bounded(_percentage, least, most, lambda value: f"{value * 100:g}%")
 
 
-def yes_or_no(word: str) -> bool:
+def boolean(word: str) -> bool:
     """A switch."""
     if word not in ("yes", "no"):
         raise ValueError(f"yes or no, not {word!r}")
     return word == "yes"
 
 
-def one_of(*choices: str) -> Reader:
+def one_of(*choices: str) -> ValueParser:
     """One of some words."""
 
     def read(word: str) -> str:
@@ -108,7 +108,7 @@
     return read
 
 
-def text(least: int = 0, most: int = 1024) -> Reader:
+def text(least: int = 0, most: int = 1024) -> ValueParser:
     """Text of so many characters."""
 
     def read(word: str) -> str:
@@ -125,7 +125,7 @@
     host = host.strip("[]")
     try:
         ipaddress.ip_address(host)
-        number = _whole(port)
+        number = _integer(port)
     except ValueError:
         number = -1
     if not 0 <= number <= MAX_PORT:
@@ -133,7 +133,7 @@
     return host, number
 
 
-def loopback(word: str) -> tuple[str, int]:
+def loopback_address(word: str) -> tuple[str, int]:
     """HOST:PORT on the loopback."""
     host, port = address(word)
     if not ipaddress.ip_address(host).is_loopback:
@@ -144,17 +144,17 @@
 def status_range(word: str) -> tuple[int, int]:
     """An HTTP status or a range of them, as 204 or 200-299."""
     first, dash, last = word.partition("-")
-    lowest = _whole(first)
-    highest = _whole(last if dash else first)
+    lowest = _integer(first)
+    highest = _integer(last if dash else first)
     if not MIN_STATUS <= lowest <= highest <= MAX_STATUS:
         raise ValueError(f"no HTTP status or range of them: {word!r}")
     return lowest, highest
 
 
 @dataclass(frozen=True, slots=True)
-class Form:
-    """What a directive takes: one value, or with `many` several, each read alike."""
+class DirectiveSpec:
+    """What a directive takes: one value, or with `multiple` several, each read alike."""
 
-    read: Reader
-    many: bool = False
+    parse: ValueParser
+    multiple: bool = False
     required: bool = False
--- a/rookbend/testing/fault_timeline.py
+++ b/rookbend/testing/fault_timeline.py
@@ -38,7 +38,7 @@
 import msgspec
 
 from rookbend.settings import values as v
-from rookbend.settings.reader import Place, SettingsError
+from rookbend.settings.reader import SettingsError, SourceLocation
 
 
 class TargetType(StrEnum):
@@ -100,7 +100,7 @@
     says: str = ""
     reset: bool = False
     back: bool = False
-    place: Place = Place("", 0)
+    place: SourceLocation = SourceLocation("", 0)
 
     @property
     def target_type(self) -> TargetType:
@@ -144,7 +144,7 @@
 
 def _draw_targets(fault: Fault, percentage: str, candidates: list[str]) -> list[str]:
     try:
-        share: Any = v.share()(percentage)
+        share: Any = v.percentage()(percentage)
     except ValueError as error:
         raise SettingsError(fault.place, str(error)) from None
     rng = random.Random(f"{fault.seed} {fault.name}")
--- a/rookbend/testing/fault_timeline_format.py
+++ b/rookbend/testing/fault_timeline_format.py
@@ -16,8 +16,8 @@
 from typing import Any
 
 from rookbend.settings import values as v
-from rookbend.settings.reader import Directive, Section, SettingsError, read
-from rookbend.settings.values import Form
+from rookbend.settings.reader import Directive, Section, SettingsError, read_sections
+from rookbend.settings.values import DirectiveSpec
 from rookbend.testing.fault_timeline import KINDS, Fault
 
 SECTION_KIND = "failure"
@@ -26,40 +26,40 @@
 FIELDS_BY_DIRECTIVE = {"part": "targets", "at": "at_us", "for": "duration_us", "by": "by_us"}  # others: of that name
 MAX_TIME_US = v.TIME_UNITS["h"]
 FORMS = {
-    "kind": Form(v.one_of(*KINDS), required=True),
-    "part": Form(v.text(1, 255), many=True),
-    "at": Form(v.time(0, MAX_TIME_US), required=True),
-    "for": Form(v.time(0, MAX_TIME_US)),
-    "seed": Form(v.whole(0, 2**63)),
-    "share": Form(v.share()),
-    "by": Form(v.time(1_000, MAX_TIME_US)),
-    "says": Form(v.text(1)),
-    "reset": Form(v.yes_or_no),
-    "back": Form(v.yes_or_no),
+    "kind": DirectiveSpec(v.one_of(*KINDS), required=True),
+    "part": DirectiveSpec(v.text(1, 255), multiple=True),
+    "at": DirectiveSpec(v.duration(0, MAX_TIME_US), required=True),
+    "for": DirectiveSpec(v.duration(0, MAX_TIME_US)),
+    "seed": DirectiveSpec(v.integer(0, 2**63)),
+    "share": DirectiveSpec(v.percentage()),
+    "by": DirectiveSpec(v.duration(1_000, MAX_TIME_US)),
+    "says": DirectiveSpec(v.text(1)),
+    "reset": DirectiveSpec(v.boolean),
+    "back": DirectiveSpec(v.boolean),
 }
 
 
 def parse_faults(text: str, file: str) -> tuple[Fault, ...]:
     """The faults of a file's text. Raises `SettingsError`, worded as the settings' are."""
     faults: dict[str, Fault] = {}
-    for section in read(text, file):
+    for section in read_sections(text, file):
         if section.kind != SECTION_KIND or not section.name:
-            raise SettingsError(section.place, f"{section.title} is no [failure NAME]")
+            raise SettingsError(section.location, f"{section.header} is no [failure NAME]")
         if section.name in faults:
             first_line = faults[section.name].place.line
-            raise SettingsError(section.place, f"{section.title} stands twice, first in line {first_line}")
+            raise SettingsError(section.location, f"{section.header} stands twice, first in line {first_line}")
         faults[section.name] = _parse_section(section)
     return tuple(faults.values())
 
 
 def _parse_section(section: Section) -> Fault:
     directives = _directives_by_name(section)
-    fields: dict[str, Any] = {"name": section.name, "place": section.place}
-    for name, form in FORMS.items():
+    fields: dict[str, Any] = {"name": section.name, "place": section.location}
+    for name, spec in FORMS.items():
         if name in directives:
-            fields[FIELDS_BY_DIRECTIVE.get(name, name)] = _parse_directive(directives[name], form)
-        elif form.required:
-            raise SettingsError(section.place, f"{section.title} needs {name}")
+            fields[FIELDS_BY_DIRECTIVE.get(name, name)] = _parse_directive(directives[name], spec)
+        elif spec.required:
+            raise SettingsError(section.location, f"{section.header} needs {name}")
     _check_kind_directives(section, fields["kind"], directives)
     return Fault(**fields)
 
@@ -68,30 +68,30 @@
     directives: dict[str, Directive] = {}
     for directive in section.directives:
         if directive.name not in FORMS:
-            raise SettingsError(directive.place, f"a failure knows no {directive.name}")
+            raise SettingsError(directive.location, f"a failure knows no {directive.name}")
         if directive.name in directives:
-            raise SettingsError(directive.place, f"{directive.name} stands twice")
+            raise SettingsError(directive.location, f"{directive.name} stands twice")
         directives[directive.name] = directive
     return directives
 
 
-def _parse_directive(directive: Directive, form: Form) -> Any:
-    if not directive.values or (len(directive.values) > 1 and not form.many):
-        raise SettingsError(directive.place, f"{directive.name} takes {'values' if form.many else 'one value'}")
+def _parse_directive(directive: Directive, spec: DirectiveSpec) -> Any:
+    if not directive.values or (len(directive.values) > 1 and not spec.multiple):
+        raise SettingsError(directive.location, f"{directive.name} takes {'values' if spec.multiple else 'one value'}")
     try:
-        values = tuple(form.read(word) for word in directive.values)
+        values = tuple(spec.parse(word) for word in directive.values)
     except ValueError as error:
-        raise SettingsError(directive.place, f"{directive.name}: {error}") from None
-    return values if form.many else values[0]
+        raise SettingsError(directive.location, f"{directive.name}: {error}") from None
+    return values if spec.multiple else values[0]
 
 
 def _check_kind_directives(section: Section, kind_name: str, directives: dict[str, Directive]) -> None:
     kind = KINDS[kind_name]
     for name in KIND_DIRECTIVES:
         if name == kind.required and name not in directives:
-            raise SettingsError(section.place, f"{kind_name} needs {name}")
+            raise SettingsError(section.location, f"{kind_name} needs {name}")
         if name in directives and name not in (kind.required, kind.optional):
-            raise SettingsError(directives[name].place, f"{name} means nothing to {kind_name}")
+            raise SettingsError(directives[name].location, f"{name} means nothing to {kind_name}")
 
 
 def format_faults(faults: Iterable[Fault]) -> str:
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -37,7 +37,7 @@
     page, agent = s.checks
     assert (page.name, page.tier, page.expect_status) == ("page", "all", ((200, 299), (304, 304)))
     assert page.expect_body == 'all "fine" # really' and page.most_bytes == 4096
-    assert (agent.send, agent.interval_us, agent.place.line) == ("ask\n", 250_000, 17)
+    assert (agent.send, agent.interval_us, agent.location.line) == ("ask\n", 250_000, 17)
 
 
 def test_nothing_is_on_in_an_empty_file():
