--- a/rookbend/__main__.py
+++ b/rookbend/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m rookbend`: serves, unless a sub-command says otherwise."""
+"""`python -m rookbend`: the command line, which runs a director unless it names a sub-command."""
 
 import sys
 
--- a/rookbend/assembly.py
+++ b/rookbend/assembly.py
@@ -1,4 +1,4 @@
-"""Builds, from its configuration, what every director has."""
+"""Builds the objects that every director has from its configuration."""
 
 from __future__ import annotations
 
@@ -24,26 +24,26 @@
 
 
 class ListenError(Exception):
-    """The address to serve on, or that of a component or for the peers, can't be bound."""
+    """An address can't be bound: the one for clients, the one for peers, or one of a component."""
 
 
 @dataclass(frozen=True, slots=True)
 class OpenSockets:
-    """The listener for clients, and the socket to the peers where there are any."""
+    """The listener for clients, and the socket to the peers; None without a peer address in the configuration."""
 
     listener: socket
     peers: PeerSocket | None
 
 
 def build_engine(config: Config, clock: Clock, counters: Counters, log: Callable[..., None]) -> Engine:
-    """The engine with its router, whose random choices are seeded by the configuration."""
+    """Builds the engine with its router, whose random choices are seeded by the configuration."""
     settings = config.router_settings()
     router = Router(settings, int(config.seed, 16))
     return Engine(settings, router, clock, counters, log)
 
 
 def build_watch(config: Config, engine: Engine) -> Watch:
-    """What follows the coordinator's events."""
+    """Builds the watch, which follows the coordinator's event stream."""
     translator = Translator(config.settings.zones, config.settings.kinds)
     return Watch(engine, translator, coordinator_address(config), int(config.seed, 16))
 
@@ -56,14 +56,14 @@
     write_scheduler: WriteScheduler,
     budget: ResourceBudget,
 ) -> Pool:
-    """The connections to members; their tasks run in `nursery`."""
+    """Builds the pool of connections to members; its tasks run in `nursery`."""
     limits = config.settings.limits
     max_connections = budget.max_member_connections()
     return Pool(engine, counters, nursery, write_scheduler, limits.max_streams, limits.idle_close_us, max_connections)
 
 
 def open_sockets(context: ComponentContext, components: Sequence[Component]) -> OpenSockets:
-    """Binds all addresses, those of the components as well. Raises ListenError."""
+    """Binds all addresses, including those of the components. Raises ListenError."""
     try:
         listener = context.listeners.tcp(split_address(context.config.listen))
         peers = _open_peers(context) if context.config.peer_listen else None
--- a/rookbend/config.py
+++ b/rookbend/config.py
@@ -1,4 +1,4 @@
-"""The director's configuration: `NODE_*` and the JSON file it names, as typed values."""
+"""The director's configuration: `NODE_*` environment variables and the JSON file that `NODE_CONFIG` names."""
 
 from __future__ import annotations
 
@@ -29,24 +29,24 @@
 MAX_PORT = 65535
 
 ROOT = Path(__file__).parent.parent
-# A checkout has the file under deploy/, a plain installation under its prefix.
+# A checkout has the file under deploy/, an installed package under `sys.prefix`.
 SETTINGS_FILE = (
     ROOT / "deploy" if (ROOT / "pyproject.toml").exists() else Path(sys.prefix) / "etc" / "rookbend"
 ) / "rookbend.conf"
 
 
 class ConfigError(Exception):
-    """The configuration can't be used; the text is one line that names the file, the key and the value."""
+    """The configuration can't be used. The message is one line that names the file, the key and the value."""
 
 
 class Config(msgspec.Struct):
-    """The configuration of one director. Addresses are HOST:PORT; an empty one stands for none."""
+    """The configuration of one director. Addresses are HOST:PORT, or empty where there is none."""
 
     name: str
     listen: str
     settings: PlatformSettings
     coordinator: str = ""
-    operator: str = ""  # where the operator endpoint listens
+    operator: str = ""  # address of the operator endpoint
     seed: str = "0"  # hexadecimal
     limits: ProcessLimits = msgspec.field(default_factory=ProcessLimits)
     peer_listen: str = ""
@@ -55,19 +55,19 @@
     flow_bytes_per_s: float = 0.0
     link_bytes_per_s: float = 0.0
     known: Known = msgspec.field(default_factory=Known)
-    keys: Any = None  # those that the file has, set by `load`: see operations/reload_validation.py
+    keys: Any = None  # the keys of the file, set by `load`; see operations/reload_validation.py
 
     def router_settings(self) -> api.Settings:
-        """The settings of the router."""
+        """The platform's settings as the router takes them."""
         return to_router_settings(self.settings)
 
 
-def load_all(environ: Mapping[str, str], before: Config | None = None) -> tuple[Config, Settings]:
-    """The configuration, and the operators' settings as far as it permits them.
+def load_all(environ: Mapping[str, str], previous: Config | None = None) -> tuple[Config, Settings]:
+    """Loads the configuration and the operators' settings, and checks that the platform permits them.
 
     Raises ConfigError or SettingsError.
     """
-    config = load(environ, before)
+    config = load(environ, previous)
     operators = settings.load(environ, SETTINGS_FILE)
     limits = config.settings.limits
     has_peers = limits.allows_peer_messages and bool(config.peer_listen and config.peers)
@@ -75,11 +75,11 @@
     return config, operators
 
 
-def load(environ: Mapping[str, str], before: Config | None = None) -> Config:
-    """The configuration that `NODE_CONFIG` names.
+def load(environ: Mapping[str, str], previous: Config | None = None) -> Config:
+    """Loads the configuration file that `NODE_CONFIG` names.
 
-    `NODE_NAME`, `NODE_LISTEN` and `NODE_OPERATOR` override the file. With one from `before`, at a reload, the
-    file has to have every key that the earlier one had. Raises ConfigError.
+    `NODE_NAME`, `NODE_LISTEN` and `NODE_OPERATOR` override the file. At a reload `previous` is the configuration in
+    force, and the file must have every key that the previous file had. Raises ConfigError.
     """
     path = environ.get("NODE_CONFIG")
     if not path:
@@ -92,8 +92,8 @@
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
         raise ConfigError(f"NODE_CONFIG is not usable: {path}: {error}") from None
     raw = msgspec.json.decode(text)
-    if before is not None and (missing_key := reload_validation.first_missing_key(before.keys, raw)):
-        raise ConfigError(f"NODE_CONFIG lacks {missing_key}: {path}")
+    if previous is not None and (missing_key := reload_validation.first_missing_key(previous.keys, raw)):
+        raise ConfigError(f"NODE_CONFIG lacks the key {missing_key}: {path}")
     config.keys = reload_validation.key_structure(raw)
     config.name = environ.get("NODE_NAME", config.name)
     config.listen = environ.get("NODE_LISTEN", config.listen)
@@ -108,7 +108,7 @@
 def check(config: Config) -> None:
     """Raises ConfigError for values that can't be used."""
     if not config.listen:
-        raise ConfigError("no address to listen on")
+        raise ConfigError("listen is empty: HOST:PORT expected")
     for name in ("listen", "operator", "coordinator", "peer_listen", "peers_all"):
         _check_address(name, getattr(config, name))
     for peer in config.peers:
@@ -116,14 +116,14 @@
     try:
         int(config.seed, 16)
     except ValueError:
-        raise ConfigError(f"seed is no hexadecimal number: {config.seed!r}") from None
+        raise ConfigError(f"seed is not a hexadecimal number: {config.seed!r}") from None
     _check_settings(config.settings)
     if config.limits.sockets < MIN_SOCKETS or config.limits.memory_mb < MIN_MEMORY_MB:
-        raise ConfigError("the limits are too low to serve with")
+        raise ConfigError(f"limits are too low: at least {MIN_SOCKETS} sockets and {MIN_MEMORY_MB} MB are needed")
 
 
 def _check_address(name: str, address: str) -> None:
-    """HOST:PORT, or empty."""
+    """Raises ConfigError unless the address is HOST:PORT or empty."""
     if not address:
         return
     try:
@@ -131,13 +131,13 @@
     except ValueError:
         host, port = "", -1
     if not host or not 0 <= port <= MAX_PORT:
-        raise ConfigError(f"{name} is no HOST:PORT: {address!r}")
+        raise ConfigError(f"{name} is not HOST:PORT: {address!r}")
 
 
 def _check_settings(platform: PlatformSettings) -> None:
-    """Errors name values by their path in the file."""
+    """Checks the platform's settings. Errors name values by their path in the file."""
     if not platform.classes:
-        raise ConfigError("settings.lanes names no class")
+        raise ConfigError("settings.lanes is empty: at least one traffic class is needed")
     for index, traffic_class in enumerate(platform.classes):
         earlier_names = [earlier.name for earlier in platform.classes[:index]]
         _check_class(traffic_class, f"settings.lanes[{index}]", earlier_names)
@@ -147,7 +147,7 @@
 
 def _check_class(traffic_class: TrafficClassConfig, path: str, earlier_names: Sequence[str]) -> None:
     if not traffic_class.name or traffic_class.name in earlier_names:
-        raise ConfigError(f"{path}.name is empty or taken: {traffic_class.name!r}")
+        raise ConfigError(f"{path}.name is empty or a duplicate: {traffic_class.name!r}")
     if traffic_class.idempotency not in EFFECTS:
         raise ConfigError(f"{path}.effect is unknown: {traffic_class.idempotency!r}")
     _check_positive(
@@ -163,7 +163,7 @@
         ("repeatWindowUs", traffic_class.idempotency_key_window_us),
     ):
         if value < 0:
-            raise ConfigError(f"{path}.{key} is below 0: {value}")
+            raise ConfigError(f"{path}.{key} is negative: {value}")
 
 
 def _check_limits(limits: RouterLimitsConfig) -> None:
@@ -182,7 +182,7 @@
 def _check_positive(path: str, values: Iterable[tuple[str, int]]) -> None:
     for key, value in values:
         if value <= 0:
-            raise ConfigError(f"{path}.{key} is not over 0: {value}")
+            raise ConfigError(f"{path}.{key} is not positive: {value}")
 
 
 def _check_lists_by_class(caching: CachingConfig, class_count: int) -> None:
@@ -195,4 +195,6 @@
     )
     for name, values in lists:
         if values and len(values) != class_count:
-            raise ConfigError(f"settings.familyInfo has {len(values)} of {name} for {class_count} classes")
+            raise ConfigError(
+                f"settings.familyInfo has {len(values)} values of {name} for {class_count} traffic classes"
+            )
