--- a/rookbend/drain.py
+++ b/rookbend/drain.py
@@ -1,8 +1,8 @@
-"""The end of a director: everything that it has accepted is answered before it leaves.
+"""Graceful shutdown of a director: every request that it has accepted is answered before the process exits.
 
-Clients are notified at once. Requests that arrive within the grace time are served, later ones rejected with a
-Retry-After. The listener closes after what waited in it was accepted, and a client's connection once nothing is owed
-and nothing readable is left on it.
+Clients are notified at once. Requests that arrive within the grace period are served, later ones rejected with a
+Retry-After. The listener closes after the connections in its backlog were accepted. A client's connection closes once
+no request is open and no received bytes are unread on it.
 """
 
 from __future__ import annotations
@@ -22,15 +22,15 @@
 if TYPE_CHECKING:
     from rookbend.net.upgrade import Upgrade
 
-GRACE_US = 700_000  # after SIGTERM new requests still arrive for this long, and are served
-MAX_ANSWER_TIME_US = 3_000_000  # longer deadlines are cut to this: SIGKILL may come 0.7 s after it
-KILL_MARGIN_US = 200_000  # everything is answered so long before SIGKILL
+GRACE_US = 700_000  # new requests that arrive within this time after SIGTERM are served
+MAX_ANSWER_TIME_US = 3_000_000  # longer deadlines are cut to this time: SIGKILL may come 0.7 s after it
+KILL_MARGIN_US = 200_000  # everything is answered this long before SIGKILL may come
 POLL_INTERVAL_S = 0.01
 
 
 @dataclass(frozen=True, slots=True)
 class DrainContext:
-    """What the drain needs of a director. `upgrade` is None where no other process can take over."""
+    """The parts of a director that the drain uses. `upgrade` is None where no other process can take over."""
 
     clock: Clock
     engine: Engine
@@ -40,49 +40,52 @@
 
 
 class Drain:
-    """Answers what a director has accepted, then ends its connections."""
+    """Answers every request that a director has accepted, then closes its connections."""
 
     def __init__(self, context: DrainContext) -> None:
         self._context = context
-        self._began_us = 0  # 0: it has not begun
+        self._started_us = 0  # 0 before the drain
 
     def is_grace_over(self) -> bool:
-        """Whether the drain has begun and new requests are rejected."""
-        return bool(self._began_us) and self._context.clock.now() >= self._began_us + GRACE_US
+        """Whether the grace period of a drain is over, so that new requests are rejected."""
+        return bool(self._started_us) and self._context.clock.now() >= self._started_us + GRACE_US
 
-    async def run(self, accepting: trio.CancelScope) -> None:
-        """Returns once everything is answered, or has to be since the process may be killed."""
+    async def run(self, accept_scope: trio.CancelScope) -> None:
+        """Returns once everything is answered, or when its time is over since the process may be killed.
+
+        `accept_scope` is the cancel scope of the task that accepts clients.
+        """
         context = self._context
-        self._began_us = context.clock.now()
-        self._prepare_upgrade(accepting)
+        self._started_us = context.clock.now()
+        self._prepare_upgrade(accept_scope)
         context.client_listener.announce_closing()
-        answered_by_us = self._began_us + self._time_to_answer_us()
+        answered_by_us = self._started_us + self._answer_time_us()
         context.engine.finish_all_by(answered_by_us)
         for component in context.components:
             component.drain(answered_by_us)
-        await trio.sleep_until(context.clock.monotonic_at(self._began_us + GRACE_US))
-        await self._stop_accepting(accepting)
+        await trio.sleep_until(context.clock.monotonic_at(self._started_us + GRACE_US))
+        await self._stop_accepting(accept_scope)
         while self._is_busy() and context.clock.now() < answered_by_us + TIMER_STEP_US:
             context.client_listener.close_idle_clients()
             await trio.sleep(POLL_INTERVAL_S)
 
-    def _prepare_upgrade(self, accepting: trio.CancelScope) -> None:
+    def _prepare_upgrade(self, accept_scope: trio.CancelScope) -> None:
         upgrade = self._context.upgrade
         if upgrade is None:
             return
         upgrade.handover.shutdown_requested()
         if upgrade.handover.taken_over:
-            # The next process accepts from the same queue: nothing that waits in it is lost.
-            accepting.cancel()
+            # The new process accepts from the same backlog, so no waiting connection is lost.
+            accept_scope.cancel()
 
-    async def _stop_accepting(self, accepting: trio.CancelScope) -> None:
-        accepting.cancel()
+    async def _stop_accepting(self, accept_scope: trio.CancelScope) -> None:
+        accept_scope.cancel()
         await self._context.client_listener.accepted_all.wait()
         for component in self._context.components:
             component.stop_taking()
 
-    def _time_to_answer_us(self) -> int:
-        """How long after SIGTERM everything accepted has its answer: before SIGKILL may come."""
+    def _answer_time_us(self) -> int:
+        """The time after SIGTERM within which every accepted request is answered: less than until SIGKILL may come."""
         classes = self._context.engine.settings.classes
         longest_us = max(traffic_class.deadline_us for traffic_class in classes)
         return min(longest_us, MAX_ANSWER_TIME_US) + GRACE_US - KILL_MARGIN_US
--- a/rookbend/reload.py
+++ b/rookbend/reload.py
@@ -1,6 +1,6 @@
-"""SIGHUP: configuration and operators' settings are read again, and applied whole or rejected whole.
+"""Reload on SIGHUP: reads the configuration and the operators' settings again and applies all of them or none.
 
-Nothing is awaited here, so no request sees a part of a reload.
+Nothing is awaited during a reload, so no request sees a partial one.
 """
 
 from __future__ import annotations
@@ -20,26 +20,26 @@
 from rookbend.protocol.coordinator_stream import split_address
 from rookbend.settings import Settings, SettingsError
 
-# Of the configuration, what a reload does not change since it is built into what runs.
-FIXED_AT_START = ("name", "listen", "operator", "limits", "peer_listen", "peers", "peers_all")
-# Of the platform's settings, what is fixed at the start: the names that events of the coordinator are translated by.
-FIXED_NAME_LISTS = ("zones", "kinds")
-# Of the operators' settings, what a reload changes.
+# Keys of the configuration that need a restart, since running objects are built from them.
+RESTART_ONLY_KEYS = ("name", "listen", "operator", "limits", "peer_listen", "peers", "peers_all")
+# Lists of the platform's settings that need a restart: coordinator events are translated by the names in them.
+RESTART_ONLY_LISTS = ("zones", "kinds")
+# Sections of the operators' settings that a reload changes.
 RELOADABLE_SECTIONS = ("health", "checks")
-# Of other sections, the options that a reload changes where the section is on before and after.
+# Options of other sections that a reload changes if the section is enabled before and after it.
 RELOADABLE_OPTIONS = {"ownership": ("voters",)}
 
 ReadConfig = Callable[[Config], tuple[Config, Settings]]
 
 
 def coordinator_address(config: Config) -> tuple[str, int] | None:
-    """Host and port of the coordinator; None where the configuration has none."""
+    """The coordinator's host and port; None where the configuration names no coordinator."""
     return split_address(config.coordinator) if config.coordinator else None
 
 
 @dataclass(slots=True)
 class ReloadContext:
-    """What a reload changes. `config` and `operators` are those in force."""
+    """The objects that a reload changes. `config` and `operators` are the values in force."""
 
     config: Config
     operators: Settings
@@ -48,30 +48,33 @@
     components: Sequence[Component]
     counters: Counters
     log: Callable[..., None]
-    apply_connection_limits: Callable[[int, int], None]  # streams a connection at most, idle time in microseconds
+    apply_connection_limits: Callable[[int, int], None]  # streams per connection, idle time in microseconds
     has_health: bool
 
 
 class Reload:
-    """Reads the files again; see the module."""
+    """Carries out reloads; see the module."""
 
-    def __init__(self, context: ReloadContext, read: ReadConfig) -> None:
-        """`read(config in force)` returns what the files say now. Raises ConfigError or SettingsError."""
+    def __init__(self, context: ReloadContext, read_config: ReadConfig) -> None:
+        """`read_config` takes the configuration in force and returns what the files contain now.
+
+        It raises ConfigError or SettingsError.
+        """
         self._context = context
-        self._read = read
+        self._read_config = read_config
 
     def __call__(self) -> None:
-        """Applies what the files say now, or logs why they are rejected."""
+        """Applies the files as they are now, or logs why they are rejected."""
         context = self._context
         old = context.config
         try:
-            new, operators = self._read(old)
+            new, operators = self._read_config(old)
         except (ConfigError, SettingsError) as error:
             context.counters.reloads_failed += 1
             context.log("reload_failed", "error", reason=str(error))
             return
         context.counters.reloads_ok += 1
-        not_applied = [name for name in FIXED_AT_START if getattr(new, name) != getattr(old, name)]
+        not_applied = [name for name in RESTART_ONLY_KEYS if getattr(new, name) != getattr(old, name)]
         changed, fixed_settings = self._apply_platform_settings(old, new)
         not_applied += fixed_settings
         context.config = msgspec.structs.replace(old, coordinator=new.coordinator, settings=new.settings, keys=new.keys)
@@ -86,14 +89,16 @@
         )
 
     def _apply_platform_settings(self, old: Config, new: Config) -> tuple[list[str], list[str]]:
-        """Returns the names of what has changed, and of what needs a restart."""
+        """Returns the names of the settings that have changed, and of those that need a restart."""
         engine = self._context.engine
-        not_applied = [name for name in FIXED_NAME_LISTS if getattr(old.settings, name) != getattr(new.settings, name)]
-        for name in FIXED_NAME_LISTS:
+        not_applied = [
+            name for name in RESTART_ONLY_LISTS if getattr(old.settings, name) != getattr(new.settings, name)
+        ]
+        for name in RESTART_ONLY_LISTS:
             setattr(new.settings, name, getattr(old.settings, name))
-        wanted = new.router_settings()
-        not_applied += reload_validation.restart_required(engine.settings, wanted)
-        settings = reload_validation.merge_settings(engine.settings, wanted)
+        requested = new.router_settings()
+        not_applied += reload_validation.restart_required(engine.settings, requested)
+        settings = reload_validation.merge_settings(engine.settings, requested)
         changed = reload_validation.effective_changes(engine.settings, settings)
         if changed:
             engine.apply_settings(settings)
@@ -101,7 +106,7 @@
         return changed, not_applied
 
     def _apply_operators_settings(self, operators: Settings) -> list[str]:
-        """Returns the sections that need a restart. Health can be changed, but not turned on or off."""
+        """Returns the sections that need a restart. A reload can change [health], but not enable or disable it."""
         context = self._context
         can_reload = context.has_health and operators.health is not None
         not_applied = [
@@ -116,18 +121,18 @@
         for name in RELOADABLE_OPTIONS:
             before, after = getattr(context.operators, name), getattr(operators, name)
             if before is not None and after is not None:
-                applied[name] = _with_options_of(before, after, name)
+                applied[name] = _with_reloadable_options(before, after, name)
         context.operators = msgspec.structs.replace(context.operators, **applied)
         return not_applied
 
 
-def _with_options_of(section: msgspec.Struct, other: msgspec.Struct, name: str) -> msgspec.Struct:
-    """The section with the other's values of the options that a reload changes."""
+def _with_reloadable_options(section: msgspec.Struct, other: msgspec.Struct, name: str) -> msgspec.Struct:
+    """The section with its reloadable options set to those of `other`."""
     return msgspec.structs.replace(section, **{option: getattr(other, option) for option in RELOADABLE_OPTIONS[name]})
 
 
 def _needs_restart(name: str, before: Any, after: Any) -> bool:
-    """Whether a section has changed in more than what a reload changes."""
+    """Whether a section has changed in more than its reloadable options."""
     if name in RELOADABLE_OPTIONS and before is not None and after is not None:
-        return bool(_with_options_of(before, after, name) != after)
+        return bool(_with_reloadable_options(before, after, name) != after)
     return bool(before != after)
--- a/rookbend/service.py
+++ b/rookbend/service.py
@@ -1,7 +1,7 @@
-"""The lifecycle of a director: one object, whose phases are named states.
+"""The lifecycle of a director.
 
-What every director has is built here; what the operators' settings enable comes from `rookbend.components`, behind
-the one interface of `net/component.py`.
+The objects that every director has are built here. Those that the operators' settings enable come from
+`rookbend.components` and have the interface of `net/component.py`.
 """
 
 from __future__ import annotations
@@ -45,8 +45,8 @@
 
     STARTING = "starting"  # reads the membership, opens its sockets
     READY = "ready"  # accepts requests
-    DRAINING = "draining"  # was requested to stop: answers what it has accepted
-    STOPPED = "stopped"  # everything is answered, nothing is accepted any more
+    DRAINING = "draining"  # has been told to stop: answers what it has accepted
+    STOPPED = "stopped"  # everything is answered; nothing more is accepted
 
 
 class Service:
@@ -56,10 +56,10 @@
         self,
         config: Config,
         operators: Settings | None = None,
-        unix: Callable[[], float] = time.time,
+        wall_clock: Callable[[], float] = time.time,
         read_config: ReadConfig | None = None,
     ) -> None:
-        """`unix` is the system clock; `read_config` reads the files again at a reload."""
+        """`wall_clock` returns Unix time in seconds; `read_config` reads the files again at a reload."""
         self.config = config
         self.operators = operators or Settings()
         self.phase = Phase.STARTING
@@ -72,14 +72,14 @@
         self.write_scheduler = WriteScheduler()
         self.listeners = Listeners()
         self.budget = ResourceBudget(config.limits)
-        self.clock = Clock(trio.lowlevel.current_clock().current_time, unix)
+        self.clock = Clock(trio.lowlevel.current_clock().current_time, wall_clock)
         self.log = Log(self.clock.now, **msgspec.structs.asdict(self.operators.log))
         self._build_core()
         self._build_components()
         self._build_lifecycle(read_config or (lambda before: (config, self.operators)))
 
     def _build_core(self) -> None:
-        """The engine, and what stands between it and the coordinator and the clients."""
+        """Builds the engine, the watch of the coordinator, the listener for clients and the process metrics."""
         self.engine = build_engine(self.config, self.clock, self.counters, self.log)
         self.watch = build_watch(self.config, self.engine)
         self.client_listener = ClientListener(
@@ -92,7 +92,7 @@
         self.metrics = ProcessMetrics(self.engine, self.client_listener, self.budget, self.operators.headroom.lag_us)
 
     def _build_components(self) -> None:
-        """What the operators' settings enable; what is off is None."""
+        """Builds the components that the operators' settings enable. Attributes of disabled ones are None or empty."""
         self.context = ComponentContext(
             self.config,
             self.operators,
@@ -121,7 +121,7 @@
             self.upgrade.changed = self._divide_budget
 
     def _build_lifecycle(self, read_config: ReadConfig) -> None:
-        """What SIGHUP and SIGTERM set off."""
+        """Builds what SIGHUP and SIGTERM start: the reload and the drain."""
         self.reload = Reload(
             ReloadContext(
                 self.config,
@@ -139,20 +139,20 @@
         self.drain = Drain(DrainContext(self.clock, self.engine, self.client_listener, self.components, self.upgrade))
 
     def is_ready(self) -> bool:
-        """Whether requests can be served: not before one member is known to be in service."""
+        """Whether requests can be served, which needs at least one member in service."""
         return self.phase is Phase.READY and self.engine.has_member_in_service() and self.context.may_report_ready()
 
     def reported_phase(self) -> str:
-        """The phase as balancers in front read it: not ready while a component holds it back."""
+        """The phase reported to balancers in front: `starting` for as long as a component delays readiness."""
         is_held_back = self.phase is Phase.READY and not self.context.may_report_ready()
         return (Phase.STARTING if is_held_back else self.phase).value
 
     def is_closed(self) -> bool:
-        """Whether new requests are rejected, since the drain's grace time is over."""
+        """Whether new requests are rejected, since the drain's grace period is over."""
         return self.drain.is_grace_over()
 
     def stop(self) -> None:
-        """Begins the drain. A second call changes nothing."""
+        """Starts the drain. A second call has no effect."""
         self._stopping.set()
 
     async def run(self, signals: AsyncIterator[int] | None = None) -> None:
@@ -164,16 +164,16 @@
         self.peers = sockets.peers
         self.engine.peers = sockets.peers
         async with trio.open_nursery() as nursery:
-            accepting = self._start_tasks(nursery, sockets.listener, signals)
+            accept_scope = self._start_tasks(nursery, sockets.listener, signals)
             for component in self.components:
                 component.start(nursery)
-            # What is built by now stays: a collection of it would stall every request for nothing.
+            # The objects built so far stay: scanning them in each garbage collection would stall requests for nothing.
             gc.freeze()
             self._enter(Phase.READY)
             self.ready.set()
             await self._stopping.wait()
             self._enter(Phase.DRAINING)
-            await self.drain.run(accepting)
+            await self.drain.run(accept_scope)
             for component in self.components:
                 component.leave()
             nursery.cancel_scope.cancel()
@@ -183,7 +183,7 @@
     def _start_tasks(
         self, nursery: trio.Nursery, listener: socket, signals: AsyncIterator[int] | None
     ) -> trio.CancelScope:
-        """Starts what every director runs; returns the scope that accepts clients."""
+        """Starts the tasks of every director; returns the cancel scope of the task that accepts clients."""
         pool = build_pool(self.config, self.engine, self.counters, nursery, self.write_scheduler, self.budget)
         self.pool = pool
         self.metrics.pool = pool
@@ -200,9 +200,9 @@
         nursery.start_soon(self.client_listener.watch_clients)
         nursery.start_soon(self.watch.run)
         nursery.start_soon(pool.close_idle_connections)
-        accepting = trio.CancelScope()
-        nursery.start_soon(self.client_listener.serve, listener, accepting)
-        return accepting
+        accept_scope = trio.CancelScope()
+        nursery.start_soon(self.client_listener.serve, listener, accept_scope)
+        return accept_scope
 
     def _enter(self, phase: Phase) -> None:
         self.phase = phase
@@ -216,7 +216,7 @@
             self.pool.adopt(max_streams, idle_close_us)
 
     def _divide_budget(self) -> None:
-        """Another process of this director has come, serves, or has gone: each keeps to its part of the limits."""
+        """Applies this process's share of the limits: called when another process starts, serves or exits."""
         if self.upgrade is None or self.pool is None:
             return
         handover = self.upgrade.handover
@@ -243,7 +243,7 @@
     on_signals_received: Callable[[], None] = lambda: None,
 ) -> None:
     """Runs a director until SIGTERM or SIGINT. SIGHUP reads configuration and settings again, SIGUSR1 logs the
-    counters. `on_signals_received` is called once signals are received here."""
+    counters. `on_signals_received` is called once the signal handlers are installed."""
     with trio.open_signal_receiver(*SIGNALS) as signals:
         on_signals_received()
         await Service(config, operators, read_config=read_config).run(signals)
