--- a/rookbend/logs.py
+++ b/rookbend/logs.py
@@ -21,7 +21,7 @@
 NEVER_DROPPED = frozenset({"starting", "ready", "draining", "stopped", "counters"})
 
 
-class EventBudget:
+class EventRateLimiter:
     """How many lines of each event may be written: `burst` at once, and as many again in `per_us`."""
 
     def __init__(self, burst: int, per_us: int) -> None:
@@ -57,7 +57,7 @@
         """`format` is text or json; without a `file` lines go to standard error."""
         self._now = now
         self._lowest_level = LEVELS[level]
-        self._budget = EventBudget(burst, per_us)
+        self._budget = EventRateLimiter(burst, per_us)
         self._logger = structlog.wrap_logger(
             structlog.PrintLogger(file or sys.stderr),
             cache_logger_on_first_use=True,
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -8,7 +8,7 @@
 import trio
 
 from rookbend.cli import members, tables
-from rookbend.logs import EventBudget, Log
+from rookbend.logs import EventRateLimiter, Log
 from tests.health_scenarios import AGENT, on_health
 
 ADMIN = AGENT + "[admin]\n listen 127.0.0.1:0\n metrics yes\n"
@@ -97,7 +97,7 @@
 
 
 def test_an_event_that_repeats_is_counted_not_written():
-    budget = EventBudget(burst=2, per_us=10 * SECOND)
+    budget = EventRateLimiter(burst=2, per_us=10 * SECOND)
     assert [budget.admit(0, "garbage") for _ in range(5)] == [0, 0, -1, -1, -1]
     assert budget.admit(0, "other") == 0, "each event has its own"
     assert budget.admit(5 * SECOND, "garbage") == 3 and budget.admit(5 * SECOND, "garbage") == -1
