--- a/rookbend/logs.py
+++ b/rookbend/logs.py
@@ -1,8 +1,8 @@
 """Structured logging: one function, `log(event, level, **fields)`, on structlog.
 
 An event has a fixed name (docs/ONCALL.md lists them) and fields. Text is `key=value` (logfmt); JSON is one object a
-line. Each event has a budget of its own: beyond it lines are dropped, and the next that is written reports their
-number in `dropped`. Nothing is logged per request.
+line. Each event has its own rate limit: lines above it are dropped, and the next line written reports their number in
+`dropped`. Nothing is logged per request.
 """
 
 from __future__ import annotations
@@ -22,28 +22,28 @@
 
 
 class EventRateLimiter:
-    """How many lines of each event may be written: `burst` at once, and as many again in `per_us`."""
+    """Limits the lines of each event: `burst` lines at once, and as many again in `per_us`."""
 
     def __init__(self, burst: int, per_us: int) -> None:
         self.burst = burst
         self.rate = burst * US_PER_S / per_us
-        # By event, with the lines dropped since the last one written. Bounded: the names of events are fixed.
-        self.rows: dict[str, tuple[TokenBucket, int]] = {}
+        # By event: its bucket and the lines dropped since the last one written. Bounded, since event names are fixed.
+        self.buckets: dict[str, tuple[TokenBucket, int]] = {}
 
     def admit(self, now_us: int, event: str) -> int:
-        """Returns how many lines of this event were dropped since the last one; -1 where this one is dropped too."""
+        """Returns the number of lines of this event dropped since the last one written; -1 if this one is dropped."""
         if event in NEVER_DROPPED:
             return 0
-        bucket, dropped = self.rows.get(event) or (TokenBucket(self.rate, self.burst), 0)
+        bucket, dropped = self.buckets.get(event) or (TokenBucket(self.rate, self.burst), 0)
         if bucket.take(now_us):
-            self.rows[event] = (bucket, 0)
+            self.buckets[event] = (bucket, 0)
             return dropped
-        self.rows[event] = (bucket, dropped + 1)
+        self.buckets[event] = (bucket, dropped + 1)
         return -1
 
 
 class Log:
-    """The function that all components are given. `now` is the time in microseconds of the director's clock."""
+    """The log function of all components. `now` returns the time of the director's clock in microseconds."""
 
     def __init__(
         self,
@@ -54,10 +54,10 @@
         per_us: int = 10 * US_PER_S,
         file: TextIO | None = None,
     ) -> None:
-        """`format` is text or json; without a `file` lines go to standard error."""
+        """`format` is "text" or "json". Lines go to `file`, by default to standard error."""
         self._now = now
         self._lowest_level = LEVELS[level]
-        self._budget = EventRateLimiter(burst, per_us)
+        self._rate_limiter = EventRateLimiter(burst, per_us)
         self._logger = structlog.wrap_logger(
             structlog.PrintLogger(file or sys.stderr),
             cache_logger_on_first_use=True,
@@ -69,15 +69,15 @@
         )
 
     def __call__(self, event: str, level: str = "info", **fields: Any) -> None:
-        """Writes one line, unless its level is too low or the budget of its event is used up."""
+        """Writes one line, unless its level is too low or its event is above its rate limit."""
         if LEVELS[level] < self._lowest_level:
             return
-        dropped = self._budget.admit(self._now(), event)
+        dropped = self._rate_limiter.admit(self._now(), event)
         if dropped < 0:
             return
         if dropped:
             fields["dropped"] = dropped
-        # The reader of standard error may have gone: no reason to stop serving.
+        # Writing fails if the reader of standard error has exited; the director goes on serving without a log.
         with contextlib.suppress(OSError):
             getattr(self._logger, level)(event, **fields)
 
--- a/rookbend/process_metrics.py
+++ b/rookbend/process_metrics.py
@@ -1,4 +1,4 @@
-"""What a director measures of its own process, and the task that runs the engine's timers."""
+"""Measurements of a director's own process, and the task that runs the engine's timers."""
 
 from __future__ import annotations
 
@@ -23,7 +23,10 @@
 
 
 class ProcessMetrics:
-    """`pool` is there once the director serves. `full_lag_us` is the loop lag that counts as full load."""
+    """Measures event loop lag, load and resource use. `pool` is None until the director serves.
+
+    `full_lag_us` is the event loop lag that counts as full load.
+    """
 
     def __init__(
         self, engine: Engine, client_listener: ClientListener, budget: ResourceBudget, full_lag_us: int
@@ -40,14 +43,14 @@
         self._timer_due_earlier.set()
 
     async def run_timers(self) -> None:
-        """Runs the engine's timers as they are due."""
+        """Runs the engine's timers when they are due."""
         engine = self.engine
         clock = engine.clock
         while True:
             due_us = engine.run_due()
             self._timer_due_earlier = trio.Event()
             if due_us:
-                # Guards the CPU: without a least step, each timer would cost a turn of the loop.
+                # Saves CPU time: without a minimum step, each timer would cost an iteration of the event loop.
                 await trio.sleep_until(clock.monotonic_at(clock.now() + TIMER_STEP_US))
                 with trio.move_on_at(clock.monotonic_at(due_us)):
                     await self._timer_due_earlier.wait()
@@ -55,10 +58,10 @@
                 await self._timer_due_earlier.wait()
 
     async def measure_lag(self) -> None:
-        """Measures how late the loop runs.
+        """Measures the lag of the event loop.
 
-        At an interval of its own: with no request open there is no timer to show it, and a lag that is not
-        measured again would have every request rejected for good.
+        The measurement has its own interval. The engine's timers are not enough: with no request open there is no
+        timer, and a high lag that is not measured again would have every later request rejected.
         """
         clock = self.engine.clock
         while True:
@@ -67,7 +70,7 @@
             self.engine.lag_us = max(0, clock.now() - wake_us)
 
     def sample(self) -> Sample:
-        """The load now, each figure as a share of what is full load."""
+        """The present load, as shares of full load, and the numbers of local caches known and in service."""
         from rookbend.health.spare_capacity import Sample
 
         engine = self.engine
