--- a/rookbend/components/__init__.py
+++ b/rookbend/components/__init__.py
@@ -1,7 +1,7 @@
-"""The optional components of a director: which the operators' settings enable, and in which order they are built.
+"""The optional components of a director: when each of them is enabled, and the order in which they are built.
 
-What is off is not imported: each builder imports its component's modules itself. A new component is one entry of
-`OPTIONAL`. What later components need of an earlier one, it leaves in `context.built`.
+Modules of disabled components are not imported: each builder imports the modules of its component itself. A new
+component is one entry of `OPTIONAL_COMPONENTS`. A component that later ones use is stored in `context.built`.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OptionalComponent:
-    """Whether the settings enable a component, and what builds it."""
+    """Whether the settings enable a component, and the function that builds it."""
 
     is_enabled: Callable[[Settings], bool]
     build: Callable[[ComponentContext], list[Component]]
@@ -85,14 +85,14 @@
     return any((settings.agent_server, settings.http_server, settings.grpc_server))
 
 
-OPTIONAL = (
-    # First: the components that persist something read it as they are built.
+OPTIONAL_COMPONENTS = (
+    # First: components with persisted state read it when they are built.
     OptionalComponent(lambda settings: settings.state is not None, _build_state),
     OptionalComponent(lambda settings: settings.dns is not None, _build_dns),
     OptionalComponent(lambda settings: settings.health is not None, _build_health),
-    # After health, whose place in front of the engine it takes.
+    # After health: recovery receives membership changes before health and passes them on.
     OptionalComponent(lambda settings: settings.recovery is not None, _build_recovery),
-    # After recovery, whose exchange with the peers it uses.
+    # After recovery: ownership uses recovery's exchange of messages with the peers.
     OptionalComponent(lambda settings: settings.ownership is not None, _build_ownership),
     OptionalComponent(_has_own_status, _build_own_status),
     OptionalComponent(lambda settings: settings.admin is not None, _build_admin),
@@ -100,12 +100,12 @@
 
 
 def build_components(context: ComponentContext) -> list[Component]:
-    """Builds what the operators' settings enable, and the operator endpoint where the configuration has one."""
+    """Builds the components that the operators' settings enable, and the operator endpoint if it is configured."""
     components: list[Component] = []
-    for optional in OPTIONAL:
+    for optional in OPTIONAL_COMPONENTS:
         if optional.is_enabled(context.operators):
             components += optional.build(context)
-    # The operator endpoint is the platform's: its address is in the configuration.
+    # The operator endpoint belongs to the platform: the configuration has its address, not the operators' settings.
     if context.config.operator:
         components += _build_operations(context)
     return components
--- a/rookbend/components/admin.py
+++ b/rookbend/components/admin.py
@@ -1,4 +1,4 @@
-"""The admin listener: tables of what runs, orders, and metrics, over HTTP on the loopback."""
+"""The admin listener: status tables, operators' orders and metrics, over HTTP on the loopback interface."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def build_admin(context: ComponentContext) -> Component:
-    """The HTTP server; also in `context.built` as "admin"."""
+    """Builds the HTTP server and stores it in `context.built` as "admin"."""
     settings = context.operators.admin
     assert settings is not None
     health = context.built.get("health")
@@ -29,7 +29,7 @@
     ownership = context.built.get("leases")
     api = AdminApi(
         _tables(context),
-        MemberOrders(health, recovery, ownership).give if health is not None else None,
+        MemberOrders(health, recovery, ownership).submit if health is not None else None,
         _metrics(context) if settings.metrics else None,
         recovery.command if recovery is not None else None,
         ownership,
@@ -40,42 +40,42 @@
 
 
 class MemberOrders:
-    """Carries out operators' orders on members, here or in the whole fleet."""
+    """Carries out operators' orders on members, at this director or in the whole fleet."""
 
     def __init__(self, health: Any, recovery: Any, ownership: Any) -> None:
-        """`recovery` and `ownership` are None where they are off."""
+        """`recovery` and `ownership` are None where they are disabled."""
         self._health = health
         self._recovery = recovery
         self._ownership = ownership
 
-    async def give(self, member: str, order: Order, by: str, fleet: bool) -> CommandResult:
-        """Returns the HTTP status and, unless that is 200, the error."""
+    async def submit(self, member: str, order: Order, operator: str, fleet: bool) -> CommandResult:
+        """Returns the HTTP status and, unless it is 200, the error."""
         if fleet:
-            return await self._give_to_fleet(member, order, by)
+            return await self._submit_to_fleet(member, order, operator)
         server = self._health.service.find(member)
         if server is None:
             return CommandResult(NOT_FOUND, f"no member {member}")
-        # Persisted first: an order that was acknowledged is not undone by a power loss.
+        # Persisted first, so that a power loss does not undo an acknowledged order.
         if self._recovery is not None:
-            fault = await self._recovery.order(member, order.value, by)
-            if fault:
-                return CommandResult(SERVICE_UNAVAILABLE, f"the order on {member} is {fault}")
-        self._health.service.feed(OrderReceived(server, order, by))
+            error = await self._recovery.order(member, order.value, operator)
+            if error:
+                return CommandResult(SERVICE_UNAVAILABLE, f"the order on {member} is {error}")
+        self._health.service.feed(OrderReceived(server, order, operator))
         return CommandResult(OK, "")
 
-    async def _give_to_fleet(self, member: str, order: Order, by: str) -> CommandResult:
+    async def _submit_to_fleet(self, member: str, order: Order, operator: str) -> CommandResult:
         if self._ownership is None:
-            return CommandResult(CONFLICT, "[ownership] is off: no orders for the whole fleet")
+            return CommandResult(CONFLICT, "[ownership] is off: orders for the whole fleet need it")
         if member.startswith(SCOPE_PREFIX):
-            return CommandResult(BAD_REQUEST, f"`member` begins with {SCOPE_PREFIX}, as scopes do: pin them")
-        fault = await self._ownership.order(member, order.value, by)
-        if fault:
-            return CommandResult(SERVICE_UNAVAILABLE, f"the order on {member}: {fault}")
+            return CommandResult(BAD_REQUEST, f"`member` begins with {SCOPE_PREFIX}, so it is a scope: pin it instead")
+        error = await self._ownership.order(member, order.value, operator)
+        if error:
+            return CommandResult(SERVICE_UNAVAILABLE, f"the order on {member}: {error}")
         return CommandResult(OK, "")
 
 
 def _tables(context: ComponentContext) -> dict[str, Callable[[], object]]:
-    """The tables by their path."""
+    """The functions that return the status tables, by path."""
     tables: dict[str, Callable[[], object]] = {}
     health = context.built.get("health")
     recovery = context.built.get("recovery")
@@ -97,7 +97,7 @@
 
 
 def _metrics(context: ComponentContext) -> Callable[[], bytes]:
-    """What renders the metrics. Imported here, since they need an optional package."""
+    """The function that renders the metrics. Its module is imported here, since it needs an optional package."""
     from rookbend.net.metrics import MetricsCollector
 
     def gauges() -> dict[str, float]:
--- a/rookbend/components/dns.py
+++ b/rookbend/components/dns.py
@@ -14,7 +14,7 @@
 
 
 def build_dns(context: ComponentContext) -> Component:
-    """The server; also in `context.built` as "dns"."""
+    """Builds the server and stores it in `context.built` as "dns"."""
     settings = context.operators.dns
     assert settings is not None
     seed = int(context.config.seed, 16)
@@ -26,7 +26,7 @@
         settings.box_name,
         settings.budget_us,
         seed,
-        names=_issued_names(context),
+        issued_names=_issued_names(context),
     )
     server = DnsServer(context, front, resolver, settings.listen)
     context.built["dns"] = server
@@ -34,7 +34,7 @@
 
 
 def _issued_names(context: ComponentContext) -> IssuedNames | None:
-    """What persists the names that the DNS front issues for writes; None where there is no state on disk."""
+    """The store of names that the DNS front issues for writes; None where no state is kept on disk."""
     state: Any = context.built.get("state")
     if state is None:
         return None
--- a/rookbend/components/health_policy.py
+++ b/rookbend/components/health_policy.py
@@ -1,4 +1,4 @@
-"""The health policy that the operators' settings and the platform's rules for cold members amount to."""
+"""The health policy, from the operators' settings and the platform's settings for cold members."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 from rookbend.settings import Check, Settings
 from rookbend.settings.sections import Health
 
-# The capacity share at which slow start begins where the platform's rules know no cold members, but operators do.
+# Initial capacity ratio of slow start where the operators enable it but the platform sets none for cold members.
 DEFAULT_START_RATIO = 0.1
 
 
-def health_policy(settings: Settings, rules: api.Settings) -> HealthPolicy:
-    """The policy for members' health; `settings.health` must be there.
+def health_policy(settings: Settings, router_settings: api.Settings) -> HealthPolicy:
+    """The policy for members' health; [health] must be enabled.
 
-    Slow start follows the platform's rules for cold members, each tier's capacity at first and time to warm up,
-    unless the operators are more careful.
+    Slow start uses the initial capacity and the warm-up time that the platform sets for each tier, unless the
+    operators set a lower capacity or a longer time.
     """
     health = settings.health
     assert health is not None
@@ -30,8 +30,11 @@
         health.passive_hold_us,
         health.weigh,
         (
-            ("cache", _slow_start(health, rules.cold_capacity_ratio, rules.warm_up_us)),
-            ("parent", _slow_start(health, rules.parent_cold_capacity_ratio, rules.parent_warm_up_us)),
+            ("cache", _slow_start(health, router_settings.cold_capacity_ratio, router_settings.warm_up_us)),
+            (
+                "parent",
+                _slow_start(health, router_settings.parent_cold_capacity_ratio, router_settings.parent_warm_up_us),
+            ),
         ),
     )
 
--- a/rookbend/components/own_status.py
+++ b/rookbend/components/own_status.py
@@ -1,4 +1,4 @@
-"""The director's own health and weight, as balancers in front of it read them by agent line, HTTP or gRPC."""
+"""The director's own health and weight, served to the balancers in front by agent line, HTTP or gRPC."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def build_own_status(context: ComponentContext) -> list[Component]:
-    """The sampler and the servers that are enabled; the servers also in `context.built` as "balancer"."""
+    """Builds the sampler and the enabled servers, and stores the servers in `context.built` as "balancer"."""
     settings = context.operators
     spare_capacity = SpareCapacity(settings.headroom.step, settings.headroom.rise_us, settings.headroom.least)
     context.gauges.append(lambda: {"headroom_percent": spare_capacity.weight})
