--- a/rookbend/drain.py
+++ b/rookbend/drain.py
@@ -85,7 +85,7 @@
             component.stop_taking()
 
     def _answer_time_us(self) -> int:
-        """The time after SIGTERM within which every accepted request is answered: less than until SIGKILL may come."""
+        """The time after SIGTERM within which every accepted request is answered, before SIGKILL may come."""
         classes = self._context.engine.settings.classes
         longest_us = max(traffic_class.deadline_us for traffic_class in classes)
         return min(longest_us, MAX_ANSWER_TIME_US) + GRACE_US - KILL_MARGIN_US
--- a/rookbend/fronts/__init__.py
+++ b/rookbend/fronts/__init__.py
@@ -1,1 +1,1 @@
-"""The fronts: each translates one protocol of clients into requests of the core, and answers back."""
+"""The fronts: each translates a client protocol to requests of the engine, and its answers back."""
--- a/rookbend/fronts/dns.py
+++ b/rookbend/fronts/dns.py
@@ -1,8 +1,8 @@
-"""The DNS front: lookups become requests to the core, its answers become replies that name a member.
+"""The DNS front: translates lookups to requests of the engine, and its answers to replies that name a member.
 
-Two guarantees are made here. A member is named only while the membership has it in service, checked again as the
-reply is written: a resolver may go on handing out the name of a member that has drained. And a write's id is
-known for as long as its lookup may be retried: the repeat gets the first one's outcome.
+It gives two guarantees. A reply names a member only while the membership has that member in service; this is checked
+again when the reply is written, since a resolver may still return the address of a member that has drained. The
+request id of a write is known for as long as its lookup may be retried: a repeat gets the outcome of the first.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
     Waiter,
     WaiterKey,
 )
-from rookbend.fronts.dns_outcomes import issued_name, refused, restored_lookup, unnamed
+from rookbend.fronts.dns_outcomes import issued_name, outcome_without_member, refused_outcome, restored_lookup
 from rookbend.interface import Idempotency
 from rookbend.protocol.coordinator_stream import object_number
 from rookbend.protocol.dns import (
@@ -45,12 +45,12 @@
 if TYPE_CHECKING:
     from rookbend.recovery.issued_names import IssuedNames
 
-RETRY_SPAN_DEADLINES = 4  # a lookup may be retried for this many deadlines of its class
-PERSIST_WITHIN_US = 200_000  # a disk that hangs delays a write no longer
+RETRY_WINDOW_DEADLINES = 4  # a lookup may be retried for this many deadlines of its class
+PERSIST_WITHIN_US = 200_000  # a hanging disk delays a write for no longer than this
 
 
 class DnsFront:
-    """Takes DNS messages and calls back with the replies. No socket here."""
+    """Handles DNS messages and passes the replies to callbacks. It uses no sockets."""
 
     def __init__(
         self,
@@ -61,9 +61,9 @@
         budget_us: int,
         seed: int,
         max_lookups: int = MAX_LOOKUPS,
-        names: IssuedNames | None = None,
+        issued_names: IssuedNames | None = None,
     ):
-        """`target_format` is a member's DNS name with its id as `{id}`; `names` persists those of writes."""
+        """`target_format` is a member's DNS name with its id as `{id}`; `issued_names` persists those for writes."""
         self.engine = engine
         self.table = LookupTable(max_lookups)
         self.closing = False
@@ -72,26 +72,26 @@
         self._target_format = target_format
         self._budget_us = budget_us
         self._random = random.Random(seed)
-        self._names = names
+        self._issued_names = issued_names
         self._started_us = engine.clock.now()
 
     def query(self, wire: bytes, client: ClientAddress, respond: Respond) -> bool:
-        """Takes a message; False where it gets no reply.
+        """Handles a message; returns False if it gets no reply.
 
-        `respond` is called once; where a client sends its query again before the reply, the later `respond`
-        replaces the earlier.
+        `respond` is called once. If a client repeats its query before the reply, the later `respond` replaces the
+        earlier one.
         """
         try:
             lookup = parse_query(wire, self._zone)
         except NoReplyError:
             return False
         if isinstance(lookup, Lookup):
-            self._take(lookup, client, respond)
+            self._handle_lookup(lookup, client, respond)
         else:
             respond(lookup)
         return True
 
-    def _take(self, lookup: Lookup, client: ClientAddress, respond: Respond) -> None:
+    def _handle_lookup(self, lookup: Lookup, client: ClientAddress, respond: Respond) -> None:
         class_index = self._class_index(lookup.class_name)
         if class_index is None:
             respond(build_reply(lookup.query, LookupOutcome(dns.rcode.NXDOMAIN, note="unknown class")))
@@ -107,7 +107,7 @@
             self._route(lookup, class_index, is_write, WaiterKey(client, lookup.query.id), respond)
 
     def _class_index(self, lower_name: str) -> int | None:
-        """The class by its name in lower case: names in DNS are case-insensitive."""
+        """The index of the class with this name in lower case: DNS names are case-insensitive."""
         classes = self.engine.traffic_classes.by_name.items()
         return next((index for name, index in classes if name.lower() == lower_name), None)
 
@@ -115,11 +115,11 @@
         key = lookup.request_id if is_write else ReadKey(waiter_key, lookup.name)
         now_us = self.engine.clock.now()
         self._expire(now_us)
-        known = self.table.by_key.get(key)
-        if known is None and is_write:
-            known = self._restored(lookup.request_id)
-        if known is not None:
-            self._join(known, lookup, waiter_key, respond)
+        existing = self.table.by_key.get(key)
+        if existing is None and is_write:
+            existing = self._find_restored(lookup.request_id)
+        if existing is not None:
+            self._join_existing(existing, lookup, waiter_key, respond)
             return
         rejection = self._rejection(class_index, is_write, now_us)
         if rejection is not None:
@@ -135,7 +135,7 @@
             lookup.name,
             lookup.request_id if is_write else "",
             now_us + min(self._budget_us, class_deadline_us),
-            now_us + RETRY_SPAN_DEADLINES * class_deadline_us,
+            now_us + RETRY_WINDOW_DEADLINES * class_deadline_us,
         )
         self.table.by_key[key] = routed
         return routed
@@ -153,80 +153,80 @@
         )
 
         def submit() -> None:
-            self.engine.submit(request, partial(self._answered, routed))
+            self.engine.submit(request, partial(self._on_answer, routed))
 
-        if routed.write_id and self._names is not None:
-            # Persisted before it can run: a later incarnation must not take its repeat for a new write.
-            self._names.persist_in_doubt(routed.write_id, routed.name, now_us + PERSIST_WITHIN_US, submit)
+        if routed.write_id and self._issued_names is not None:
+            # Persisted before the write can run: a later incarnation must not take a repeat for a new write.
+            self._issued_names.persist_in_doubt(routed.write_id, routed.name, now_us + PERSIST_WITHIN_US, submit)
         else:
             submit()
 
-    def _join(self, routed: RoutedLookup, lookup: Lookup, waiter_key: WaiterKey, respond: Respond) -> None:
+    def _join_existing(self, routed: RoutedLookup, lookup: Lookup, waiter_key: WaiterKey, respond: Respond) -> None:
         if routed.name != lookup.name:
-            # One id under two names: whether this one ran can't be told, so it never runs.
+            # The request id is in use with another name: whether this write has run is unknown, so it is not run.
             respond(build_reply(lookup.query, LookupOutcome(dns.rcode.SERVFAIL, note="request id in use")))
         elif routed.outcome is not None:
             self._reply(routed, routed.outcome, Waiter(lookup.query, respond))
         elif routed.can_wait(waiter_key):
-            routed.waiters[waiter_key] = Waiter(lookup.query, respond)  # a repeated datagram gets one reply
+            routed.waiters[waiter_key] = Waiter(lookup.query, respond)  # a retransmitted datagram gets one reply
         else:
             respond(build_reply(lookup.query, LookupOutcome(dns.rcode.SERVFAIL, note="asked too often")))
 
     def _rejection(self, class_index: int, is_write: bool, now_us: int) -> LookupOutcome | None:
-        """Why a lookup that is not known can't be taken, if it can't."""
-        retry_span_us = RETRY_SPAN_DEADLINES * self.engine.settings.classes[class_index].deadline_us
-        if is_write and now_us - self._started_us < retry_span_us:
-            # An earlier incarnation may have run it: in doubt a write fails.
+        """The outcome of a new lookup that can't be accepted; None if it can."""
+        retry_window_us = RETRY_WINDOW_DEADLINES * self.engine.settings.classes[class_index].deadline_us
+        if is_write and now_us - self._started_us < retry_window_us:
+            # An earlier incarnation may have run this write, so it fails: it must not run twice.
             return LookupOutcome(dns.rcode.SERVFAIL, note="just started: whether this ran before can't be told")
         if self.closing or self.table.is_full:
-            return refused(self.engine.settings.max_retry_after_us)
+            return refused_outcome(self.engine.settings.max_retry_after_us)
         return None
 
     def _expire(self, now_us: int) -> None:
         for routed in self.table.expire(now_us):
-            if self._names is not None and routed.write_id:
-                self._names.drop(routed.write_id)
+            if self._issued_names is not None and routed.write_id:
+                self._issued_names.drop(routed.write_id)
 
-    def _restored(self, write_id: str) -> RoutedLookup | None:
-        """A write's lookup that an earlier incarnation replied to."""
-        issued = self._names.find(write_id) if self._names is not None else None
+    def _find_restored(self, write_id: str) -> RoutedLookup | None:
+        """The lookup of a write that an earlier incarnation has replied to; None if there is none."""
+        issued = self._issued_names.find(write_id) if self._issued_names is not None else None
         return restored_lookup(issued, write_id) if issued is not None else None
 
-    def _answered(self, routed: RoutedLookup, answer: Answer) -> None:
+    def _on_answer(self, routed: RoutedLookup, answer: Answer) -> None:
         if answer.outcome is FinalOutcome.REJECTED:
-            self._settle(routed, refused(answer.retry_after_us))
+            self._complete(routed, refused_outcome(answer.retry_after_us))
             return
         if answer.outcome is FinalOutcome.FAILED:
-            self._settle(routed, LookupOutcome(dns.rcode.SERVFAIL, note="failed"))
+            self._complete(routed, LookupOutcome(dns.rcode.SERVFAIL, note="failed"))
             return
         member = self.engine.endpoints.get(answer.server)
         if member is None:
-            self._settle(routed, unnamed(routed, "its box has left"))
+            self._complete(routed, outcome_without_member(routed, "its box has left"))
             return
         target = self._target_format.format(id=member.name)
         self._resolver.resolve(
             target,
             address_type(member.address[0]),
             routed.deadline_us,
-            partial(self._resolved, routed, answer.server, target),
+            partial(self._on_resolved, routed, answer.server, target),
         )
 
-    def _resolved(self, routed: RoutedLookup, server: int, target: str, addresses: list[str] | None) -> None:
+    def _on_resolved(self, routed: RoutedLookup, server: int, target: str, addresses: list[str] | None) -> None:
         member = self.engine.endpoints.get(server)
         if addresses is None:
-            outcome = unnamed(routed, f"{target} can't be resolved")
+            outcome = outcome_without_member(routed, f"{target} can't be resolved")
         elif member is None or member.address[0] not in addresses:
-            # The resolver is no authority: the address must be the member's in the membership.
-            outcome = unnamed(routed, f"{target} has no address in service")
+            # The resolver is not authoritative: its addresses must include the member's address in the membership.
+            outcome = outcome_without_member(routed, f"{target} has no address in service")
         else:
             outcome = LookupOutcome(dns.rcode.NOERROR, server, target, member.address[0])
-        self._settle(routed, outcome)
+        self._complete(routed, outcome)
 
-    def _settle(self, routed: RoutedLookup, outcome: LookupOutcome) -> None:
+    def _complete(self, routed: RoutedLookup, outcome: LookupOutcome) -> None:
         reply = partial(self._reply_to_all, routed, outcome)
-        if routed.write_id and self._names is not None:
-            # Persisted before it is sent: only an outcome that nobody has received may be lost.
-            self._names.persist(routed.write_id, issued_name(routed, outcome), routed.deadline_us, reply)
+        if routed.write_id and self._issued_names is not None:
+            # Persisted before it is sent, so that only an outcome that no client has received can be lost.
+            self._issued_names.persist(routed.write_id, issued_name(routed, outcome), routed.deadline_us, reply)
         else:
             reply()
 
@@ -238,11 +238,11 @@
             self._reply(routed, outcome, waiter)
 
     def _reply(self, routed: RoutedLookup, outcome: LookupOutcome, waiter: Waiter) -> None:
-        """Checks the membership once more, with the reply right behind it."""
+        """Checks the membership once more, immediately before the reply."""
         if outcome.server and not self.engine.is_in_service(outcome.server):
-            # The member left between its answer and this reply, or since the first reply.
+            # The member has left since its answer, or since the first reply.
             if routed.write_id:
-                outcome = unnamed(routed, "its box has left")
+                outcome = outcome_without_member(routed, "its box has left")
             else:
-                outcome = refused(self.engine.settings.max_retry_after_us)
+                outcome = refused_outcome(self.engine.settings.max_retry_after_us)
         waiter.respond(build_reply(waiter.query, outcome))
--- a/rookbend/fronts/dns_lookups.py
+++ b/rookbend/fronts/dns_lookups.py
@@ -1,4 +1,4 @@
-"""What the DNS front works on: the lookups in progress and those whose repeats get the same outcome; resolvers."""
+"""The lookups of the DNS front, in progress or kept to answer repeats with the same outcome, and its resolver."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 
 class Resolver(Protocol):
-    """Finds the addresses of members' names."""
+    """Resolves the DNS names of members."""
 
     def resolve(self, name: str, record_type: str, deadline_us: int, done: Callable[[list[str] | None], None]) -> None:
         """Calls `done` once with the addresses of a name, or with None on any failure, by the deadline."""
 
 
 class WaiterKey(NamedTuple):
-    """Tells a query apart from one that the same client sends again."""
+    """Identifies a client's query; a retransmission of the query has the same key."""
 
     client: ClientAddress
     query_id: int
@@ -39,7 +39,7 @@
 
 
 class Waiter(NamedTuple):
-    """A query that is to be replied to."""
+    """A query that waits for its reply."""
 
     query: dns.message.Message
     respond: Respond
@@ -62,12 +62,12 @@
         self.waiters: dict[WaiterKey, Waiter] = {}
 
     def can_wait(self, key: WaiterKey) -> bool:
-        """Whether that query is waiting already, or there is space for one more."""
+        """Whether the query already waits, or one more may wait."""
         return key in self.waiters or len(self.waiters) < MAX_WAITERS
 
 
 class LookupTable:
-    """The lookups by key; one leaves only once its retry span is over, since a forgotten write could run twice."""
+    """The lookups by key. One is kept until its retry window is over, since a write not found here could run twice."""
 
     def __init__(self, capacity: int = MAX_LOOKUPS):
         self.capacity = capacity
@@ -80,7 +80,7 @@
         return len(self.by_key) >= self.capacity
 
     def expire(self, now_us: int) -> list[RoutedLookup]:
-        """Removes what is finished and past its retry span, once a second at most; returns what was removed."""
+        """Removes finished lookups whose retry window is over, at most once a second; returns them."""
         if now_us < self._next_expiry_us:
             return []
         self._next_expiry_us = now_us + EXPIRY_INTERVAL_US
--- a/rookbend/fronts/dns_outcomes.py
+++ b/rookbend/fronts/dns_outcomes.py
@@ -1,4 +1,4 @@
-"""The outcomes of lookups that the DNS front gives by itself, and their form on disk."""
+"""Lookup outcomes that the DNS front builds, and their persisted form."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 US_PER_MS = 1000
 
 
-def refused(retry_after_us: int) -> LookupOutcome:
-    """Not taken; the note says when to retry."""
+def refused_outcome(retry_after_us: int) -> LookupOutcome:
+    """The lookup is not accepted; the note says when to retry."""
     return LookupOutcome(dns.rcode.REFUSED, note=f"retry-after-ms={retry_after_us // US_PER_MS}")
 
 
-def unnamed(routed: RoutedLookup, reason: str) -> LookupOutcome:
-    """Served, but no member can be named: a write has run all the same, and a read may be retried."""
+def outcome_without_member(routed: RoutedLookup, reason: str) -> LookupOutcome:
+    """The lookup was served, but its member can't be named. A write has run nevertheless; a read may be retried."""
     return LookupOutcome(dns.rcode.NOERROR if routed.write_id else dns.rcode.SERVFAIL, note=reason)
 
 
@@ -34,7 +34,7 @@
 
 
 def issued_name(routed: RoutedLookup, outcome: LookupOutcome) -> IssuedName:
-    """The outcome of a write as it is persisted."""
+    """The outcome of a write in its persisted form."""
     # Imported here, since it is needed only where names are persisted.
     from rookbend.recovery.issued_names import IssuedName
 
--- a/rookbend/fronts/platform.py
+++ b/rookbend/fronts/platform.py
@@ -1,4 +1,7 @@
-"""The platform's front: a client's frames to requests of the core, answers to frames. No socket here."""
+"""The platform's front: translates a client's frames to requests of the engine, and its answers to frames.
+
+It uses no sockets.
+"""
 
 from __future__ import annotations
 
@@ -11,11 +14,11 @@
 from rookbend.protocol import client_frames as frames
 
 MAX_OPEN_STREAMS = 32  # open requests on one connection
-FIRST_REQUEST_TIMEOUT_US = 2_000_000  # from the connect to the first whole frame
+FIRST_REQUEST_TIMEOUT_US = 2_000_000  # from the connect to the first complete frame
 FRAME_TIMEOUT_US = 2_000_000  # from the first byte of a frame to its last
-IDLE_TIMEOUT_US = 6_000_000  # with nothing open: usual clients close after 4 s
-MAX_REJECTED_WHILE_PAUSED = 1000  # answers to a client that reads none before its connection ends
-OVERLOAD_LAG_US = 250_000  # an event loop this late takes nothing new until it has caught up
+IDLE_TIMEOUT_US = 6_000_000  # with no request open; clients usually close after 4 s
+MAX_REJECTED_WHILE_PAUSED = 1000  # rejections to a client that reads no answers, until its connection is closed
+OVERLOAD_LAG_US = 250_000  # above this event loop lag new requests are rejected
 STATUS_CODES = {
     FinalOutcome.SERVED: frames.STATUS_OK,
     FinalOutcome.REJECTED: frames.STATUS_UNAVAILABLE,
@@ -25,7 +28,7 @@
 
 
 class PlatformFront:
-    """What all client connections share: the engine, whether the director is ready, whether it is closing."""
+    """What all client connections share: the engine, and whether the director is ready or closing."""
 
     def __init__(self, engine: Engine, is_ready: Callable[[], bool], is_closing: Callable[[], bool]) -> None:
         self.engine = engine
@@ -34,25 +37,27 @@
 
 
 class PlatformSession:
-    """One client connection: fed its bytes, writes answers by `write`."""
+    """One client connection: `feed` takes the received bytes, `write` sends the answers."""
 
     def __init__(self, front: PlatformFront, write: Callable[[bytes], None]) -> None:
         self.front = front
         self.write = write
         self.parser = frames.FrameParser()
-        self.open_streams: dict[int, OpenRequest | None] = {}  # None where the engine has no request of it
+        self.open_streams: dict[int, OpenRequest | None] = {}  # None where the engine has no request for the stream
         self.paused = False  # the client reads no answers: its requests are queued, its cancels are not
         self.has_received_frame = False
-        self.partial_frame_since_us = 0  # 0 where the last frame is whole
+        self.partial_frame_since_us = 0  # 0 if the last frame is complete
         self.last_activity_us = front.engine.clock.now()  # something was received or answered
-        self._client_closed = False  # the client has closed its side: nothing new begins for it
+        self._client_closed = False  # the client has closed its side: new requests are rejected
         self._queued: dict[int, Request] = {}  # while paused, by stream
         self._rejected_while_paused = 0
 
     @property
     def idle_deadline_us(self) -> int | None:
-        """When the connection ends if nothing more comes; None while a request is open. Guards the descriptors
-        and the memory against clients that send nothing, stop in mid-frame or never leave."""
+        """When the connection is closed if nothing more is received; None while a request is open.
+
+        Limits the descriptors and memory held by clients that send nothing, stop within a frame or never close.
+        """
         if self.partial_frame_since_us:
             return self.partial_frame_since_us + FRAME_TIMEOUT_US
         if self.open_streams:
@@ -65,7 +70,7 @@
         return sum(len(request.body) for request in self._queued.values())
 
     def feed(self, data: bytes) -> bool:
-        """Takes what was received; returns False when the connection can't go on."""
+        """Handles received bytes; returns False if the connection has to be closed."""
         is_valid = True
         self.last_activity_us = now_us = self.front.engine.clock.now()
         try:
@@ -81,41 +86,41 @@
         for frame in received:
             if isinstance(frame, frames.RequestFrame):
                 if frame.stream in self.open_streams:
-                    is_valid = False  # two requests on one stream: their answers could not be told apart
+                    is_valid = False  # two requests on one stream: their answers would be indistinguishable
                     break
-                self._request(frame)
+                self._handle_request(frame)
             elif isinstance(frame, frames.CancelFrame):
                 self._queued.pop(frame.stream, None)
                 self.front.engine.cancel(self.open_streams.pop(frame.stream, None))
             else:
                 self.write(frames.write_readiness(frame.stream, self.front.is_ready()))
         if self._rejected_while_paused > MAX_REJECTED_WHILE_PAUSED:
-            return False  # it only sends and never reads: answers would pile up without end
+            return False  # the client sends but never reads: its answers would accumulate without bound
         if not is_valid:
             self.reject_connection()
         return is_valid
 
     def reject_connection(self) -> None:
-        """Answers an error that belongs to no request; the connection ends behind it."""
+        """Sends an error that belongs to no request; the connection is closed after it."""
         self.front.engine.counters.malformed += 1
         self.write(frames.write_answer(0, frames.STATUS_FAILED))
 
-    def _request(self, frame: frames.RequestFrame) -> None:
+    def _handle_request(self, frame: frames.RequestFrame) -> None:
         stream, engine = frame.stream, self.front.engine
-        # Guards against a spiral: a loop that falls behind would answer everything too late, and every
-        # client would retry. A rejection costs a tenth of a request, and does no harm.
+        # Sheds load: an event loop that falls behind would answer every request too late, and every client would
+        # retry. A rejection costs a tenth of a request, and does no harm.
         overloaded = engine.lag_us > OVERLOAD_LAG_US
         too_many = len(self.open_streams) >= MAX_OPEN_STREAMS
         if too_many or overloaded or self._client_closed or self.front.is_closing():
             engine.counters.requests += 1
             self._rejected_while_paused += self.paused
-            self._count(frame, FinalOutcome.REJECTED)
+            self._count_outcome(frame, FinalOutcome.REJECTED)
             return self._write_answer(stream, Answer(FinalOutcome.REJECTED, retry_after_us=engine.retry_after_us))
         try:
             request = read_request(engine, frame)
         except (KeyError, ValueError):
             engine.counters.malformed += 1
-            self._count(frame, FinalOutcome.FAILED)
+            self._count_outcome(frame, FinalOutcome.FAILED)
             return self.write(frames.write_answer(stream, frames.STATUS_FAILED))
         self.open_streams[stream] = None
         if self.paused:
@@ -129,7 +134,7 @@
             self.open_streams[stream] = open_request
 
     def resume(self) -> None:
-        """The client has read its answers: what was queued for that goes on, by the deadline it came with."""
+        """Submits the queued requests, with their original deadlines, after the client has read its answers."""
         self.paused = False
         self._rejected_while_paused = 0
         queued, self._queued = self._queued, {}
@@ -137,8 +142,11 @@
             self._submit(stream, request)
 
     def client_closed(self) -> None:
-        """The client has closed its side, maybe only its sending side. Nothing begins for it any more: what
-        is queued is rejected, and only what is in flight at a member may still be answered."""
+        """Handles that the client has closed its side, maybe only its sending side.
+
+        No new attempt starts for this client: queued requests are rejected, and only requests in flight at a member
+        may still be answered.
+        """
         self._client_closed = True
         engine = self.front.engine
         queued, self._queued = self._queued, {}
@@ -149,9 +157,9 @@
         for open_request in list(self.open_streams.values()):
             engine.client_half_closed(open_request)
 
-    def _count(self, frame: frames.RequestFrame, outcome: FinalOutcome) -> None:
-        """Counts an answer that the engine has no part in. One of no known class counts for none: clients
-        could make up names without end."""
+    def _count_outcome(self, frame: frames.RequestFrame, outcome: FinalOutcome) -> None:
+        """Counts an answer to a request that the engine does not get. Unknown classes are not counted: clients could
+        make up any number of names."""
         class_name = (frame.fields or {}).get(frames.TRAFFIC_CLASS_FIELD, "")
         if self.front.engine.class_index(class_name) is not None:
             self.front.engine.counters.ended(class_name, outcome)
@@ -176,7 +184,7 @@
         self.write(frames.write_goaway())
 
     def connection_lost(self) -> None:
-        """The connection has ended: nobody waits for an answer any more."""
+        """Cancels all requests, since the connection has ended."""
         self._queued.clear()
         for stream in list(self.open_streams):
             self.front.engine.cancel(self.open_streams.pop(stream, None))
--- a/rookbend/reload.py
+++ b/rookbend/reload.py
@@ -1,4 +1,4 @@
-"""Reload on SIGHUP: reads the configuration and the operators' settings again and applies all of them or none.
+"""Reload on SIGHUP: reads the configuration and the operators' settings again and applies both, or neither.
 
 Nothing is awaited during a reload, so no request sees a partial one.
 """
--- a/tests/test_dns_front.py
+++ b/tests/test_dns_front.py
@@ -241,9 +241,9 @@
         stage.service.engine.membership_changed(MembershipChange(False, 3, [moved]))
         front = stage.service.dns.front
         told = []
-        front._resolved(next(iter(front.table.by_key.values())), number, "cache1.example.org", ["127.0.0.11"])
+        front._on_resolved(next(iter(front.table.by_key.values())), number, "cache1.example.org", ["127.0.0.11"])
         told.append(next(iter(front.table.by_key.values())).outcome.server)
-        front._resolved(next(iter(front.table.by_key.values())), number, "cache1.example.org", ["127.0.0.12"])
+        front._on_resolved(next(iter(front.table.by_key.values())), number, "cache1.example.org", ["127.0.0.12"])
         told.append(next(iter(front.table.by_key.values())).outcome.address)
         assert told == [0, "127.0.0.12"]
 
