--- a/rookbend/settings/__init__.py
+++ b/rookbend/settings/__init__.py
@@ -1,8 +1,8 @@
 """The operators' settings.
 
-`reader` splits the line-based language into sections and directives, `values` are its kinds of values, `schema` is
-what may be set, `sections` what becomes of it; `consistency` checks directives against each other, `parser` does
-all of it.
+`reader` splits the text into sections and directives, `values` parses the values, `schema` lists the directives of each
+section, `sections` has the structs that sections become, `consistency` checks directives against each other, and
+`parser` does all of these.
 """
 
 from rookbend.settings.consistency import check_platform_permits
--- a/rookbend/settings/consistency.py
+++ b/rookbend/settings/consistency.py
@@ -1,4 +1,4 @@
-"""What one directive of the operators' settings requires of others, of other sections, and of the platform."""
+"""Checks directives of the operators' settings against each other, other sections and the platform's settings."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
 
 
 class Conflict(NamedTuple):
-    """What is wrong with a directive beside others."""
+    """A directive that conflicts with others, and how."""
 
     directive: str
     text: str
 
 
 def check_section(section: object, section_location: SourceLocation, locations: dict[str, SourceLocation]) -> None:
-    """Checks a section's directives against each other; `locations` are those of the directives in the file.
+    """Checks a section's directives against each other; `locations` has those of the directives in the file.
 
     Raises:
         SettingsError: the first conflict.
@@ -52,7 +52,7 @@
     elif isinstance(section, Ownership):
         yield from _ownership_conflicts(section)
     elif isinstance(section, Dns) and "{id}" not in section.box_name:
-        yield Conflict("box-name", "needs {id}, the box's name in the membership")
+        yield Conflict("box-name", "needs {id}, which stands for a member's name in the membership")
 
 
 def _check_conflicts(check: Check, locations: dict[str, SourceLocation]) -> Iterator[Conflict]:
@@ -60,24 +60,24 @@
         if name in locations and check.type not in types:
             yield Conflict(name, f"only for checks of type {' or '.join(types)}, not {check.type}")
     if check.type == "tcp" and not check.port and "port" in locations:
-        yield Conflict("port", "0 is the membership's, which needs no directive")
+        yield Conflict("port", "0 stands for the port in the membership, which is the default")
     yield from _check_time_conflicts(check)
     for name, value in (("path", check.path), ("host", check.host)):
-        # Guards the requests that are built of them: a blank or a line's end would make two of one.
+        # These values are written into requests, where a space or a line break would split one request into two.
         if not all(FIRST_PRINTABLE <= ord(char) <= LAST_PRINTABLE for char in value):
-            yield Conflict(name, "printable ASCII without blanks only")
+            yield Conflict(name, "only printable ASCII without spaces is allowed")
 
 
 def _check_time_conflicts(check: Check) -> Iterator[Conflict]:
     if check.answer_by_us > check.interval_us:
         answer_by = format_duration(check.answer_by_us)
         interval = format_duration(check.interval_us)
-        yield Conflict("answer-by", f"{answer_by} is longer than the interval of {interval}: checks would pile up")
+        yield Conflict("answer-by", f"{answer_by} is longer than the interval of {interval}: checks would overlap")
     if check.fast_us > check.interval_us:
         yield Conflict("fast", f"{format_duration(check.fast_us)} is longer than the interval")
     if check.stale_us < MIN_STALE_INTERVALS * check.interval_us:
         stale = format_duration(check.stale_us)
-        yield Conflict("stale", f"{stale} is less than two intervals: a single late answer would void what it says")
+        yield Conflict("stale", f"{stale} is less than two intervals: a single late answer would make the result stale")
 
 
 def _health_conflicts(health: Health) -> Iterator[Conflict]:
@@ -89,13 +89,13 @@
     if recovery.full_rate < recovery.first_rate:
         yield Conflict("full-rate", f"{recovery.full_rate} is less than first-rate, {recovery.first_rate}")
     if recovery.full_by_us < recovery.ready_by_us:
-        yield Conflict("full-by", f"{format_duration(recovery.full_by_us)} is sooner than ready-by")
+        yield Conflict("full-by", f"{format_duration(recovery.full_by_us)} is shorter than ready-by")
 
 
 def _ownership_conflicts(ownership: Ownership) -> Iterator[Conflict]:
     voters = len(set(ownership.voters))
     if ownership.voters and voters % 2 == 0:
-        yield Conflict("voters", f"{voters} are an even number: no more may fail than of one less")
+        yield Conflict("voters", f"{voters} is an even number: one voter less tolerates as many failures")
     uncertainty_us = ownership.round_trip_us + ownership.drift * ownership.lease_us
     if ownership.lease_us < MIN_LEASE_ROUND_TRIPS * uncertainty_us:
         yield Conflict(
@@ -104,7 +104,7 @@
             f"{format_duration(ownership.round_trip_us)} and the drift of {ownership.drift:.0%}",
         )
     if ownership.report_ledger is not None and ownership.report_file:
-        yield Conflict("report-file", "a ledger or a file, not both")
+        yield Conflict("report-file", "not together with report-ledger")
 
 
 def check_sections(settings: Settings) -> None:
@@ -116,10 +116,10 @@
 
 
 def check_platform_permits(settings: Settings, probes: bool, peers: bool = False, directors: int = 0) -> None:
-    """Checks against the platform's settings: whether they permit probes and datagrams between directors, and how
-    many directors there are. Raises `SettingsError`.
+    """Checks that the platform's settings permit what the operators' settings enable. Raises `SettingsError`.
 
-    Guards the platform's rule: where it forbids probes, no check may be switched on by mistake.
+    `probes` and `peers` are whether the platform permits probes of members and datagrams between directors;
+    `directors` is the number of directors. Where the platform forbids probes, no check can be enabled by mistake.
     """
     if settings.checks and not probes:
         check = settings.checks[0]
@@ -128,11 +128,11 @@
         )
     if settings.recovery is not None and settings.recovery.peers and not peers:
         text = (
-            "[recovery] talks to other directors, which the platform's settings don't permit or name; "
-            "`peers no` does without"
+            "[recovery] exchanges datagrams with other directors, which the platform's settings don't permit or don't "
+            "list; `peers no` turns that off"
         )
         raise SettingsError(settings.recovery.location, text)
     ownership = settings.ownership
     if ownership is not None and any(voter >= directors for voter in ownership.voters):
-        text = f"[ownership] voters: {max(ownership.voters)} is no place in peers, which are {directors}"
+        text = f"[ownership] voters: {max(ownership.voters)} is not an index in peers, which has {directors} entries"
         raise SettingsError(ownership.location, text)
--- a/rookbend/settings/parser.py
+++ b/rookbend/settings/parser.py
@@ -1,4 +1,4 @@
-"""The operators' settings from their text. Every error is worded `FILE:LINE: fault`."""
+"""Parses the operators' settings. Every error has the form `FILE:LINE: error`."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def parse(text: str, file: str) -> Settings:
-    """The settings in a file's text. Raises `SettingsError` on the first thing that is wrong."""
+    """Parses the settings in a file's text. Raises `SettingsError` at the first error."""
     fields: dict[str, Any] = {}
     first_locations: dict[tuple[str, str], SourceLocation] = {}
     checks: list[Check] = []
@@ -24,7 +24,7 @@
         schema = _schema_of(section)
         first = first_locations.setdefault((section.kind, section.name), section.location)
         if first is not section.location:
-            raise SettingsError(section.location, f"{section.header} stands twice, first in line {first.line}")
+            raise SettingsError(section.location, f"{section.header} is defined twice, first in line {first.line}")
         struct = _build(section, schema)
         if isinstance(struct, Check):
             checks.append(struct)
@@ -36,10 +36,12 @@
 
 
 def load(environ: Mapping[str, str], default: Path) -> Settings:
-    """The settings in the file that `NODE_SETTINGS` names, else in the default file; all off where there is none.
+    """Loads the settings from the file that `NODE_SETTINGS` names, else from the default file.
+
+    Without a default file every optional component is disabled.
 
     Raises:
-        SettingsError: the file can't be read, or something in it is wrong.
+        SettingsError: the file can't be read, or has an error.
     """
     named = environ.get(SETTINGS_VARIABLE)
     path = Path(named) if named else default
@@ -50,31 +52,33 @@
     except OSError as error:
         raise SettingsError(SourceLocation(str(path), 0), f"can't be read: {error.strerror}") from None
     except UnicodeDecodeError:
-        raise SettingsError(SourceLocation(str(path), 0), "is no text in UTF-8") from None
+        raise SettingsError(SourceLocation(str(path), 0), "is not UTF-8 text") from None
     return parse(text, str(path) if named else default.name)
 
 
 def _schema_of(section: Section) -> SectionSchema:
     schema = SECTIONS.get(section.kind)
     if schema is None:
-        raise SettingsError(section.location, f"no section {section.header}" + _suggestion(section.kind, SECTIONS))
+        raise SettingsError(section.location, f"unknown section {section.header}" + _suggestion(section.kind, SECTIONS))
     if bool(section.name) != schema.named:
         raise SettingsError(section.location, f"[{section.kind}] takes " + ("a name" if schema.named else "no name"))
     return schema
 
 
 def _build(section: Section, schema: SectionSchema) -> object:
-    """The section's struct, its directives checked against each other."""
+    """Builds the section's struct and checks its directives against each other."""
     fields: dict[str, Any] = {}
     locations: dict[str, SourceLocation] = {}
     for directive in section.directives:
         spec = schema.directives.get(directive.name)
         if spec is None:
-            text = f"{section.header} knows no {directive.name}" + _suggestion(directive.name, schema.directives)
+            text = f"{section.header} has no directive {directive.name}" + _suggestion(
+                directive.name, schema.directives
+            )
             raise SettingsError(directive.location, text)
         if directive.name in locations:
             first_line = locations[directive.name].line
-            raise SettingsError(directive.location, f"{directive.name} stands twice, first in line {first_line}")
+            raise SettingsError(directive.location, f"{directive.name} is set twice, first in line {first_line}")
         locations[directive.name] = directive.location
         fields[schema.field_of(directive.name)] = _value(directive, spec)
     for name, spec in schema.directives.items():
@@ -102,7 +106,7 @@
 
 
 def _suggestion(name: str, known: Iterable[str]) -> str:
-    import difflib  # only where something is wrong
+    import difflib  # here, since only error messages need it
 
     matches = difflib.get_close_matches(name, known, 1)
-    return f"; {matches[0]} may be meant" if matches else ""
+    return f"; did you mean {matches[0]}?" if matches else ""
--- a/rookbend/settings/reader.py
+++ b/rookbend/settings/reader.py
@@ -1,9 +1,9 @@
-"""The lexical form of the operators' settings: lines of words, in the manner of classic daemons.
+"""The syntax of the operators' settings: lines of words, like the configuration files of many Unix daemons.
 
     # a comment
     [check agent]               a section: a kind and, for some kinds, a name
-        interval   2s           one directive a line: a name and its values
-        send       "ask\\n"      a value with blanks or escapes stands in double quotes
+        interval   2s           one directive per line: a name and its values
+        send       "ask\\n"      a value with spaces or escapes is in double quotes
 
 Indentation has no meaning. `read_sections` yields sections and directives with the line that each came from, so that
 every later error can name it.
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SourceLocation:
-    """A place in the settings: a file as it was named, and a line, from 1."""
+    """A line of a settings file: the file's name as given, and the line number from 1, or 0 for the whole file."""
 
     file: str
     line: int
@@ -31,7 +31,7 @@
 
 
 class SettingsError(Exception):
-    """One thing that is wrong, worded `FILE:LINE: fault`."""
+    """An error in the settings; the message has the form `FILE:LINE: error`."""
 
     def __init__(self, location: SourceLocation, text: str):
         super().__init__(f"{location}: {text}")
@@ -50,7 +50,7 @@
 
 @dataclass(slots=True)
 class Section:
-    """A section; `name` is empty where it has none."""
+    """A section; `name` is empty if it has none."""
 
     kind: str
     name: str
@@ -59,12 +59,12 @@
 
     @property
     def header(self) -> str:
-        """The section's head, as in the file."""
+        """The section's header, as in the file."""
         return f"[{self.kind} {self.name}]" if self.name else f"[{self.kind}]"
 
 
 def split_words(text: str, location: SourceLocation) -> list[str]:
-    """The words of a line up to a comment; quotes keep blanks and `#`, and may only enclose whole words."""
+    """Splits a line into words, up to a comment. Quotes protect spaces and `#`, and may only enclose whole words."""
     found = []
     position = 0
     while position < len(text):
@@ -87,17 +87,17 @@
 
 
 def _bare_word(text: str, start: int, location: SourceLocation) -> tuple[str, int]:
-    """The word that begins at `start`, and the position behind it."""
+    """The word that begins at `start`, and the position after it."""
     position = start
     while not _is_end_of_word(text, position):
         if text[position] == '"':
-            raise SettingsError(location, "a quote stands in the middle of a word")
+            raise SettingsError(location, "a quote in the middle of a word")
         position += 1
     return text[start:position], position
 
 
 def _quoted_word(text: str, start: int, location: SourceLocation) -> tuple[str, int]:
-    """The word whose opening quote is before `start`, and the position behind its closing quote."""
+    """The word whose opening quote is before `start`, and the position after its closing quote."""
     chars = []
     position = start
     while position < len(text) and text[position] != '"':
@@ -106,7 +106,7 @@
             position += 1
             escape = text[position : position + 1]
             if escape not in ESCAPES:
-                raise SettingsError(location, f"no escape: \\{escape}")
+                raise SettingsError(location, f"unknown escape: \\{escape}")
             char = ESCAPES[escape]
         chars.append(char)
         position += 1
@@ -114,32 +114,32 @@
         raise SettingsError(location, "a quote is not closed")
     word = "".join(chars)
     if not _is_end_of_word(text, position + 1):
-        raise SettingsError(location, f"a blank is missing behind the quoted {word!r}")
+        raise SettingsError(location, f"a space is missing after the quoted {word!r}")
     return word, position + 1
 
 
 def _parse_section_header(text: str, location: SourceLocation) -> Section:
-    """The section that a line with a bracket opens."""
+    """Parses a section's header: a line that begins with a bracket."""
     head, bracket, rest = text.partition("]")
     if not bracket:
         raise SettingsError(location, "a section's bracket is not closed")
     if split_words(rest, location):
-        raise SettingsError(location, "something stands behind a section's bracket")
+        raise SettingsError(location, "text after a section's closing bracket")
     parts = split_words(head[1:], location)
     if not 1 <= len(parts) <= 2:
-        raise SettingsError(location, "a section is [KIND] or [KIND NAME]")
+        raise SettingsError(location, "a section header is [KIND] or [KIND NAME]")
     return Section(parts[0], parts[1] if len(parts) == 2 else "", location)
 
 
 def read_sections(text: str, file: str) -> Iterator[Section]:
-    """The sections of a file, in their order. Raises `SettingsError` on the first line that can't be read."""
+    """Yields the sections of a file in order. Raises `SettingsError` at the first line with a syntax error."""
     section: Section | None = None
     for number, line in enumerate(text.splitlines(), 1):
         location = SourceLocation(file, number)
         if len(line) > MAX_LINE_CHARS:
-            raise SettingsError(location, f"a line is longer than {MAX_LINE_CHARS} characters")
+            raise SettingsError(location, f"the line is longer than {MAX_LINE_CHARS} characters")
         if any(ord(char) < FIRST_PRINTABLE and char != "\t" for char in line):
-            raise SettingsError(location, "a control character")
+            raise SettingsError(location, "the line contains a control character")
         line = line.strip()
         if line.startswith("["):
             if section is not None:
@@ -150,7 +150,7 @@
         if not parts:
             continue
         if section is None:
-            raise SettingsError(location, f"{parts[0]} stands before the first section")
+            raise SettingsError(location, f"{parts[0]} is set before the first section")
         section.directives.append(Directive(parts[0], parts[1:], location))
     if section is not None:
         yield section
--- a/rookbend/settings/schema.py
+++ b/rookbend/settings/schema.py
@@ -32,9 +32,9 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SectionSchema:
-    """The struct that a section becomes, its directives, and whether it takes a name.
+    """The struct that a section is parsed into, its directives, and whether it takes a name.
 
-    A directive `a-b` fills the field `a_b`, or `a_b_us` where it is a time.
+    A directive `a-b` sets the field `a_b`, or `a_b_us` where it is a time.
     """
 
     struct: type[msgspec.Struct]
@@ -42,7 +42,7 @@
     named: bool = False
 
     def field_of(self, directive: str) -> str:
-        """The struct's field that a directive fills."""
+        """The struct's field that a directive sets."""
         field = directive.replace("-", "_")
         return field if field in self.struct.__struct_fields__ else f"{field}_us"
 
--- a/rookbend/settings/sections.py
+++ b/rookbend/settings/sections.py
@@ -8,21 +8,21 @@
 
 SECOND_US = 1_000_000
 MINUTE_US = 60 * SECOND_US
-DEFAULT_LOCATION = SourceLocation("", 0)  # of a section that no file holds
+DEFAULT_LOCATION = SourceLocation("", 0)  # of a section that is not read from a file
 MAX_DEFAULT_VOTERS = 5
 
 
 class Log(msgspec.Struct, frozen=True):
     """[log]: `format` is text (key=value) or json."""
 
-    format: str = "text"  # text: key=value; json
+    format: str = "text"
     level: str = "info"
-    burst: int = 20  # lines of one event, and so many again after
+    burst: int = 20  # lines of one event at once, and as many again in `per_us`
     per_us: int = 10 * SECOND_US
 
 
 class Dns(msgspec.Struct, frozen=True):
-    """[dns]: the DNS front; `box_name` is a member's DNS name with its id as `{id}`."""
+    """[dns]: the DNS front; `box_name` is a member's DNS name, with `{id}` for its id."""
 
     listen: tuple[str, int]
     zone: str = "route.example.org"
@@ -38,12 +38,12 @@
 
 
 class Headroom(msgspec.Struct, frozen=True):
-    """[headroom]: how spare capacity becomes the weight that balancers in front are told."""
+    """[headroom]: how spare capacity becomes the weight reported to balancers in front."""
 
-    lag_us: int = 250_000  # loop lag at which no capacity is left
+    lag_us: int = 250_000  # event loop lag at which no capacity is left
     step: float = 0.1
-    rise_us: int = 2 * SECOND_US  # for one step up
-    least: float = 0.1  # the lowest weight while ready: 0% would be taken for a drain
+    rise_us: int = 2 * SECOND_US  # for which capacity must be spare before the weight rises by a step
+    least: float = 0.1  # the lowest weight while ready, since balancers take 0% for a drain
 
 
 class Admin(msgspec.Struct, frozen=True):
@@ -56,10 +56,10 @@
 class Background(msgspec.Struct, frozen=True):
     """[background]: the budgets of background work."""
 
-    rate: int = 500  # starts a second, all kinds together
+    rate: int = 500  # job starts per second, all kinds together
     running: int = 64
     descriptors: int = 64
-    watches: int = 256  # jobs that last, a descriptor each
+    watches: int = 256  # long-lived jobs, one descriptor each
 
 
 class Health(msgspec.Struct, frozen=True):
@@ -70,8 +70,8 @@
     hold_us: int = 2 * SECOND_US
     hold_most_us: int = 2 * MINUTE_US
     flap_window_us: int = MINUTE_US
-    slow_start_us: int = -1  # -1: the tier's stated time to warm up
-    start_at: float = -1.0  # -1: the tier's stated share while cold
+    slow_start_us: int = -1  # -1: the platform's warm-up time of the tier
+    start_at: float = -1.0  # -1: the platform's initial capacity of the tier
     passive_fall: int = 10
     passive_hold_us: int = 5 * SECOND_US
     weigh: str = "caches"
@@ -87,7 +87,7 @@
     interval_us: int = 2 * SECOND_US
     fast_us: int = 500_000
     down_us: int = 5 * SECOND_US
-    answer_by_us: int = SECOND_US  # after the connect began
+    answer_by_us: int = SECOND_US  # after the start of the connect
     rise: int = 2
     fall: int = 3
     stale_us: int = 10 * SECOND_US
@@ -108,11 +108,11 @@
 
     folder: str
     fleet: str = "rookbend"
-    most: int = 16 << 20  # bytes in memory and, about, on disk
+    most: int = 16 << 20  # bytes in memory, and approximately on disk
 
 
 class Recovery(msgspec.Struct, frozen=True):
-    """[recovery]: how service returns after a loss. Rates are the whole fleet's requests a second to the origin."""
+    """[recovery]: recovery from failures. Rates are the whole fleet's requests per second to the origin."""
 
     peers: bool = True
     fleet: str = "rookbend"
@@ -130,9 +130,9 @@
 
     voters: tuple[int, ...] = ()
     lease_us: int = 3 * SECOND_US
-    drift: float = 0.02  # by how much a clock may run fast or slow
+    drift: float = 0.02  # the fraction by which a clock may run fast or slow
     round_trip_us: int = 200_000
-    shards: int = 8  # of the members, for checks
+    shards: int = 8  # into which the members are divided for checks
     report_ledger: tuple[str, int] | None = None
     report_file: str = ""
     report_every_us: int = MINUTE_US
@@ -140,7 +140,7 @@
 
 
 class Settings(msgspec.Struct, frozen=True):
-    """All of the operators' settings; a part whose field is None is off."""
+    """All of the operators' settings; a component whose field is None is disabled."""
 
     log: Log = Log()
     dns: Dns | None = None
@@ -158,7 +158,7 @@
 
 
 def default_voters(directors: int) -> tuple[int, ...]:
-    """The first five directors, or three, or one: an odd number that there is."""
+    """The first five directors, or three if there are fewer than five, or one if there are fewer than three."""
     if directors >= MAX_DEFAULT_VOTERS:
         return tuple(range(MAX_DEFAULT_VOTERS))
     return tuple(range(3 if directors >= 3 else 1))
--- a/rookbend/settings/values.py
+++ b/rookbend/settings/values.py
@@ -1,6 +1,6 @@
-"""The kinds of values that a directive takes, with the unit where one is required.
+"""Parsers for the values of directives. Times and sizes need a unit.
 
-Each reader turns one word into a value, or raises `ValueError` with what is wrong with it.
+Each parser converts one word to a value, or raises `ValueError` with a description of the error.
 """
 
 from __future__ import annotations
@@ -22,101 +22,103 @@
 Number = TypeVar("Number", int, float)
 
 
-def _quantity(word: str, units: dict[str, int], quantity: str) -> int:
+def _parse_quantity(word: str, units: dict[str, int], quantity: str) -> int:
     match = NUMBER.fullmatch(word)
     if match is None:
-        raise ValueError(f"no {quantity}: {word!r}")
+        raise ValueError(f"not a {quantity}: {word!r}")
     unit = match[2].lower()
     if unit not in units:
         known = ", ".join(units)
         if not unit:
             raise ValueError(f"a {quantity} needs its unit ({known}): {word!r}")
-        raise ValueError(f"{match[2]!r} is no unit of a {quantity} ({known}): {word!r}")
+        raise ValueError(f"{match[2]!r} is not a unit of a {quantity} ({known}): {word!r}")
     return int(float(match[1]) * units[unit])
 
 
 def bounded(
-    read: Callable[[str], Number], least: Number, most: Number, show: Callable[[Number], str] = str
+    parse: Callable[[str], Number], minimum: Number, maximum: Number, format_value: Callable[[Number], str] = str
 ) -> Callable[[str], Number]:
-    """A reader of the same values that accepts only those from `least` to `most`."""
+    """A parser of the same values that accepts only those from `minimum` to `maximum`."""
 
-    def within(word: str) -> Number:
-        value = read(word)
-        if not least <= value <= most:
-            raise ValueError(f"{word} is outside {show(least)} to {show(most)}")
+    def parse_bounded(word: str) -> Number:
+        value = parse(word)
+        if not minimum <= value <= maximum:
+            raise ValueError(f"{word} is outside {format_value(minimum)} to {format_value(maximum)}")
         return value
 
-    return within
+    return parse_bounded
 
 
 def format_duration(us: int) -> str:
-    """A time in the largest unit that divides it."""
+    """Formats a time in microseconds in the largest unit that divides it."""
     for unit, size in reversed(TIME_UNITS.items()):
         if us and us % size == 0:
             return f"{us // size}{unit}"
     return "0s"
 
 
-def duration(least_us: int = 0, most_us: int = 24 * TIME_UNITS["h"]) -> ValueParser:
+def duration(minimum_us: int = 0, maximum_us: int = 24 * TIME_UNITS["h"]) -> ValueParser:
     """A time, in microseconds."""
-    return bounded(lambda word: _quantity(word, TIME_UNITS, "time"), least_us, most_us, format_duration)
+    return bounded(lambda word: _parse_quantity(word, TIME_UNITS, "time"), minimum_us, maximum_us, format_duration)
 
 
-def size(least: int, most: int) -> ValueParser:
+def size(minimum: int, maximum: int) -> ValueParser:
     """A size, in bytes."""
-    return bounded(lambda word: _quantity(word, SIZE_UNITS, "size"), least, most, lambda size_bytes: f"{size_bytes}b")
+    return bounded(
+        lambda word: _parse_quantity(word, SIZE_UNITS, "size"), minimum, maximum, lambda size_bytes: f"{size_bytes}b"
+    )
 
 
-def _integer(word: str) -> int:
+def _parse_integer(word: str) -> int:
     if not (word.isascii() and word.isdigit()):
-        raise ValueError(f"no whole number: {word!r}")
+        raise ValueError(f"not a whole number: {word!r}")
     return int(word)
 
 
-def integer(least: int, most: int) -> ValueParser:
+def integer(minimum: int, maximum: int) -> ValueParser:
     """A whole number."""
-    return bounded(_integer, least, most)
+    return bounded(_parse_integer, minimum, maximum)
 
 
-def _percentage(word: str) -> float:
+def _parse_percentage(word: str) -> float:
     match = NUMBER.fullmatch(word)
     if match is None or match[2] != "%":
-        raise ValueError(f"a share is written in percent, as 50%: {word!r}")
+        raise ValueError(f"not a percentage, such as 50%: {word!r}")
     return float(match[1]) / 100
 
 
-def percentage(least: float = 0.0, most: float = 1.0) -> ValueParser:
-    """A share of 1, written in percent."""
-    return bounded(_percentage, least, most, lambda value: f"{value * 100:g}%")
+def percentage(minimum: float = 0.0, maximum: float = 1.0) -> ValueParser:
+    """A fraction of 1, written in percent."""
+    return bounded(_parse_percentage, minimum, maximum, lambda value: f"{value * 100:g}%")
 
 
 def boolean(word: str) -> bool:
-    """A switch."""
+    """True for yes, False for no."""
     if word not in ("yes", "no"):
-        raise ValueError(f"yes or no, not {word!r}")
+        raise ValueError(f"yes or no expected, not {word!r}")
     return word == "yes"
 
 
 def one_of(*choices: str) -> ValueParser:
-    """One of some words."""
+    """One of the words in `choices`."""
 
-    def read(word: str) -> str:
+    def parse(word: str) -> str:
         if word not in choices:
             raise ValueError(f"{word!r} is none of {', '.join(choices)}")
         return word
 
-    return read
+    return parse
 
 
-def text(least: int = 0, most: int = 1024) -> ValueParser:
-    """Text of so many characters."""
+def text(minimum: int = 0, maximum: int = 1024) -> ValueParser:
+    """Text of `minimum` to `maximum` characters."""
 
-    def read(word: str) -> str:
-        if not least <= len(word) <= most:
-            raise ValueError(f"{least} to {most} characters, not {len(word)}")
+    def parse(word: str) -> str:
+        if not minimum <= len(word) <= maximum:
+            raise ValueError(f"{minimum} to {maximum} characters expected, not {len(word)}")
         return word
 
-    return read
+    return parse
 
 
 def address(word: str) -> tuple[str, int]:
@@ -125,7 +127,7 @@
     host = host.strip("[]")
     try:
         ipaddress.ip_address(host)
-        number = _integer(port)
+        number = _parse_integer(port)
     except ValueError:
         number = -1
     if not 0 <= number <= MAX_PORT:
@@ -134,26 +136,26 @@
 
 
 def loopback_address(word: str) -> tuple[str, int]:
-    """HOST:PORT on the loopback."""
+    """HOST:PORT with a loopback address."""
     host, port = address(word)
     if not ipaddress.ip_address(host).is_loopback:
-        raise ValueError(f"only an address of the loopback, not {word!r}: whoever reaches it may give orders")
+        raise ValueError(f"a loopback address is required, not {word!r}: every client of this listener may give orders")
     return host, port
 
 
 def status_range(word: str) -> tuple[int, int]:
     """An HTTP status or a range of them, as 204 or 200-299."""
     first, dash, last = word.partition("-")
-    lowest = _integer(first)
-    highest = _integer(last if dash else first)
+    lowest = _parse_integer(first)
+    highest = _parse_integer(last if dash else first)
     if not MIN_STATUS <= lowest <= highest <= MAX_STATUS:
-        raise ValueError(f"no HTTP status or range of them: {word!r}")
+        raise ValueError(f"not an HTTP status or a range of them: {word!r}")
     return lowest, highest
 
 
 @dataclass(frozen=True, slots=True)
 class DirectiveSpec:
-    """What a directive takes: one value, or with `multiple` several, each read alike."""
+    """The values that a directive takes: one, or with `multiple` several, each parsed by `parse`."""
 
     parse: ValueParser
     multiple: bool = False
