--- a/tests/test_dns_front.py
+++ b/tests/test_dns_front.py
@@ -8,7 +8,7 @@
 READ = f"p0.{OBJ}.g1.video.route.example.org"
 WRITE = f"r9b1f03aa5c7e2d41.p0.{OBJ}.g1.form.route.example.org"
 LIFE_BEFORE = "director wait 13\n"  # a write is in doubt for the first four deadlines after a start
-NAMED = f"""
+RESOLVED_READ = f"""
     dns send {READ} id=7
     cache1 expect do c=video k={OBJ} p=0
     cache1 send ok note=mem body=hello
@@ -19,13 +19,13 @@
 
 
 def test_a_read_names_the_box_that_served_it():
-    assert play(NAMED).counters.served == 1
+    assert play(RESOLVED_READ).counters.served == 1
 
 
 def test_a_drained_box_is_not_named_though_the_resolver_hands_it_out():
     """The hard case: cache1 drains, and the resolver goes on giving its address under its name."""
     play(
-        NAMED
+        RESOLVED_READ
         + f"""
         coordinator send DRAINING cache1
         director wait 0.5
@@ -48,7 +48,7 @@
 
 def test_a_drain_told_by_the_coordinator_of_a_reload_holds_for_names_too():
     play(
-        NAMED
+        RESOLVED_READ
         + f"""
         director send reload coordinator2
         coordinator2 expect call Last-Event-ID=1
@@ -76,7 +76,7 @@
 
 def test_a_remembered_answer_does_not_name_a_box_that_has_drained_since():
     play(
-        NAMED
+        RESOLVED_READ
         + f"""
         dns send {READ} id=7
         dns expect id=7 NOERROR cache1.example.org
@@ -235,7 +235,7 @@
 
 def test_a_box_back_in_service_under_its_old_name_is_named_at_its_new_address_only():
     async def check(stage):
-        await stage.play(NAMED)
+        await stage.play(RESOLVED_READ)
         number = server_number("cache1")
         moved = Endpoint(Member(number, 50.0, 0, 1, 0, MemberState.READY, 0), "cache1", ("127.0.0.12", 1))
         stage.service.engine.membership_changed(MembershipChange(False, 3, [moved]))
--- a/tests/test_dns_front_messages.py
+++ b/tests/test_dns_front_messages.py
@@ -3,14 +3,14 @@
 import pytest
 
 from tests.director_scenario import OBJ, play
-from tests.test_dns_front import NAMED, READ, WRITE
+from tests.test_dns_front import READ, RESOLVED_READ, WRITE
 
 
 def test_a_lookup_fails_alone_where_the_resolver_answers_with_another_class():
     # Guards against an address record of another class than IN, which ended the director.
-    lookup = NAMED.split("resolver send")[0]
+    lookup = RESOLVED_READ.split("resolver send")[0]
     served = play(
-        f"{lookup} resolver send hesiod \n dns expect udp id=7 SERVFAIL unnamed" + NAMED.replace("id=7", "id=8")
+        f"{lookup} resolver send hesiod \n dns expect udp id=7 SERVFAIL unnamed" + RESOLVED_READ.replace("id=7", "id=8")
     )
     assert served.counters.served == 2
 
--- a/tests/test_fault_containment.py
+++ b/tests/test_fault_containment.py
@@ -9,7 +9,7 @@
 
 from rookbend.net.peers import PeerSocket
 from tests.director_scenario import on_stage, staged
-from tests.test_dns_front import NAMED, READ
+from tests.test_dns_front import READ, RESOLVED_READ
 
 GET = b"GET /health HTTP/1.1\r\nHost: 127.0.0.1\r\n\r\n"
 ADMIN = "[admin]\n listen 127.0.0.1:0\n"
@@ -69,7 +69,7 @@
         with monkeypatch.context() as planted:
             planted.setattr(stage.service.dns.front, "query", fail)
             await stage.play(f"dns send {way}{READ} id=6\n dns expect nothing")
-        await stage.play(NAMED)
+        await stage.play(RESOLVED_READ)
 
     on_stage(steps, component_faults=1)
     assert faults(capsys) == ["dns"]
@@ -79,9 +79,11 @@
     async def steps(stage):
         with monkeypatch.context() as planted:
             planted.setattr("rookbend.net.dns_resolver.parse_addresses", fail)
-            await stage.play(NAMED.replace("dns expect udp id=7 NOERROR cache1.example.org 127.0.0.11 ttl=0", ""))
+            await stage.play(
+                RESOLVED_READ.replace("dns expect udp id=7 NOERROR cache1.example.org 127.0.0.11 ttl=0", "")
+            )
             await stage.play("dns expect id=7 SERVFAIL unnamed")
-        await stage.play(NAMED.replace("id=7", "id=8"))
+        await stage.play(RESOLVED_READ.replace("id=7", "id=8"))
 
     on_stage(steps, component_faults=1)
     assert faults(capsys) == ["resolver"]
