--- a/rookbend/settings/consistency.py
+++ b/rookbend/settings/consistency.py
@@ -134,5 +134,5 @@
         raise SettingsError(settings.recovery.location, text)
     ownership = settings.ownership
     if ownership is not None and any(voter >= directors for voter in ownership.voters):
-        text = f"[ownership] voters: {max(ownership.voters)} is not an index in peers, which has {directors} entries"
+        text = f"[ownership] voters: {max(ownership.voters)} is not an index in peers, whose number is {directors}"
         raise SettingsError(ownership.location, text)
