--- a/tests/test_dns_front.py
+++ b/tests/test_dns_front.py
@@ -1,4 +1,4 @@
-"""The DNS front on loopback, with stand-in resolver, caches and client."""
+"""The DNS front on the loopback interface, with simulated resolver, caches and client."""
 
 from rookbend.core.model import Endpoint, MembershipChange
 from rookbend.interface import Member, MemberState
@@ -7,7 +7,7 @@
 
 READ = f"p0.{OBJ}.g1.video.route.example.org"
 WRITE = f"r9b1f03aa5c7e2d41.p0.{OBJ}.g1.form.route.example.org"
-LIFE_BEFORE = "director wait 13\n"  # a write is in doubt for the first four deadlines after a start
+AFTER_RETRY_WINDOW = "director wait 13\n"  # writes are not accepted for the first four deadlines after a start
 RESOLVED_READ = f"""
     dns send {READ} id=7
     cache1 expect do c=video k={OBJ} p=0
@@ -18,12 +18,12 @@
 """
 
 
-def test_a_read_names_the_box_that_served_it():
+def test_a_reply_to_a_read_names_the_member_that_served_it():
     assert play(RESOLVED_READ).counters.served == 1
 
 
-def test_a_drained_box_is_not_named_though_the_resolver_hands_it_out():
-    """The hard case: cache1 drains, and the resolver goes on giving its address under its name."""
+def test_a_drained_member_is_not_named_although_the_resolver_returns_its_address():
+    """cache1 drains, and the resolver still returns its address for its name."""
     play(
         RESOLVED_READ
         + f"""
@@ -46,7 +46,7 @@
     )
 
 
-def test_a_drain_told_by_the_coordinator_of_a_reload_holds_for_names_too():
+def test_a_drain_received_from_a_reloaded_coordinator_applies_to_replies():
     play(
         RESOLVED_READ
         + f"""
@@ -61,7 +61,7 @@
     )
 
 
-def test_a_box_that_drains_while_its_name_is_resolved_is_not_named():
+def test_a_member_that_drains_while_its_name_is_resolved_is_not_named():
     play(f"""
         dns send {READ}
         cache1 expect do k={OBJ}
@@ -74,7 +74,7 @@
     """)
 
 
-def test_a_remembered_answer_does_not_name_a_box_that_has_drained_since():
+def test_a_repeated_reply_does_not_name_a_member_that_has_drained_since():
     play(
         RESOLVED_READ
         + f"""
@@ -89,10 +89,10 @@
     )
 
 
-def test_a_submission_retried_on_its_behalf_runs_once():
-    """By the same client, through another resolver, before the answer and after it."""
+def test_a_repeated_write_runs_once():
+    """The repeats come from the same client and through another resolver, before the answer and after it."""
     service = play(
-        LIFE_BEFORE
+        AFTER_RETRY_WINDOW
         + f"""
         dns send {WRITE} id=1
         records expect do c=form rid=9b1f03aa5c7e2d41
@@ -131,9 +131,9 @@
     on_stage(check)
 
 
-def test_a_submission_in_doubt_fails_and_its_repeat_gets_that_answer():
+def test_a_write_with_an_unknown_result_fails_and_its_repeat_gets_the_same_answer():
     play(
-        LIFE_BEFORE
+        AFTER_RETRY_WINDOW
         + f"""
         dns send {WRITE} id=1
         records expect do c=form
@@ -146,7 +146,7 @@
     )
 
 
-def test_a_submission_right_after_a_start_is_in_doubt():
+def test_a_write_right_after_a_start_fails_since_it_may_have_run_before():
     play(f"""
         dns send {WRITE}
         dns expect SERVFAIL just started:
@@ -154,9 +154,9 @@
     """)
 
 
-def test_a_submission_that_ran_is_told_so_though_no_box_can_be_named():
+def test_a_write_that_ran_gets_noerror_although_no_member_can_be_named():
     play(
-        LIFE_BEFORE
+        AFTER_RETRY_WINDOW
         + f"""
         dns send {WRITE}
         records expect do c=form
@@ -171,7 +171,7 @@
 def test_one_request_id_under_two_names_runs_once():
     other = WRITE.replace("p0", "p1")
     play(
-        LIFE_BEFORE
+        AFTER_RETRY_WINDOW
         + f"""
         dns send {WRITE} id=1
         records expect do c=form
@@ -182,11 +182,11 @@
     )
 
 
-def test_memory_is_bounded_and_full_of_writes_refuses_rather_than_forgets():
+def test_a_full_lookup_table_refuses_new_writes_and_keeps_the_known_ones():
     async def check(stage):
         stage.service.dns.front.table.capacity = 1
         await stage.play(
-            LIFE_BEFORE
+            AFTER_RETRY_WINDOW
             + f"""
             dns send {WRITE} id=1
             records expect do c=form
@@ -205,7 +205,7 @@
     on_stage(check)
 
 
-def test_a_silent_cache_costs_the_lookup_its_answer_by_the_deadline():
+def test_a_lookup_is_refused_at_its_deadline_if_the_cache_is_silent():
     play(f"""
         dns send {READ}
         cache1 expect do k={OBJ}
@@ -216,7 +216,7 @@
     """)
 
 
-def test_lookups_after_the_drain_are_refused_with_a_time_to_come_back():
+def test_lookups_after_the_grace_period_of_a_drain_are_refused_with_a_retry_time():
     play(f"""
         cache1 expect nothing
         dns send {READ} id=1
@@ -233,18 +233,18 @@
     """)
 
 
-def test_a_box_back_in_service_under_its_old_name_is_named_at_its_new_address_only():
+def test_a_member_that_returns_with_another_address_is_named_with_that_address_only():
     async def check(stage):
         await stage.play(RESOLVED_READ)
         number = server_number("cache1")
         moved = Endpoint(Member(number, 50.0, 0, 1, 0, MemberState.READY, 0), "cache1", ("127.0.0.12", 1))
         stage.service.engine.membership_changed(MembershipChange(False, 3, [moved]))
         front = stage.service.dns.front
-        told = []
+        results = []
         front._on_resolved(next(iter(front.table.by_key.values())), number, "cache1.example.org", ["127.0.0.11"])
-        told.append(next(iter(front.table.by_key.values())).outcome.server)
+        results.append(next(iter(front.table.by_key.values())).outcome.server)
         front._on_resolved(next(iter(front.table.by_key.values())), number, "cache1.example.org", ["127.0.0.12"])
-        told.append(next(iter(front.table.by_key.values())).outcome.address)
-        assert told == [0, "127.0.0.12"]
+        results.append(next(iter(front.table.by_key.values())).outcome.address)
+        assert results == [0, "127.0.0.12"]
 
     on_stage(check)
--- a/tests/test_dns_front_messages.py
+++ b/tests/test_dns_front_messages.py
@@ -1,4 +1,4 @@
-"""The DNS front's messages: what the resolver may answer, replies that are too long, and bytes that are no lookup."""
+"""Messages of the DNS front: replies of the resolver, replies that are too long, and queries that are not lookups."""
 
 import pytest
 
@@ -6,8 +6,8 @@
 from tests.test_dns_front import READ, RESOLVED_READ, WRITE
 
 
-def test_a_lookup_fails_alone_where_the_resolver_answers_with_another_class():
-    # Guards against an address record of another class than IN, which ended the director.
+def test_a_resolver_reply_of_another_class_fails_only_its_own_lookup():
+    # Guards against an address record of a class other than IN, which terminated the director.
     lookup = RESOLVED_READ.split("resolver send")[0]
     served = play(
         f"{lookup} resolver send hesiod \n dns expect udp id=7 SERVFAIL unnamed" + RESOLVED_READ.replace("id=7", "id=8")
@@ -15,7 +15,7 @@
     assert served.counters.served == 2
 
 
-def test_a_silent_resolver_is_asked_again_and_costs_the_answer_by_the_deadline():
+def test_a_silent_resolver_is_queried_again_and_the_lookup_fails_at_its_deadline():
     play(f"""
         dns send {READ}
         cache1 expect do k={OBJ}
@@ -28,19 +28,19 @@
     """)
 
 
-@pytest.mark.parametrize("says", ["SERVFAIL", "NXDOMAIN", "192.0.2.1"])
-def test_a_resolver_that_fails_or_names_a_stranger_gives_no_box(says):
+@pytest.mark.parametrize("reply", ["SERVFAIL", "NXDOMAIN", "192.0.2.1"])
+def test_no_member_is_named_if_the_resolver_fails_or_returns_an_unknown_address(reply):
     play(f"""
         dns send {READ}
         cache1 expect do k={OBJ}
         cache1 send ok note=mem body=hello
         resolver expect cache1.example.org
-        resolver send {says}
+        resolver send {reply}
         dns expect SERVFAIL unnamed
     """)
 
 
-def test_a_resolvers_reply_that_is_cut_off_is_asked_for_over_tcp():
+def test_a_truncated_reply_of_the_resolver_is_queried_again_over_tcp():
     play(f"""
         dns send {READ}
         cache1 expect do k={OBJ}
@@ -53,7 +53,7 @@
     """)
 
 
-def test_a_reply_too_long_for_a_datagram_is_truncated_and_whole_over_tcp():
+def test_a_reply_too_long_for_a_datagram_is_truncated_and_complete_over_tcp():
     long = ".".join(["x" * 60] * 3) + ".example.org"
     name = READ.replace("route.example.org", long)
     box_name = "{id}." + ".".join(["y" * 60] * 3 + ["z" * 40]) + ".example.net"
@@ -91,7 +91,7 @@
         (READ + " type=TXT", "NOERROR"),
     ],
 )
-def test_names_that_are_no_lookup_are_answered_at_once(name, rcode):
+def test_names_that_are_not_lookups_are_answered_at_once(name, rcode):
     service = play(f"""
         dns send {name}
         dns expect {rcode} unnamed
@@ -103,12 +103,12 @@
 @pytest.mark.parametrize(
     "raw, rcode",
     [
-        ("0005010000010000000000000361", "FORMERR"),  # a question cut short
+        ("0005010000010000000000000361", "FORMERR"),  # a truncated question
         ("000501000000000000000000", "FORMERR"),  # no question
         ("0005200000010000000000000161000001" + "0001", "NOTIMP"),
     ],
 )
-def test_malformed_messages_get_their_error(raw, rcode):
+def test_malformed_messages_get_the_matching_error_code(raw, rcode):
     play(f"""
         dns send raw {raw}
         dns expect id=5 {rcode}
@@ -116,7 +116,7 @@
 
 
 @pytest.mark.parametrize("raw", ["00", "000581000001000000000000"])
-def test_scraps_and_replies_are_not_answered(raw):
+def test_incomplete_headers_and_replies_are_not_answered(raw):
     play(f"""
         dns send raw {raw}
         dns expect nothing
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""Drains, purges, the exit and reloads of a director on loopback."""
+"""Drains, purges, shutdowns and reloads of a director on the loopback interface."""
 
 from tests.director_scenario import OBJ, on_stage, play
 
@@ -10,7 +10,7 @@
 """
 
 
-def test_nothing_new_goes_to_a_cache_that_drains():
+def test_a_draining_cache_gets_no_new_requests():
     play(
         SERVE
         + """
@@ -25,7 +25,7 @@
     )
 
 
-def test_a_purge_sets_the_age_that_will_do():
+def test_a_purge_limits_the_age_of_copies_that_may_be_served():
     play(
         SERVE
         + f"""
@@ -37,7 +37,7 @@
     )
 
 
-def test_an_answer_to_a_request_is_owed_after_the_sending_side_was_closed():
+def test_a_request_is_answered_after_the_client_closes_its_sending_side():
     async def check(stage):
         await stage.play("client send request 1 video\ncache1 expect do rid=0000000000000001")
         await stage.actors["client"].streams[0].send_eof()
@@ -46,7 +46,7 @@
     on_stage(check)
 
 
-def test_a_restart_settles_what_was_taken_and_serves_latecomers():
+def test_a_shutdown_answers_accepted_requests_and_serves_new_ones_in_the_grace_period():
     service = play("""
         client send request 1 video
         cache1 expect do rid=0000000000000001
@@ -67,7 +67,7 @@
     assert service.phase.value == "stopped" and service.engine.open_requests == 0
 
 
-def test_a_restart_answers_what_hangs_before_the_kill():
+def test_a_shutdown_answers_a_hanging_request_before_sigkill():
     play("""
         client send request 1 video budget=5000
         cache1 expect do rid=0000000000000001
@@ -79,7 +79,7 @@
     """)
 
 
-def test_a_broken_stream_is_called_again_with_the_last_index():
+def test_a_closed_event_stream_is_reconnected_with_the_last_event_id():
     play("""
         coordinator send DRAINING cache1
         coordinator close
@@ -87,8 +87,8 @@
     """)
 
 
-def test_a_loop_that_was_late_takes_requests_again_though_none_is_open():
-    """Guards against the guard: measured only with the timers, a lag stayed when no request had any."""
+def test_requests_are_accepted_again_after_event_loop_lag_with_no_request_open():
+    """Guards against endless rejections: without a request there was no timer, and lag was measured only with timers."""
 
     async def check(stage):
         stage.service.engine.lag_us = 300_000
@@ -114,8 +114,8 @@
 )
 
 
-def test_a_reload_moves_the_watch_at_once_and_its_numbers_go_on():
-    """Guards the told time after SIGHUP: the old stream stays open, silent, and is not waited for."""
+def test_a_reload_moves_the_watch_at_once_and_event_ids_continue():
+    """The watch moves within the stated time after SIGHUP: it does not wait for the old stream, open but silent."""
     counters = play(
         RELOADED
         + """
@@ -130,7 +130,7 @@
     assert (counters.reloads_ok, counters.roster_changes) == (1, 3)
 
 
-def test_a_reload_leaves_open_requests_and_clients_alone():
+def test_a_reload_does_not_affect_open_requests_and_clients():
     play("""
         client send request 1 video
         cache1 expect do rid=0000000000000001
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The platform's port on loopback: requests, answers and the ends of attempts."""
+"""The platform's front on the loopback interface: requests, answers and outcomes of attempts."""
 
 from rookbend.core.model import Request
 from rookbend.interface import AttemptStatus
@@ -12,19 +12,19 @@
 """
 
 
-def test_served_bytes_are_the_caches():
+def test_the_served_body_is_that_of_the_cache():
     counters = play(SERVE).counters
     assert (counters.requests, counters.served, counters.attempts, counters.ok) == (1, 1, 1, 1)
 
 
-def test_readiness_is_told():
+def test_readiness_is_reported():
     play("""
         client send ready? 9
         client expect ready 9
     """)
 
 
-def test_a_copy_the_client_holds_is_confirmed_without_bytes():
+def test_a_current_copy_at_the_client_is_confirmed_without_a_body():
     play("""
         client send request 1 video known=00000000000000aa
         cache1 expect do cached=00000000000000aa
@@ -42,8 +42,8 @@
     """)
 
 
-def test_the_idempotency_key_of_a_request_goes_on_unchanged_with_each_attempt():
-    """A class that may be repeated within a window is known by it at the member; the id names one try."""
+def test_the_idempotency_key_of_a_request_is_sent_unchanged_with_each_attempt():
+    """Members recognize repeats within a class's window by this key; the request id identifies only one try."""
     play("""
         client send request 1 form body=form token=b7e1-77
         records expect do c=form i=b7e1-77 body=form
@@ -54,9 +54,9 @@
     """)
 
 
-def test_writes_share_a_connection_and_a_read_that_was_reset_goes_out_on_a_new_one():
-    """Guards the origin's table: a new connection for each write, from each of 40 directors, had it turn
-    nine writes in ten away. A read lost to a reset still takes a new connection for its next try."""
+def test_writes_share_a_connection_and_a_read_that_was_reset_is_retried_on_a_new_one():
+    """Guards the origin's connection table: with a new connection for each write from each of 40 directors, the origin
+    rejected nine writes in ten. A read lost to a reset is still retried on a new connection."""
     service = play("""
         client send request 1 form
         records expect do rid=0000000000000001
@@ -78,8 +78,8 @@
     assert service.counters.connects == 1 + 2 + 1
 
 
-def test_an_attempt_given_up_before_it_left_the_buffer_never_goes_out():
-    """Guards both ways: what is called never run (a write may go again then) must not reach the member."""
+def test_an_attempt_cancelled_before_it_left_the_buffer_is_never_sent():
+    """Such an attempt is reported as never run, so a write may be sent again: it must not reach the member."""
 
     async def check(stage):
         await stage.play("""
@@ -103,7 +103,7 @@
     on_stage(check)
 
 
-def test_a_write_that_was_reset_whole_fails_and_is_not_repeated():
+def test_a_write_that_was_sent_completely_and_reset_fails_and_is_not_retried():
     service = play("""
         client send request 1 form body=form
         records expect do c=form
@@ -114,7 +114,7 @@
     assert service.counters.reset == 1 and service.counters.attempts == 1
 
 
-def test_a_read_that_was_reset_goes_again_where_it_is_held_by_now_and_then_elsewhere():
+def test_a_read_that_was_reset_is_retried_at_the_same_cache_and_then_at_another_member():
     play("""
         client send request 1 video
         cache1 expect do rid=0000000000000001
@@ -127,7 +127,7 @@
     """)
 
 
-def test_a_silent_cache_costs_the_answer_not_the_deadline():
+def test_a_request_to_a_silent_member_fails_by_its_deadline():
     service = play("""
         client send request 1 form budget=800
         records expect do c=form
@@ -138,7 +138,7 @@
     assert service.counters.timeout == 1
 
 
-def test_a_cancelled_request_is_undone_and_never_answered():
+def test_a_cancelled_request_is_cancelled_at_the_member_and_never_answered():
     service = play("""
         client send request 1 video
         cache1 expect do c=video
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -1,5 +1,5 @@
-"""SIGTERM against what is on its way: every request that was read is answered once, and no close resets a
-connection over bytes that nobody has read."""
+"""Shutdown with requests in transit: every request that was read is answered once, and no connection is reset because
+it is closed with unread bytes."""
 
 import pytest
 import trio
@@ -10,79 +10,79 @@
 from tests.director_scenario import on_stage
 from tests.raw_client import ANSWERED, CLOSING, REFUSED, SERVED, RawClient, request
 
-LATECOMERS_S = GRACE_US / 1e6
+GRACE_S = GRACE_US / 1e6
 
 
-async def stopped(stage):
-    """Waits for the director's own end; it may not need more than its time."""
+async def wait_until_stopped(stage):
+    """Waits until the director has stopped, for no longer than its shutdown may take."""
     with trio.fail_after(4):
         await stage.done.wait()
 
 
 def test_a_connection_in_the_backlog_is_answered_before_the_listener_closes():
     async def check(stage):
-        stage.service.client_listener.max_clients = 0  # nobody is accepted: it waits in the listener's backlog
+        stage.service.client_listener.max_clients = 0  # no client is accepted: the connection waits in the backlog
         client = await RawClient(stage).connect()
         await client.send(request(1))
         stage.service.stop()
-        await trio.sleep(LATECOMERS_S + 0.1)
+        await trio.sleep(GRACE_S + 0.1)
         assert await client.read_to_end() == [(CLOSING, 0, None), (ANSWERED, 1, REFUSED)]
         client.sock.close()
-        await stopped(stage)
+        await wait_until_stopped(stage)
 
     on_stage(check)
 
 
-def test_bytes_that_were_not_read_yet_are_read_and_answered_before_the_end():
-    unread = trio.Event()
+def test_unread_requests_are_read_and_answered_before_the_connection_closes():
+    resume = trio.Event()
 
     async def check(stage):
         client = await RawClient(stage).connect()
         await client.send(encode_frame(1, 9, {}))
 
-        async def paused():
-            await unread.wait()
-            return await real()
+        async def paused_receive():
+            await resume.wait()
+            return await receive()
 
         (connection,) = stage.service.client_listener.open
-        real, connection.socket.receive = connection.socket.receive, paused
-        await client.send(request(1))  # read by the receive under way
-        await client.send(request(2, chunk=1))  # lies unread from here on
+        receive, connection.socket.receive = connection.socket.receive, paused_receive
+        await client.send(request(1))  # read by the receive in progress
+        await client.send(request(2, chunk=1))  # stays unread until `resume` is set
         stage.service.stop()
         await trio.sleep(0.1)
         await stage.play("cache1 expect do rid=0000000000000001\ncache1 send ok note=mem body=hello")
-        await trio.sleep(LATECOMERS_S)
-        unread.set()
+        await trio.sleep(GRACE_S)
+        resume.set()
         frames = await client.read_to_end()
         assert (ANSWERED, 1, SERVED) in frames and (ANSWERED, 2, REFUSED) in frames
         client.sock.close()
-        await stopped(stage)
+        await wait_until_stopped(stage)
         await stage.play("cache1 expect nothing")
 
     on_stage(check)
 
 
-def test_a_frame_of_which_half_has_come_is_served_if_it_is_whole_in_time_and_harmless_if_not():
+def test_a_partial_frame_is_served_if_completed_in_time_and_ignored_if_not():
     async def check(stage):
-        whole, half = await RawClient(stage).connect(), await RawClient(stage).connect()
-        await whole.send(request(1)[:20])
-        await half.send(request(2, chunk=2)[:20])
+        completed, partial = await RawClient(stage).connect(), await RawClient(stage).connect()
+        await completed.send(request(1)[:20])
+        await partial.send(request(2, chunk=2)[:20])
         stage.service.stop()
-        await trio.sleep(LATECOMERS_S - 0.1)
-        await whole.send(request(1)[20:])
+        await trio.sleep(GRACE_S - 0.1)
+        await completed.send(request(1)[20:])
         await stage.play("cache1 expect do rid=0000000000000001\ncache1 send ok note=mem body=hello")
-        assert await whole.read_to_end() == [(CLOSING, 0, None), (ANSWERED, 1, SERVED)]
-        assert await half.read_to_end() == [(CLOSING, 0, None)]
-        whole.sock.close()
-        half.sock.close()
-        await stopped(stage)
+        assert await completed.read_to_end() == [(CLOSING, 0, None), (ANSWERED, 1, SERVED)]
+        assert await partial.read_to_end() == [(CLOSING, 0, None)]
+        completed.sock.close()
+        partial.sock.close()
+        await wait_until_stopped(stage)
         await stage.play("cache1 expect nothing")
 
     on_stage(check)
 
 
-@pytest.mark.parametrize("after_s, code", [(LATECOMERS_S - 0.01, SERVED), (LATECOMERS_S + 0.05, REFUSED)])
-def test_a_pipeline_of_frames_around_the_last_permitted_moment_is_answered_whole(after_s, code):
+@pytest.mark.parametrize("after_s, code", [(GRACE_S - 0.01, SERVED), (GRACE_S + 0.05, REFUSED)])
+def test_every_frame_sent_around_the_end_of_the_grace_period_is_answered(after_s, code):
     async def check(stage):
         client = await RawClient(stage).connect()
         await client.send(request(1, chunk=1))
@@ -100,12 +100,12 @@
         assert frames[0] == (CLOSING, 0, None)
         assert sorted(frames[1:]) == [(ANSWERED, 1, SERVED), (ANSWERED, 2, code), (ANSWERED, 3, code)]
         client.sock.close()
-        await stopped(stage)
+        await wait_until_stopped(stage)
 
     on_stage(check)
 
 
-def test_an_answer_half_written_goes_out_whole():
+def test_partly_written_answers_are_written_completely():
     async def check(stage):
         client = await RawClient(stage).connect(receive_buffer=4096)
         count = 24
@@ -119,19 +119,19 @@
         (connection,) = stage.service.client_listener.open
         assert connection.socket.backlog_bytes
         stage.service.stop()
-        await trio.sleep(LATECOMERS_S + 0.1)
+        await trio.sleep(GRACE_S + 0.1)
         assert connection.socket.backlog_bytes
         frames = await client.read_to_end()
         assert frames.count((CLOSING, 0, None)) == 1
         assert sorted(frames)[1:] == [(ANSWERED, stream, SERVED) for stream in range(1, count + 1)]
         client.sock.close()
-        await stopped(stage)
+        await wait_until_stopped(stage)
 
     on_stage(check)
 
 
-def test_a_client_that_rests_and_asks_in_the_moment_of_the_end_is_not_served_and_not_reset():
-    """What crosses the director's end is sent again by its client: served here, its answer would be lost."""
+def test_a_request_that_crosses_the_close_of_an_idle_connection_is_neither_served_nor_reset():
+    """The client sends such a request again: if it were served here, its answer would be lost."""
 
     async def check(stage):
         client = await RawClient(stage).connect()
@@ -139,34 +139,34 @@
         await stage.play("cache1 expect do rid=0000000000000001\ncache1 send ok note=mem body=hello")
         stage.service.stop()
         (connection,) = stage.service.client_listener.open
-        real = connection.socket.finish
+        finish = connection.socket.finish
 
-        def crossed():
-            real()
-            client.sock._sock.send(request(2, chunk=2))  # arrives right behind the director's end
+        def finish_and_send():
+            finish()
+            client.sock._sock.send(request(2, chunk=2))  # arrives right after the director has closed its side
 
-        connection.socket.finish = crossed
+        connection.socket.finish = finish_and_send
         assert await client.read_to_end() == [(ANSWERED, 1, SERVED), (CLOSING, 0, None)]
         client.sock.close()
-        await stopped(stage)
+        await wait_until_stopped(stage)
         await stage.play("cache1 expect nothing")
 
     on_stage(check)
 
 
-def test_a_resting_client_that_never_closes_does_not_keep_the_director():
+def test_an_idle_client_that_never_closes_does_not_delay_the_shutdown():
     async def check(stage):
         client = await RawClient(stage).connect()
         await client.send(encode_frame(1, 9, {}))
         stage.service.stop()
-        stage.service.stop()  # a second signal changes nothing
-        await stopped(stage)
+        stage.service.stop()  # a second call has no effect
+        await wait_until_stopped(stage)
         client.sock.close()
 
     on_stage(check)
 
 
-def test_a_write_whose_body_is_half_out_is_answered_once():
+def test_a_write_in_flight_is_answered_once():
     async def check(stage):
         await stage.play("""
             client send request 1 form body=form
@@ -184,7 +184,7 @@
     on_stage(check)
 
 
-def test_a_retry_that_is_about_to_begin_goes_on_and_its_request_is_answered_once():
+def test_a_retry_after_the_shutdown_has_begun_is_made_and_its_request_answered_once():
     async def check(stage):
         await stage.play("""
             client send request 1 form budget=3000
@@ -204,7 +204,7 @@
     on_stage(check)
 
 
-def test_a_reload_just_before_the_end_loses_nothing():
+def test_a_reload_just_before_a_shutdown_loses_no_answer():
     async def check(stage):
         await stage.play("""
             client send request 1 video
--- a/tests/test_unusable_settings.py
+++ b/tests/test_unusable_settings.py
@@ -1,4 +1,4 @@
-"""Settings that can't be used: at a start exit 2 with file, key and fault on one line; at SIGHUP nothing changes."""
+"""Invalid configurations: a start exits with 2 and one line that names the file and the key; a reload changes nothing."""
 
 import copy
 import json
@@ -10,21 +10,21 @@
 
 
 def changed(path, value=None):
-    """The good configuration with one value set, or taken away where there is none."""
+    """The valid configuration with the value at `path` set, or removed if `value` is None."""
     raw = copy.deepcopy(GOOD)
-    *way, last = path
-    at = raw
-    for step in way:
-        at = at[step]
+    *parents, key = path
+    node = raw
+    for parent in parents:
+        node = node[parent]
     if value is None:
-        del at[last]
+        del node[key]
     else:
-        at[last] = value
+        node[key] = value
     return json.dumps(raw)
 
 
 TEXT = json.dumps(GOOD)
-UNUSABLE = {
+INVALID = {
     "empty": ("", "truncated"),
     "cut-off": (TEXT[: len(TEXT) // 2], "truncated"),
     "no-object": ("[]", "Expected `object`"),
@@ -38,8 +38,8 @@
 }
 
 
-@pytest.mark.parametrize("text, named", UNUSABLE.values(), ids=UNUSABLE)
-def test_at_a_start_it_is_one_line_with_file_key_and_fault_and_exit_2(tmp_path, text, named):
+@pytest.mark.parametrize("text, named", INVALID.values(), ids=INVALID)
+def test_a_start_exits_with_2_and_one_line_that_names_file_and_key(tmp_path, text, named):
     process = run(tmp_path, text)
     out, err = process.communicate(timeout=20)
     assert process.returncode == 2 and out == ""
@@ -47,15 +47,15 @@
     assert str(tmp_path / "config.json") in err and named in err
 
 
-def test_at_a_signal_nothing_changes_and_each_is_one_log_line_and_counted(tmp_path):
+def test_a_reload_is_rejected_logged_on_one_line_and_counted(tmp_path):
     process = run(tmp_path, GOOD)
     assert "event=ready" in process.stderr.readline()
-    for text, named in UNUSABLE.values():
+    for text, named in INVALID.values():
         (tmp_path / "config.json").write_text(text)
         process.send_signal(signal.SIGHUP)
         line = process.stderr.readline()
         assert "event=reload_failed" in line and str(tmp_path / "config.json") in line
         assert named.replace("[", "").split(".")[-1][:8] in line.replace("[", "")
     process.send_signal(signal.SIGTERM)
-    assert f"reloads_ok=0 reloads_failed={len(UNUSABLE)}" in process.communicate(timeout=20)[1]
+    assert f"reloads_ok=0 reloads_failed={len(INVALID)}" in process.communicate(timeout=20)[1]
     assert process.returncode == 0
