--- a/rookbend/drain.py
+++ b/rookbend/drain.py
@@ -51,7 +51,7 @@
         return bool(self._started_us) and self._context.clock.now() >= self._started_us + GRACE_US
 
     async def run(self, accept_scope: trio.CancelScope) -> None:
-        """Returns once everything is answered, or when its time is over since the process may be killed.
+        """Returns once everything is answered, at the latest shortly before the process may be killed.
 
         `accept_scope` is the cancel scope of the task that accepts clients.
         """
--- a/rookbend/fronts/platform.py
+++ b/rookbend/fronts/platform.py
@@ -54,7 +54,7 @@
 
     @property
     def idle_deadline_us(self) -> int | None:
-        """When the connection is closed if nothing more is received; None while a request is open.
+        """When the connection is closed if nothing more is received; None while a request is open and no frame is partial.
 
         Limits the descriptors and memory held by clients that send nothing, stop within a frame or never close.
         """
@@ -158,8 +158,8 @@
             engine.client_half_closed(open_request)
 
     def _count_outcome(self, frame: frames.RequestFrame, outcome: FinalOutcome) -> None:
-        """Counts an answer to a request that the engine does not get. Unknown classes are not counted: clients could
-        make up any number of names."""
+        """Counts an answer to a request that is not passed to the engine. Unknown classes are not counted, since
+        clients could make up any number of names."""
         class_name = (frame.fields or {}).get(frames.TRAFFIC_CLASS_FIELD, "")
         if self.front.engine.class_index(class_name) is not None:
             self.front.engine.counters.ended(class_name, outcome)
--- a/rookbend/fronts/platform_request.py
+++ b/rookbend/fronts/platform_request.py
@@ -12,12 +12,12 @@
 MAX_TIMEOUT_MS = 3_600_000
 MAX_PART = 0xFFFFFF
 MAX_GROUP = 255
-DEADLINE_MARGIN_US = 10_000  # subtracted from the client's timeout, for the answer's way to the client
+DEADLINE_MARGIN_US = 10_000  # subtracted from the client's timeout, for the transfer of the answer
 DEADLINE_MARGIN_DIVISOR = 4  # the margin is at most this part of the timeout: a quarter
 HEX_ID_CHARS = 16
 HEX_DIGITS = frozenset("0123456789abcdefABCDEF")
 WORD_SEPARATORS = frozenset(" ,=")
-MAX_SHOWN_CHARS = 40
+MAX_SHOWN_CHARS = 40  # of a value in an error message
 
 
 class MalformedRequestError(ValueError):
--- a/rookbend/service.py
+++ b/rookbend/service.py
@@ -76,7 +76,7 @@
         self.log = Log(self.clock.now, **msgspec.structs.asdict(self.operators.log))
         self._build_core()
         self._build_components()
-        self._build_lifecycle(read_config or (lambda before: (config, self.operators)))
+        self._build_lifecycle(read_config or (lambda previous: (config, self.operators)))
 
     def _build_core(self) -> None:
         """Builds the engine, the watch of the coordinator, the listener for clients and the process metrics."""
