--- a/rookbend/fronts/dns_lookups.py
+++ b/rookbend/fronts/dns_lookups.py
@@ -49,7 +49,7 @@
 
 
 class RoutedLookup:
-    """One request to the core on behalf of a lookup and its repeats; `write_id` is empty for a read."""
+    """One request to the engine on behalf of a lookup and its repeats; `write_id` is empty for a read."""
 
     __slots__ = ("deadline_us", "expires_us", "name", "outcome", "waiters", "write_id")
 
--- a/rookbend/fronts/platform.py
+++ b/rookbend/fronts/platform.py
@@ -54,7 +54,7 @@
 
     @property
     def idle_deadline_us(self) -> int | None:
-        """When the connection is closed if nothing more is received; None while a request is open and no frame is partial.
+        """When the connection is closed if nothing more is received; None if a request is open and no frame is partial.
 
         Limits the descriptors and memory held by clients that send nothing, stop within a frame or never close.
         """
