--- a/rookbend/settings/reader.py
+++ b/rookbend/settings/reader.py
@@ -1,12 +1,12 @@
-"""The lexical form of the operators' settings: lines of words, in the manner of classic daemons.
+"""The syntax of the operators' settings: lines of words, like the configuration files of many Unix daemons.
 
     # a comment
     [check agent]               a section: a kind and, for some kinds, a name
-        interval   2s           one directive a line: a name and its values
-        send       "ask\\n"      a value with blanks or escapes stands in double quotes
+        interval   2s           one directive per line: a name and its values
+        send       "ask\\n"      a value with spaces or escapes is in double quotes
 
-Indentation has no meaning. `read` yields sections and directives with the line each came from, so that every later
-error can name it.
+Indentation has no meaning. `read_sections` yields sections and directives with the line that each came from, so that
+every later error can name it.
 """
 
 from __future__ import annotations
@@ -20,8 +20,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
-    """A place in the settings: a file as it was named, and a line, from 1."""
+class SourceLocation:
+    """A line of a settings file: the file's name as given, and the line number from 1, or 0 for the whole file."""
 
     file: str
     line: int
@@ -31,11 +31,11 @@
 
 
 class SettingsError(Exception):
-    """One thing that is wrong, worded `FILE:LINE: fault`."""
+    """An error in the settings; the message has the form `FILE:LINE: error`."""
 
-    def __init__(self, place: Place, text: str):
-        super().__init__(f"{place}: {text}")
-        self.place = place
+    def __init__(self, location: SourceLocation, text: str):
+        super().__init__(f"{location}: {text}")
+        self.location = location
         self.text = text
 
 
@@ -45,26 +45,26 @@
 
     name: str
     values: list[str]
-    place: Place
+    location: SourceLocation
 
 
 @dataclass(slots=True)
 class Section:
-    """A section; `name` is empty where it has none."""
+    """A section; `name` is empty if it has none."""
 
     kind: str
     name: str
-    place: Place
+    location: SourceLocation
     directives: list[Directive] = field(default_factory=list)
 
     @property
-    def title(self) -> str:
-        """The section's head, as in the file."""
+    def header(self) -> str:
+        """The section's header, as in the file."""
         return f"[{self.kind} {self.name}]" if self.name else f"[{self.kind}]"
 
 
-def words(text: str, place: Place) -> list[str]:
-    """The words of a line up to a comment; quotes keep blanks and `#`, and may only enclose whole words."""
+def split_words(text: str, location: SourceLocation) -> list[str]:
+    """Splits a line into words, up to a comment. Quotes protect spaces and `#`, and may only enclose whole words."""
     found = []
     position = 0
     while position < len(text):
@@ -74,10 +74,10 @@
         elif char == "#":
             break
         elif char == '"':
-            word, position = _quoted_word(text, position + 1, place)
+            word, position = _quoted_word(text, position + 1, location)
             found.append(word)
         else:
-            word, position = _bare_word(text, position, place)
+            word, position = _bare_word(text, position, location)
             found.append(word)
     return found
 
@@ -86,18 +86,18 @@
     return position >= len(text) or text[position].isspace() or text[position] == "#"
 
 
-def _bare_word(text: str, start: int, place: Place) -> tuple[str, int]:
-    """The word that begins at `start`, and the position behind it."""
+def _bare_word(text: str, start: int, location: SourceLocation) -> tuple[str, int]:
+    """The word that begins at `start`, and the position after it."""
     position = start
     while not _is_end_of_word(text, position):
         if text[position] == '"':
-            raise SettingsError(place, "a quote stands in the middle of a word")
+            raise SettingsError(location, "a quote in the middle of a word")
         position += 1
     return text[start:position], position
 
 
-def _quoted_word(text: str, start: int, place: Place) -> tuple[str, int]:
-    """The word whose opening quote is before `start`, and the position behind its closing quote."""
+def _quoted_word(text: str, start: int, location: SourceLocation) -> tuple[str, int]:
+    """The word whose opening quote is before `start`, and the position after its closing quote."""
     chars = []
     position = start
     while position < len(text) and text[position] != '"':
@@ -106,51 +106,51 @@
             position += 1
             escape = text[position : position + 1]
             if escape not in ESCAPES:
-                raise SettingsError(place, f"no escape: \\{escape}")
+                raise SettingsError(location, f"unknown escape: \\{escape}")
             char = ESCAPES[escape]
         chars.append(char)
         position += 1
     if position >= len(text):
-        raise SettingsError(place, "a quote is not closed")
+        raise SettingsError(location, "a quote is not closed")
     word = "".join(chars)
     if not _is_end_of_word(text, position + 1):
-        raise SettingsError(place, f"a blank is missing behind the quoted {word!r}")
+        raise SettingsError(location, f"a space is missing after the quoted {word!r}")
     return word, position + 1
 
 
-def _section(text: str, place: Place) -> Section:
-    """The section that a line with a bracket opens."""
+def _parse_section_header(text: str, location: SourceLocation) -> Section:
+    """Parses a section's header: a line that begins with a bracket."""
     head, bracket, rest = text.partition("]")
     if not bracket:
-        raise SettingsError(place, "a section's bracket is not closed")
-    if words(rest, place):
-        raise SettingsError(place, "something stands behind a section's bracket")
-    parts = words(head[1:], place)
+        raise SettingsError(location, "a section's bracket is not closed")
+    if split_words(rest, location):
+        raise SettingsError(location, "text after a section's closing bracket")
+    parts = split_words(head[1:], location)
     if not 1 <= len(parts) <= 2:
-        raise SettingsError(place, "a section is [KIND] or [KIND NAME]")
-    return Section(parts[0], parts[1] if len(parts) == 2 else "", place)
+        raise SettingsError(location, "a section header is [KIND] or [KIND NAME]")
+    return Section(parts[0], parts[1] if len(parts) == 2 else "", location)
 
 
-def read(text: str, file: str) -> Iterator[Section]:
-    """The sections of a file, in their order. Raises `SettingsError` on the first line that can't be read."""
+def read_sections(text: str, file: str) -> Iterator[Section]:
+    """Yields the sections of a file in order. Raises `SettingsError` at the first line with a syntax error."""
     section: Section | None = None
     for number, line in enumerate(text.splitlines(), 1):
-        place = Place(file, number)
+        location = SourceLocation(file, number)
         if len(line) > MAX_LINE_CHARS:
-            raise SettingsError(place, f"a line is longer than {MAX_LINE_CHARS} characters")
+            raise SettingsError(location, f"the line is longer than {MAX_LINE_CHARS} characters")
         if any(ord(char) < FIRST_PRINTABLE and char != "\t" for char in line):
-            raise SettingsError(place, "a control character")
+            raise SettingsError(location, "the line contains a control character")
         line = line.strip()
         if line.startswith("["):
             if section is not None:
                 yield section
-            section = _section(line, place)
+            section = _parse_section_header(line, location)
             continue
-        parts = words(line, place)
+        parts = split_words(line, location)
         if not parts:
             continue
         if section is None:
-            raise SettingsError(place, f"{parts[0]} stands before the first section")
-        section.directives.append(Directive(parts[0], parts[1:], place))
+            raise SettingsError(location, f"{parts[0]} is set before the first section")
+        section.directives.append(Directive(parts[0], parts[1:], location))
     if section is not None:
         yield section
--- a/rookbend/settings/values.py
+++ b/rookbend/settings/values.py
@@ -1,6 +1,6 @@
-"""The kinds of values that a directive takes, with the unit where one is required.
+"""Parsers for the values of directives. Times and sizes need a unit.
 
-Each reader turns one word into a value, or raises `ValueError` with what is wrong with it.
+Each parser converts one word to a value, or raises `ValueError` with a description of the error.
 """
 
 from __future__ import annotations
@@ -18,105 +18,107 @@
 MAX_STATUS = 599
 NUMBER = re.compile(r"(\d+(?:\.\d+)?)([a-zA-Z%]*)")
 
-Reader = Callable[[str], Any]
+ValueParser = Callable[[str], Any]
 Number = TypeVar("Number", int, float)
 
 
-def _measured(word: str, units: dict[str, int], quantity: str) -> int:
+def _parse_quantity(word: str, units: dict[str, int], quantity: str) -> int:
     match = NUMBER.fullmatch(word)
     if match is None:
-        raise ValueError(f"no {quantity}: {word!r}")
+        raise ValueError(f"not a {quantity}: {word!r}")
     unit = match[2].lower()
     if unit not in units:
         known = ", ".join(units)
         if not unit:
             raise ValueError(f"a {quantity} needs its unit ({known}): {word!r}")
-        raise ValueError(f"{match[2]!r} is no unit of a {quantity} ({known}): {word!r}")
+        raise ValueError(f"{match[2]!r} is not a unit of a {quantity} ({known}): {word!r}")
     return int(float(match[1]) * units[unit])
 
 
 def bounded(
-    read: Callable[[str], Number], least: Number, most: Number, show: Callable[[Number], str] = str
+    parse: Callable[[str], Number], minimum: Number, maximum: Number, format_value: Callable[[Number], str] = str
 ) -> Callable[[str], Number]:
-    """A reader of the same values that accepts only those from `least` to `most`."""
+    """A parser of the same values that accepts only those from `minimum` to `maximum`."""
 
-    def within(word: str) -> Number:
-        value = read(word)
-        if not least <= value <= most:
-            raise ValueError(f"{word} is outside {show(least)} to {show(most)}")
+    def parse_bounded(word: str) -> Number:
+        value = parse(word)
+        if not minimum <= value <= maximum:
+            raise ValueError(f"{word} is outside {format_value(minimum)} to {format_value(maximum)}")
         return value
 
-    return within
+    return parse_bounded
 
 
-def show_time(us: int) -> str:
-    """A time in the largest unit that divides it."""
+def format_duration(us: int) -> str:
+    """Formats a time in microseconds in the largest unit that divides it."""
     for unit, size in reversed(TIME_UNITS.items()):
         if us and us % size == 0:
             return f"{us // size}{unit}"
     return "0s"
 
 
-def time(least_us: int = 0, most_us: int = 24 * TIME_UNITS["h"]) -> Reader:
+def duration(minimum_us: int = 0, maximum_us: int = 24 * TIME_UNITS["h"]) -> ValueParser:
     """A time, in microseconds."""
-    return bounded(lambda word: _measured(word, TIME_UNITS, "time"), least_us, most_us, show_time)
+    return bounded(lambda word: _parse_quantity(word, TIME_UNITS, "time"), minimum_us, maximum_us, format_duration)
 
 
-def size(least: int, most: int) -> Reader:
+def size(minimum: int, maximum: int) -> ValueParser:
     """A size, in bytes."""
-    return bounded(lambda word: _measured(word, SIZE_UNITS, "size"), least, most, lambda size_bytes: f"{size_bytes}b")
+    return bounded(
+        lambda word: _parse_quantity(word, SIZE_UNITS, "size"), minimum, maximum, lambda size_bytes: f"{size_bytes}b"
+    )
 
 
-def _whole(word: str) -> int:
+def _parse_integer(word: str) -> int:
     if not (word.isascii() and word.isdigit()):
-        raise ValueError(f"no whole number: {word!r}")
+        raise ValueError(f"not a whole number: {word!r}")
     return int(word)
 
 
-def whole(least: int, most: int) -> Reader:
+def integer(minimum: int, maximum: int) -> ValueParser:
     """A whole number."""
-    return bounded(_whole, least, most)
+    return bounded(_parse_integer, minimum, maximum)
 
 
-def _share(word: str) -> float:
+def _parse_percentage(word: str) -> float:
     match = NUMBER.fullmatch(word)
     if match is None or match[2] != "%":
-        raise ValueError(f"a share is written in percent, as 50%: {word!r}")
+        raise ValueError(f"not a percentage, such as 50%: {word!r}")
     return float(match[1]) / 100
 
 
-def share(least: float = 0.0, most: float = 1.0) -> Reader:
-    """A share of 1, written in percent."""
-    return bounded(_share, least, most, lambda value: f"{value * 100:g}%")
+def percentage(minimum: float = 0.0, maximum: float = 1.0) -> ValueParser:
+    """A fraction of 1, written in percent."""
+    return bounded(_parse_percentage, minimum, maximum, lambda value: f"{value * 100:g}%")
 
 
-def yes_or_no(word: str) -> bool:
-    """A switch."""
+def boolean(word: str) -> bool:
+    """True for yes, False for no."""
     if word not in ("yes", "no"):
-        raise ValueError(f"yes or no, not {word!r}")
+        raise ValueError(f"yes or no expected, not {word!r}")
     return word == "yes"
 
 
-def one_of(*choices: str) -> Reader:
-    """One of some words."""
+def one_of(*choices: str) -> ValueParser:
+    """One of the words in `choices`."""
 
-    def read(word: str) -> str:
+    def parse(word: str) -> str:
         if word not in choices:
             raise ValueError(f"{word!r} is none of {', '.join(choices)}")
         return word
 
-    return read
+    return parse
 
 
-def text(least: int = 0, most: int = 1024) -> Reader:
-    """Text of so many characters."""
+def text(minimum: int = 0, maximum: int = 1024) -> ValueParser:
+    """Text of `minimum` to `maximum` characters."""
 
-    def read(word: str) -> str:
-        if not least <= len(word) <= most:
-            raise ValueError(f"{least} to {most} characters, not {len(word)}")
+    def parse(word: str) -> str:
+        if not minimum <= len(word) <= maximum:
+            raise ValueError(f"{minimum} to {maximum} characters expected, not {len(word)}")
         return word
 
-    return read
+    return parse
 
 
 def address(word: str) -> tuple[str, int]:
@@ -125,7 +127,7 @@
     host = host.strip("[]")
     try:
         ipaddress.ip_address(host)
-        number = _whole(port)
+        number = _parse_integer(port)
     except ValueError:
         number = -1
     if not 0 <= number <= MAX_PORT:
@@ -133,28 +135,28 @@
     return host, number
 
 
-def loopback(word: str) -> tuple[str, int]:
-    """HOST:PORT on the loopback."""
+def loopback_address(word: str) -> tuple[str, int]:
+    """HOST:PORT with a loopback address."""
     host, port = address(word)
     if not ipaddress.ip_address(host).is_loopback:
-        raise ValueError(f"only an address of the loopback, not {word!r}: whoever reaches it may give orders")
+        raise ValueError(f"a loopback address is required, not {word!r}: every client of this listener may give orders")
     return host, port
 
 
 def status_range(word: str) -> tuple[int, int]:
     """An HTTP status or a range of them, as 204 or 200-299."""
     first, dash, last = word.partition("-")
-    lowest = _whole(first)
-    highest = _whole(last if dash else first)
+    lowest = _parse_integer(first)
+    highest = _parse_integer(last if dash else first)
     if not MIN_STATUS <= lowest <= highest <= MAX_STATUS:
-        raise ValueError(f"no HTTP status or range of them: {word!r}")
+        raise ValueError(f"not an HTTP status or a range of them: {word!r}")
     return lowest, highest
 
 
 @dataclass(frozen=True, slots=True)
-class Form:
-    """What a directive takes: one value, or with `many` several, each read alike."""
+class DirectiveSpec:
+    """The values that a directive takes: one, or with `multiple` several, each parsed by `parse`."""
 
-    read: Reader
-    many: bool = False
+    parse: ValueParser
+    multiple: bool = False
     required: bool = False
