--- a/rookbend/components/health.py
+++ b/rookbend/components/health.py
@@ -7,7 +7,7 @@
 from rookbend.components.health_policy import health_policy
 from rookbend.health.events import PolicyChanged
 from rookbend.health.registry import HealthRegistry
-from rookbend.health.service import HealthService, role_namer
+from rookbend.health.service import HealthService, role_lookup
 from rookbend.net.checks import WATCH, CheckDriver
 from rookbend.net.component import Component, ComponentContext
 from rookbend.net.scheduling import JobRunner
@@ -25,7 +25,7 @@
         assert settings.health is not None
         self.clock = context.clock
         self.rules = engine.settings  # those of the start: the policy keeps to them over a reload
-        registry = HealthRegistry(health_policy(settings, self.rules), role_namer(self.rules))
+        registry = HealthRegistry(health_policy(settings, self.rules), role_lookup(self.rules))
         self.service = HealthService(engine, registry, context.log)
         has_watches = any(check.type == "grpc-watch" for check in settings.checks)
         self.descriptors = background.descriptors + (background.watches if has_watches else 0)
--- a/rookbend/health/check_schedule.py
+++ b/rookbend/health/check_schedule.py
@@ -20,7 +20,7 @@
 class CheckAssignment(NamedTuple):
     """Whether this director makes a check, and microseconds to wait at least until the next run or decision."""
 
-    is_ours: bool
+    is_assigned: bool
     min_interval_us: int
 
 
--- a/rookbend/health/own_status.py
+++ b/rookbend/health/own_status.py
@@ -23,7 +23,7 @@
     reason: str = ""
 
     @property
-    def taking(self) -> bool:
+    def accepts_requests(self) -> bool:
         """Whether new requests are admitted."""
         return self.up and self.admin == "ready"
 
--- a/rookbend/health/service.py
+++ b/rookbend/health/service.py
@@ -24,7 +24,7 @@
 GATHER_US = 100_000
 
 
-def role_namer(settings: Settings) -> Callable[[Endpoint], str]:
+def role_lookup(settings: Settings) -> Callable[[Endpoint], str]:
     """A function from an endpoint to the member's role."""
     names = {settings.parent_kind: "parent", settings.origin_kind: "origin"}
     return lambda endpoint: names.get(endpoint.member.kind, "cache")
--- a/rookbend/health/spare_capacity.py
+++ b/rookbend/health/spare_capacity.py
@@ -11,11 +11,11 @@
 
 from rookbend.health.model import FULL
 
-COUNTS_FROM = {"lag": 0.2, "open": 0.5, "descriptors": 0.7, "memory": 0.8}  # share in use, by field of `Sample`
+COUNTS_FROM = {"lag": 0.2, "open": 0.5, "descriptors": 0.7, "memory": 0.8}  # share in use, by field of `CapacitySample`
 
 
 @dataclass(frozen=True, slots=True)
-class Sample:
+class CapacitySample:
     """What a director measures of itself: shares of what is allowed, 0 to 1.
 
     `lag` is of the loop lag that `[headroom] lag` counts as full; `open` of requests in flight. `members` are the
@@ -42,7 +42,7 @@
         self.up = True
         self._spare_since_us = 0  # capacity for a step more has been spare since then, or 0
 
-    def measure(self, now_us: int, sample: Sample) -> None:
+    def measure(self, now_us: int, sample: CapacitySample) -> None:
         """Takes a sample into account."""
         left, limited_by = left_of(sample)
         # With no member in use a balancer is better off elsewhere; an empty membership was only not received yet.
@@ -66,7 +66,7 @@
             self._spare_since_us = now_us
 
 
-def left_of(sample: Sample) -> tuple[int, str]:
+def left_of(sample: CapacitySample) -> tuple[int, str]:
     """(percent left, the resource that limits it)."""
     shares = {name: (1 - getattr(sample, name)) / (1 - begins) for name, begins in COUNTS_FROM.items()}
     if sample.members:
--- a/rookbend/net/capacity_sampler.py
+++ b/rookbend/net/capacity_sampler.py
@@ -7,7 +7,7 @@
 import trio
 
 from rookbend.core.clock import Clock
-from rookbend.health.spare_capacity import Sample, SpareCapacity
+from rookbend.health.spare_capacity import CapacitySample, SpareCapacity
 from rookbend.net.component import Component
 
 SAMPLE_INTERVAL_US = 250_000
@@ -16,7 +16,7 @@
 class CapacitySampler(Component):
     """Calls each of `on_change` when the weight, or whether the director is up, has changed, and at the drain."""
 
-    def __init__(self, capacity: SpareCapacity, sample: Callable[[], Sample], clock: Clock):
+    def __init__(self, capacity: SpareCapacity, sample: Callable[[], CapacitySample], clock: Clock):
         self.on_change: list[Callable[[], None]] = []
         self._capacity = capacity
         self._sample = sample
--- a/rookbend/net/checks.py
+++ b/rookbend/net/checks.py
@@ -28,7 +28,7 @@
 
 
 def _always_ours(server: int, interval_us: int) -> CheckAssignment:
-    return CheckAssignment(is_ours=True, min_interval_us=0)
+    return CheckAssignment(is_assigned=True, min_interval_us=0)
 
 
 class CheckDriver:
@@ -96,7 +96,7 @@
         if check is None or member is None:
             return
         assignment = self.assign(server, check.interval_us)
-        if not assignment.is_ours:
+        if not assignment.is_assigned:
             self._schedule(key, self._clock.now() + assignment.min_interval_us)
             return
         member_address = member.endpoint.address
--- a/rookbend/net/component.py
+++ b/rookbend/net/component.py
@@ -18,7 +18,7 @@
     from rookbend.core.clock import Clock
     from rookbend.core.counters import Counters
     from rookbend.core.engine import Engine
-    from rookbend.health.spare_capacity import Sample
+    from rookbend.health.spare_capacity import CapacitySample
     from rookbend.logs import Log
     from rookbend.net.buffered_socket import WriteScheduler
     from rookbend.net.listeners import Listeners
@@ -40,7 +40,7 @@
     write_scheduler: WriteScheduler
     max_clients: int
     phase: Callable[[], str]  # of the lifecycle, by its name
-    sample: Callable[[], Sample]  # the director's load now
+    sample: Callable[[], CapacitySample]  # the director's load now
     listeners: Listeners
     # Whether the director may report that it is ready; a component that holds that back replaces it.
     may_report_ready: Callable[[], bool] = lambda: True
--- a/rookbend/net/status_servers.py
+++ b/rookbend/net/status_servers.py
@@ -37,7 +37,7 @@
 
     def handle(request: HttpRequest) -> HttpResponse:
         status = current_status()
-        return http_health.answer(request, status.taking, status.state)
+        return http_health.answer(request, status.accepts_requests, status.state)
 
     async def serve_client(channel: BufferedSocket) -> None:
         await serve_http(channel, handle)
@@ -64,7 +64,7 @@
         from rookbend.protocol.grpc_health_server import GrpcHealthServer
 
         def serving_status() -> ServingStatus:
-            return ServingStatus.SERVING if self._current_status().taking else ServingStatus.NOT_SERVING
+            return ServingStatus.SERVING if self._current_status().accepts_requests else ServingStatus.NOT_SERVING
 
         grpc = GrpcHealthServer(serving_status)
         self._connections[channel] = grpc
--- a/rookbend/process_metrics.py
+++ b/rookbend/process_metrics.py
@@ -14,7 +14,7 @@
 from rookbend.resource_budget import OWN_DESCRIPTORS, ResourceBudget
 
 if TYPE_CHECKING:
-    from rookbend.health.spare_capacity import Sample
+    from rookbend.health.spare_capacity import CapacitySample
 
 TIMER_STEP_US = 2_000  # timers within one step run together
 LAG_INTERVAL_US = 50_000
@@ -66,14 +66,14 @@
             await trio.sleep_until(clock.monotonic_at(wake_us))
             self.engine.lag_us = max(0, clock.now() - wake_us)
 
-    def sample(self) -> Sample:
+    def sample(self) -> CapacitySample:
         """The load now, each figure as a share of what is full load."""
-        from rookbend.health.spare_capacity import Sample
+        from rookbend.health.spare_capacity import CapacitySample
 
         engine = self.engine
         local_caches = [endpoint for endpoint in engine.endpoints.values() if self._is_local_cache(endpoint)]
         descriptors = self._open_member_connections() + len(self.client_listener.open) + OWN_DESCRIPTORS
-        return Sample(
+        return CapacitySample(
             engine.lag_us / self.full_lag_us,
             engine.open_requests / engine.settings.max_requests_in_flight,
             descriptors / self.budget.limits.sockets,
