--- a/rookbend/health/check_state.py
+++ b/rookbend/health/check_state.py
@@ -4,7 +4,7 @@
 
 from rookbend.core.check_result import CheckOutcome
 from rookbend.health.events import AgentReported, CheckCompleted
-from rookbend.health.model import FULL, CheckPolicy, HealthPolicy
+from rookbend.health.model import FULL_PERCENT, CheckPolicy, HealthPolicy
 
 MAX_REASON_LENGTH = 120
 MAX_STREAK = 1_000
@@ -40,7 +40,7 @@
         self.degraded = False
         self.streak = 0
         self.admin = ""
-        self.weight = FULL
+        self.weight = FULL_PERCENT
         self.has_result = False
         self.received_us = 0
         self.outcome: CheckOutcome | None = None
@@ -57,7 +57,7 @@
 
     def weight_at(self, now_us: int) -> int:
         """The agent's weight in percent, or all of it once the report is stale."""
-        return FULL if self.is_stale(now_us) else self.weight
+        return FULL_PERCENT if self.is_stale(now_us) else self.weight
 
     def in_doubt(self) -> bool:
         """Whether results have begun to speak against the present state."""
@@ -75,7 +75,7 @@
         if report.admin is not None:
             self.admin = "" if report.admin == "ready" else report.admin
         if report.weight is not None:
-            self.weight = min(max(report.weight, 0), FULL)
+            self.weight = min(max(report.weight, 0), FULL_PERCENT)
         self.outcome = CheckOutcome.FAILED if self.down else CheckOutcome.PASSED
         self.reason = report.reason[:MAX_REASON_LENGTH]
 
--- a/rookbend/health/member_health.py
+++ b/rookbend/health/member_health.py
@@ -10,7 +10,7 @@
 from rookbend.core.model import Endpoint
 from rookbend.health.check_state import check_states
 from rookbend.health.events import AgentReported, CheckCompleted
-from rookbend.health.model import FULL, Cause, HealthPolicy, Order, SlowStartPolicy, State, Verdict
+from rookbend.health.model import FULL_PERCENT, Cause, HealthPolicy, Order, SlowStartPolicy, State, Verdict
 from rookbend.health.weight_ramp import WeightRamp
 from rookbend.interface import AttemptStatus, MemberState
 
@@ -73,7 +73,7 @@
 
     # Evidence
 
-    def is_overtaken(self, check: str, number: int) -> bool:
+    def is_outdated(self, check: str, number: int) -> bool:
         """Whether a result is of a check that is no more, or older than one received: across a reconnect an old
         report may come last."""
         state = self.checks.get(check)
@@ -147,11 +147,11 @@
 
     def update_ejection(self, now_us: int, policy: HealthPolicy) -> Verdict | None:
         """`failing_verdict` with the hold: a member that flaps stays out for longer each time."""
-        against = self.failing_verdict(now_us)
-        if against is not None:
+        failing = self.failing_verdict(now_us)
+        if failing is not None:
             if not self.ejected:
                 self._eject(now_us, policy)
-            return against
+            return failing
         if self.ejected:
             if now_us < self.hold_until_us:
                 return Verdict(State.DOWN, 0, Cause.HOLD, f"came and went {self.flaps} times", self.ejected_us)
@@ -185,14 +185,14 @@
                 self.slow_start.resume(now_us)
             else:
                 self.slow_start.restart(now_us, policy)
-        target = min((check.weight_at(now_us) for check in self.checks.values()), default=FULL)
+        target = min((check.weight_at(now_us) for check in self.checks.values()), default=FULL_PERCENT)
         weight = self.slow_start.update(now_us, target, policy)
         if ignored is not None:
             return self._degraded(weight, Cause.PANIC, f"ignored: {ignored.reason}", ignored.since_us)
         if self.slow_start.limits:
             return self._degraded(weight, Cause.SLOW_START, "back since", self.slow_start.began_us)
         for name, check in self.checks.items():
-            if check.weight_at(now_us) == weight < FULL:
+            if check.weight_at(now_us) == weight < FULL_PERCENT:
                 reason = f"{name}: {weight}% {check.reason}".rstrip()
                 return self._degraded(weight, Cause.AGENT, reason, check.received_us)
         for name, check in self.checks.items():
@@ -213,7 +213,7 @@
         times = [
             check.received_us + check.policy.stale_us
             for check in self.checks.values()
-            if check.has_result and (check.down or check.weight < FULL) and not check.is_stale(now_us)
+            if check.has_result and (check.down or check.weight < FULL_PERCENT) and not check.is_stale(now_us)
         ]
         if self.ejected:
             times.append(self.hold_until_us)
--- a/rookbend/health/member_timers.py
+++ b/rookbend/health/member_timers.py
@@ -5,7 +5,7 @@
 import heapq
 
 ANY_TIER = 0  # in place of a server number: a tier's panic may end
-STALE_ENTRIES_PER_MEMBER, STALE_ENTRIES = 4, 64  # more than that, and the heap is rebuilt
+MAX_ENTRIES_PER_MEMBER, EXTRA_ENTRIES = 4, 64  # more than that, and the heap is rebuilt
 
 
 class MemberTimers:
@@ -50,9 +50,9 @@
                 return server
         return None
 
-    def is_overgrown(self, member_count: int) -> bool:
+    def needs_rebuild(self, member_count: int) -> bool:
         """Whether entries left behind fill the heap, as those of an agent that flaps would."""
-        return len(self._heap) > STALE_ENTRIES_PER_MEMBER * member_count + STALE_ENTRIES
+        return len(self._heap) > MAX_ENTRIES_PER_MEMBER * member_count + EXTRA_ENTRIES
 
     def rebuild(self, tier_times_us: list[int]) -> None:
         """Keeps only what is armed, and the tiers' times."""
--- a/rookbend/health/model.py
+++ b/rookbend/health/model.py
@@ -18,7 +18,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-FULL = 100  # percent of the weight that the membership gives
+FULL_PERCENT = 100  # percent of the weight that the membership gives
 
 
 class State(Enum):
@@ -82,7 +82,7 @@
 class SlowStartPolicy:
     """Slow start of a tier: percent of the weight at first, and microseconds until all of it."""
 
-    start: int = FULL
+    start: int = FULL_PERCENT
     duration_us: int = 0
 
 
--- a/rookbend/health/own_status.py
+++ b/rookbend/health/own_status.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from rookbend.health.model import FULL
+from rookbend.health.model import FULL_PERCENT
 from rookbend.health.spare_capacity import SpareCapacity
 
 
@@ -36,5 +36,5 @@
         return OwnStatus("ready", False, 0, 0, phase, phase)
     if not capacity.up:
         return OwnStatus("ready", False, 0, 0, "no-member", "no member in use")
-    reason = f"{capacity.limited_by} at {capacity.weight}%" if capacity.weight < FULL else ""
+    reason = f"{capacity.limited_by} at {capacity.weight}%" if capacity.weight < FULL_PERCENT else ""
     return OwnStatus("ready", True, capacity.weight, max_connections, phase, reason)
--- a/rookbend/health/registry.py
+++ b/rookbend/health/registry.py
@@ -78,8 +78,8 @@
 
     def _on_membership(self, now: int, event: MembershipReceived) -> None:
         if event.complete:
-            named = {endpoint.member.server for endpoint in event.endpoints}
-            for server in [server for server in self.members if server not in named]:
+            listed_servers = {endpoint.member.server for endpoint in event.endpoints}
+            for server in [server for server in self.members if server not in listed_servers]:
                 self._drop(now, server)
         for endpoint in event.endpoints:
             member = self.members.get(endpoint.member.server)
@@ -88,21 +88,21 @@
             elif member is None:
                 self._add(now, endpoint)
             else:
-                self._renew(now, member, endpoint)
+                self._update(now, member, endpoint)
 
-    def _add(self, now: int, endpoint: Endpoint, before: MemberHealth | None = None) -> None:
+    def _add(self, now: int, endpoint: Endpoint, previous: MemberHealth | None = None) -> None:
         """A new member. An operator's order on the member `before` holds, whatever process runs there now."""
         server = endpoint.member.server
         member = MemberHealth(endpoint, self.role_of(endpoint), self.policy, self._newest_check, now)
         self.members[server] = member
-        if before is not None:
-            member.apply_order(before.order_us, before.order, before.order_by)
+        if previous is not None:
+            member.apply_order(previous.order_us, previous.order, previous.order_by)
         key = endpoint.member.kind, endpoint.member.zone
         tier = self.tiers.get(key) or self.tiers.setdefault(key, Tier(*key))
         tier.members.add(server)
         self._evaluate(now, member, forced=True)
 
-    def _renew(self, now: int, member: MemberHealth, endpoint: Endpoint) -> None:
+    def _update(self, now: int, member: MemberHealth, endpoint: Endpoint) -> None:
         old = member.endpoint.member
         new = endpoint.member
         moved = (new.kind, new.zone) != (old.kind, old.zone) or endpoint.address != member.endpoint.address
@@ -132,7 +132,7 @@
 
     def _on_check(self, now: int, event: AgentReported | CheckCompleted) -> None:
         member = self.members.get(event.server)
-        if member is None or member.is_overtaken(event.check, event.number):
+        if member is None or member.is_outdated(event.check, event.number):
             self.overtaken += 1
             return
         member.apply_check(now, event)
@@ -142,9 +142,9 @@
         member = self.members.get(event.server)
         if member is None:
             return
-        before = member.passive_until_us
+        previous = member.passive_until_us
         member.apply_attempt(now, event.status, self.policy)
-        if member.passive_until_us != before:
+        if member.passive_until_us != previous:
             self._evaluate(now, member)
 
     def _on_order(self, now: int, event: OrderReceived) -> None:
@@ -186,7 +186,7 @@
         tier = self.tiers[endpoint.kind, endpoint.zone]
         requested = member.requested_verdict()
         failing = member.update_ejection(now, self.policy)
-        tier.place(endpoint.server, requested is None, failing is not None)
+        tier.update_member(endpoint.server, requested is None, failing is not None)
         self._update_panic(now, tier)
         self._publish(now, member, tier, requested, failing, forced)
 
@@ -224,9 +224,9 @@
 
     def _arm(self, now: int, member: MemberHealth, slow_start: SlowStartPolicy) -> None:
         self.timers.arm(member.endpoint.member.server, member.next_change_us(now, slow_start))
-        if self.timers.is_overgrown(len(self.members)):
-            calm = [tier.calm_since_us for tier in self.tiers.values() if tier.panic and tier.calm_since_us]
-            self.timers.rebuild([since_us + self.policy.panic_hold_us for since_us in calm])
+        if self.timers.needs_rebuild(len(self.members)):
+            calm_since = [tier.calm_since_us for tier in self.tiers.values() if tier.panic and tier.calm_since_us]
+            self.timers.rebuild([since_us + self.policy.panic_hold_us for since_us in calm_since])
 
 
 def _differ(old: Verdict, new: Verdict) -> bool:
--- a/rookbend/health/service.py
+++ b/rookbend/health/service.py
@@ -3,7 +3,8 @@
 The router is told of a member what the membership and health add up to. An ejected member is told as draining:
 nothing new goes there, what is in flight ends by itself, and its place in the hash order stays. That reaches the
 engine within the call that brought the evidence, so `may_write` holds back what waits in a queue. What only raises a
-weight is gathered for `GATHER_US`: a thousand slow starts would else make the module sort its lists a thousand times.
+weight is gathered for `WEIGHT_BATCH_US`: a thousand slow starts would else make the module sort its lists a thousand
+times.
 """
 
 from __future__ import annotations
@@ -17,11 +18,11 @@
 from rookbend.health.events import Action, AttemptObserved, Event, MembershipReceived, VerdictChanged
 from rookbend.health.member_health import ANSWERED_STATUSES, MemberHealth
 from rookbend.health.member_table import member_table
-from rookbend.health.model import FULL, Verdict
+from rookbend.health.model import FULL_PERCENT, Verdict
 from rookbend.health.registry import HealthRegistry
 from rookbend.interface import AttemptStatus, MemberState, Settings
 
-GATHER_US = 100_000
+WEIGHT_BATCH_US = 100_000
 
 
 def role_lookup(settings: Settings) -> Callable[[Endpoint], str]:
@@ -56,9 +57,9 @@
         now = self.engine.clock.now()
         changed = self._apply(self.registry.handle(now, MembershipReceived(change.complete, change.endpoints)))
         endpoints = [self.effective(e.member.server) or e for e in change.endpoints]
-        named = {e.member.server for e in change.endpoints}
+        changed_servers = {e.member.server for e in change.endpoints}
         # A member that leaves may have changed the verdict on others of its tier.
-        endpoints += [self._effective_of(members[s]) for s in changed if s in members and s not in named]
+        endpoints += [self._effective_of(members[s]) for s in changed if s in members and s not in changed_servers]
         self.engine.membership_changed(MembershipChange(change.complete, change.version, endpoints))
         for server in [s for s in self._pending if s not in members]:
             del self._pending[server]
@@ -74,11 +75,11 @@
                 continue
             old = self.engine.endpoints.get(server)
             new = self._effective_of(self.registry.members[server])
-            if old is None or _lowers(old, new):
+            if old is None or _reduces_service(old, new):
                 self._pending.pop(server, None)
                 urgent.append(new)
             elif server not in self._pending:
-                self._flush_us = self._flush_us or now + GATHER_US
+                self._flush_us = self._flush_us or now + WEIGHT_BATCH_US
                 self._pending[server] = None
         if urgent:
             self.engine.health_changed(urgent)
@@ -138,8 +139,8 @@
         member = health.endpoint.member
         assert verdict is not None  # set as the member is added
         weight = member.weight
-        if verdict.weight < FULL and self._weighs(health.role):
-            weight = member.weight * max(verdict.weight, 1) / FULL
+        if verdict.weight < FULL_PERCENT and self._uses_health_weight(health.role):
+            weight = member.weight * max(verdict.weight, 1) / FULL_PERCENT
         state = member.state
         if state is MemberState.READY and not verdict.state.in_use:
             state = MemberState.DRAINING
@@ -151,7 +152,7 @@
         applied = replace(member, weight=weight, state=state, started_us=started_us)
         return Endpoint(applied, health.endpoint.name, health.endpoint.address)
 
-    def _weighs(self, role: str) -> bool:
+    def _uses_health_weight(self, role: str) -> bool:
         weighted_roles = self.registry.policy.weighted_roles
         return weighted_roles == "all" or (weighted_roles == "caches" and role == "cache")
 
@@ -165,7 +166,7 @@
         return next((server for server, member in members if member.endpoint.name == name), None)
 
 
-def _lowers(before: Endpoint, after: Endpoint) -> bool:
+def _reduces_service(before: Endpoint, after: Endpoint) -> bool:
     """Whether the engine must be told at once: the member loses service or weight."""
     old, new = before.member, after.member
     restarted = old.state is MemberState.READY and new.started_us > old.started_us
--- a/rookbend/health/spare_capacity.py
+++ b/rookbend/health/spare_capacity.py
@@ -9,9 +9,10 @@
 
 from dataclasses import dataclass
 
-from rookbend.health.model import FULL
+from rookbend.health.model import FULL_PERCENT
 
-COUNTS_FROM = {"lag": 0.2, "open": 0.5, "descriptors": 0.7, "memory": 0.8}  # share in use, by field of `CapacitySample`
+# Share in use from which a resource lowers the weight, by field of `CapacitySample`.
+USAGE_THRESHOLDS = {"lag": 0.2, "open": 0.5, "descriptors": 0.7, "memory": 0.8}
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,29 +35,29 @@
     """The weight in percent, and the resource that limits it ("" where none does)."""
 
     def __init__(self, step: float = 0.1, rise_us: int = 2_000_000, least: float = 0.1):
-        self.step = round(step * FULL)
+        self.step = round(step * FULL_PERCENT)
         self.rise_us = rise_us
-        self.least = round(least * FULL)
-        self.weight = FULL
+        self.least = round(least * FULL_PERCENT)
+        self.weight = FULL_PERCENT
         self.limited_by = ""
         self.up = True
         self._spare_since_us = 0  # capacity for a step more has been spare since then, or 0
 
     def measure(self, now_us: int, sample: CapacitySample) -> None:
         """Takes a sample into account."""
-        left, limited_by = left_of(sample)
+        left, limited_by = remaining_capacity(sample)
         # With no member in use a balancer is better off elsewhere; an empty membership was only not received yet.
         self.up = not sample.members or sample.in_use > 0
-        goal = max(left // self.step * self.step if left < FULL else FULL, self.least)
+        goal = max(left // self.step * self.step if left < FULL_PERCENT else FULL_PERCENT, self.least)
         if goal < self.weight:
             self.weight = goal
             self.limited_by = limited_by
             self._spare_since_us = 0
-        elif goal < min(self.weight + self.step, FULL):
+        elif goal < min(self.weight + self.step, FULL_PERCENT):
             self._spare_since_us = 0
         elif goal > self.weight:
             self._rise(now_us, goal)
-        if self.weight == FULL:
+        if self.weight == FULL_PERCENT:
             self.limited_by = ""
 
     def _rise(self, now_us: int, goal: int) -> None:
@@ -66,11 +67,11 @@
             self._spare_since_us = now_us
 
 
-def left_of(sample: CapacitySample) -> tuple[int, str]:
+def remaining_capacity(sample: CapacitySample) -> tuple[int, str]:
     """(percent left, the resource that limits it)."""
-    shares = {name: (1 - getattr(sample, name)) / (1 - begins) for name, begins in COUNTS_FROM.items()}
+    shares = {name: (1 - getattr(sample, name)) / (1 - threshold) for name, threshold in USAGE_THRESHOLDS.items()}
     if sample.members:
         shares["members"] = sample.in_use / sample.members
     name = min(shares, key=lambda resource: shares[resource])
-    left = min(max(round(shares[name] * FULL), 0), FULL)
-    return left, name if left < FULL else ""
+    left = min(max(round(shares[name] * FULL_PERCENT), 0), FULL_PERCENT)
+    return left, name if left < FULL_PERCENT else ""
--- a/rookbend/health/tier.py
+++ b/rookbend/health/tier.py
@@ -4,7 +4,7 @@
 
 from enum import Enum
 
-ROUNDING = 1e-9  # so that a ratio that is no exact binary fraction does not lose a member
+ROUNDING_TOLERANCE = 1e-9  # so that a ratio that is no exact binary fraction does not lose a member
 
 
 class PanicChange(Enum):
@@ -36,9 +36,9 @@
 
     def limit(self, max_ejected_ratio: float) -> int:
         """How many members checks may eject, rounded down."""
-        return int(max_ejected_ratio * len(self.eligible) + ROUNDING)
+        return int(max_ejected_ratio * len(self.eligible) + ROUNDING_TOLERANCE)
 
-    def place(self, server: int, is_eligible: bool, is_failing: bool) -> None:
+    def update_member(self, server: int, is_eligible: bool, is_failing: bool) -> None:
         """Counts a member."""
         _set_member(self.eligible, server, is_eligible)
         _set_member(self.failing, server, is_eligible and is_failing)
--- a/rookbend/health/weight_ramp.py
+++ b/rookbend/health/weight_ramp.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from rookbend.health.model import FULL, SlowStartPolicy
+from rookbend.health.model import FULL_PERCENT, SlowStartPolicy
 
 STEP_PERCENT = 5  # a rising weight is published in such steps
 
@@ -17,9 +17,9 @@
     __slots__ = ("began_us", "from_percent", "level_percent", "limits")
 
     def __init__(self) -> None:
-        self.from_percent = FULL
+        self.from_percent = FULL_PERCENT
         self.began_us = 0
-        self.level_percent = FULL
+        self.level_percent = FULL_PERCENT
         self.limits = False
 
     def restart(self, now_us: int, policy: SlowStartPolicy) -> None:
@@ -46,16 +46,16 @@
 
     def cap_at(self, now_us: int, policy: SlowStartPolicy) -> int:
         """The highest weight that slow start allows, in percent, rounded down to a step while it rises."""
-        if self.from_percent >= FULL or not policy.duration_us or policy.start >= FULL:
-            return FULL
-        risen = self.from_percent + (FULL - policy.start) * (now_us - self.began_us) // policy.duration_us
-        return FULL if risen >= FULL else max(self.from_percent, risen // STEP_PERCENT * STEP_PERCENT)
+        if self.from_percent >= FULL_PERCENT or not policy.duration_us or policy.start >= FULL_PERCENT:
+            return FULL_PERCENT
+        risen = self.from_percent + (FULL_PERCENT - policy.start) * (now_us - self.began_us) // policy.duration_us
+        return FULL_PERCENT if risen >= FULL_PERCENT else max(self.from_percent, risen // STEP_PERCENT * STEP_PERCENT)
 
     def next_step_us(self, now_us: int, policy: SlowStartPolicy) -> int:
         """When the published cap next changes, or 0."""
         level = self.cap_at(now_us, policy)
-        if level >= FULL:
+        if level >= FULL_PERCENT:
             return 0
-        goal = min(FULL, level // STEP_PERCENT * STEP_PERCENT + STEP_PERCENT)
-        span = FULL - policy.start
+        goal = min(FULL_PERCENT, level // STEP_PERCENT * STEP_PERCENT + STEP_PERCENT)
+        span = FULL_PERCENT - policy.start
         return max(now_us + 1, self.began_us + -(-(goal - self.from_percent) * policy.duration_us // span))
--- a/rookbend/leases/sharded_checks.py
+++ b/rookbend/leases/sharded_checks.py
@@ -16,7 +16,7 @@
 from rookbend.health.check_state import CheckState
 from rookbend.health.events import AgentReported, CheckCompleted
 from rookbend.health.member_health import MemberHealth
-from rookbend.health.model import FULL
+from rookbend.health.model import FULL_PERCENT
 from rookbend.protocol.lease_messages import Finding, ShardResults
 
 RESULTS_VALID_US = 2_000_000
@@ -53,7 +53,7 @@
             covered ^= member
         for check, state in states:
             finding = finding_from_state(member, check, state)
-            if finding.flags or finding.weight != FULL:
+            if finding.flags or finding.weight != FULL_PERCENT:
                 findings.append(finding)
     return findings, covered
 
@@ -148,7 +148,7 @@
     flags = finding.flags if finding is not None else 0
     needs_refresh = not state.has_result or now_us - state.received_us >= state.policy.stale_us // REFRESHES_PER_EXPIRY
     if state.policy.is_agent:
-        weight = finding.weight if finding is not None else FULL
+        weight = finding.weight if finding is not None else FULL_PERCENT
         return _agent_events(member, name, state, flags, weight, needs_refresh, number)
     down = bool(flags & FLAG_DOWN)
     degraded = bool(flags & FLAG_DEGRADED)
