--- a/rookbend/health/check_schedule.py
+++ b/rookbend/health/check_schedule.py
@@ -1,4 +1,4 @@
-"""How often a check is made of a member, and with which priority."""
+"""How often a check of a member runs, and with which priority."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class CheckAssignment(NamedTuple):
-    """Whether this director makes a check, and microseconds to wait at least until the next run or decision."""
+    """Whether this director runs a check, and the minimum time to the next run or decision in microseconds."""
 
     is_assigned: bool
     min_interval_us: int
@@ -30,7 +30,7 @@
 
 
 def cadence_of(member: MemberHealth | None, check_name: str) -> Cadence | None:
-    """How soon a check runs next, or None where the member or the check is no more."""
+    """The cadence of a check, or None if the member or the check no longer exists."""
     check: CheckState | None = member.checks.get(check_name) if member is not None else None
     if member is None or check is None:
         return None
--- a/rookbend/health/check_state.py
+++ b/rookbend/health/check_state.py
@@ -1,4 +1,4 @@
-"""What one check has found of one member."""
+"""The state of one check of one member."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 class CheckState:
     """The state of one check of one member.
 
-    `streak` counts results in a row against the present state. `admin` is an agent's drain or maint. `received_us` is
-    when the check last gave something that counts. `trouble` says why the newest run gave nothing. A result whose
-    number is below `number` is ignored: it belongs to a run that began before the newest one that was received.
+    `streak` counts consecutive results that contradict the present state. `admin` is an agent's drain or maint.
+    `received_us` is the time of the last usable result. `last_run_error` says why the newest run had no usable result.
+    A result whose number is below `number` is ignored: its run began before the newest one that was received.
     """
 
     __slots__ = (
@@ -48,23 +48,23 @@
         self.last_run_error = ""
 
     def is_stale(self, now_us: int) -> bool:
-        """Whether what was received last is too old to count."""
+        """Whether the last usable result is too old to count."""
         return self.has_result and now_us - self.received_us >= self.policy.stale_us
 
     def is_down(self, now_us: int) -> bool:
-        """Whether the check counts as failed; a stale failure does not, since nothing has renewed it."""
+        """Whether the check counts as failed. A stale failure does not count: no newer result confirms it."""
         return self.down and not self.is_stale(now_us)
 
     def weight_at(self, now_us: int) -> int:
-        """The agent's weight in percent, or all of it once the report is stale."""
+        """The agent's weight in percent; 100 once the report is stale."""
         return FULL_PERCENT if self.is_stale(now_us) else self.weight
 
     def in_doubt(self) -> bool:
-        """Whether results have begun to speak against the present state."""
+        """Whether the newest results contradict the present state."""
         return self.streak > 0
 
     def apply_report(self, now_us: int, event: AgentReported) -> None:
-        """Takes an agent's report: it counts at once, in both directions."""
+        """Applies an agent's report. A single report changes the state, up or down."""
         report = event.report
         self.number = event.number
         self.has_result = True
@@ -80,12 +80,12 @@
         self.reason = report.reason[:MAX_REASON_LENGTH]
 
     def apply_result(self, now_us: int, event: CheckCompleted) -> None:
-        """Takes the result of a run; `rise` or `fall` results in a row change the state."""
+        """Applies the result of a run; `rise` or `fall` consecutive results change the state."""
         self.number = event.number
         self.outcome = event.outcome
         self.last_run_error = ""
         if self.policy.is_agent:
-            # The last report holds until it is stale: an agent that is silent proves nothing about its member.
+            # The last report holds until it is stale: a silent agent is no evidence about its member.
             self.last_run_error = f"{event.outcome.value} {event.reason}".strip()[:MAX_REASON_LENGTH]
             return
         self.has_result = True
@@ -108,5 +108,5 @@
 
 
 def check_states(role: str, policy: HealthPolicy, newest_number: int) -> dict[str, CheckState]:
-    """The checks that a member of this role gets, with nothing received yet."""
+    """The initial states of the checks that apply to a member of this role."""
     return {check.name: CheckState(check, newest_number) for check in policy.checks if check.tier in (role, "all")}
--- a/rookbend/health/events.py
+++ b/rookbend/health/events.py
@@ -1,4 +1,4 @@
-"""Events that the health registry is fed, each with the time at which it was received, and its actions."""
+"""Events that the health registry handles, and its actions."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True)
 class MembershipReceived:
-    """The coordinator's membership: all of it, or the endpoints that changed."""
+    """The coordinator's membership: all endpoints if `complete`, else those that changed."""
 
     complete: bool
     endpoints: list[Endpoint]
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True)
 class AgentReported:
-    """An agent's report. `number` grows with each start of a check: a report that was overtaken is ignored."""
+    """An agent's report. `number` grows with each check run: a report of an older run than the newest is ignored."""
 
     server: int
     check: str
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True)
 class CheckCompleted:
-    """The end of a check; for an agent only where it gave no usable report."""
+    """The result of a check run; of an agent check only if the agent sent no usable report."""
 
     server: int
     check: str
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True)
 class AttemptObserved:
-    """An attempt of a request at a member has ended."""
+    """An attempt of a request at a member ended."""
 
     server: int
     status: AttemptStatus
@@ -60,7 +60,7 @@
 
 @dataclass(slots=True)
 class PolicyChanged:
-    """Other settings from now on."""
+    """The settings changed."""
 
     policy: HealthPolicy
 
@@ -72,7 +72,7 @@
 
 @dataclass(slots=True)
 class VerdictChanged:
-    """A member's verdict has changed in state, weight or cold start; None where the member has gone."""
+    """A member's verdict changed in state, weight or cold start; None if the member was removed."""
 
     server: int
     verdict: Verdict | None
--- a/rookbend/health/log_lines.py
+++ b/rookbend/health/log_lines.py
@@ -1,4 +1,4 @@
-"""The log lines of the health registry: what was decided, on which member, and why."""
+"""The log lines of the health registry: which member or tier changed state, and why."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def member_state_line(member: MemberHealth, old: Verdict, new: Verdict) -> WriteLogLine:
-    """A member has another effective state."""
+    """The line for a member whose effective state changed."""
     fields: dict[str, object] = {
         "member": member.endpoint.name,
         "state": new.state.value,
@@ -22,7 +22,7 @@
 
 
 def order_line(member: MemberHealth) -> WriteLogLine:
-    """An operator has given an order about a member."""
+    """The line for an operator's order on a member."""
     fields: dict[str, object] = {
         "member": member.endpoint.name,
         "order": member.order.value,
@@ -32,7 +32,7 @@
 
 
 def panic_line(tier: Tier, policy: HealthPolicy) -> WriteLogLine:
-    """A tier's panic has begun or ended."""
+    """The line for the begin or the end of a tier's panic."""
     fields: dict[str, object] = {
         "kind": tier.kind,
         "zone": tier.zone,
--- a/rookbend/health/member_health.py
+++ b/rookbend/health/member_health.py
@@ -1,7 +1,7 @@
-"""All that is known of one member's health, and the verdict it adds up to but for the limit on its tier.
+"""The health state of one member, and the verdict that follows from it before the tier's ejection limit.
 
-The size is fixed by the number of checks: counters, last results and times, no history. It goes with the member: a new
-id begins with nothing, whatever was known of the address.
+Its size is fixed by the number of checks: counters, last results and times, no history. It is removed with the member:
+a new id starts without any state, even at the same address.
 """
 
 from __future__ import annotations
@@ -22,9 +22,9 @@
 class MemberHealth:
     """One member: its endpoint, the operators' order, checks, failed attempts, ejection and slow start.
 
-    `ejected` tells whether checks speak against it, whether or not the tier's limit lets that count; it stays ejected
-    until `hold_until_us`. `was_refused` tells whether something showed while it was out that its process did not
-    run; it then counts as cold from `cold_since_us`, the time it came back.
+    `ejected` is set while checks or attempts fail, even if the tier's limit prevents the ejection, and at least until
+    `hold_until_us`. `was_refused` is set if a refused or failed connection showed that the member's process was not
+    running; the member then counts as cold from `cold_since_us`, the time of its return.
     """
 
     __slots__ = (
@@ -50,7 +50,7 @@
     )
 
     def __init__(self, endpoint: Endpoint, role: str, policy: HealthPolicy, newest_number: int, now_us: int):
-        """`newest_number` is the newest check's: no run that began before counts for this member."""
+        """`newest_number` is the number of the newest check run: results of runs up to it are ignored."""
         self.endpoint = endpoint
         self.role = role
         self.membership_us = now_us
@@ -74,13 +74,13 @@
     # Evidence
 
     def is_outdated(self, check: str, number: int) -> bool:
-        """Whether a result is of a check that is no more, or older than one received: across a reconnect an old
-        report may come last."""
+        """Whether a result is of a check that no longer exists, or older than one already received: across a
+        reconnect an old report may arrive last."""
         state = self.checks.get(check)
         return state is None or number < state.number
 
     def apply_check(self, now_us: int, event: AgentReported | CheckCompleted) -> None:
-        """Takes an agent's report or a check's result."""
+        """Applies an agent's report or a check's result."""
         state = self.checks[event.check]
         if isinstance(event, AgentReported):
             state.apply_report(now_us, event)
@@ -89,7 +89,7 @@
         self.was_refused |= event.outcome is CheckOutcome.REFUSED
 
     def apply_attempt(self, now_us: int, status: AttemptStatus, policy: HealthPolicy) -> None:
-        """Counts attempts that failed in a row; enough of them eject the member for a while."""
+        """Counts consecutive failed attempts; `passive_failure_threshold` of them eject the member temporarily."""
         if status in ANSWERED_STATUSES:
             self.failed_attempts = 0
             self.passive_until_us = 0
@@ -102,41 +102,41 @@
                 self.was_refused |= status is AttemptStatus.CONNECT_FAILED
 
     def apply_order(self, now_us: int, order: Order, by: str) -> None:
-        """Takes an operator's order."""
+        """Applies an operator's order."""
         self.order = order
         self.order_us = now_us
         self.order_by = by
 
-    # Causes 2 to 4: what the membership, operators and the member's own agents ask for
+    # Rows 2 to 4 of the precedence table in model.py: membership, orders, the member's own agents
 
     def requested_verdict(self) -> Verdict | None:
-        """The verdict that the membership, an order or an agent's drain or maint asks for, if any."""
+        """The verdict that the membership, an order or an agent's drain or maint requires, if any."""
         if self.endpoint.member.state is not MemberState.READY:
             return Verdict(State.DRAINING, 0, Cause.MEMBERSHIP, "draining", self.membership_us)
         if self.order is Order.MAINTAIN:
             return Verdict(State.MAINTENANCE, 0, Cause.ORDER, f"by {self.order_by}", self.order_us)
         if self.order is Order.DRAIN:
             return Verdict(State.DRAINING, 0, Cause.ORDER, f"by {self.order_by}", self.order_us)
-        # An agent's drain or maint is an order of the member's own operators: silence does not lift it.
-        for word, state in (("maint", State.MAINTENANCE), ("drain", State.DRAINING)):
+        # An agent's drain or maint is an order of the member's own operators: it holds while the agent is silent.
+        for admin, state in (("maint", State.MAINTENANCE), ("drain", State.DRAINING)):
             for name, check in self.checks.items():
-                if check.admin == word:
-                    reason = f"{name}: {word} {check.reason}".rstrip()
+                if check.admin == admin:
+                    reason = f"{name}: {admin} {check.reason}".rstrip()
                     return Verdict(state, 0, Cause.AGENT, reason, check.received_us)
         return None
 
     def zero_weight_verdict(self, now_us: int) -> Verdict | None:
-        """Draining, where an agent gives a weight of 0%."""
+        """Draining, if an agent reports a weight of 0%."""
         for name, check in self.checks.items():
             if not check.weight_at(now_us):
                 reason = f"{name}: 0% {check.reason}".rstrip()
                 return Verdict(State.DRAINING, 0, Cause.AGENT, reason, check.received_us)
         return None
 
-    # Causes 5 and 6: checks, failed attempts, hold
+    # Rows 5 and 6: checks, failed attempts, hold
 
     def failing_verdict(self, now_us: int) -> Verdict | None:
-        """Down, where checks or failed attempts speak against the member."""
+        """Down, if a check or enough consecutive attempts failed."""
         for name, check in self.checks.items():
             if check.is_down(now_us):
                 cause = Cause.AGENT if check.policy.is_agent else Cause.CHECK
@@ -146,7 +146,7 @@
         return None
 
     def update_ejection(self, now_us: int, policy: HealthPolicy) -> Verdict | None:
-        """`failing_verdict` with the hold: a member that flaps stays out for longer each time."""
+        """`failing_verdict` with the hold: a member that flaps stays ejected for longer each time."""
         failing = self.failing_verdict(now_us)
         if failing is not None:
             if not self.ejected:
@@ -154,7 +154,7 @@
             return failing
         if self.ejected:
             if now_us < self.hold_until_us:
-                return Verdict(State.DOWN, 0, Cause.HOLD, f"came and went {self.flaps} times", self.ejected_us)
+                return Verdict(State.DOWN, 0, Cause.HOLD, f"flapped {self.flaps} times", self.ejected_us)
             self.ejected = False
             self.returned_us = now_us
             if self.was_refused:
@@ -167,7 +167,7 @@
         if self.returned_us and since_return_us < policy.flap_window_us:
             self.flaps += 1
         else:
-            # Each quiet window forgives one flap, not all of them.
+            # Each `flap_window_us` without a flap takes one off the count, instead of resetting it.
             quiet_windows = since_return_us // policy.flap_window_us if self.returned_us else 0
             self.flaps = max(0, self.flaps - quiet_windows)
         self.ejected = True
@@ -175,10 +175,10 @@
         min_ejection_us = policy.min_ejection_us << min(self.flaps, MAX_HOLD_DOUBLINGS)
         self.hold_until_us = now_us + min(min_ejection_us, policy.max_ejection_us)
 
-    # Cause 7: the weight of a member in use
+    # Row 7: the weight of a member in use
 
     def in_use_verdict(self, now_us: int, policy: SlowStartPolicy, ignored: Verdict | None) -> Verdict:
-        """The verdict on a member in use; `ignored` is what checks say against it while its tier is in panic."""
+        """The verdict on a member in use; `ignored` is the failing verdict that its tier's panic overrides."""
         old = self.verdict
         if old is not None and not old.state.in_use:
             if ignored is not None and old.state is State.DOWN:
@@ -190,7 +190,7 @@
         if ignored is not None:
             return self._degraded(weight, Cause.PANIC, f"ignored: {ignored.reason}", ignored.since_us)
         if self.slow_start.limits:
-            return self._degraded(weight, Cause.SLOW_START, "back since", self.slow_start.began_us)
+            return self._degraded(weight, Cause.SLOW_START, "returned to service", self.slow_start.began_us)
         for name, check in self.checks.items():
             if check.weight_at(now_us) == weight < FULL_PERCENT:
                 reason = f"{name}: {weight}% {check.reason}".rstrip()
@@ -205,11 +205,11 @@
         return Verdict(State.DEGRADED, weight, cause, reason, since_us, self.cold_since_us)
 
     def in_doubt(self) -> bool:
-        """Whether attempts or checks have begun to speak against the member."""
+        """Whether the newest attempts or checks contradict the present state."""
         return self.failed_attempts > 0 or any(check.in_doubt() for check in self.checks.values())
 
     def next_change_us(self, now_us: int, policy: SlowStartPolicy) -> int:
-        """When time alone next changes the verdict, or 0."""
+        """When the passage of time next changes the verdict, or 0."""
         times = [
             check.received_us + check.policy.stale_us
             for check in self.checks.values()
--- a/rookbend/health/member_table.py
+++ b/rookbend/health/member_table.py
@@ -1,4 +1,4 @@
-"""The table of members that operators read: one JSON object a member, times as ages in microseconds."""
+"""The table of members for operators: one JSON object per member, times as ages in microseconds."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def member_table(registry: HealthRegistry, now_us: int) -> list[dict[str, object]]:
-    """All members, by role, zone and name."""
+    """All members, sorted by role, zone and name."""
 
     def position(member: MemberHealth) -> tuple[int, int, str]:
         return ROLES.index(member.role), member.endpoint.member.zone, member.endpoint.name
@@ -21,7 +21,7 @@
 def _describe(registry: HealthRegistry, now_us: int, health: MemberHealth) -> dict[str, object]:
     verdict = health.verdict
     member = health.endpoint.member
-    assert verdict is not None  # set as the member is added
+    assert verdict is not None  # set when the member is added
     return {
         "member": health.endpoint.name,
         "role": health.role,
--- a/rookbend/health/member_timers.py
+++ b/rookbend/health/member_timers.py
@@ -1,19 +1,19 @@
-"""When time alone next changes a member's verdict or a tier's panic: one entry armed a member."""
+"""Timers for members' verdicts and tiers' panic: at most one armed timer per member."""
 
 from __future__ import annotations
 
 import heapq
 
-ANY_TIER = 0  # in place of a server number: a tier's panic may end
-MAX_ENTRIES_PER_MEMBER, EXTRA_ENTRIES = 4, 64  # more than that, and the heap is rebuilt
+ANY_TIER = 0  # used instead of a server number: the panic of some tier may end
+MAX_ENTRIES_PER_MEMBER, EXTRA_ENTRIES = 4, 64  # a heap with more entries is rebuilt
 
 
 class MemberTimers:
-    """A heap of (when, server). A member that is armed anew leaves its old entry behind, to be skipped."""
+    """A heap of (time, server). Arming a member again leaves its old entry in the heap, which `pop_due` skips."""
 
     def __init__(self) -> None:
         self._heap: list[tuple[int, int]] = []
-        self.armed: dict[int, int] = {}  # server: the time for which it is armed
+        self.armed: dict[int, int] = {}  # the time for which a server's timer is armed
 
     def __len__(self) -> int:
         return len(self._heap)
@@ -32,15 +32,15 @@
             self.armed.pop(server, None)
 
     def disarm(self, server: int) -> None:
-        """The member has gone."""
+        """Removes the timer of a member that was removed."""
         self.armed.pop(server, None)
 
     def arm_tier(self, due_us: int) -> None:
-        """Some tier's panic may end at `due_us`."""
+        """Arms a timer for the possible end of a tier's panic at `due_us`."""
         heapq.heappush(self._heap, (due_us, ANY_TIER))
 
     def pop_due(self, now_us: int) -> int | None:
-        """The next member that is due, disarmed, or ANY_TIER; None where nothing is."""
+        """Disarms and returns the next member that is due, or ANY_TIER; None if nothing is due."""
         while self._heap and self._heap[0][0] <= now_us:
             at_us, server = heapq.heappop(self._heap)
             if server == ANY_TIER:
@@ -51,11 +51,11 @@
         return None
 
     def needs_rebuild(self, member_count: int) -> bool:
-        """Whether entries left behind fill the heap, as those of an agent that flaps would."""
+        """Whether obsolete entries fill the heap. A flapping agent leaves many of them."""
         return len(self._heap) > MAX_ENTRIES_PER_MEMBER * member_count + EXTRA_ENTRIES
 
     def rebuild(self, tier_times_us: list[int]) -> None:
-        """Keeps only what is armed, and the tiers' times."""
+        """Rebuilds the heap from the armed timers and the tiers' times."""
         self._heap = [(at_us, server) for server, at_us in self.armed.items()]
         self._heap += [(at_us, ANY_TIER) for at_us in tier_times_us]
         heapq.heapify(self._heap)
--- a/rookbend/health/own_status.py
+++ b/rookbend/health/own_status.py
@@ -1,4 +1,4 @@
-"""What this director reports of itself to a balancer in front, in terms that each protocol can express. Pure."""
+"""The status that this director reports to a load balancer in front, in terms that each protocol can express."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnStatus:
-    """`admin` is ready, drain or maint; `weight` percent; `max_connections` 0 where not limited.
+    """`admin` is ready, drain or maint; `weight` is in percent; `max_connections` is 0 if there is no limit.
 
-    `state` is one word for people: the lifecycle's phase, or what keeps the director from serving.
+    `state` is one word for operators: the lifecycle phase, or what keeps the director from serving.
     """
 
     admin: str
@@ -29,7 +29,7 @@
 
 
 def own_status(phase: str, capacity: SpareCapacity, max_connections: int) -> OwnStatus:
-    """The status in a lifecycle phase: from SIGTERM on `drain`, whatever capacity is spare."""
+    """The status in a lifecycle phase: `drain` from SIGTERM on, regardless of spare capacity."""
     if phase == "draining":
         return OwnStatus("drain", True, 0, max_connections, phase)
     if phase != "ready":
--- a/rookbend/health/registry.py
+++ b/rookbend/health/registry.py
@@ -1,13 +1,13 @@
-"""The health of all members: fed evidence, it answers with verdicts that changed. Pure: no I/O, no clock.
+"""The health of all members: takes evidence and returns changed verdicts. A state machine without I/O or clock.
 
-`handle(now, event)` gives the actions that follow; `due_us` is when `TimerExpired` is next of use. An event costs the
-work of one member; a whole tier is looked at only when its panic begins or ends.
+`handle(now, event)` returns the actions that follow; `due_us` is when `TimerExpired` is next needed. An event costs
+the work for one member; a whole tier is evaluated only when its panic begins or ends.
 
-The limit on a tier (its members of one kind and zone): of those that neither the membership nor orders have taken
-out, checks may eject `max_ejected_ratio` of the count, rounded down. Would they eject more, they are all ignored for
-that tier (panic), and that is logged: when everything seems to fail at once, the fault is more likely this
-director's. Panic ends once the count has stayed within the limit for `panic_hold_us`. An agent's drain or maint and
-an operator's order count in panic too.
+The limit on a tier (the members of one kind and zone): of the members that neither the membership, an order nor an
+agent's drain or maint takes out, checks may eject the share `max_ejected_ratio`, rounded down. If they would eject
+more, they are all ignored for that tier (panic), and that is logged: when everything seems to fail at once, the fault
+is more likely this director's. Panic ends once the count has stayed within the limit for `panic_hold_us`. An agent's
+drain or maint and an operator's order count in panic too.
 """
 
 from __future__ import annotations
@@ -43,8 +43,8 @@
 class HealthRegistry:
     """The members by server number, and their tiers by (kind, zone).
 
-    `role_of` names a member's role from its endpoint: cache, parent or origin. `overtaken` counts results that were
-    ignored: of a check or member that is no more, or older than one received.
+    `role_of` returns the role of an endpoint's member: cache, parent or origin. `overtaken` counts results that were
+    ignored: of a check or member that no longer exists, or older than one already received.
     """
 
     def __init__(self, policy: HealthPolicy, role_of: Callable[[Endpoint], str]):
@@ -60,16 +60,16 @@
 
     @property
     def due_us(self) -> int:
-        """When time alone next changes something, or 0."""
+        """When the passage of time next changes something, or 0."""
         return self.timers.due_us
 
     def begin_check(self) -> int:
-        """The number of a run of a check that begins now."""
+        """The number for a check run that begins now."""
         self._newest_check += 1
         return self._newest_check
 
     def handle(self, now: int, event: Event) -> list[Action]:
-        """Takes one event, received at `now` (microseconds); returns what follows from it."""
+        """Handles an event that was received at `now` (microseconds); returns the actions that follow."""
         self._actions = []
         HANDLERS[type(event)](self, now, event)
         return self._actions
@@ -91,7 +91,7 @@
                 self._update(now, member, endpoint)
 
     def _add(self, now: int, endpoint: Endpoint, previous: MemberHealth | None = None) -> None:
-        """A new member. An operator's order on the member `before` holds, whatever process runs there now."""
+        """Adds a member. An operator's order on `previous`, the same member before its restart, still applies."""
         server = endpoint.member.server
         member = MemberHealth(endpoint, self.role_of(endpoint), self.policy, self._newest_check, now)
         self.members[server] = member
@@ -107,7 +107,7 @@
         new = endpoint.member
         moved = (new.kind, new.zone) != (old.kind, old.zone) or endpoint.address != member.endpoint.address
         if moved or new.started_us > old.started_us:
-            # Another process, or another place: what was found of the old one is no evidence on this one.
+            # Another process, or another address, kind or zone: results of the old one are no evidence on the new one.
             self._drop(now, new.server, publish=False)
             return self._add(now, endpoint, member)
         if new.state is not old.state:
@@ -156,7 +156,7 @@
         self._evaluate(now, member)
 
     def _on_policy(self, now: int, event: PolicyChanged) -> None:
-        """Other checks and limits. What a check of the same name and kind has found is retained."""
+        """Applies new checks and limits. A check of the same name and kind keeps its state."""
         self.policy = event.policy
         self._slow_start = dict(event.policy.slow_start)
         for member in self.members.values():
@@ -181,7 +181,7 @@
     # Verdicts
 
     def _evaluate(self, now: int, member: MemberHealth, forced: bool = False) -> None:
-        """Takes what is known of one member to its verdict, by way of its tier."""
+        """Evaluates one member, updates its tier, and publishes the verdict."""
         endpoint = member.endpoint.member
         tier = self.tiers[endpoint.kind, endpoint.zone]
         requested = member.requested_verdict()
@@ -230,7 +230,7 @@
 
 
 def _differ(old: Verdict, new: Verdict) -> bool:
-    """Whether the engine has to know of the difference."""
+    """Whether the verdicts differ in a way that concerns the engine."""
     return (old.state, old.weight, old.cold_since_us) != (new.state, new.weight, new.cold_since_us)
 
 
--- a/rookbend/health/service.py
+++ b/rookbend/health/service.py
@@ -1,10 +1,10 @@
 """Passes evidence to the health registry, and changed verdicts to the engine as changes of members.
 
-The router is told of a member what the membership and health add up to. An ejected member is told as draining:
-nothing new goes there, what is in flight ends by itself, and its place in the hash order stays. That reaches the
-engine within the call that brought the evidence, so `may_write` holds back what waits in a queue. What only raises a
-weight is gathered for `WEIGHT_BATCH_US`: a thousand slow starts would else make the module sort its lists a thousand
-times.
+The router receives each member with the verdict on its health applied. An ejected member is passed on as draining: it
+gets no new requests, those in flight complete, and it keeps its place in the hash order. A change that takes a member
+out or lowers its weight reaches the engine within the call that brought the evidence, so that `may_write` holds back
+attempts that wait in a queue. Changes that only raise a weight are batched for `WEIGHT_BATCH_US`: otherwise a thousand
+slow starts would make the router sort its member lists a thousand times.
 """
 
 from __future__ import annotations
@@ -26,16 +26,16 @@
 
 
 def role_lookup(settings: Settings) -> Callable[[Endpoint], str]:
-    """A function from an endpoint to the member's role."""
+    """Returns a function that maps an endpoint to the role of its member."""
     names = {settings.parent_kind: "parent", settings.origin_kind: "origin"}
     return lambda endpoint: names.get(endpoint.member.kind, "cache")
 
 
 class HealthService:
-    """Stands between the coordinator's watch, checks and attempts, and the engine.
+    """Passes the coordinator's membership and the results of checks and attempts through the registry to the engine.
 
-    `on_members(added, removed)` is called with members by server number; `on_due(when_us)` when `tick` is due at
-    another time than before.
+    `on_members(added, removed)` is called with the server numbers of added and removed members; `on_due(due_us)` when
+    the time at which `tick` is due changes.
     """
 
     def __init__(self, engine: Engine, registry: HealthRegistry, log: Callable[..., None]):
@@ -44,14 +44,14 @@
         self.log = log
         self.on_members: Callable[[list[int], list[int]], None] = lambda added, removed: None
         self.on_due: Callable[[int], None] = lambda due: None
-        self._pending: dict[int, None] = {}  # raised in weight, not passed on yet
+        self._pending: dict[int, None] = {}  # members whose raised weight has not been passed on yet
         self._flush_us = 0
         self._announced_due_us = 0
 
     # Evidence
 
     def membership_changed(self, change: MembershipChange) -> None:
-        """The coordinator's membership, or a part of it; the engine gets it with health applied."""
+        """Applies the coordinator's membership, or a change of it, and passes it to the engine with health applied."""
         members = self.registry.members
         before = set(members)
         now = self.engine.clock.now()
@@ -67,7 +67,7 @@
         self._announce_due()
 
     def feed(self, event: Event) -> None:
-        """Evidence of any other kind."""
+        """Applies evidence other than the membership."""
         now = self.engine.clock.now()
         urgent = []
         for server, verdict in self._apply(self.registry.handle(now, event)).items():
@@ -86,16 +86,16 @@
         self._announce_due()
 
     def attempt_ended(self, server: int, status: AttemptStatus) -> None:
-        """An attempt of a request has ended."""
+        """Applies the status of an ended attempt."""
         member = self.registry.members.get(server)
         if member is None:
             return
         if status in ANSWERED_STATUSES and not member.failed_attempts and not member.passive_until_us:
-            return  # nearly all of them: nothing is held against the member
+            return  # the common case: a successful attempt, and no failures to reset
         self.feed(AttemptObserved(server, status))
 
     def tick(self) -> None:
-        """Does what is due: gathered weights, and what time alone changes."""
+        """Passes on the batched weights that are due, and expires the registry's timers."""
         now = self.engine.clock.now()
         if self._flush_us and now >= self._flush_us:
             self._flush_us = 0
@@ -120,7 +120,7 @@
     # Verdicts
 
     def _apply(self, actions: Iterable[Action]) -> dict[int, Verdict | None]:
-        """The newest verdict of each member that changed; log lines go out."""
+        """Returns the newest verdict of each member that changed, and writes the log lines."""
         changed = {}
         for action in actions:
             if isinstance(action, VerdictChanged):
@@ -130,22 +130,22 @@
         return changed
 
     def effective(self, server: int) -> Endpoint | None:
-        """The endpoint with the verdict applied; None for a member that the membership does not hold."""
+        """The endpoint with the verdict applied; None for a server that is not in the membership."""
         member = self.registry.members.get(server)
         return self._effective_of(member) if member is not None else None
 
     def _effective_of(self, health: MemberHealth) -> Endpoint:
         verdict = health.verdict
         member = health.endpoint.member
-        assert verdict is not None  # set as the member is added
+        assert verdict is not None  # set when the member is added
         weight = member.weight
         if verdict.weight < FULL_PERCENT and self._uses_health_weight(health.role):
             weight = member.weight * max(verdict.weight, 1) / FULL_PERCENT
         state = member.state
         if state is MemberState.READY and not verdict.state.in_use:
             state = MemberState.DRAINING
-        # A process that was found dead and came back is empty, whatever start the membership gives: the module's
-        # budgets for cold members hold from then on.
+        # The cache of a process that was found dead and returned is empty, whatever start time the membership gives:
+        # the router's budgets for cold members apply from its return.
         started_us = max(member.started_us, health.cold_since_us)
         if (weight, state, started_us) == (member.weight, member.state, member.started_us):
             return health.endpoint
@@ -157,17 +157,17 @@
         return weighted_roles == "all" or (weighted_roles == "caches" and role == "cache")
 
     def table(self) -> list[dict[str, object]]:
-        """The table of members that operators read."""
+        """The table of members for operators."""
         return member_table(self.registry, self.engine.clock.now())
 
     def find(self, name: str) -> int | None:
-        """The server number of the member of that name."""
+        """The server number of the member with this name, or None."""
         members = self.registry.members.items()
         return next((server for server, member in members if member.endpoint.name == name), None)
 
 
 def _reduces_service(before: Endpoint, after: Endpoint) -> bool:
-    """Whether the engine must be told at once: the member loses service or weight."""
+    """Whether the member loses service or weight, which the engine must learn at once."""
     old, new = before.member, after.member
     restarted = old.state is MemberState.READY and new.started_us > old.started_us
     return new.state is not MemberState.READY or new.weight < old.weight or restarted
--- a/rookbend/health/spare_capacity.py
+++ b/rookbend/health/spare_capacity.py
@@ -1,8 +1,9 @@
-"""This director's own weight, as a balancer in front is told it: how much capacity is spare. Pure.
+"""This director's own weight, as reported to a load balancer in front: its spare capacity.
 
-Each resource counts from a share of its use on, and is used up at 1. The weight is the least that any of them leaves.
-It falls at once, in whole steps; it rises a step at a time, each after capacity has been spare for `rise_us`, so that
-balancers that follow it do not swing the load between directors.
+A resource lowers the weight once the share of it in use exceeds a threshold, down to 0 when all of it is in use. The
+resource with the least capacity left sets the weight. The weight falls at once, in whole steps; it rises one step at a
+time, each after capacity has been spare for `rise_us`, so that balancers that follow it do not shift the load back and
+forth between directors.
 """
 
 from __future__ import annotations
@@ -17,10 +18,10 @@
 
 @dataclass(frozen=True, slots=True)
 class CapacitySample:
-    """What a director measures of itself: shares of what is allowed, 0 to 1.
+    """A director's resource usage, as shares of each limit, 0 to 1.
 
-    `lag` is of the loop lag that `[headroom] lag` counts as full; `open` of requests in flight. `members` are the
-    director's own caches in the membership, `in_use` those of them that serve.
+    `lag` is the event-loop lag as a share of `[headroom] lag`; `open` is the share of requests in flight. `members`
+    counts the caches of the director's zone in the membership, `in_use` those of them that serve.
     """
 
     lag: float = 0.0
@@ -32,7 +33,7 @@
 
 
 class SpareCapacity:
-    """The weight in percent, and the resource that limits it ("" where none does)."""
+    """The weight in percent, and the resource that limits it ("" if none does)."""
 
     def __init__(self, step: float = 0.1, rise_us: int = 2_000_000, least: float = 0.1):
         self.step = round(step * FULL_PERCENT)
@@ -41,12 +42,12 @@
         self.weight = FULL_PERCENT
         self.limited_by = ""
         self.up = True
-        self._spare_since_us = 0  # capacity for a step more has been spare since then, or 0
+        self._spare_since_us = 0  # since when there has been capacity for another step, or 0
 
     def measure(self, now_us: int, sample: CapacitySample) -> None:
-        """Takes a sample into account."""
+        """Updates the weight from a sample."""
         left, limited_by = remaining_capacity(sample)
-        # With no member in use a balancer is better off elsewhere; an empty membership was only not received yet.
+        # Without a member in use, other directors serve better. An empty membership only means not received yet.
         self.up = not sample.members or sample.in_use > 0
         goal = max(left // self.step * self.step if left < FULL_PERCENT else FULL_PERCENT, self.least)
         if goal < self.weight:
@@ -68,7 +69,7 @@
 
 
 def remaining_capacity(sample: CapacitySample) -> tuple[int, str]:
-    """(percent left, the resource that limits it)."""
+    """Returns the remaining capacity in percent, and the resource that limits it ("" if none does)."""
     shares = {name: (1 - getattr(sample, name)) / (1 - threshold) for name, threshold in USAGE_THRESHOLDS.items()}
     if sample.members:
         shares["members"] = sample.in_use / sample.members
--- a/rookbend/health/tier.py
+++ b/rookbend/health/tier.py
@@ -4,23 +4,24 @@
 
 from enum import Enum
 
-ROUNDING_TOLERANCE = 1e-9  # so that a ratio that is no exact binary fraction does not lose a member
+ROUNDING_TOLERANCE = 1e-9  # compensates for ratios that have no exact binary representation
 
 
 class PanicChange(Enum):
-    """What an update of a tier has changed."""
+    """What an update of a tier changed."""
 
     NONE = "none"
     BEGAN = "began"
-    CALMED = "calmed"  # within the limit again: panic ends after a hold
+    CALMED = "calmed"  # within the limit again: panic ends after `panic_hold_us`
     ENDED = "ended"
 
 
 class Tier:
     """The members of one kind and zone, by server number.
 
-    `eligible` are those that neither the membership nor an order or agent has taken out; `failing` of these the ones
-    that checks speak against. `calm_since_us` is since when a tier in panic has been within its limit, or 0.
+    `eligible` are the members that neither the membership nor an order or agent has taken out; `failing` are the
+    eligible members that checks or attempts would eject. `calm_since_us` is since when a tier in panic has been within
+    its limit, or 0.
     """
 
     __slots__ = ("calm_since_us", "eligible", "failing", "kind", "members", "panic", "zone")
@@ -39,17 +40,17 @@
         return int(max_ejected_ratio * len(self.eligible) + ROUNDING_TOLERANCE)
 
     def update_member(self, server: int, is_eligible: bool, is_failing: bool) -> None:
-        """Counts a member."""
+        """Updates whether a member is eligible and whether it is failing."""
         _set_member(self.eligible, server, is_eligible)
         _set_member(self.failing, server, is_eligible and is_failing)
 
     def discard(self, server: int) -> None:
-        """The member has gone."""
+        """Removes a member."""
         for members in (self.members, self.eligible, self.failing):
             members.discard(server)
 
     def update_panic(self, now_us: int, max_ejected_ratio: float, panic_hold_us: int) -> PanicChange:
-        """Begins or ends panic."""
+        """Begins or ends panic as the number of failing members requires."""
         if len(self.failing) > self.limit(max_ejected_ratio):
             began = not self.panic
             self.panic = True
--- a/rookbend/health/weight_ramp.py
+++ b/rookbend/health/weight_ramp.py
@@ -1,17 +1,17 @@
-"""Slow start: how the weight of a member rises again after it was out of use."""
+"""Slow start: how the weight of a member rises after it returns to service."""
 
 from __future__ import annotations
 
 from rookbend.health.model import FULL_PERCENT, SlowStartPolicy
 
-STEP_PERCENT = 5  # a rising weight is published in such steps
+STEP_PERCENT = 5  # granularity at which a rising weight is published
 
 
 class WeightRamp:
     """The weight of one member while it is in use.
 
-    It rises evenly from `from_percent` at `began_us`. `level_percent` is the weight now; `limits` tells whether slow
-    start is what limits it, and not the member's own agents.
+    The weight rises linearly from `from_percent` at `began_us`. `level_percent` is the present weight. `limits` is set
+    while slow start limits the weight, rather than the member's own agents.
     """
 
     __slots__ = ("began_us", "from_percent", "level_percent", "limits")
@@ -23,19 +23,19 @@
         self.limits = False
 
     def restart(self, now_us: int, policy: SlowStartPolicy) -> None:
-        """In use again: from the first share of the policy on."""
+        """Starts at the policy's initial weight: the member returned to service."""
         self.from_percent = policy.start
         self.began_us = now_us
         self.limits = True
 
     def resume(self, now_us: int) -> None:
-        """In use again since what ejected the member is ignored: from the level it had."""
+        """Continues at the last weight: the member is in use again only because panic ignores its ejection."""
         self.from_percent = max(1, self.level_percent)
         self.began_us = now_us
         self.limits = True
 
     def update(self, now_us: int, target_percent: int, policy: SlowStartPolicy) -> int:
-        """The weight now: falls at once to the target, rises no faster than slow start allows."""
+        """Returns the present weight: it falls to the target at once, and rises no faster than slow start allows."""
         if not self.limits and target_percent > self.level_percent:
             self.from_percent = max(1, self.level_percent)
             self.began_us = now_us
@@ -52,7 +52,7 @@
         return FULL_PERCENT if risen >= FULL_PERCENT else max(self.from_percent, risen // STEP_PERCENT * STEP_PERCENT)
 
     def next_step_us(self, now_us: int, policy: SlowStartPolicy) -> int:
-        """When the published cap next changes, or 0."""
+        """When the published cap next changes; 0 if it is at its maximum."""
         level = self.cap_at(now_us, policy)
         if level >= FULL_PERCENT:
             return 0
