--- a/rookbend/cli/__init__.py
+++ b/rookbend/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line: one small module a sub-command, imported when it is run.
+"""The command line: one module per sub-command, imported only when it is needed.
 
 A module has `HELP`, `EXAMPLE`, `add_arguments(parser)` and `run(args) -> exit code`.
 """
@@ -15,7 +15,7 @@
 
 VERSION = "0.2.0"
 DEFAULT_COMMAND = "serve"
-# Module by command.
+# The module of each command.
 COMMANDS = {
     "serve": "serve",
     "check-config": "check_config",
@@ -28,7 +28,7 @@
 
 
 def commands_to_load(arguments: list[str]) -> list[str]:
-    """Only the command that is named, or all of them for the page of help."""
+    """The command that the arguments name, or all commands, for the help page."""
     if not arguments:
         return [DEFAULT_COMMAND]
     first_word = next((word for word in arguments if not word.startswith("-")), None)
@@ -36,8 +36,8 @@
 
 
 def build_parser(commands: Iterable[str]) -> argparse.ArgumentParser:
-    """The parser of these sub-commands; imports their modules."""
-    parser = argparse.ArgumentParser(prog="rookbend", description="A director in front of caches.")
+    """Builds the parser of these sub-commands; imports their modules."""
+    parser = argparse.ArgumentParser(prog="rookbend", description="A request director in front of caches.")
     subparsers = parser.add_subparsers(dest="command", metavar="COMMAND")
     for name in commands:
         module = import_module(f"rookbend.cli.{COMMANDS[name]}")
@@ -49,7 +49,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Runs a sub-command; its exit code."""
+    """Runs a sub-command and returns its exit code."""
     arguments = sys.argv[1:] if argv is None else argv
     commands = commands_to_load(arguments)
     if commands == [DEFAULT_COMMAND]:
--- a/rookbend/cli/admin_client.py
+++ b/rookbend/cli/admin_client.py
@@ -1,4 +1,4 @@
-"""A client of a running director's admin endpoint: one request, one JSON object."""
+"""A client of a running director's admin listener: each response is one JSON object."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def add_admin_option(parser: argparse.ArgumentParser) -> None:
-    """Adds `--admin`, the address of the endpoint."""
+    """Adds `--admin`, the address of the admin listener."""
     parser.add_argument(
         "--admin",
         default="127.0.0.1:9100",
@@ -25,7 +25,7 @@
 
 
 def request(admin: str, method: str, path: str, body: JsonObject | None = None) -> JsonObject:
-    """The response of the director at `admin`. Raises `UsageError` where it is unreachable or reports an error."""
+    """Returns the response of the director at `admin`. Raises `UsageError` if it is unreachable or reports an error."""
     host, _, port = admin.rpartition(":")
     payload = json.dumps(body) if body else None
     headers = {"Content-Type": "application/json"} if body else {}
@@ -42,10 +42,10 @@
 
 
 def get(admin: str, path: str) -> JsonObject:
-    """The table at `path`. Raises `UsageError`."""
+    """Returns the JSON object at `path`. Raises `UsageError`."""
     return request(admin, "GET", path)
 
 
 def post(admin: str, path: str, order: JsonObject) -> JsonObject:
-    """The response to an order. Raises `UsageError`."""
+    """Sends an order and returns the response. Raises `UsageError`."""
     return request(admin, "POST", path, order)
--- a/rookbend/cli/demo.py
+++ b/rookbend/cli/demo.py
@@ -1,4 +1,4 @@
-"""`rookbend demo`: a fleet on this machine loses its power and returns."""
+"""`rookbend demo`: simulates a power loss of a fleet on this machine and reports the recovery."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
     from rookbend.testing.demo import Plan
 
-HELP = "start a fleet of directors on this machine, cut its power, and show how it returns"
+HELP = "start a fleet of directors on this machine, simulate a power loss, and show the recovery"
 EXAMPLE = "rookbend demo --directors 3"
 HEADER = "NAME", "WHAT", "STATE", "DONE"
 MAX_DIRECTORS = 40
@@ -25,42 +25,42 @@
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    """Sizes and times of the run, and how to print."""
+    """Adds the size and times of the run, and the output options."""
     parser.add_argument("--directors", type=int, default=3, metavar="N", help="default %(default)s")
-    parser.add_argument("--seed", type=int, default=7, help="repeats a run's draws (default %(default)s)")
-    parser.add_argument("--calm", type=float, default=8.0, metavar="S", help="seconds before the power goes")
-    parser.add_argument("--after", type=float, default=20.0, metavar="S", help="seconds watched after")
-    parser.add_argument("--json", action="store_true", help="the report as one JSON object, no table")
-    parser.add_argument("--keep", type=Path, metavar="DIR", help="leave configurations and logs there")
+    parser.add_argument("--seed", type=int, default=7, help="seed of the random choices (default %(default)s)")
+    parser.add_argument("--calm", type=float, default=8.0, metavar="S", help="seconds before the power loss")
+    parser.add_argument("--after", type=float, default=20.0, metavar="S", help="seconds observed after power returns")
+    parser.add_argument("--json", action="store_true", help="print the report as one JSON object, no table")
+    parser.add_argument("--keep", type=Path, metavar="DIR", help="keep configurations and logs in DIR")
 
 
 def _format_second(report: Report, second: int, share: float | None) -> str:
-    is_dark = report["lost_at"] - 1 < second < report["back_at"]
+    is_power_off = report["lost_at"] - 1 < second < report["back_at"]
     bar = "" if share is None else "#" * round(share * BAR_COLUMNS)
     percentage = "-" if share is None else f"{share:4.0%}"
-    return f"  {second:3} {bar:{BAR_COLUMNS}} {percentage}{'  < dark' if is_dark else ''}"
+    return f"  {second:3} {bar:{BAR_COLUMNS}} {percentage}{'  < power off' if is_power_off else ''}"
 
 
 def format_report(report: Report) -> str:
-    """The report for people."""
+    """Formats the report as text."""
     lines = [
         f"{report['directors']} directors, {report['requests']} requests, seed {report['seed']}; "
-        f"the power went at {report['lost_at']:g} s and came back at {report['back_at']:g} s",
+        f"power lost at {report['lost_at']:g} s, restored at {report['back_at']:g} s",
         "",
-        "order of return (seconds after the power):",
+        "directors admitted again (seconds after power was restored):",
     ]
     lines += [f"  {name:4} {at_s:6.2f}" for name, at_s in report["return"]]
-    lines += ["", "worth earned of the worth asked for, by second:"]
+    lines += ["", "worth of served requests as a share of all requests, by second:"]
     lines += [_format_second(report, second, share) for second, share in enumerate(report["worth"])]
     overloads = ", ".join(f"{name} {count}" for name, count in report["falls"].items()) or "none"
     rules = ", ".join(f"{rule} {count or 'kept'}" for rule, count in report["rules"].items())
-    lines += ["", f"pushed over: {overloads}", f"rules, on {report['seen']} things seen: {rules}"]
+    lines += ["", f"overloads: {overloads}", f"rules, checked on {report['seen']} events: {rules}"]
     lines += [f"  {breach}" for breach in report["breaches"]]
     return "\n".join(lines)
 
 
 def run(args: argparse.Namespace) -> int:
-    """Runs it and prints the report; exit code 1 where a rule was broken."""
+    """Runs the demonstration and prints the report; returns exit code 1 if a rule was violated."""
     import trio
 
     from rookbend.testing.demo import Demo, Plan
@@ -79,7 +79,7 @@
 
 
 def run_with_table(plan: Plan, log_folder: Path | None) -> Report:
-    """Runs it with a live table; the report. Raises `UsageError` without rich."""
+    """Runs the demonstration with a live table and returns the report. Raises `UsageError` without rich."""
     import trio
 
     from rookbend.testing.demo import Demo
--- a/rookbend/cli/errors.py
+++ b/rookbend/cli/errors.py
@@ -1,7 +1,7 @@
-"""The error of the command line."""
+"""Errors of the command line."""
 
 from __future__ import annotations
 
 
 class UsageError(Exception):
-    """What can't be used, in one line for standard error; the exit code is 2."""
+    """A usage or configuration error, printed as one line on standard error; the exit code is 2."""
--- a/rookbend/cli/fleet.py
+++ b/rookbend/cli/fleet.py
@@ -1,4 +1,4 @@
-"""`rookbend fleet`: what a running director knows of the others, and who holds which lease of the fleet."""
+"""`rookbend fleet`: the other directors as a running director sees them, and the holders of the fleet's leases."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from rookbend.cli.admin_client import JsonObject
 from rookbend.cli.tables import Rows, format_age_ms, format_table, print_json, watch_table
 
-HELP = "show the directors of the fleet as one of them sees them, or who owns its work"
+HELP = "show the directors of the fleet as one of them sees them, or show and move its leases"
 EXAMPLE = "rookbend fleet --admin 127.0.0.1:9100 --watch"
 HEADER = "DIRECTOR", "BOOT", "PHASE", "STAGE", "AGE", "HEARD", "MISSING"
 SHOW = "show"
@@ -16,19 +16,19 @@
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    """The order with its operands, and how to print."""
+    """Adds the order with its operands, and the output options."""
     parser.add_argument(
         "word",
         nargs="?",
         default=SHOW,
         choices=CHOICES,
-        help="owners: who owns which work; move, pin SCOPE PLACE; unpin SCOPE; "
-        "without PLACE: whose it would be if that director were gone",
+        help="owners: the holder of each scope; move, pin SCOPE DIRECTOR; unpin SCOPE; "
+        "without DIRECTOR: the next holders if that director were gone",
     )
-    parser.add_argument("what", nargs="*", help="the scope, as in `owners`, and the director's place")
+    parser.add_argument("what", nargs="*", help="the scope, as in `owners`, and the director's number")
     admin_client.add_admin_option(parser)
-    parser.add_argument("--json", action="store_true", help="the table as it comes")
-    parser.add_argument("--watch", action="store_true", help="again each second, until interrupted")
+    parser.add_argument("--json", action="store_true", help="print the response as JSON")
+    parser.add_argument("--watch", action="store_true", help="refresh every second until interrupted")
 
 
 def _director_row(director: JsonObject, own_index: int) -> list[str]:
@@ -46,12 +46,12 @@
 
 
 def table_rows(table: JsonObject) -> Rows:
-    """The response of `/fleet` as rows under `HEADER`."""
+    """Converts the response of `/fleet` to rows under `HEADER`."""
     return [_director_row(director, table["me"]) for director in table["directors"]]
 
 
 def run(args: argparse.Namespace) -> int:
-    """Prints a table, or gives an order; exit code 0."""
+    """Prints a table, or gives an order; returns exit code 0."""
     if args.word != SHOW:
         return fleet_leases.run(args.admin, args.word, args.what, args.json)
     if args.watch:
--- a/rookbend/cli/fleet_leases.py
+++ b/rookbend/cli/fleet_leases.py
@@ -1,4 +1,4 @@
-"""The leases of `rookbend fleet`: the table of their holders, and orders on one scope."""
+"""The lease commands of `rookbend fleet`: the table of holders, and orders on one scope."""
 
 from __future__ import annotations
 
@@ -33,14 +33,14 @@
 
 
 def table_rows(table: JsonObject) -> Rows:
-    """The response of `/owners` as rows under `HEADER`."""
+    """Converts the response of `/owners` to rows under `HEADER`."""
     return [_lease_row(lease, table["me"]) for lease in table["owners"]]
 
 
 def _give_order(admin: str, order: str, operands: list[str]) -> None:
     operand_count = 1 if order == UNPIN else 2
     if len(operands) != operand_count or not all(is_decimal(operand) for operand in operands[1:]):
-        raise UsageError(f"{order} needs a scope" + ("" if order == UNPIN else " and a place"))
+        raise UsageError(f"{order} needs a scope" + ("" if order == UNPIN else " and a director's number"))
     body: JsonObject = {"order": order, "scope": operands[0]}
     if order != UNPIN:
         body["place"] = int(operands[1])
@@ -52,19 +52,19 @@
     if command != WITHOUT:
         return admin_client.get(admin, "/owners")
     if len(operands) != 1 or not is_decimal(operands[0]):
-        raise UsageError("without needs a director's place")
+        raise UsageError("without needs a director's number")
     return admin_client.post(admin, "/owners", {"order": WITHOUT, "place": int(operands[0])})
 
 
 def _format_summary(table: JsonObject) -> str:
     voters = ", ".join(map(str, table["voters"]))
     if table["voters_before"]:
-        voters += f" (and {', '.join(map(str, table['voters_before']))} until all agree)"
-    return f"{table['director']}: voters {voters}; {table['orders']['stand']} orders of the fleet stand"
+        voters += f" (and {', '.join(map(str, table['voters_before']))} until all voters have adopted the change)"
+    return f"{table['director']}: voters {voters}; {table['orders']['stand']} fleet orders committed"
 
 
 def run(admin: str, command: str, operands: list[str], as_json: bool) -> int:
-    """Gives an order on a scope, or prints the table; exit code 0. Raises `UsageError`."""
+    """Gives an order on a scope, or prints the table; returns exit code 0. Raises `UsageError`."""
     if command in ORDERS:
         _give_order(admin, command, operands)
         return 0
--- a/rookbend/cli/loading.py
+++ b/rookbend/cli/loading.py
@@ -1,4 +1,4 @@
-"""Loads what `NODE_*` names, for the sub-commands that need it."""
+"""Loads the configuration that the `NODE_*` environment variables name."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def load_configuration() -> tuple[configuration.Config, Settings]:
-    """The configuration and the operators' settings. Raises `UsageError`."""
+    """Returns the configuration and the operators' settings. Raises `UsageError`."""
     try:
         return configuration.load_all(os.environ)
     except (configuration.ConfigError, SettingsError) as error:
--- a/rookbend/cli/members.py
+++ b/rookbend/cli/members.py
@@ -1,4 +1,4 @@
-"""`rookbend members`: the table of members of a running director, and orders to it."""
+"""`rookbend members`: the members of a running director, and operators' orders on them."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    """The order and its member, and how to print."""
+    """Adds the order and its member, and the output options."""
     parser.add_argument("order", nargs="?", choices=ORDERS, help="an order on one member")
     parser.add_argument("member", nargs="?", help="the member's name in the membership")
     admin_client.add_admin_option(parser)
-    parser.add_argument("--fleet", action="store_true", help="the order is for the whole fleet")
-    parser.add_argument("--json", action="store_true", help="the table as it comes")
-    parser.add_argument("--watch", action="store_true", help="again each second, until interrupted")
-    parser.add_argument("--evidence", action="store_true", help="a line more for each piece of evidence")
+    parser.add_argument("--fleet", action="store_true", help="apply the order in the whole fleet")
+    parser.add_argument("--json", action="store_true", help="print the response as JSON")
+    parser.add_argument("--watch", action="store_true", help="refresh every second until interrupted")
+    parser.add_argument("--evidence", action="store_true", help="add a line for each piece of evidence")
 
 
 def _member_row(member: JsonObject) -> list[str]:
@@ -58,7 +58,7 @@
 
 
 def table_rows(table: JsonObject, with_evidence: bool) -> Rows:
-    """The response of `/members` as rows under `HEADER`."""
+    """Converts the response of `/members` to rows under `HEADER`."""
     rows = []
     for member in table["members"]:
         rows.append(_member_row(member))
@@ -79,7 +79,7 @@
 
 
 def run(args: argparse.Namespace) -> int:
-    """Gives the order, or prints the table; exit code 0."""
+    """Gives the order, or prints the table; returns exit code 0."""
     if args.order:
         return _give_order(args)
     if args.watch:
--- a/rookbend/cli/serve.py
+++ b/rookbend/cli/serve.py
@@ -1,4 +1,4 @@
-"""`rookbend serve`."""
+"""`rookbend serve`: runs the director."""
 
 from __future__ import annotations
 
@@ -17,23 +17,23 @@
 
 HELP = "serve as the director that NODE_CONFIG describes (the default)"
 EXAMPLE = "NODE_CONFIG=config.json rookbend serve"
-# Most objects die young by reference count; rare collections keep the pauses away from requests.
+# Reference counting frees most objects. Rare collections reduce pauses in the handling of requests.
 GC_THRESHOLDS = (50_000, 20, 50)
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    """It takes none."""
+    """Adds no arguments."""
 
 
 def run(args: argparse.Namespace) -> int:
-    """Serves until a stop signal; exit code 0, or 1 where an address can't be listened on."""
-    config, operators = load_configuration()
+    """Serves until a stop signal; returns exit code 0, or 1 if the director can't listen on an address."""
+    config, operator_settings = load_configuration()
     gc.set_threshold(*GC_THRESHOLDS)
     try:
         trio.run(
             service.serve,
             config,
-            operators,
+            operator_settings,
             lambda previous: configuration.load_all(os.environ, previous),
             startup_signals.disarm,
         )
--- a/rookbend/cli/startup_signals.py
+++ b/rookbend/cli/startup_signals.py
@@ -1,4 +1,4 @@
-"""Signals that reach a director outside the time in which its service receives them."""
+"""Handles signals that reach a director before its service receives signals, or after it has stopped."""
 
 from __future__ import annotations
 
@@ -6,22 +6,22 @@
 from types import FrameType
 
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
-SERVICE_SIGNALS = (signal.SIGHUP, signal.SIGUSR1)  # of use to a service alone; by default they end the process
+SERVICE_SIGNALS = (signal.SIGHUP, signal.SIGUSR1)  # used only by the service; by default they end the process
 
 
 class StartupSignals:
-    """Exits with code 0 at a SIGTERM or SIGINT that comes before the service receives signals itself.
+    """Exits with code 0 at a SIGTERM or SIGINT that arrives before the service receives signals itself.
 
-    Until then nothing was accepted. Later the service drains, and a signal that comes once it has stopped
-    receiving changes nothing.
+    Until then the director has accepted no requests. Afterwards the service drains at a stop signal, and a signal that
+    arrives after the service has stopped receiving them has no effect.
     """
 
     def __init__(self) -> None:
         self.armed = False
 
     def arm(self) -> None:
-        """Exits at a stop signal from now on. The others are ignored where the service does not receive them: before
-        it does, and again behind it, when what was in force here is restored."""
+        """Exits at a stop signal from now on. SIGHUP and SIGUSR1 are ignored before the service receives signals, and
+        again after it stops, when the handlers set here are restored."""
         self.armed = True
         for number in SERVICE_SIGNALS:
             signal.signal(number, signal.SIG_IGN)
@@ -29,11 +29,11 @@
             signal.signal(number, self._on_signal)
 
     def disarm(self) -> None:
-        """The service receives signals now."""
+        """Disables the exit: the service receives signals from now on."""
         self.armed = False
 
     def ignore(self) -> None:
-        """Ignores stop signals after the drain: a late one must not turn the exit code into a signal's."""
+        """Ignores stop signals after the drain, so that a late one can't replace exit code 0 by a signal's."""
         for number in STOP_SIGNALS:
             signal.signal(number, signal.SIG_IGN)
 
--- a/rookbend/cli/tables.py
+++ b/rookbend/cli/tables.py
@@ -1,4 +1,4 @@
-"""How the sub-commands print what a director answers: JSON, ages, tables in plain text and live."""
+"""Output of the sub-commands: JSON, ages, and tables in plain text or live."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 
 
 def print_json(content: JsonObject) -> None:
-    """Prints a response as it came."""
+    """Prints a response as indented JSON."""
     json.dump(content, sys.stdout, indent=2)
     print()
 
 
 def format_age(age_us: int | None) -> str:
-    """A time span in its largest fitting unit; None: never."""
+    """Formats a time span in seconds, minutes or hours; None becomes "never"."""
     if age_us is None:
         return "never"
     seconds = age_us / 1e6
@@ -40,12 +40,12 @@
 
 
 def format_age_ms(age_ms: int | None) -> str:
-    """As `format_age`, of milliseconds."""
+    """Like `format_age`, for milliseconds."""
     return format_age(None if age_ms is None else age_ms * 1000)
 
 
 def format_table(header: Sequence[str], rows: Rows) -> str:
-    """A table in plain text, its columns aligned."""
+    """Formats a table in plain text with aligned columns."""
     all_rows = [list(header), *rows]
     widths = [max(len(row[column]) for row in all_rows) for column in range(len(header))]
     lines = ("  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)) for row in all_rows)
@@ -53,7 +53,7 @@
 
 
 def watch_table(header: Sequence[str], read_rows: Callable[[], Rows]) -> int:
-    """Shows the table anew each second until interrupted; exit code 0. Raises `UsageError` without rich."""
+    """Refreshes the table every second until interrupted; returns exit code 0. Raises `UsageError` without rich."""
     try:
         from rich.live import Live
         from rich.table import Table
--- a/rookbend/cli/version.py
+++ b/rookbend/cli/version.py
@@ -1,4 +1,4 @@
-"""`rookbend version`."""
+"""`rookbend version`: prints versions."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    """It takes none."""
+    """Adds no arguments."""
 
 
 def run(args: argparse.Namespace) -> int:
-    """Prints one line each; exit code 0."""
+    """Prints one line for the program and each library; returns exit code 0."""
     print(f"rookbend {VERSION}")
     for name in LIBRARIES:
         try:
