--- a/tests/health_harness.py
+++ b/tests/health_harness.py
@@ -1,4 +1,4 @@
-"""A health registry under test: members, a clock of the test's, and the verdicts that were published."""
+"""A harness that runs a health registry with a simulated clock and records what it publishes."""
 
 from rookbend.coordination.events import TimerExpired
 from rookbend.core.check_result import AgentReport, CheckOutcome
@@ -24,40 +24,45 @@
 )
 
 
-def entry(server, state=MemberState.READY, started=0, port=1):
+def make_endpoint(server, state=MemberState.READY, started=0, port=1):
     return Endpoint(Member(server, 8.0, zone=1, state=state, started_us=started), f"m{server}", ("127.0.0.1", port))
 
 
-class Watched:
-    """A board under a clock of the test's, with the member changes it has told."""
+class RegistryHarness:
+    """A health registry with a simulated clock, the newest verdict on each member, and the log lines."""
 
-    def __init__(self, count=4, policy=POLICY, step=lambda b: None):
-        self.step = step
-        self.now, self.registry, self.told, self.said = 100 * SECOND, HealthRegistry(policy, lambda e: "cache"), {}, []
-        self.feed(MembershipReceived(True, [entry(s) for s in range(1, count + 1)]))
+    def __init__(self, count=4, policy=POLICY, on_event=lambda harness: None):
+        self.on_event = on_event
+        self.now, self.registry, self.verdicts, self.log_lines = (
+            100 * SECOND,
+            HealthRegistry(policy, lambda e: "cache"),
+            {},
+            [],
+        )
+        self.feed(MembershipReceived(True, [make_endpoint(s) for s in range(1, count + 1)]))
 
     def feed(self, event, after=0):
-        """Time passes in the order in which the board asks for it."""
+        """Advances the clock by `after` microseconds, handles timers that fall due, then the event."""
         until = self.now + after
         while self.registry.due_us and self.registry.due_us <= until:
             self.now = max(self.now, self.registry.due_us)
-            self._hear(self.registry.handle(self.now, TimerExpired()))
+            self._record(self.registry.handle(self.now, TimerExpired()))
         self.now = until
-        self._hear(self.registry.handle(self.now, event))
+        self._record(self.registry.handle(self.now, event))
         return self
 
-    def _hear(self, actions):
-        self.step(self)
+    def _record(self, actions):
+        self.on_event(self)
         for action in actions:
             if isinstance(action, VerdictChanged):
-                self.told[action.server] = action.verdict
+                self.verdicts[action.server] = action.verdict
             else:
-                self.said.append(action)
+                self.log_lines.append(action)
 
-    def words(self, server, after=0, **words):
-        return self.feed(AgentReported(server, "agent", self.registry.begin_check(), AgentReport(**words)), after)
+    def report(self, server, after=0, **fields):
+        return self.feed(AgentReported(server, "agent", self.registry.begin_check(), AgentReport(**fields)), after)
 
-    def checked(self, server, outcome=CheckOutcome.FAILED, times=1, check="page"):
+    def check(self, server, outcome=CheckOutcome.FAILED, times=1, check="page"):
         for _ in range(times):
             self.feed(CheckCompleted(server, check, self.registry.begin_check(), outcome, "why"), 1)
         return self
@@ -69,5 +74,5 @@
         return cadence_of(self.registry.members.get(server), check)
 
     def state(self, server=1):
-        v = self.registry.members[server].verdict
-        return v.state.value, v.weight, v.cause.value
+        verdict = self.registry.members[server].verdict
+        return verdict.state.value, verdict.weight, verdict.cause.value
--- a/tests/health_scenarios.py
+++ b/tests/health_scenarios.py
@@ -1,4 +1,4 @@
-"""Scenarios of members' health: settings with checks, and where requests are placed."""
+"""Settings and helpers for scenarios of members' health."""
 
 import copy
 
@@ -7,9 +7,9 @@
 
 from tests.director_scenario import SETTINGS, on_stage, play
 
-PROBING = copy.deepcopy(SETTINGS)
-PROBING["limits"]["probes"] = True
-TWO = "cache1", "cache2", "upper", "records"
+SETTINGS_WITH_PROBES = copy.deepcopy(SETTINGS)
+SETTINGS_WITH_PROBES["limits"]["probes"] = True
+TWO_CACHES = "cache1", "cache2", "upper", "records"
 AGENT = """
 [health]
     max-out 50%
@@ -43,16 +43,16 @@
 """
 
 
-def health(scenario, operators=AGENT, members=TWO, **options):
-    return play(scenario, operators=operators, members=members, settings=PROBING, **options)
+def play_health(scenario, operators=AGENT, members=TWO_CACHES, **options):
+    return play(scenario, operators=operators, members=members, settings=SETTINGS_WITH_PROBES, **options)
 
 
-def on_health(steps, operators=AGENT, members=TWO, **options):
-    return on_stage(steps, operators=operators, members=members, settings=PROBING, **options)
+def on_health_stage(steps, operators=AGENT, members=TWO_CACHES, **options):
+    return on_stage(steps, operators=operators, members=members, settings=SETTINGS_WITH_PROBES, **options)
 
 
-async def placed(stage, number):
-    """Sends a read and tells which caches hear it, having them answer."""
+async def place_request(stage, number):
+    """Sends a read, lets the cache that receives it answer, and returns the name of that cache."""
     await stage.play(f"client send request {number} video chunk={number}")
     heard = None
     with trio.fail_after(5):
@@ -69,11 +69,11 @@
     return heard
 
 
-async def where(stage, first, count=12):
-    """The caches that new reads go to, on a new connection: an old one may have idled out."""
+async def caches_used(stage, first, count=12):
+    """Returns the caches that new reads go to. The client reconnects first: its connection may have timed out."""
     client = stage.actors["client"]
     await client.close()
     await trio.testing.wait_all_tasks_blocked()
     while client.heard.statistics().current_buffer_used:
         client.heard.receive_nowait()
-    return {await placed(stage, first + i) for i in range(count)}
+    return {await place_request(stage, first + i) for i in range(count)}
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -1,4 +1,4 @@
-"""The operators' listener, the table of members, and the structured log."""
+"""The admin listener, the table of members, and the structured log."""
 
 import io
 import json
@@ -9,14 +9,14 @@
 
 from rookbend.cli import members, tables
 from rookbend.logs import EventBudget, Log
-from tests.health_scenarios import AGENT, on_health
+from tests.health_scenarios import AGENT, on_health_stage
 
 ADMIN = AGENT + "[admin]\n listen 127.0.0.1:0\n metrics yes\n"
 SECOND = 1_000_000
 
 
 async def ask(stage, method, path, body="", *headers):
-    """(status, body) of one request to the operators' listener."""
+    """Sends one request to the admin listener; returns (status, body)."""
     async with await trio.open_tcp_stream(*stage.service.admin.address) as stream:
         head = [f"{method} {path} HTTP/1.1", "Connection: close", f"Content-Length: {len(body)}", *headers]
         if not any(h.startswith("Host") for h in headers):
@@ -32,7 +32,7 @@
 JSON = "Content-Type: application/json"
 
 
-def test_members_orders_and_figures_over_the_loopback():
+def test_members_orders_and_metrics_on_the_admin_listener():
     async def steps(stage):
         await stage.play("agent1 send up 40% # fan\n cache1 wait degraded")
         status, body = await ask(stage, "GET", "/members")
@@ -50,7 +50,7 @@
         assert 'rookbend_members{role="cache",state="draining"} 1.0' in text and "rookbend_requests_total 0.0" in text
         assert json.loads((await ask(stage, "GET", "/background"))[1])["jobs"] == 2
 
-    on_health(steps, operators=ADMIN)
+    on_health_stage(steps, operators=ADMIN)
 
 
 @pytest.mark.parametrize(
@@ -66,15 +66,15 @@
         (404, "POST", "/orders", '{"member":"x","order":"drain"}', (JSON,)),
     ],
 )
-def test_what_operators_may_not_ask(status, method, path, body, headers):
+def test_invalid_admin_requests_are_rejected_without_effect(status, method, path, body, headers):
     async def steps(stage):
         assert (await ask(stage, method, path, body, *headers))[0] == status
         assert stage.state("cache1")[0] == "ready"
 
-    on_health(steps, operators=ADMIN)
+    on_health_stage(steps, operators=ADMIN)
 
 
-def test_a_director_that_is_not_there_is_one_line(capsys):
+def test_an_unreachable_director_gives_an_error_of_one_line(capsys):
     from rookbend.cli import main
 
     assert main(["members", "--admin", "127.0.0.1:1"]) == 2
@@ -84,7 +84,7 @@
 
 
 @pytest.mark.parametrize("format", ["text", "json"])
-def test_a_line_is_one_event_with_its_fields(format):
+def test_a_log_line_holds_one_event_with_its_fields(format):
     out = io.StringIO()
     log = Log(lambda: 0, format=format, level="info", file=out)
     log("module", "debug", text="hidden")
@@ -96,9 +96,9 @@
         assert out.getvalue().endswith('level=info event=module text="a b\\nc" count=3\n')
 
 
-def test_an_event_that_repeats_is_counted_not_written():
+def test_repeated_events_beyond_the_budget_are_counted_instead_of_logged():
     budget = EventBudget(burst=2, per_us=10 * SECOND)
     assert [budget.admit(0, "garbage") for _ in range(5)] == [0, 0, -1, -1, -1]
-    assert budget.admit(0, "other") == 0, "each event has its own"
+    assert budget.admit(0, "other") == 0, "each event has its own budget"
     assert budget.admit(5 * SECOND, "garbage") == 3 and budget.admit(5 * SECOND, "garbage") == -1
     assert [budget.admit(0, "counters") for _ in range(9)] == [0] * 9
--- a/tests/test_balancer_status.py
+++ b/tests/test_balancer_status.py
@@ -1,14 +1,14 @@
-"""What a director tells a balancer in front of it."""
+"""The status that a director reports to a load balancer in front of it."""
 
 import pytest
 
 from rookbend.protocol.http_health import answer
 from rookbend.protocol.http_server import HttpServerConnection
 from tests.director_scenario import play
-from tests.health_scenarios import health
+from tests.health_scenarios import play_health
 
 
-def test_the_state_is_told_while_ready_and_while_draining():
+def test_the_status_is_reported_while_ready_and_while_draining():
     play("""
         health send agent
         health expect up ready 100% maxconn:341
@@ -31,7 +31,7 @@
     """)
 
 
-def test_a_reload_is_no_reason_to_leave_the_balancer():
+def test_the_status_stays_ready_during_a_reload():
     play("""
         director send reload coordinator2
         health send agent
@@ -42,20 +42,20 @@
 
 
 @pytest.mark.parametrize("data", [b"\x00\x01\r\n\r\n", b"GET /" + b"x" * 9000])
-def test_what_is_no_http_is_refused_and_ends(data):
+def test_malformed_http_is_rejected_and_the_connection_closed(data):
     http = HttpServerConnection()
     assert http.feed(data) is None and b" 4" in http.error_response[:12] and http.ended
 
 
-def test_one_connection_may_ask_again():
-    http, ask = HttpServerConnection(), b"GET /health HTTP/1.1\r\nHost: x\r\n\r\n"
+def test_a_connection_can_send_several_requests():
+    http, request = HttpServerConnection(), b"GET /health HTTP/1.1\r\nHost: x\r\n\r\n"
     for taking, status in ((True, b"200"), (False, b"503")):
-        assert status in http.respond(*answer(http.feed(ask), taking, "x")) and not http.ended
+        assert status in http.respond(*answer(http.feed(request), taking, "x")) and not http.ended
     assert http.feed(b"") is None and http.ended
 
 
-def test_with_no_member_in_use_a_balancer_is_sent_elsewhere():
-    health(
+def test_a_director_without_a_member_in_use_reports_down():
+    play_health(
         """
         director send order drain cache1
         all wait 1
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line and the configuration: what is wrong is one line, and exit 2."""
+"""The command line and the configuration: an error is one line on standard error, with exit code 2."""
 
 import json
 import os
@@ -44,7 +44,7 @@
         {**GOOD, "settings": {**SETTINGS, "lanes": [{**SETTINGS["lanes"][0], "effect": "odd"}]}},
     ],
 )
-def test_a_bad_config_is_one_line_and_exit_2(tmp_path, config):
+def test_a_bad_configuration_gives_an_error_of_one_line_and_exit_code_2(tmp_path, config):
     process = run(tmp_path, config)
     out, err = process.communicate()
     assert process.returncode == 2 and out == ""
@@ -58,7 +58,7 @@
         ("[health]\n\n[check a]\n  type tcp\n", "3: [check a] probes members, which the platform's settings forbid"),
     ],
 )
-def test_bad_operators_settings_are_one_line_with_its_place_and_exit_2(tmp_path, text, fault):
+def test_bad_operator_settings_give_an_error_with_its_line_number_and_exit_code_2(tmp_path, text, fault):
     path = tmp_path / "rookbend.conf"
     path.write_text(text)
     process = run(tmp_path, GOOD, NODE_SETTINGS=str(path))
@@ -66,17 +66,17 @@
     assert process.returncode == 2 and err.count("\n") == 1 and f"{path}:{fault}" in err
 
 
-def test_check_config_says_what_it_holds(tmp_path):
+def test_check_config_prints_a_summary(tmp_path):
     out, _ = run(tmp_path, GOOD, "check-config", NODE_NAME="n9").communicate()
     assert "n9 would listen on 127.0.0.1:0: 2 classes" in out and "DNS: off" in out
 
 
-def test_version_names_the_libraries(tmp_path):
+def test_version_lists_the_libraries(tmp_path):
     out, _ = run(tmp_path, GOOD, "version").communicate()
     assert out.startswith("rookbend ") and "\ntrio " in out
 
 
-def test_serve_prints_counters_on_a_signal_and_leaves_with_0(tmp_path):
+def test_serve_logs_counters_on_sigusr1_and_exits_with_0_on_sigterm(tmp_path):
     process = run(tmp_path, GOOD)
     assert "event=ready director=n3" in process.stderr.readline()
     process.send_signal(signal.SIGUSR1)
@@ -87,7 +87,7 @@
     assert "event=draining" in err and "event=stopped" in err and "event=counters requests=0" in err
 
 
-def test_sighup_reads_the_file_again_and_a_bad_one_changes_nothing(tmp_path):
+def test_sighup_reloads_the_configuration_and_a_bad_one_changes_nothing(tmp_path):
     process = run(tmp_path, GOOD)
     assert "event=ready director=n3" in process.stderr.readline()
     for text, line in (
@@ -104,14 +104,14 @@
     assert "reloads_ok=1 reloads_failed=1" in process.communicate()[1] and process.returncode == 0
 
 
-def test_an_address_in_use_is_one_line_and_exit_1(tmp_path):
+def test_an_unusable_listen_address_gives_an_error_of_one_line_and_exit_code_1(tmp_path):
     process = run(tmp_path, GOOD, NODE_LISTEN="192.0.2.1:9")
     _, err = process.communicate()
     assert process.returncode == 1 and err.count("\n") == 1
 
 
-def test_the_same_settings_as_the_simulators_text_give_the_same_values():
-    """The two ways to the module's settings: nested JSON here, paths and values there."""
+def test_platform_settings_in_json_and_in_the_simulators_text_give_the_same_values():
+    """The router's settings come as nested JSON from the platform, or as paths and values from the simulator."""
     import msgspec
 
     from rookbend import simulator_settings
@@ -131,8 +131,8 @@
     assert nested == simulator_settings.parse_settings("\n".join(paths(SETTINGS)))
 
 
-def test_what_is_off_is_not_imported():
-    """Guards the platform's memory: a director with nothing but its own front loads none of these."""
+def test_modules_of_disabled_features_are_not_imported():
+    """Guards the memory use on the platform: a director with only its own client listener imports none of these modules."""
     off = (
         "dns",
         "h2",
@@ -170,7 +170,7 @@
     assert done.stdout == "[]\n"
 
 
-def test_components_drain_and_reload_do_not_know_the_service(tmp_path):
+def test_components_drain_and_reload_do_not_import_the_service(tmp_path):
     asked = (
         "import sys, rookbend.components, rookbend.drain, rookbend.reload; assert 'rookbend.service' not in sys.modules"
     )
--- a/tests/test_health_agents.py
+++ b/tests/test_health_agents.py
@@ -1,14 +1,14 @@
-"""Members' agents: against the membership, misbehaving, flapping."""
+"""Members' health agents: precedence of the membership, misbehaving agents, flapping, panic."""
 
 import pytest
 import trio
 import trio.testing
 
-from tests.health_scenarios import AGENT, HTTP, on_health, where
+from tests.health_scenarios import AGENT, HTTP, caches_used, on_health_stage
 
 
-def test_an_agent_that_says_ready_does_not_lift_the_rosters_word():
-    """Twenty times a second, and the box stays out; so does the reverse, a box that the membership has ready."""
+def test_an_agents_ready_does_not_override_the_membership():
+    """An agent reports ready 20 times per second for a cache that the membership drains: it stays out of service."""
 
     async def steps(stage):
         await stage.play("""
@@ -20,11 +20,11 @@
             stage.actors["agent1"].peer.behavior.text = b"up ready 100%\n"
             await trio.sleep(0.05)
             assert stage.state("cache1") == ("draining", 0, "roster")
-        assert await where(stage, 1) == {"cache2"}
+        assert await caches_used(stage, 1) == {"cache2"}
         await stage.play("coordinator send DELETED cache1\n all wait 3")
-        assert stage.service.health.service.find("cache1") is None and await where(stage, 50) == {"cache2"}
+        assert stage.service.health.service.find("cache1") is None and await caches_used(stage, 50) == {"cache2"}
 
-    on_health(
+    on_health_stage(
         steps,
         operators=AGENT.replace("interval 1s", "interval 50ms")
         .replace("fast 200ms", "fast 50ms")
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize(
-    "words, state",
+    "report, state",
     [
         ("drain", "draining"),
         ("maint # cables", "maintenance"),
@@ -41,23 +41,23 @@
         ("0%", "draining"),
     ],
 )
-def test_an_agents_word_takes_a_box_out_that_the_roster_has_ready(words, state):
+def test_an_agents_report_takes_out_a_member_that_the_membership_lists_as_ready(report, state):
     async def steps(stage):
-        await stage.play(f"agent1 send {words}\n cache1 wait {state}")
-        assert await where(stage, 1) == {"cache2"}
+        await stage.play(f"agent1 send {report}\n cache1 wait {state}")
+        assert await caches_used(stage, 1) == {"cache2"}
         await stage.play("agent1 send ready up 100%\n cache1 wait degraded")
         assert stage.state("cache1")[2] == "slow-start"
         await stage.play("all wait 16\n cache1 wait ready")
-        assert await where(stage, 50) == {"cache1", "cache2"}
+        assert await caches_used(stage, 50) == {"cache1", "cache2"}
 
-    on_health(steps)
+    on_health_stage(steps)
 
 
-def test_an_attempt_that_waits_for_a_connection_is_withheld_once_the_agent_says_drain():
-    """Guards the 500 ms: the bytes of what was placed before must not go out after."""
+def test_an_attempt_that_waits_for_a_connection_is_withheld_once_the_agent_reports_drain():
+    """Guards the limit of 500 ms: an attempt that was placed before a drain must not be sent to the member after it."""
 
     async def steps(stage):
-        stage.service.pool.max_connections = 0  # nothing can go out: the attempt waits
+        stage.service.pool.max_connections = 0  # no attempt can be sent: it waits for a connection
         await stage.play("client send request 1 video\n all wait 0.05")
         waiting = [
             n for n in ("cache1", "cache2") if stage.service.pool.members.get(stage.service.health.service.find(n))
@@ -75,25 +75,25 @@
         """)
         assert stage.service.counters.withheld == 1
 
-    on_health(steps)
+    on_health_stage(steps)
 
 
-def test_a_draining_parent_is_no_source_any_more():
+def test_a_draining_parent_is_no_longer_used_as_a_source():
     async def steps(stage):
         await stage.play("agent3 send drain\n upper wait draining\n client send request 1 video")
         stage.nursery.start_soon(trio.sleep, 0)
         await trio.sleep(0.1)
-        box = next(n for n in ("cache1", "cache2") if stage.actors[n].heard.statistics().current_buffer_used)
-        await stage.play(f"{box} expect do next=records")
+        fill_cache = next(n for n in ("cache1", "cache2") if stage.actors[n].heard.statistics().current_buffer_used)
+        await stage.play(f"{fill_cache} expect do next=records")
 
-    on_health(steps, operators=AGENT + "    tier all\n")
+    on_health_stage(steps, operators=AGENT + "    tier all\n")
 
 
-# Agents that misbehave
+# Misbehaving agents
 
 
 @pytest.mark.parametrize(
-    "manner",
+    "behavior",
     [
         "stall up 100%",
         "dribble up ready 100% # a long line of words",
@@ -104,25 +104,25 @@
         "\x00\x01 gibberish",
     ],
 )
-def test_an_agent_that_misbehaves_changes_nothing_and_holds_nothing_up(manner):
+def test_a_misbehaving_agent_changes_no_state_and_delays_no_request(behavior):
     async def steps(stage):
-        await stage.play(f"agent1 send {manner}\n agent2 send {manner}\n all wait 5")
+        await stage.play(f"agent1 send {behavior}\n agent2 send {behavior}\n all wait 5")
         assert stage.state("cache1")[:2] == ("ready", 100) and stage.state("cache2")[:2] == ("ready", 100)
         before = trio.current_time()
-        assert await where(stage, 1) == {"cache1", "cache2"} and trio.current_time() - before < 2
+        assert await caches_used(stage, 1) == {"cache1", "cache2"} and trio.current_time() - before < 2
         health = stage.service.health
-        assert all(c["trouble"] for row in health.service.table() for c in row["checks"]), "operators see it"
+        assert all(c["trouble"] for row in health.service.table() for c in row["checks"]), "the table shows the error"
         assert health.runner.scheduler.running <= 2 and health.service.table()[0]["checks"]
         for name in ("agent1", "agent2"):
             peer = stage.actors[name].peer
-            # What it sent beyond a line's bound stayed in the sockets, and was never read.
+            # Data beyond the maximum line length stays in the socket buffers and is not read.
             assert peer.sent_bytes / peer.polls < 8 << 20
 
-    on_health(steps)
+    on_health_stage(steps)
 
 
-def test_what_an_agent_said_holds_while_it_is_silent_and_no_longer_than_stated():
-    """Its weight and its `down` age; its `drain` is its people's order, and stays."""
+def test_a_silent_agents_weight_expires_and_its_drain_holds():
+    """A weight and `down` expire after `stale`; a `drain` is an order of the member's operators and does not expire."""
 
     async def steps(stage):
         await stage.play("""
@@ -138,10 +138,10 @@
         await trio.sleep(30)
         assert stage.state("cache1")[:2] == ("ready", 100) and stage.state("cache2")[0] == "draining"
 
-    on_health(steps)
+    on_health_stage(steps)
 
 
-def test_a_flapping_agent_is_held_out_for_longer_each_time():
+def test_each_flap_lengthens_the_ejection():
     async def steps(stage):
         service, away = stage.service.health.service, []
         for _ in range(5):
@@ -152,27 +152,28 @@
         assert away[4] > 2 * away[2] > 2 * away[0], away
         assert service.table()[[r["member"] for r in service.table()].index("cache1")]["flaps"] == 4
 
-    on_health(steps, operators=AGENT.replace("hold 100ms", "hold 1s"))
+    on_health_stage(steps, operators=AGENT.replace("hold 100ms", "hold 1s"))
 
 
-def test_checks_that_all_fail_at_once_do_not_empty_a_tier():
-    """Our own network is at fault: all agents say down, no box is out, and it is said."""
+def test_panic_keeps_a_tier_in_use_when_all_checks_fail_at_once():
+    """If all agents report down, the director's own network is probably at fault: panic keeps the members in use."""
 
     async def steps(stage):
         await stage.play("agent1 send down\n cache1 wait down\n agent2 send down\n cache1 wait degraded")
         assert stage.state("cache1")[2] == "panic" and stage.state("cache2")[2] == "panic"
-        assert await where(stage, 1) == {"cache1", "cache2"}
-        # Back within the limit the checks count again, after a while.
+        assert await caches_used(stage, 1) == {"cache1", "cache2"}
+        # Within the limit again, the checks count after `panic-hold`.
         await stage.play("agent2 send up\n all wait 1")
         assert stage.state("cache1")[2] == "panic"
         await stage.play("cache1 wait down")
-        assert await where(stage, 50) == {"cache2"}
+        assert await caches_used(stage, 50) == {"cache2"}
 
-    on_health(steps)
+    on_health_stage(steps)
 
 
-def test_a_box_that_was_dead_and_recovers_is_taken_for_cold():
-    """Its process was not there: whatever the membership says, the budgets for cold members bind."""
+def test_a_member_whose_process_was_not_running_counts_as_cold_when_it_returns():
+    """Its process was not running, so its cache is empty: the budgets for cold members apply, whatever start time the
+    membership gives."""
 
     async def steps(stage):
         service = stage.service.health.service
@@ -184,7 +185,7 @@
         await stage.play("cache1 wait degraded\n all wait 0.15")
         member = stage.service.engine.endpoints[server].member
         assert member.started_us > stage.service.clock.now() - 3_000_000
-        assert stage.state("cache1")[1] == 20, "the rules' cold share at first"
+        assert stage.state("cache1")[1] == 20, "the weight starts at the settings' share for cold members"
         levels = []
         for _ in range(15):
             levels.append(stage.state("cache1")[1])
@@ -192,4 +193,4 @@
         assert levels == sorted(levels) and max(b - a for a, b in zip(levels, levels[1:], strict=False)) <= 10
         await stage.play("cache1 wait ready")
 
-    on_health(steps, operators=HTTP)
+    on_health_stage(steps, operators=HTTP)
--- a/tests/test_health_checks.py
+++ b/tests/test_health_checks.py
@@ -1,15 +1,15 @@
-"""Health checks of members, and members and settings that change under a check."""
+"""Health checks by protocol, and members and settings that change during a check."""
 
 import pytest
 import trio
 import trio.testing
 
 from tests.director_scenario import OBJ, on_stage
-from tests.health_scenarios import GRPC, HTTP, health, on_health, where
+from tests.health_scenarios import GRPC, HTTP, caches_used, on_health_stage, play_health
 
 
 @pytest.mark.parametrize(
-    "said, state",
+    "response, state",
     [
         ("http 200 fine", "ready"),
         ("http 200 broken", "down"),
@@ -21,17 +21,17 @@
         ("leave HTTP", "down"),
     ],
 )
-def test_an_http_check_goes_by_status_body_and_headers(said, state):
+def test_an_http_check_evaluates_status_body_and_headers(response, state):
     async def steps(stage):
-        await stage.play(f"agent2 send http 200 fine\n agent1 send {said}\n all wait 6")
+        await stage.play(f"agent2 send http 200 fine\n agent1 send {response}\n all wait 6")
         assert stage.state("cache1")[0] == state, stage.service.health.service.table()
         assert b"GET /health HTTP/1.1" in stage.actors["agent2"].peer.received[-1]
 
-    on_health(steps, operators=HTTP)
+    on_health_stage(steps, operators=HTTP)
 
 
 @pytest.mark.parametrize("kind", ["grpc", "grpc-watch"])
-def test_a_grpc_check_goes_by_the_status_told(kind):
+def test_a_grpc_check_uses_the_reported_status(kind):
     async def steps(stage):
         await stage.play("""
             agent1 send grpc serving
@@ -45,45 +45,47 @@
         """)
         assert stage.state("cache2") == ("ready", 100, "nothing")
 
-    on_health(steps, operators=GRPC.format(type=kind))
+    on_health_stage(steps, operators=GRPC.format(type=kind))
 
 
-def test_a_watch_that_goes_silent_is_noticed():
-    """It says nothing while nothing changes: only a ping that nobody answers tells its end."""
+def test_a_dead_grpc_watch_is_detected_by_unanswered_pings():
+    """A watch sends no messages while the status is unchanged, so only an unanswered ping shows that it is dead."""
 
     async def steps(stage):
         await stage.play("agent1 send grpc serving\n agent2 send grpc serving\n all wait 5")
         watched = stage.actors["agent1"].peer.polls
-        assert stage.state("cache1")[0] == "ready" and watched == 1, "one stream, and it lasts"
+        assert stage.state("cache1")[0] == "ready" and watched == 1, "a single stream stays open"
         await stage.play("agent1 send grpc deaf\n cache1 wait down")
         assert stage.actors["agent1"].peer.polls > watched
 
-    on_health(steps, operators=GRPC.format(type="grpc-watch"))
+    on_health_stage(steps, operators=GRPC.format(type="grpc-watch"))
 
 
-def test_a_plain_connect_is_enough_for_a_tcp_check():
+def test_a_tcp_check_passes_on_a_connection():
     async def steps(stage):
         await stage.play("all wait 3")
         assert stage.state("cache1")[0] == "ready"
         await stage.actors["agent1"].close()
         await stage.play("cache1 wait down")
 
-    on_health(steps, operators="[health]\n hold 1s\n[check up]\n type tcp\n port AGENTS\n interval 1s\n proxy local\n")
+    on_health_stage(
+        steps, operators="[health]\n hold 1s\n[check up]\n type tcp\n port AGENTS\n interval 1s\n proxy local\n"
+    )
 
 
-def test_a_proxy_header_goes_before_the_question():
+def test_a_proxy_header_precedes_the_check_request():
     async def steps(stage):
         await stage.play("agent1 send http 200 fine\n all wait 3")
         return list(stage.actors["agent1"].peer.received)
 
-    heard = on_health(steps, operators=HTTP + "    proxy proxy\n")
+    heard = on_health_stage(steps, operators=HTTP + "    proxy proxy\n")
     assert heard and all(h.startswith(b"\r\n\r\n\0\r\nQUIT\n\x21\x11\0\x0c\x7f\0\0") and b"GET /" in h for h in heard)
 
 
-# Members and settings that change under a check
+# Members and settings that change during a check
 
 
-def test_a_check_that_a_reload_removes_is_not_heard_any_more():
+def test_the_result_of_a_check_that_a_reload_removes_is_ignored():
     async def steps(stage):
         await stage.play("agent1 send stall down\n agent1 expect ask")
         stage.operators = type(stage.operators)(health=stage.operators.health)
@@ -96,10 +98,10 @@
         await trio.sleep(30)
         assert stage.actors["agent1"].peer.polls == asked
 
-    on_health(steps)
+    on_health_stage(steps)
 
 
-def test_a_box_replaced_at_the_same_address_inherits_nothing_of_the_check_that_is_out():
+def test_a_member_replaced_at_the_same_address_does_not_get_the_result_of_a_running_check():
     async def steps(stage):
         service, coordinator = stage.service.health.service, stage.actors["coordinator"]
         await stage.play("agent1 send down\n cache1 wait down\n agent1 send stall down\n agent1 expect ask")
@@ -112,10 +114,10 @@
         await trio.sleep(2)
         assert stage.state("cache9")[0] == "ready" and service.registry.overtaken >= 1
 
-    on_health(steps)
+    on_health_stage(steps)
 
 
-def test_orders_hold_through_what_agents_and_restarts_say():
+def test_orders_hold_despite_agent_reports_and_restarts():
     async def steps(stage):
         await stage.play("""
             director send order maintain cache1
@@ -127,14 +129,14 @@
             stage.actors["coordinator"], {**stage.member("cache1"), "up_since_ms": int(stage.unix() * 1000)}
         )
         await trio.sleep(1)
-        assert stage.state("cache1") == ("maintenance", 0, "order") and await where(stage, 1) == {"cache2"}
+        assert stage.state("cache1") == ("maintenance", 0, "order") and await caches_used(stage, 1) == {"cache2"}
         await stage.play("director send order ready cache1\n cache1 wait degraded")
 
-    on_health(steps)
+    on_health_stage(steps)
 
 
-def test_a_name_is_not_given_for_a_box_whose_agent_has_it_draining():
-    health(
+def test_dns_does_not_name_a_member_that_its_agent_drains():
+    play_health(
         f"""
         dns send p0.{OBJ}.g17.video.route.example.org id=5
         cache1 expect do k={OBJ}
@@ -149,7 +151,7 @@
     )
 
 
-def test_grpc_watchers_in_front_hear_of_the_drain_at_once():
+def test_grpc_health_watchers_are_notified_of_the_drain_at_once():
     from rookbend.core.check_result import CheckOutcome
     from rookbend.protocol.grpc_health_client import GrpcHealthClient
 
@@ -164,6 +166,6 @@
                     ask.result = None
                     stage.service.stop()
         assert told == [(CheckOutcome.PASSED, ""), (CheckOutcome.FAILED, "NOT_SERVING")]
-        assert trio.current_time() < 0.5, "not only once the latecomers' time is over"
+        assert trio.current_time() < 0.5, "before the grace period for late requests ends"
 
     on_stage(steps)
--- a/tests/test_install.py
+++ b/tests/test_install.py
@@ -1,4 +1,4 @@
-"""A plain installation works away from the checkout: all packages, the entry point and the default settings."""
+"""An installed wheel works outside the checkout: it has all packages, the entry point and the default settings."""
 
 import os
 import shutil
@@ -12,13 +12,13 @@
 HERE = Path(__file__).parent.parent
 
 
-def test_a_plain_install_runs_from_an_empty_folder(tmp_path):
+def test_an_installed_wheel_runs_from_an_empty_folder(tmp_path):
     home, away = tmp_path / "venv", tmp_path / "away"
     away.mkdir()
-    # The libraries are there already (system_site_packages would not see a virtual environment's): only the
-    # program itself is built and installed.
+    # Only the program itself is built and installed. The libraries come through PYTHONPATH: system_site_packages
+    # would not include those of a virtual environment.
     venv.create(home, with_pip=False)
-    source = tmp_path / "source"  # a build leaves folders beside the sources
+    source = tmp_path / "source"  # a copy, because a build leaves directories beside the sources
     for part in ("rookbend", "deploy"):
         shutil.copytree(HERE / part, source / part, ignore=shutil.ignore_patterns("__pycache__"))
     shutil.copy(HERE / "pyproject.toml", source)
