--- a/tests/health_scenarios.py
+++ b/tests/health_scenarios.py
@@ -54,19 +54,19 @@
 async def place_request(stage, number):
     """Sends a read, lets the cache that receives it answer, and returns the name of that cache."""
     await stage.play(f"client send request {number} video chunk={number}")
-    heard = None
+    cache = None
     with trio.fail_after(5):
-        while heard is None:
-            heard = next(
+        while cache is None:
+            cache = next(
                 (n for n in ("cache1", "cache2") if stage.actors[n].heard.statistics().current_buffer_used), None
             )
             await trio.sleep(0.01)
     await stage.play(f"""
-        {heard} expect do rid={number:016x}
-        {heard} send ok note=mem body=x
+        {cache} expect do rid={number:016x}
+        {cache} send ok note=mem body=x
         client expect served {number}
     """)
-    return heard
+    return cache
 
 
 async def caches_used(stage, first, count=12):
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -14,12 +14,16 @@
 GOOD = {"name": "n3", "listen": "127.0.0.1:0", "seed": "8c1f", "settings": SETTINGS}
 
 
-def run(tmp_path, config, *words, **environ):
+def run(tmp_path, config, *arguments, **environ):
     path = tmp_path / "config.json"
     path.write_text(config if isinstance(config, str) else json.dumps(config))
     env = {**os.environ, "NODE_CONFIG": str(path), **environ}
     return subprocess.Popen(
-        [sys.executable, "-m", "rookbend", *words], env=env, text=True, stdout=subprocess.PIPE, stderr=subprocess.PIPE
+        [sys.executable, "-m", "rookbend", *arguments],
+        env=env,
+        text=True,
+        stdout=subprocess.PIPE,
+        stderr=subprocess.PIPE,
     )
 
 
@@ -166,12 +170,12 @@
         "async def main(): Service(msgspec.json.decode(sys.argv[1], type=Config))\n"
         f"trio.run(main); print([m for m in {off!r} if m in sys.modules])"
     )
-    done = subprocess.run([sys.executable, "-c", code, json.dumps(GOOD)], capture_output=True, text=True, check=True)
-    assert done.stdout == "[]\n"
+    result = subprocess.run([sys.executable, "-c", code, json.dumps(GOOD)], capture_output=True, text=True, check=True)
+    assert result.stdout == "[]\n"
 
 
 def test_components_drain_and_reload_do_not_import_the_service(tmp_path):
-    asked = (
+    code = (
         "import sys, rookbend.components, rookbend.drain, rookbend.reload; assert 'rookbend.service' not in sys.modules"
     )
-    subprocess.run([sys.executable, "-c", asked], check=True)
+    subprocess.run([sys.executable, "-c", code], check=True)
--- a/tests/test_health_agents.py
+++ b/tests/test_health_agents.py
@@ -59,19 +59,19 @@
     async def steps(stage):
         stage.service.pool.max_connections = 0  # no attempt can be sent: it waits for a connection
         await stage.play("client send request 1 video\n all wait 0.05")
-        waiting = [
+        waiting_caches = [
             n for n in ("cache1", "cache2") if stage.service.pool.members.get(stage.service.health.service.find(n))
         ]
-        agent, other = ("agent1", "cache2") if waiting == ["cache1"] else ("agent2", "cache1")
-        await stage.play(f"{agent} send drain\n {waiting[0]} wait draining")
+        agent, other = ("agent1", "cache2") if waiting_caches == ["cache1"] else ("agent2", "cache1")
+        await stage.play(f"{agent} send drain\n {waiting_caches[0]} wait draining")
         stage.service.pool.max_connections = 8
-        member_pool = stage.service.pool.members[stage.service.health.service.find(waiting[0])]
+        member_pool = stage.service.pool.members[stage.service.health.service.find(waiting_caches[0])]
         member_pool.dispatch_waiting()
         await stage.play(f"""
             {other} expect do rid=0000000000000001
             {other} send ok note=mem body=x
             client expect served 1
-            {waiting[0]} expect nothing
+            {waiting_caches[0]} expect nothing
         """)
         assert stage.service.counters.withheld == 1
 
@@ -143,13 +143,13 @@
 
 def test_each_flap_lengthens_the_ejection():
     async def steps(stage):
-        service, away = stage.service.health.service, []
+        service, ejection_times = stage.service.health.service, []
         for _ in range(5):
             await stage.play("agent1 send down\n cache1 wait down")
             began = trio.current_time()
             await stage.play("agent1 send up\n cache1 wait ready degraded")
-            away.append(trio.current_time() - began)
-        assert away[4] > 2 * away[2] > 2 * away[0], away
+            ejection_times.append(trio.current_time() - began)
+        assert ejection_times[4] > 2 * ejection_times[2] > 2 * ejection_times[0], ejection_times
         assert service.table()[[r["member"] for r in service.table()].index("cache1")]["flaps"] == 4
 
     on_health_stage(steps, operators=AGENT.replace("hold 100ms", "hold 1s"))
--- a/tests/test_health_checks.py
+++ b/tests/test_health_checks.py
@@ -53,10 +53,10 @@
 
     async def steps(stage):
         await stage.play("agent1 send grpc serving\n agent2 send grpc serving\n all wait 5")
-        watched = stage.actors["agent1"].peer.polls
-        assert stage.state("cache1")[0] == "ready" and watched == 1, "a single stream stays open"
+        first_polls = stage.actors["agent1"].peer.polls
+        assert stage.state("cache1")[0] == "ready" and first_polls == 1, "a single stream stays open"
         await stage.play("agent1 send grpc deaf\n cache1 wait down")
-        assert stage.actors["agent1"].peer.polls > watched
+        assert stage.actors["agent1"].peer.polls > first_polls
 
     on_health_stage(steps, operators=GRPC.format(type="grpc-watch"))
 
@@ -78,8 +78,10 @@
         await stage.play("agent1 send http 200 fine\n all wait 3")
         return list(stage.actors["agent1"].peer.received)
 
-    heard = on_health_stage(steps, operators=HTTP + "    proxy proxy\n")
-    assert heard and all(h.startswith(b"\r\n\r\n\0\r\nQUIT\n\x21\x11\0\x0c\x7f\0\0") and b"GET /" in h for h in heard)
+    received = on_health_stage(steps, operators=HTTP + "    proxy proxy\n")
+    assert received and all(
+        h.startswith(b"\r\n\r\n\0\r\nQUIT\n\x21\x11\0\x0c\x7f\0\0") and b"GET /" in h for h in received
+    )
 
 
 # Members and settings that change during a check
@@ -94,9 +96,9 @@
         await trio.sleep(30)
         assert stage.state("cache1") == ("ready", 100, "nothing")
         assert not stage.service.health.runner.scheduler.jobs
-        asked = stage.actors["agent1"].peer.polls
+        polls = stage.actors["agent1"].peer.polls
         await trio.sleep(30)
-        assert stage.actors["agent1"].peer.polls == asked
+        assert stage.actors["agent1"].peer.polls == polls
 
     on_health_stage(steps)
 
@@ -156,16 +158,16 @@
     from rookbend.protocol.grpc_health_client import GrpcHealthClient
 
     async def steps(stage):
-        ask, told = GrpcHealthClient("x", "", watch=True), []
+        client, statuses = GrpcHealthClient("x", "", watch=True), []
         async with await trio.open_tcp_stream(*stage.service.balancer[2].address) as stream:
-            await stream.send_all(ask.start())
-            while len(told) < 2:
-                await stream.send_all(ask.feed(await stream.receive_some(65536)) or b"")
-                if ask.result is not None:
-                    told.append(ask.result)
-                    ask.result = None
+            await stream.send_all(client.start())
+            while len(statuses) < 2:
+                await stream.send_all(client.feed(await stream.receive_some(65536)) or b"")
+                if client.result is not None:
+                    statuses.append(client.result)
+                    client.result = None
                     stage.service.stop()
-        assert told == [(CheckOutcome.PASSED, ""), (CheckOutcome.FAILED, "NOT_SERVING")]
+        assert statuses == [(CheckOutcome.PASSED, ""), (CheckOutcome.FAILED, "NOT_SERVING")]
         assert trio.current_time() < 0.5, "before the grace period for late requests ends"
 
     on_stage(steps)
--- a/tests/test_install.py
+++ b/tests/test_install.py
@@ -9,19 +9,19 @@
 
 from rookbend.cli import COMMANDS
 
-HERE = Path(__file__).parent.parent
+REPOSITORY = Path(__file__).parent.parent
 
 
 def test_an_installed_wheel_runs_from_an_empty_folder(tmp_path):
-    home, away = tmp_path / "venv", tmp_path / "away"
-    away.mkdir()
+    environment, empty_folder = tmp_path / "venv", tmp_path / "away"
+    empty_folder.mkdir()
     # Only the program itself is built and installed. The libraries come through PYTHONPATH: system_site_packages
     # would not include those of a virtual environment.
-    venv.create(home, with_pip=False)
+    venv.create(environment, with_pip=False)
     source = tmp_path / "source"  # a copy, because a build leaves directories beside the sources
     for part in ("rookbend", "deploy"):
-        shutil.copytree(HERE / part, source / part, ignore=shutil.ignore_patterns("__pycache__"))
-    shutil.copy(HERE / "pyproject.toml", source)
+        shutil.copytree(REPOSITORY / part, source / part, ignore=shutil.ignore_patterns("__pycache__"))
+    shutil.copy(REPOSITORY / "pyproject.toml", source)
     built = subprocess.run(
         [sys.executable, "-m", "pip", "wheel", "-q", "--no-deps", "-w", tmp_path, source],
         text=True,
@@ -34,7 +34,7 @@
             "-m",
             "pip",
             "--python",
-            home / "bin" / "python",
+            environment / "bin" / "python",
             "install",
             "-q",
             "--no-deps",
@@ -45,14 +45,16 @@
     )
     libraries = next(p for p in sys.path if p.endswith("site-packages"))
     env = {**os.environ, "PYTHONPATH": libraries}
-    run = [home / "bin" / "rookbend"]
+    run = [environment / "bin" / "rookbend"]
     for command in COMMANDS:
-        found = subprocess.run([*run, command, "--help"], cwd=away, env=env, text=True, capture_output=True)
-        assert found.returncode == 0 and "example:" in found.stdout, (command, found.stderr)
-    asked = (
+        result = subprocess.run([*run, command, "--help"], cwd=empty_folder, env=env, text=True, capture_output=True)
+        assert result.returncode == 0 and "example:" in result.stdout, (command, result.stderr)
+    code = (
         "import rookbend, rookbend.testing.invariant_checker, rookbend.config as c\n"
         "assert c.SETTINGS_FILE.exists(), c.SETTINGS_FILE\n"
         "print(rookbend.__file__, c.SETTINGS_FILE)"
     )
-    found = subprocess.run([home / "bin" / "python", "-c", asked], cwd=away, env=env, text=True, capture_output=True)
-    assert found.returncode == 0 and found.stdout.count(str(home)) == 2, found.stdout + found.stderr
+    result = subprocess.run(
+        [environment / "bin" / "python", "-c", code], cwd=empty_folder, env=env, text=True, capture_output=True
+    )
+    assert result.returncode == 0 and result.stdout.count(str(environment)) == 2, result.stdout + result.stderr
