--- a/rookbend/health/__init__.py
+++ b/rookbend/health/__init__.py
@@ -1,4 +1,4 @@
-"""Members' health: evaluates evidence to verdicts on members. All modules but `service` are free of I/O.
+"""Members' health: derives verdicts on members from evidence. All modules but `service` are free of I/O.
 
 `model`           states, causes, policies and the verdict, with the precedence of evidence
 `events`          input and output of the registry
--- a/rookbend/health/events.py
+++ b/rookbend/health/events.py
@@ -51,7 +51,7 @@
 
 @dataclass(slots=True)
 class OrderReceived:
-    """An operator's order about a member."""
+    """An operator's order on a member."""
 
     server: int
     order: Order
--- a/rookbend/health/member_health.py
+++ b/rookbend/health/member_health.py
@@ -167,7 +167,7 @@
         if self.returned_us and since_return_us < policy.flap_window_us:
             self.flaps += 1
         else:
-            # Each `flap_window_us` without a flap takes one off the count, instead of resetting it.
+            # Each `flap_window_us` since the return takes one flap off the count; the count is not reset at once.
             quiet_windows = since_return_us // policy.flap_window_us if self.returned_us else 0
             self.flaps = max(0, self.flaps - quiet_windows)
         self.ejected = True
--- a/tests/test_health_agents.py
+++ b/tests/test_health_agents.py
@@ -8,7 +8,7 @@
 
 
 def test_an_agents_ready_does_not_override_the_membership():
-    """An agent reports ready 20 times per second for a cache that the membership drains: it stays out of service."""
+    """An agent reports ready 20 times per second while the membership drains, then removes its cache: it stays out."""
 
     async def steps(stage):
         await stage.play("""
