--- a/benchmarks/origin.py
+++ b/benchmarks/origin.py
@@ -18,33 +18,33 @@
 
 from benchmarks.measure import figures, machine, spread, table
 from rookbend.routing import Router
-from rookbend.testing.simulation import EdgeFleet, World
-from rookbend.testing.simulation.planted_fault import Careless
+from rookbend.testing.simulation import Deployment, SimulatedFleet
+from rookbend.testing.simulation.planted_fault import RouterWithoutOriginProtection
 
 SECONDS, BURST, MORE = 25, (8, 12), 1.5
-SIDES = {"before": Careless, "now": Router}
-WORLDS = {"": {}, " less room": {"origin_room": 1.2}}
+SIDES = {"before": RouterWithoutOriginProtection, "now": Router}
+WORLDS = {"": {}, " less room": {"origin_headroom": 1.2}}
 
 
-def world(directors: int, **changes) -> World:
+def world(directors: int, **changes) -> Deployment:
     """The same mix at every size: eleven directors and five caches a location."""
-    return World(directors=directors, locations=max(2, 18 * directors // 200), parents=max(3, directors // 20)).but(
-        **changes
-    )
+    return Deployment(
+        directors=directors, locations=max(2, 18 * directors // 200), parents=max(3, directors // 20)
+    ).with_changes(**changes)
 
 
 def turn(side: str, directors: int, seed: int, **changes) -> dict:
-    fleet = EdgeFleet(world(directors, **changes), seed, SIDES[side])
-    fleet.fill_up()
-    fleet.clients(SECONDS, lambda second: MORE if BURST[0] <= second < BURST[1] else 1.0)
+    fleet = SimulatedFleet(world(directors, **changes), seed, SIDES[side])
+    fleet.warm_caches()
+    fleet.start_clients(SECONDS, lambda second: MORE if BURST[0] <= second < BURST[1] else 1.0)
     fleet.sim.run((SECONDS + 6) * 1_000_000)
     return {
-        "worth": fleet.share(0, SECONDS),
-        "burst": fleet.share(8, 13),
-        "after": fleet.share(20, SECONDS),
-        "class": min(got / owed for got, owed in fleet.by_class.values() if owed),
+        "worth": fleet.served_ratio(0, SECONDS),
+        "burst": fleet.served_ratio(8, 13),
+        "after": fleet.served_ratio(20, SECONDS),
+        "class": min(got / owed for got, owed in fleet.weight_by_class.values() if owed),
         "calls": fleet.origin.counts["asked"],
-        "stops": fleet.origin.falls,
+        "stops": fleet.origin.overloads,
     }
 
 
--- a/rookbend/testing/simulation/__init__.py
+++ b/rookbend/testing/simulation/__init__.py
@@ -6,5 +6,5 @@
 directors' part is the program's own (`Engine` with its `Router`); only sockets and time are modelled.
 """
 
-from rookbend.testing.simulation.deployment import World as World
-from rookbend.testing.simulation.fleet import EdgeFleet as EdgeFleet
+from rookbend.testing.simulation.deployment import Deployment as Deployment
+from rookbend.testing.simulation.fleet import SimulatedFleet as SimulatedFleet
--- a/rookbend/testing/simulation/clock.py
+++ b/rookbend/testing/simulation/clock.py
@@ -12,7 +12,7 @@
     """Microseconds. Whatever is due at the same moment runs in the order in which it was asked for."""
 
     def __init__(self):
-        self._now, self._number, self._heap = EPOCH, 0, []
+        self._now, self._scheduled, self._heap = EPOCH, 0, []
 
     @property
     def time(self) -> int:
@@ -23,21 +23,21 @@
     def now(self) -> int:
         return self._now
 
-    def at(self, due: int, what: Callable, *args) -> None:
-        self._number += 1
-        heapq.heappush(self._heap, (max(due, self._now), self._number, what, args))
+    def at(self, at_us: int, call: Callable, *args) -> None:
+        self._scheduled += 1
+        heapq.heappush(self._heap, (max(at_us, self._now), self._scheduled, call, args))
 
-    def after(self, delay_s: float, what: Callable, *args) -> None:
-        self.at(self._now + int(delay_s * 1e6), what, *args)
+    def after(self, delay_s: float, call: Callable, *args) -> None:
+        self.at(self._now + int(delay_s * 1e6), call, *args)
 
-    def run(self, until: int) -> None:
+    def run(self, until_us: int) -> None:
         """Up to that many microseconds since the beginning."""
-        end = EPOCH + until
+        end_us = EPOCH + until_us
         heap = self._heap
-        while heap and heap[0][0] <= end:
-            self._now, _, what, args = heapq.heappop(heap)
-            what(*args)
-        self._now = end
+        while heap and heap[0][0] <= end_us:
+            self._now, _, call, args = heapq.heappop(heap)
+            call(*args)
+        self._now = end_us
 
 
 class SimClock:
--- a/rookbend/testing/simulation/deployment.py
+++ b/rookbend/testing/simulation/deployment.py
@@ -12,17 +12,17 @@
 from rookbend.interface import Idempotency, Settings, TrafficClass
 
 PARENT, ORIGIN = 1, 2
-KEEP_S, PARENT_KEEP_S = 10.0, 25.0  # a copy is kept for so long after its last use
+CACHE_RETENTION_S, PARENT_RETENTION_S = 10.0, 25.0  # a copy is kept for so long after its last use
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
+class ClassProfile:
     """A class of requests: its share of them, mean seconds of sending, spread of sizes, share of reads that
     find a copy where caches are full, and how uneven objects are asked for."""
 
-    cls: TrafficClass
-    share: float
-    work_s: float = 0.0
+    traffic_class: TrafficClass
+    request_ratio: float
+    mean_work_s: float = 0.0
     sigma: float = 1.0
     zipf: float = 1.05
 
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class World:
+class Deployment:
     """Seconds and shares. `load` is what clients ask for over what the caches' links carry."""
 
     directors: int = 200
@@ -46,86 +46,92 @@
     slots_per_link: float = 4.5
     queue_per_link: float = 5.0
     load: float = 0.45
-    kinds: tuple[Kind, ...] = (Kind(READS, 0.545, 0.45), Kind(SMALL, 0.423, 0.08, 0.9), Kind(WRITES, 0.032, 0.02, 0.1))
-    misses: float = 0.33  # of reads, where the caches are as full as they get
-    fresh: float = 0.12  # of reads: of objects that nobody has asked for before
-    parent_hits: float = 0.8  # of the other misses, found at the parent
-    fill_pace: float = 3.0  # of a fill, in transfers to a client
-    parent_room: float = 3.0  # parents' links over what is asked of them at this load
-    origin_room: float = 1.4  # calls the origin can do, over what is asked of it at this load
+    profiles: tuple[ClassProfile, ...] = (
+        ClassProfile(READS, 0.545, 0.45),
+        ClassProfile(SMALL, 0.423, 0.08, 0.9),
+        ClassProfile(WRITES, 0.032, 0.02, 0.1),
+    )
+    miss_ratio: float = 0.33  # of reads, where the caches are as full as they get
+    new_object_ratio: float = 0.12  # of reads: of objects that nobody has asked for before
+    parent_hit_ratio: float = 0.8  # of the other misses, found at the parent
+    fill_rate: float = 3.0  # of a fill, in transfers to a client
+    parent_headroom: float = 3.0  # parents' links over what is asked of them at this load
+    origin_headroom: float = 1.4  # calls the origin can do, over what is asked of it at this load
     origin_call_s: float = 0.04
     origin_rate: float = 0.85  # calls beyond this share of what it can do are turned away; 0: none
     origin_multiple: float = 2.5  # asked for more than this multiple of it, it stops
     origin_window_s: float = 1.0
     origin_down_s: float = 4.0
-    silent: bool = False  # meanwhile calls stay unanswered; else they are turned away
+    is_silent_when_down: bool = False  # meanwhile calls stay unanswered; else they are turned away
     fill_timeout_s: float = 2.5
     fill_retries: int = 1
     parent_retries: int = 2
-    joins: bool = False  # caches and parents let requests join a fill that is under way
-    aborts: bool = True  # a fill ends with the request that asked for it
-    drops: bool = False  # the origin drops calls that nobody waits for any more
-    direct: bool = False
-    way_s: float = 0.002
-    far_s: float = 0.025
+    collapses_fills: bool = False  # caches and parents let requests join a fill that is under way
+    aborts_fills: bool = True  # a fill ends with the request that asked for it
+    drops_abandoned_calls: bool = False  # the origin drops calls that nobody waits for any more
+    allows_direct_to_source: bool = False
+    cache_delay_s: float = 0.002
+    source_delay_s: float = 0.025
     max_attempts: int = 8
-    retries: float = 0.75  # a client comes again with this chance, at most three times
+    retry_ratio: float = 0.75  # a client comes again with this chance, at most three times
     retry_s: float = 0.2
-    honour: float = 0.6  # and stays away for as long as a refusal says with this one
+    retry_after_ratio: float = 0.6  # and stays away for as long as a refusal says with this one
 
-    def but(self, **changes) -> World:
+    def with_changes(self, **changes) -> Deployment:
         return replace(self, **changes)
 
     @property
-    def work_s(self) -> float:
+    def mean_work_s(self) -> float:
         """Mean seconds of sending of a read."""
-        reads = [k for k in self.kinds if not k.cls.is_write]
-        return sum(k.share * k.work_s for k in reads) / sum(k.share for k in reads)
+        reads = [profile for profile in self.profiles if not profile.traffic_class.is_write]
+        return sum(profile.request_ratio * profile.mean_work_s for profile in reads) / sum(
+            profile.request_ratio for profile in reads
+        )
 
     @property
-    def links(self) -> float:
+    def total_links(self) -> float:
         return self.locations * self.caches * self.cache_links
 
     @property
     def requests_per_s(self) -> float:
-        reads = sum(k.share for k in self.kinds if not k.cls.is_write)
-        return self.load * self.links / self.work_s / reads
+        reads = sum(profile.request_ratio for profile in self.profiles if not profile.traffic_class.is_write)
+        return self.load * self.total_links / self.mean_work_s / reads
 
     @property
     def fills_per_s(self) -> float:
-        reads = sum(k.share for k in self.kinds if not k.cls.is_write)
-        return self.requests_per_s * reads * self.misses
+        reads = sum(profile.request_ratio for profile in self.profiles if not profile.traffic_class.is_write)
+        return self.requests_per_s * reads * self.miss_ratio
 
     @property
     def origin_per_s(self) -> float:
         """Calls a second that the origin can do."""
-        writes = sum(k.share for k in self.kinds if k.cls.is_write)
-        reads = self.fresh + (self.misses - self.fresh) * (1 - self.parent_hits)
-        return self.origin_room * self.requests_per_s * ((1 - writes) * reads + writes)
+        writes = sum(profile.request_ratio for profile in self.profiles if profile.traffic_class.is_write)
+        reads = self.new_object_ratio + (self.miss_ratio - self.new_object_ratio) * (1 - self.parent_hit_ratio)
+        return self.origin_headroom * self.requests_per_s * ((1 - writes) * reads + writes)
 
     @property
-    def workers(self) -> int:
+    def origin_workers(self) -> int:
         return max(2, math.ceil(self.origin_per_s * self.origin_call_s))
 
     @property
     def parent_links(self) -> float:
         """Transfers at full pace that one parent carries."""
-        return self.parent_room * self.fills_per_s * self.work_s / self.parents
+        return self.parent_headroom * self.fills_per_s * self.mean_work_s / self.parents
 
     def settings(self, number: int, zone: int) -> Settings:
         """What the platform tells director `number` of this deployment."""
         here = tuple(len(range(z, self.directors, self.locations)) for z in range(self.locations))
         return Settings(
-            tuple(k.cls for k in self.kinds),
+            tuple(profile.traffic_class for profile in self.profiles),
             zone,
             number,
             self.directors,
             here,
             parent_kind=PARENT,
             origin_kind=ORIGIN,
-            supports_joined_fills=self.joins,
+            supports_joined_fills=self.collapses_fills,
             answer_detail="all",
-            allows_direct_to_source=self.direct,
+            allows_direct_to_source=self.allows_direct_to_source,
             purge_propagation_us=6_000_000,
             cold_capacity_ratio=0.3,
             warm_up_us=12_000_000,
--- a/rookbend/testing/simulation/links.py
+++ b/rookbend/testing/simulation/links.py
@@ -8,51 +8,54 @@
 from rookbend.testing.simulation.clock import EPOCH, Simulation
 
 
-class Pipe:
+class SimulatedLink:
     """A link out (or into a location), in transfers at full pace; work is seconds of one such transfer."""
 
     def __init__(self, sim: Simulation, links: float):
-        self.sim, self.link, self.ends = sim, SharedLink(links), {}
-        self.due = 0.0
-
-    def send(self, key, work_s: float, most: float, ended: Callable[[], None]) -> None:
-        self.ends[key] = ended
-        self._gone(self.link.start(key, work_s, most, self.sim.time / 1e6))
-
-    def abort(self, key) -> None:
-        if self.ends.pop(key, None) is not None:
-            self._gone(self.link.cancel(key, self.sim.time / 1e6))
-
-    def _gone(self, keys) -> None:
-        due = self.link.next_end()
-        if due != self.due and due != float("inf"):
-            self.due = due
-            self.sim.at(EPOCH + int(due * 1e6) + 1, self._look, due)
+        self.sim, self.shared_link, self.callbacks = sim, SharedLink(links), {}
+        self.next_end_s = 0.0
+
+    def send(self, key, work_s: float, rate_limit: float, on_finished: Callable[[], None]) -> None:
+        self.callbacks[key] = on_finished
+        self._transfers_ended(self.shared_link.start(key, work_s, rate_limit, self.sim.time / 1e6))
+
+    def cancel(self, key) -> None:
+        if self.callbacks.pop(key, None) is not None:
+            self._transfers_ended(self.shared_link.cancel(key, self.sim.time / 1e6))
+
+    def _transfers_ended(self, keys) -> None:
+        next_end_s = self.shared_link.next_end()
+        if next_end_s != self.next_end_s and next_end_s != float("inf"):
+            self.next_end_s = next_end_s
+            self.sim.at(EPOCH + int(next_end_s * 1e6) + 1, self._advance, next_end_s)
         for key in keys:
-            if (ended := self.ends.pop(key, None)) is not None:
-                ended()
+            if (on_finished := self.callbacks.pop(key, None)) is not None:
+                on_finished()
 
-    def _look(self, due: float) -> None:
-        if due == self.due:
-            self.due = 0.0
-            self._gone(self.link.advance(self.sim.time / 1e6))
+    def _advance(self, next_end_s: float) -> None:
+        if next_end_s == self.next_end_s:
+            self.next_end_s = 0.0
+            self._transfers_ended(self.shared_link.advance(self.sim.time / 1e6))
 
 
-class Kept:
+class RetainedCopies:
     """Copies, each kept for `keep_us` after its last use. Those long gone are dropped as it grows."""
 
-    def __init__(self, sim: Simulation, keep_us: int):
-        self.sim, self.keep_us, self.used = sim, keep_us, {}
+    def __init__(self, sim: Simulation, retention_us: int):
+        self.sim, self.retention_us, self.last_used_us = sim, retention_us, {}
 
-    def use(self, key) -> bool:
-        last = self.used.get(key)
-        if last is None or self.sim.now - last > self.keep_us:
+    def look_up(self, key) -> bool:
+        last = self.last_used_us.get(key)
+        if last is None or self.sim.now - last > self.retention_us:
             return False
-        self.used[key] = self.sim.now
+        self.last_used_us[key] = self.sim.now
         return True
 
     def put(self, key) -> None:
-        self.used.pop(key, None)
-        self.used[key] = self.sim.now
-        while self.used and self.sim.now - self.used[first := next(iter(self.used))] > 4 * self.keep_us:
-            del self.used[first]
+        self.last_used_us.pop(key, None)
+        self.last_used_us[key] = self.sim.now
+        while (
+            self.last_used_us
+            and self.sim.now - self.last_used_us[first := next(iter(self.last_used_us))] > 4 * self.retention_us
+        ):
+            del self.last_used_us[first]
--- a/rookbend/testing/simulation/node.py
+++ b/rookbend/testing/simulation/node.py
@@ -15,43 +15,45 @@
 
     def __init__(self, fleet, number: int, zone: int):
         self.fleet, self.sim, self.zone = fleet, fleet.sim, zone
-        settings = fleet.world.settings(number, zone)
-        self.router = fleet.make(settings, fleet.seed * 1_000_003 + number)
+        settings = fleet.deployment.settings(number, zone)
+        self.router = fleet.make_router(settings, fleet.seed * 1_000_003 + number)
         self.engine = Engine(settings, self.router, SimClock(self.sim), Counters(), lambda *a, **k: None)
         self.engine.backend = self
-        self.engine.timers.on_earlier_due = self._arm
-        self._armed = 0
+        self.engine.timers.on_earlier_due = self._schedule_run
+        self._scheduled_us = 0
 
-    def _arm(self, due: int) -> None:
-        if not self._armed or due < self._armed:
-            self._armed = due
+    def _schedule_run(self, due: int) -> None:
+        if not self._scheduled_us or due < self._scheduled_us:
+            self._scheduled_us = due
             self.sim.at(due, self._run, due)
 
     def _run(self, due: int) -> None:
-        if due == self._armed:
-            self._armed = 0
+        if due == self._scheduled_us:
+            self._scheduled_us = 0
             following = self.engine.run_due()
             if following:
-                self._arm(following)
+                self._schedule_run(following)
 
     def send(self, attempt: Attempt, entry: Endpoint) -> None:
-        kind, work_s = self.fleet.work_of(attempt.request)
-        job = Job(attempt, kind, work_s, lambda result: self._ended(job, result))
+        profile, work_s = self.fleet.work_of(attempt.request)
+        job = Job(attempt, profile, work_s, lambda result: self._attempt_finished(job, result))
         attempt.connection = job
         if self.engine.may_write(attempt):
-            self.fleet.note("attempts")
-            self.sim.after(self.fleet.world.way_s, self.fleet.boxes[attempt.server].take, job)
+            self.fleet.count("attempts")
+            self.sim.after(self.fleet.deployment.cache_delay_s, self.fleet.members[attempt.server].submit, job)
         else:
-            self.sim.after(0.0, self._ended, job, AttemptResult(AttemptStatus.CONNECT_FAILED))
+            self.sim.after(0.0, self._attempt_finished, job, AttemptResult(AttemptStatus.CONNECT_FAILED))
 
-    def _ended(self, job: Job, result: AttemptResult) -> None:
+    def _attempt_finished(self, job: Job, result: AttemptResult) -> None:
         if not job.attempt.is_finished:
-            self.fleet.note(result.status.name.lower(), result.detail.name.lower())
+            self.fleet.count(result.status.name.lower(), result.detail.name.lower())
             self.engine.finished(job.attempt, result)
 
     def undo(self, attempt: Attempt) -> AttemptStatus:
-        self.fleet.note("undone")
-        self.sim.after(self.fleet.world.way_s, self.fleet.boxes[attempt.server].give_up, attempt.connection)
+        self.fleet.count("undone")
+        self.sim.after(
+            self.fleet.deployment.cache_delay_s, self.fleet.members[attempt.server].cancel, attempt.connection
+        )
         return AttemptStatus.TIMEOUT
 
     def is_out(self, attempt: Attempt) -> bool:
--- a/rookbend/testing/simulation/planted_fault.py
+++ b/rookbend/testing/simulation/planted_fault.py
@@ -33,7 +33,7 @@
             self.limit.observe(True)
 
 
-class Careless(Router):
+class RouterWithoutOriginProtection(Router):
     """A router with both rules in place of its own."""
 
     def __init__(self, settings: Settings, seed: int = 0) -> None:
--- a/rookbend/testing/simulation/sources.py
+++ b/rookbend/testing/simulation/sources.py
@@ -11,124 +11,145 @@
 
 from rookbend.interface import AttemptDetail, AttemptStatus
 from rookbend.testing.simulation.clock import Simulation
-from rookbend.testing.simulation.links import Kept, Pipe
+from rookbend.testing.simulation.links import RetainedCopies, SimulatedLink
 
 
 class Call:
     """Something asked of a parent or of the origin; `over` once nobody waits for it."""
 
-    __slots__ = ("answer", "key", "only_held", "over", "tries", "work_s", "write")
+    __slots__ = ("attempts", "is_closed", "is_write", "key", "on_answer", "only_if_cached", "work_s")
 
     def __init__(
-        self, key, work_s: float, answer: Callable[[AttemptStatus, AttemptDetail], None], write=False, only_held=False
+        self,
+        key,
+        work_s: float,
+        on_answer: Callable[[AttemptStatus, AttemptDetail], None],
+        is_write=False,
+        only_if_cached=False,
     ):
-        self.key, self.work_s, self.answer, self.write, self.only_held = key, work_s, answer, write, only_held
-        self.over, self.tries = False, 0
+        self.key, self.work_s, self.on_answer, self.is_write, self.only_if_cached = (
+            key,
+            work_s,
+            on_answer,
+            is_write,
+            only_if_cached,
+        )
+        self.is_closed, self.attempts = False, 0
 
 
 class Origin:
-    def __init__(self, sim: Simulation, world):
-        self.sim, self.world = sim, world
-        self.asked: deque[int] = deque()  # arrivals of the last window
-        self.taken: deque[int] = deque()  # and of these taken, in the last second
+    def __init__(self, sim: Simulation, deployment):
+        self.sim, self.deployment = sim, deployment
+        self.arrivals_us: deque[int] = deque()  # arrivals of the last window
+        self.accepted_us: deque[int] = deque()  # and of these taken, in the last second
         self.queue: deque[Call] = deque()
-        self.busy = self.falls = 0
-        self.down_until = 0
+        self.busy_workers = self.overloads = 0
+        self.down_until_us = 0
         self.counts: Counter = Counter()
 
-    def ask(self, call: Call, _place=None) -> None:
-        w, now = self.world, self.sim.now
+    def request(self, call: Call, _place=None) -> None:
+        deployment, now = self.deployment, self.sim.now
         self.counts["asked"] += 1
-        if now < self.down_until:
-            if w.silent:
+        if now < self.down_until_us:
+            if deployment.is_silent_when_down:
                 return  # who asked finds out by its own time-out
-            note = AttemptDetail.SOURCE_UNREACHABLE if call.write else AttemptDetail.ORIGIN_FAILED
-            return self.sim.after(w.far_s, call.answer, AttemptStatus.FULL, note)
-        self.asked.append(now)
-        while self.asked[0] <= now - w.origin_window_s * 1e6:
-            self.asked.popleft()
-        if len(self.asked) > w.origin_multiple * w.origin_per_s * w.origin_window_s:
-            self.falls += 1
-            self.down_until = now + int(w.origin_down_s * 1e6)
-            self.asked.clear()
+            detail = AttemptDetail.SOURCE_UNREACHABLE if call.is_write else AttemptDetail.ORIGIN_FAILED
+            return self.sim.after(deployment.source_delay_s, call.on_answer, AttemptStatus.FULL, detail)
+        self.arrivals_us.append(now)
+        while self.arrivals_us[0] <= now - deployment.origin_window_s * 1e6:
+            self.arrivals_us.popleft()
+        if len(self.arrivals_us) > deployment.origin_multiple * deployment.origin_per_s * deployment.origin_window_s:
+            self.overloads += 1
+            self.down_until_us = now + int(deployment.origin_down_s * 1e6)
+            self.arrivals_us.clear()
             self.queue.clear()
             return
-        while self.taken and self.taken[0] <= now - 1_000_000:
-            self.taken.popleft()
-        if w.origin_rate and len(self.taken) >= w.origin_rate * w.origin_per_s:
+        while self.accepted_us and self.accepted_us[0] <= now - 1_000_000:
+            self.accepted_us.popleft()
+        if deployment.origin_rate and len(self.accepted_us) >= deployment.origin_rate * deployment.origin_per_s:
             self.counts["refused"] += 1
-            return self.sim.after(w.far_s, call.answer, AttemptStatus.FULL, AttemptDetail.ORIGIN_FAILED)
-        self.taken.append(now)
+            return self.sim.after(
+                deployment.source_delay_s, call.on_answer, AttemptStatus.FULL, AttemptDetail.ORIGIN_FAILED
+            )
+        self.accepted_us.append(now)
         self.queue.append(call)
-        self._work()
+        self._start_calls()
 
-    def _work(self) -> None:
-        while self.queue and self.busy < self.world.workers:
+    def _start_calls(self) -> None:
+        while self.queue and self.busy_workers < self.deployment.origin_workers:
             call = self.queue.popleft()
-            if call.over and self.world.drops:
+            if call.is_closed and self.deployment.drops_abandoned_calls:
                 continue
-            self.busy += 1
-            self.sim.after(self.world.origin_call_s, self._done, call, self.falls)
+            self.busy_workers += 1
+            self.sim.after(self.deployment.origin_call_s, self._call_finished, call, self.overloads)
 
-    def _done(self, call: Call, falls: int) -> None:
-        self.busy -= 1
-        if falls == self.falls:  # else it stopped in the middle of it
+    def _call_finished(self, call: Call, overloads: int) -> None:
+        self.busy_workers -= 1
+        if overloads == self.overloads:  # else it stopped in the middle of it
             self.counts["done"] += 1
-            self.counts["wasted"] += call.over
-            self.sim.after(self.world.far_s, call.answer, AttemptStatus.OK, AttemptDetail.ORIGIN_ASKED)
-        self._work()
+            self.counts["wasted"] += call.is_closed
+            self.sim.after(self.deployment.source_delay_s, call.on_answer, AttemptStatus.OK, AttemptDetail.ORIGIN_ASKED)
+        self._start_calls()
 
 
 class Parent:
     """Fills caches from its copies, and itself from the origin. `place` is the link into the asker's
     location."""
 
-    def __init__(self, sim: Simulation, world, origin: Origin, keep_us: int):
-        self.sim, self.world, self.origin = sim, world, origin
-        self.pipe, self.kept = Pipe(sim, world.parent_links), Kept(sim, keep_us)
-        self.coming: dict[object, list] = {}
-
-    def ask(self, call: Call, place: Pipe) -> None:
-        if self.kept.use(call.key):
-            self._send(call, place, AttemptDetail.FILLED)
-        elif call.only_held:
-            self.sim.after(self.world.far_s, call.answer, AttemptStatus.MISS, AttemptDetail.SOURCE_LACKS)
-        elif self.world.joins and call.key in self.coming:
-            self.coming[call.key].append((call, place))
+    def __init__(self, sim: Simulation, deployment, origin: Origin, retention_us: int):
+        self.sim, self.deployment, self.origin = sim, deployment, origin
+        self.link, self.copies = SimulatedLink(sim, deployment.parent_links), RetainedCopies(sim, retention_us)
+        self.fills_in_progress: dict[object, list] = {}
+
+    def request(self, call: Call, location_link: SimulatedLink) -> None:
+        if self.copies.look_up(call.key):
+            self._send(call, location_link, AttemptDetail.FILLED)
+        elif call.only_if_cached:
+            self.sim.after(
+                self.deployment.source_delay_s, call.on_answer, AttemptStatus.MISS, AttemptDetail.SOURCE_LACKS
+            )
+        elif self.deployment.collapses_fills and call.key in self.fills_in_progress:
+            self.fills_in_progress[call.key].append((call, location_link))
         else:
-            if self.world.joins:
-                self.coming[call.key] = []
-            self._fetch(call, place)
-
-    def _fetch(self, call: Call, place: Pipe) -> None:
-        own = Call(call.key, call.work_s, lambda status, note: self._fetched(call, place, status, note))
-        call.tries += 1
-        self.origin.ask(own)
-
-    def _fetched(self, call: Call, place: Pipe, status: AttemptStatus, note: AttemptDetail) -> None:
-        if status is not AttemptStatus.OK and call.tries <= self.world.parent_retries and not call.over:
-            return self._fetch(call, place)
-        others = self.coming.pop(call.key, ())
+            if self.deployment.collapses_fills:
+                self.fills_in_progress[call.key] = []
+            self._request_origin(call, location_link)
+
+    def _request_origin(self, call: Call, location_link: SimulatedLink) -> None:
+        upstream_call = Call(
+            call.key, call.work_s, lambda status, detail: self._origin_answered(call, location_link, status, detail)
+        )
+        call.attempts += 1
+        self.origin.request(upstream_call)
+
+    def _origin_answered(
+        self, call: Call, location_link: SimulatedLink, status: AttemptStatus, detail: AttemptDetail
+    ) -> None:
+        if status is not AttemptStatus.OK and call.attempts <= self.deployment.parent_retries and not call.is_closed:
+            return self._request_origin(call, location_link)
+        others = self.fills_in_progress.pop(call.key, ())
         if status is AttemptStatus.OK:
-            self.kept.put(call.key)
-        for waiting, where in ((call, place), *others):
+            self.copies.put(call.key)
+        for waiting, where in ((call, location_link), *others):
             if status is AttemptStatus.OK:
                 self._send(waiting, where, AttemptDetail.ORIGIN_ASKED)
             else:
-                waiting.answer(status, note)
+                waiting.on_answer(status, detail)
 
-    def _send(self, call: Call, place: Pipe, note: AttemptDetail) -> None:
-        if call.over:
+    def _send(self, call: Call, location_link: SimulatedLink, detail: AttemptDetail) -> None:
+        if call.is_closed:
             return
         # One after the other, the second as fast as its link goes: both links carry each byte once, and a
         # transfer that one of them holds up takes nothing of the other meanwhile.
-        self.pipe.send(
+        self.link.send(
             call,
             call.work_s,
-            self.world.fill_pace,
-            lambda: place.send(call, call.work_s, place.link.capacity, lambda: call.answer(AttemptStatus.OK, note)),
+            self.deployment.fill_rate,
+            lambda: location_link.send(
+                call, call.work_s, location_link.shared_link.capacity, lambda: call.on_answer(AttemptStatus.OK, detail)
+            ),
         )
 
-    def leave(self, call: Call, place: Pipe) -> None:
-        for pipe in (self.pipe, place):
-            pipe.abort(call)
+    def cancel(self, call: Call, location_link: SimulatedLink) -> None:
+        for link in (self.link, location_link):
+            link.cancel(call)
