--- a/benchmarks/leases_model_checking.py
+++ b/benchmarks/leases_model_checking.py
@@ -68,27 +68,27 @@
                 found.steps,
                 found.depth,
                 "all" if found.complete else "cut off",
-                found.wrong or "nothing",
+                found.broken_property or "nothing",
                 time.monotonic() - began,
             ]
         )
-        if found.wrong:
+        if found.broken_property:
             wrong.append((name, found))
     print(table(["bounds", "states", "steps", "depth", "", "wrong", "seconds"], rows), flush=True)
     for name, found in wrong:
-        print(f"{name}: {found.wrong}\n  " + "\n  ".join(found.path))
+        print(f"{name}: {found.broken_property}\n  " + "\n  ".join(found.path))
     missed, by_tests, rows = [], 0, []
     for fault in faults:
         began = time.monotonic()
         found = hunt(fault, args.jobs)
         ordinary = caught_by_tests(fault) if not (args.quick or args.smallest) else False
         by_tests += ordinary
-        if found.wrong != fault.breaks:
+        if found.broken_property != fault.broken_property:
             missed.append(fault.name)
         rows.append(
             [
                 fault.name,
-                found.wrong or "MISSED",
+                found.broken_property or "MISSED",
                 found.states,
                 len(found.path),
                 "yes" if ordinary else "no",
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -33,7 +33,7 @@
 from rookbend.testing.cluster import stage
 from rookbend.testing.cluster.record import now_us
 from rookbend.testing.cluster.shared_state import ORIGIN, Make
-from rookbend.testing.recovery_simulation import SECOND, FleetSim, World
+from rookbend.testing.recovery_simulation import SECOND, Environment, RecoverySimulation
 
 BEFORE = "4cb82cc"
 SEED = 7
@@ -85,12 +85,14 @@
 
 
 def simulated(side: str, count: int, seed: int) -> dict:
-    sim = FleetSim(count, seed, World(demand=600), recovery=side != "without", gossip=side == "peers")
+    sim = RecoverySimulation(
+        count, seed, Environment(requests_per_s=600), recovery=side != "without", gossip=side == "peers"
+    )
     sim.power_on()
     sim.run(12 * SECOND)
     sim.power_off()
     sim.demand.go_cold()
-    sim.origin.most, falls = 0.0, sim.origin.falls
+    sim.origin.peak_load_ratio, falls = 0.0, sim.origin.collapses
     sim.run(SECOND)
     at, refused, asked = 13, sim.demand.refused, sim.demand.requests
     sim.power_on()
@@ -100,8 +102,8 @@
         "to_50": held(shares, 0.5),
         "to_95": held(shares, 0.95),
         "worth": statistics.mean(shares),
-        "most": sim.origin.most,
-        "falls": sim.origin.falls - falls,
+        "most": sim.origin.peak_load_ratio,
+        "falls": sim.origin.collapses - falls,
         "datagrams": max(sim.datagrams.values(), default=0) / count,
         "refused": (sim.demand.refused - refused) / max(1, sim.demand.requests - asked),
     }
--- a/rookbend/cli/demo.py
+++ b/rookbend/cli/demo.py
@@ -67,7 +67,7 @@
 
     if not 1 <= args.directors <= MAX_DIRECTORS:
         raise UsageError(f"--directors: 1 to {MAX_DIRECTORS}")
-    plan = Plan(args.directors, seed=args.seed, calm_s=args.calm, after_s=args.after)
+    plan = Plan(args.directors, seed=args.seed, before_outage_s=args.calm, after_return_s=args.after)
     if args.keep:
         args.keep.mkdir(parents=True, exist_ok=True)
     if args.json or not sys.stdout.isatty():
--- a/rookbend/model_checking/faults.py
+++ b/rookbend/model_checking/faults.py
@@ -24,8 +24,8 @@
     """`breaks` is the property that must be found broken."""
 
     name: str
-    words: str
-    breaks: str
+    description: str
+    broken_property: str
     bounds: Bounds
     patches: tuple[Patch, ...] = ()
     model: Callable[[Bounds], LeaseModel] = field(default=LeaseModel)
@@ -34,166 +34,169 @@
 @contextmanager
 def planted(fault: Fault) -> Iterator[LeaseModel]:
     """The model with the fault in the program's own classes, while it lasts."""
-    before = [(where, what, getattr(where, what)) for where, what, _ in fault.patches]
-    for where, what, new in fault.patches:
-        setattr(where, what, new)
+    originals = [(owner, attribute, getattr(owner, attribute)) for owner, attribute, _ in fault.patches]
+    for owner, attribute, replacement in fault.patches:
+        setattr(owner, attribute, replacement)
     try:
         yield fault.model(fault.bounds)
     finally:
-        for where, what, old in before:
-            setattr(where, what, old)
+        for owner, attribute, original in originals:
+            setattr(owner, attribute, original)
 
 
-def _prompt(first: int = 0, **more: Any) -> Callable[[Bounds], LeaseModel]:
-    return lambda bounds: LeaseModel(bounds, first_prompt_candidate=first, **more)
+def _with_prompt_candidates(first: int = 0, **rules: Any) -> Callable[[Bounds], LeaseModel]:
+    return lambda bounds: LeaseModel(bounds, first_prompt_candidate=first, **rules)
 
 
-def _no_margin(bounds: Bounds) -> LeaseModel:
+def _without_drift_margin(bounds: Bounds) -> LeaseModel:
     @dataclass(frozen=True)
-    class Whole(TickTerms):
+    class FullLeaseTerms(TickTerms):
         @property
         def holder_lease_us(self) -> int:
             return self.lease_us
 
-    return LeaseModel(bounds, Whole(), first_prompt_candidate=0)
+    return LeaseModel(bounds, FullLeaseTerms(), first_prompt_candidate=0)
 
 
-def _new_at_once(bounds: Bounds) -> LeaseModel:
-    old, new = frozenset({0, 1, 2}), frozenset({0, 1, 3})
-    return LeaseModel(bounds, first_prompt_candidate=0, quorums_by_candidate=((old,), (new,)))
+def _new_voters_at_once(bounds: Bounds) -> LeaseModel:
+    old_voters, new_voters = frozenset({0, 1, 2}), frozenset({0, 1, 3})
+    return LeaseModel(bounds, first_prompt_candidate=0, quorums_by_candidate=((old_voters,), (new_voters,)))
 
 
-TWO, TWICE, OLD = "two holders", "token twice", "old token"
+TWO_HOLDERS, TOKEN_REUSED, STALE_TOKEN = "two holders", "token twice", "old token"
 FAULTS = (
     Fault(
         "no-quiet-time",
         "a voter whose disk is gone votes at once after a start",
-        TWO,
+        TWO_HOLDERS,
         Bounds(rounds=2, ticks=0, without_disk=1),
-        ((Voter, "__init__", faulty_behaviour.not_quiet),),
-        _prompt(recalls_tokens=False),
+        ((Voter, "__init__", faulty_behaviour.start_without_quarantine),),
+        _with_prompt_candidates(recalls_tokens=False),
     ),
     Fault(
         "kept-grant-is-over",
         "a grant found on disk counts as run out",
-        TWO,
+        TWO_HOLDERS,
         Bounds(rounds=3, ticks=0, with_disk=1),
-        ((Voter, "__init__", faulty_behaviour.kept_is_over),),
-        _prompt(),
+        ((Voter, "__init__", faulty_behaviour.start_with_expired_grants),),
+        _with_prompt_candidates(),
     ),
     Fault(
         "grants-while-granted",
         "a voter does not look whether its grant to another lasts",
-        TWO,
+        TWO_HOLDERS,
         Bounds(rounds=3, ticks=0),
         ((Voter, "_wait_us", lambda self, now, grant, holder: 0),),
-        _prompt(),
+        _with_prompt_candidates(),
     ),
     Fault(
         "token-at-least",
         "`<` for `<=`: a token is granted a second time",
-        TWICE,
+        TOKEN_REUSED,
         Bounds(rounds=2, ticks=3),
-        ((Voter, "request", faulty_behaviour.ask_at_least),),
-        _prompt(),
+        ((Voter, "request", faulty_behaviour.request_granting_equal_token),),
+        _with_prompt_candidates(),
     ),
     Fault(
         "half-is-enough",
         "half of the voters, not more than half",
-        TWO,
+        TWO_HOLDERS,
         Bounds(rounds=2, ticks=0),
-        ((lease, "majority_granted_since", faulty_behaviour.majority(0)),),
-        _prompt(),
+        ((lease, "majority_granted_since", faulty_behaviour.majority_of_half_plus(0)),),
+        _with_prompt_candidates(),
     ),
     Fault(
         "no-drift-margin",
         "the holder counts all of the lease",
-        TWO,
+        TWO_HOLDERS,
         Bounds(rounds=2, ticks=2, drifts=1, known_tokens=(0, 1)),
-        model=_no_margin,
+        model=_without_drift_margin,
     ),
     Fault(
         "counted-from-the-answer",
         "the lease is counted from the vote, not from the ask",
-        TWO,
+        TWO_HOLDERS,
         Bounds(rounds=2, ticks=3, known_tokens=(0, 1)),
-        ((Lease, "record_grant", faulty_behaviour.granted_now),),
-        _prompt(1),
+        ((Lease, "record_grant", faulty_behaviour.record_grant_from_vote),),
+        _with_prompt_candidates(1),
     ),
     Fault(
         "one-vote-counts-twice",
         "a voter that answers two rounds counts as two",
-        TWO,
+        TWO_HOLDERS,
         Bounds(rounds=3, ticks=0),
-        ((Lease, "record_grant", faulty_behaviour.granted_twice),),
-        _prompt(),
+        ((Lease, "record_grant", faulty_behaviour.record_grant_for_other_voter),),
+        _with_prompt_candidates(),
     ),
     Fault(
         "owner-without-clock",
         "the owner does not look at its clock",
-        TWO,
+        TWO_HOLDERS,
         Bounds(rounds=2, ticks=3, known_tokens=(0, 1)),
         ((Lease, "is_held", lambda self, now: self.phase is Phase.HELD),),
-        _prompt(),
+        _with_prompt_candidates(),
     ),
     Fault(
         "votes-of-an-earlier-try",
         "votes outlast giving up",
-        TWO,
+        TWO_HOLDERS,
         Bounds(rounds=3, ticks=0, releases=1, known_tokens=(0, 5)),
-        ((Lease, "abandon", faulty_behaviour.keeps_votes), (Lease, "request", faulty_behaviour.begin_keeps)),
-        _prompt(),
+        (
+            (Lease, "abandon", faulty_behaviour.abandon_keeping_votes),
+            (Lease, "request", faulty_behaviour.request_keeping_votes),
+        ),
+        _with_prompt_candidates(),
     ),
     Fault(
         "late-release",
         "a doubled release of an earlier token frees the newer grant",
-        TWO,
+        TWO_HOLDERS,
         Bounds(rounds=3, ticks=0, releases=1, duplicates=1, known_tokens=(0, 5)),
         ((Voter, "release", faulty_behaviour.release_any_token),),
-        _prompt(),
+        _with_prompt_candidates(),
     ),
     Fault(
         "grant-not-on-disk",
         "a vote goes out before its grant is on disk",
-        TWICE,
+        TOKEN_REUSED,
         Bounds(rounds=2, ticks=3, with_disk=1),
-        model=_prompt(persists_grants=False, recalls_tokens=False),
+        model=_with_prompt_candidates(persists_grants=False, recalls_tokens=False),
     ),
     Fault(
         "no-floor",
         "a voter without a disk does not ask for the highest token",
-        TWICE,
+        TOKEN_REUSED,
         Bounds(rounds=2, ticks=3, without_disk=1),
-        model=_prompt(recalls_tokens=False),
+        model=_with_prompt_candidates(recalls_tokens=False),
     ),
     Fault(
         "receiver-takes-all",
         "a receiver does not compare tokens",
-        OLD,
+        STALE_TOKEN,
         Bounds(rounds=2, ticks=3, acts=2, known_tokens=(0, 1)),
         ((FencingGuard, "accept", faulty_behaviour.accept_all),),
-        _prompt(),
+        _with_prompt_candidates(),
     ),
     Fault(
         "receiver-off-by-one",
         "a receiver takes the token before the highest",
-        OLD,
+        STALE_TOKEN,
         Bounds(rounds=2, ticks=3, acts=2, known_tokens=(0, 1)),
         ((FencingGuard, "accept", faulty_behaviour.accept_equal_or_one_less),),
-        _prompt(),
+        _with_prompt_candidates(),
     ),
     Fault(
         "receiver-forgets",
         "a receiver's highest token is not on disk",
-        OLD,
+        STALE_TOKEN,
         Bounds(rounds=2, ticks=3, acts=2, receiver_restarts=1, known_tokens=(0, 1)),
-        model=_prompt(persists_tokens=False),
+        model=_with_prompt_candidates(persists_tokens=False),
     ),
     Fault(
         "new-voters-at-once",
         "half of the fleet goes by other voters, without both majorities",
-        TWO,
+        TWO_HOLDERS,
         Bounds(voters=4, rounds=2, ticks=0),
-        model=_new_at_once,
+        model=_new_voters_at_once,
     ),
 )
--- a/rookbend/model_checking/faulty_behaviour.py
+++ b/rookbend/model_checking/faulty_behaviour.py
@@ -9,19 +9,21 @@
 from rookbend.leases.voter import NO_GRANT, Grant, PersistedGrant, Vote, Voter
 
 
-def not_quiet(self: Voter, terms: LeaseTerms, now: int, kept: Mapping[int, PersistedGrant]) -> None:
+def start_without_quarantine(self: Voter, terms: LeaseTerms, now: int, persisted: Mapping[int, PersistedGrant]) -> None:
     """A voter's constructor: no quarantine after a start."""
     self.terms, self.quarantine_until_us, self.token_floor = terms, now, 0
-    self.grants = {s: Grant(holder, token, now + terms.lease_us) for s, (holder, token) in kept.items()}
+    self.grants = {s: Grant(holder, token, now + terms.lease_us) for s, (holder, token) in persisted.items()}
 
 
-def kept_is_over(self: Voter, terms: LeaseTerms, now: int, kept: Mapping[int, PersistedGrant]) -> None:
+def start_with_expired_grants(
+    self: Voter, terms: LeaseTerms, now: int, persisted: Mapping[int, PersistedGrant]
+) -> None:
     """A voter's constructor: no quarantine, and persisted grants have expired."""
     self.terms, self.quarantine_until_us, self.token_floor = terms, now, 0
-    self.grants = {s: Grant(holder, token, now) for s, (holder, token) in kept.items()}
+    self.grants = {s: Grant(holder, token, now) for s, (holder, token) in persisted.items()}
 
 
-def ask_at_least(self: Voter, now: int, scope: int, holder: Holder, token: int) -> Vote:
+def request_granting_equal_token(self: Voter, now: int, scope: int, holder: Holder, token: int) -> Vote:
     """`Voter.request`: grants a token a second time."""
     grant = self.grants.get(scope, NO_GRANT)
     if grant.holder == holder and grant.token == token and now < grant.expires_us:
@@ -34,23 +36,23 @@
     return Vote(True, token, holder[0], self.terms.lease_us, True)
 
 
-def majority(extra: int) -> Callable[[Quorums, Mapping[int, int]], int]:
+def majority_of_half_plus(extra: int) -> Callable[[Quorums, Mapping[int, int]], int]:
     """`majority_granted_since`: a majority is half of the voters and `extra`."""
 
-    def agreed(sets: Quorums, yes: Mapping[int, int]) -> int:
-        least = 0
+    def majority_granted_since(sets: Quorums, granted_us: Mapping[int, int]) -> int:
+        earliest_us = 0
         for number, voters in enumerate(sets):
-            asked = sorted((yes[v] for v in voters if v in yes), reverse=True)
+            sent_us = sorted((granted_us[v] for v in voters if v in granted_us), reverse=True)
             needed = len(voters) // 2 + extra
-            if len(asked) < needed:
+            if len(sent_us) < needed:
                 return 0
-            least = asked[needed - 1] if not number else min(least, asked[needed - 1])
-        return least
+            earliest_us = sent_us[needed - 1] if not number else min(earliest_us, sent_us[needed - 1])
+        return earliest_us
 
-    return agreed
+    return majority_granted_since
 
 
-def granted_now(self: Lease, now: int, voter: int, round_: int, token: int) -> bool:
+def record_grant_from_vote(self: Lease, now: int, voter: int, round_: int, token: int) -> bool:
     """`Lease.record_grant`: counts the lease from the vote."""
     if round_ not in self.rounds_sent_us or token != self.token or self.phase is Phase.IDLE:
         return False
@@ -58,26 +60,26 @@
     return self._update_expiry(now)
 
 
-def granted_twice(self: Lease, now: int, voter: int, round_: int, token: int) -> bool:
+def record_grant_for_other_voter(self: Lease, now: int, voter: int, round_: int, token: int) -> bool:
     """`Lease.record_grant`: counts a second vote of a voter as another's."""
-    at = self.rounds_sent_us.get(round_)
-    if at is None or token != self.token or self.phase is Phase.IDLE:
+    sent_us = self.rounds_sent_us.get(round_)
+    if sent_us is None or token != self.token or self.phase is Phase.IDLE:
         return False
-    other = (
+    counted_voter = (
         voter
         if self.granted_us.get(voter) is None
         else next((v for v in min(self.quorums, key=len) if v not in self.granted_us), voter)
     )
-    self.granted_us[other] = at
+    self.granted_us[counted_voter] = sent_us
     return self._update_expiry(now)
 
 
-def keeps_votes(self: Lease) -> None:
+def abandon_keeping_votes(self: Lease) -> None:
     """`Lease.abandon`: keeps the votes."""
     self.phase, self.expires_us, self.rounds_sent_us = Phase.IDLE, 0, {}
 
 
-def begin_keeps(self: Lease, now: int, token: int) -> int:
+def request_keeping_votes(self: Lease, now: int, token: int) -> int:
     """`Lease.request`: keeps the votes of the try before."""
     self.phase, self.token, self.expires_us, self.rounds_sent_us = Phase.REQUESTING, token, 0, {}
     return self.next_round(now)
--- a/rookbend/model_checking/lease.py
+++ b/rookbend/model_checking/lease.py
@@ -41,7 +41,7 @@
 class LeaseModel(ModelRules):
     """The model under its rules."""
 
-    def first(self) -> Iterator[State]:
+    def initial_states(self) -> Iterator[State]:
         """The one state at the beginning."""
         bounds = self.bounds
         idle = (LeaseState(),) * bounds.scopes
@@ -77,7 +77,7 @@
             state.budget,
         )
 
-    def wrong(self, state: State) -> str:
+    def broken_property(self, state: State) -> str:
         """The property that the state breaks, or empty."""
         for scope in range(self.bounds.scopes):
             holders = 0
@@ -122,14 +122,12 @@
     def _without_lost_votes(state: State) -> State:
         """Drops the votes for incarnations that have ended."""
         for number, voter in enumerate(state.voters):
-            if not voter.write_scheduler:
+            if not voter.outbox:
                 continue
-            write_scheduler = tuple(
-                vote
-                for vote in voter.write_scheduler
-                if state.candidates[vote.candidate].incarnation == vote.incarnation
+            outbox = tuple(
+                vote for vote in voter.outbox if state.candidates[vote.candidate].incarnation == vote.incarnation
             )
-            if len(write_scheduler) < len(voter.write_scheduler):
-                voters = replaced(state.voters, number, voter._replace(write_scheduler=write_scheduler))
+            if len(outbox) < len(voter.outbox):
+                voters = replaced(state.voters, number, voter._replace(outbox=outbox))
                 state = state._replace(voters=voters)
         return state
--- a/rookbend/model_checking/lease_state.py
+++ b/rookbend/model_checking/lease_state.py
@@ -51,7 +51,7 @@
     disk: Disk = ()
     stale_disk: Disk = ()
     inbox: tuple[Message, ...] = ()
-    write_scheduler: tuple[Message, ...] = ()
+    outbox: tuple[Message, ...] = ()
 
     def voter(self, terms: LeaseTerms) -> Voter:
         """The program's object."""
--- a/rookbend/model_checking/search.py
+++ b/rookbend/model_checking/search.py
@@ -19,7 +19,7 @@
 class Model(Protocol):
     """What is searched; its states are hashable."""
 
-    def first(self) -> Iterable[Any]:
+    def initial_states(self) -> Iterable[Any]:
         """The states at the beginning."""
 
     def steps(self, state: Any) -> Iterable[tuple[str, Any]]:
@@ -28,7 +28,7 @@
     def canonical(self, state: Any) -> Hashable:
         """The same for states that differ only in the names of like parts."""
 
-    def wrong(self, state: Any) -> str:
+    def broken_property(self, state: Any) -> str:
         """The property that the state breaks, or empty."""
 
 
@@ -40,7 +40,7 @@
     steps: int = 0
     depth: int = 0
     complete: bool = False
-    wrong: str = ""
+    broken_property: str = ""
     path: list[str] = field(default_factory=list)
     by_step: dict[str, int] = field(default_factory=dict)
 
@@ -62,7 +62,7 @@
     step: str
     state: Any
     key: int
-    wrong: str
+    broken_property: str
 
 
 _model: Model | None = None  # what forked processes search
@@ -79,16 +79,16 @@
                 successors.append(Successor(index, step, None, key, ""))
             else:
                 keys.add(key)
-                successors.append(Successor(index, step, after, key, _model.wrong(after)))
+                successors.append(Successor(index, step, after, key, _model.broken_property(after)))
     return successors
 
 
 class _Search:
     """A search in progress."""
 
-    def __init__(self, model: Model, most_states: int):
+    def __init__(self, model: Model, max_states: int):
         self._model = model
-        self._most_states = most_states
+        self._max_states = max_states
         self.found = Found()
         self._parents: dict[int, tuple[int, str]] = {}  # by state: its parent and the step from there
         self._seen: set[int] = set()
@@ -96,14 +96,14 @@
 
     def begin(self) -> bool:
         """Enters the first states; whether the search ends with them."""
-        for state in self._model.first():
+        for state in self._model.initial_states():
             key = hash(self._model.canonical(state))
             if key not in self._seen:
                 self._seen.add(key)
                 self.found.states += 1
                 self.frontier.append(NumberedState(self.found.states, state))
-                self.found.wrong = self._model.wrong(state)
-                if self.found.wrong:
+                self.found.broken_property = self._model.broken_property(state)
+                if self.found.broken_property:
                     return True
         return False
 
@@ -120,11 +120,11 @@
         for chunk, successors in zip(chunks, results, strict=True):
             for successor in successors:
                 if self._enter(chunk[successor.parent_index].number, successor):
-                    if successor.wrong:
-                        self._found_wrong(successor.wrong)
+                    if successor.broken_property:
+                        self._record_violation(successor.broken_property)
                         return True
                     level.append(NumberedState(self.found.states, successor.state))
-            if self.found.states >= self._most_states:
+            if self.found.states >= self._max_states:
                 return True
         self.found.depth += 1
         self.frontier = level
@@ -143,8 +143,8 @@
         self._parents[found.states] = parent, successor.step
         return True
 
-    def _found_wrong(self, wrong: str) -> None:
-        self.found.wrong = wrong
+    def _record_violation(self, broken_property: str) -> None:
+        self.found.broken_property = broken_property
         number = self.found.states
         path: list[str] = []
         while number in self._parents:
@@ -155,8 +155,8 @@
 
 def search(
     model: Model,
-    most_states: int,
-    most_depth: int = 1_000,
+    max_states: int,
+    max_depth: int = 1_000,
     jobs: int = 1,
     progress: Callable[[Found], None] | None = None,
 ) -> Found:
@@ -167,10 +167,10 @@
     global _model
     _model = model
     if jobs == 1:
-        return _run(model, most_states, most_depth, jobs, progress, None)
+        return _run(model, max_states, max_depth, jobs, progress, None)
     pool = multiprocessing.get_context("fork").Pool(jobs)
     try:
-        return _run(model, most_states, most_depth, jobs, progress, pool)
+        return _run(model, max_states, max_depth, jobs, progress, pool)
     finally:
         pool.close()
         pool.join()
@@ -178,16 +178,16 @@
 
 def _run(
     model: Model,
-    most_states: int,
-    most_depth: int,
+    max_states: int,
+    max_depth: int,
     jobs: int,
     progress: Callable[[Found], None] | None,
     pool: Pool | None,
 ) -> Found:
-    current = _Search(model, most_states)
+    current = _Search(model, max_states)
     if current.begin():
         return current.found
-    while current.frontier and current.found.depth < most_depth:
+    while current.frontier and current.found.depth < max_depth:
         chunks = current.chunks(jobs)
         states = [[numbered.state for numbered in chunk] for chunk in chunks]
         # The whole level: a pool that is ended amid its work may never end.
--- a/rookbend/model_checking/voter_steps.py
+++ b/rookbend/model_checking/voter_steps.py
@@ -21,11 +21,11 @@
         if state.budget.duplicates:
             spent = state.spend(duplicates=state.budget.duplicates - 1)
             yield f"again v{number} {tuple(message)}", _received(model, spent, number, message)
-    for index, vote in enumerate(voter.write_scheduler):
-        if index and voter.write_scheduler[index - 1] == vote:
+    for index, vote in enumerate(voter.outbox):
+        if index and voter.outbox[index - 1] == vote:
             continue
-        write_scheduler = voter.write_scheduler[:index] + voter.write_scheduler[index + 1 :]
-        sent = state.with_voter(number, voter._replace(write_scheduler=write_scheduler))
+        outbox = voter.outbox[:index] + voter.outbox[index + 1 :]
+        sent = state.with_voter(number, voter._replace(outbox=outbox))
         yield f"from v{number} {tuple(vote)}", candidate_steps.vote_received(model, sent, number, vote)
     yield from _restarts(model, state, number)
 
@@ -80,5 +80,5 @@
     if vote.granted and message.candidate >= model.first_prompt_candidate:
         return candidate_steps.vote_received(model, state.with_voter(number, row), number, answer)
     if vote.granted:
-        row = row._replace(write_scheduler=tuple(sorted((*row.write_scheduler, answer))))
+        row = row._replace(outbox=tuple(sorted((*row.outbox, answer))))
     return state.with_voter(number, row)
--- a/rookbend/testing/demo.py
+++ b/rookbend/testing/demo.py
@@ -17,12 +17,12 @@
 from rookbend.testing.cluster import Scene, stage
 from rookbend.testing.cluster.record import now_us
 
-BEAT_S = 0.5
+REFRESH_INTERVAL_S = 0.5
 RECOVERY = "[recovery]\n fleet demo\n"
 STATE = "[state]\n folder {state}\n fleet demo\n"
 
 
-def default_operators() -> str:
+def default_operator_settings() -> str:
     """Recovery on, and a disk where the library for it is there."""
     return RECOVERY + (STATE if find_spec("apsw") else "")
 
@@ -35,62 +35,70 @@
     caches: int = 6
     rate: float = 90.0
     seed: int = 7
-    calm_s: float = 8.0  # from the first admission to the loss
-    dark_s: float = 2.0
-    after_s: float = 20.0  # from the return to the report
-    operators: str | None = None  # None: `default_operators`
+    before_outage_s: float = 8.0  # from the first admission to the loss
+    outage_s: float = 2.0
+    after_return_s: float = 20.0  # from the return to the report
+    operator_settings: str | None = None  # None: `default_operators`
 
 
 class Demo:
     """`watch(rows)` is called each half second with the table of what there is."""
 
-    def __init__(self, plan: Plan, watch: Callable[[str, list[list[str]]], None]):
-        self.plan, self.watch, self.act = plan, watch, "starting"
-        self.began_us = self.lost_us = self.back_us = 0
+    def __init__(self, plan: Plan, on_progress: Callable[[str, list[list[str]]], None]):
+        self.plan, self.on_progress, self.phase = plan, on_progress, "starting"
+        self.first_admission_us = self.power_lost_us = self.power_back_us = 0
 
-    async def run(self, keep: Path | None = None) -> dict:
+    async def run(self, log_folder: Path | None = None) -> dict:
         """The report: see `report`. `keep` is a folder for configurations and logs."""
         plan = self.plan
-        operators = default_operators() if plan.operators is None else plan.operators
+        operator_settings = default_operator_settings() if plan.operator_settings is None else plan.operator_settings
         with tempfile.TemporaryDirectory(prefix="rookbend-demo-") as folder:
             async with (
                 stage(
-                    plan.directors, plan.caches, 1, plan.seed, operators, plan.rate, folder=keep or Path(folder)
+                    plan.directors,
+                    plan.caches,
+                    1,
+                    plan.seed,
+                    operator_settings,
+                    plan.rate,
+                    folder=log_folder or Path(folder),
                 ) as scene,
                 trio.open_nursery() as nursery,
             ):
-                nursery.start_soon(self._show, scene)
+                nursery.start_soon(self._report_progress, scene)
                 await scene.start()
                 await scene.admitted()
-                self.began_us, self.act = now_us(), "serving"
-                await trio.sleep(plan.calm_s)
-                self.lost_us, self.act = now_us(), "without power"
+                self.first_admission_us, self.phase = now_us(), "serving"
+                await trio.sleep(plan.before_outage_s)
+                self.power_lost_us, self.phase = now_us(), "without power"
                 scene.power_off()
-                await trio.sleep(plan.dark_s)
-                self.back_us, self.act = now_us(), "power is back"
+                await trio.sleep(plan.outage_s)
+                self.power_back_us, self.phase = now_us(), "power is back"
                 await scene.power_on()
-                await trio.sleep(plan.after_s)
+                await trio.sleep(plan.after_return_s)
                 nursery.cancel_scope.cancel()
-            self.watch("ended", self.rows(scene))
+            self.on_progress("ended", self.rows(scene))
         return self.report(scene)
 
-    async def _show(self, scene: Scene) -> None:
+    async def _report_progress(self, scene: Scene) -> None:
         while True:
-            self.watch(self.act, self.rows(scene))
-            await trio.sleep(BEAT_S)
+            self.on_progress(self.phase, self.rows(scene))
+            await trio.sleep(REFRESH_INTERVAL_S)
 
     def rows(self, scene: Scene) -> list[list[str]]:
         """One row a process: name, what it is, state, and what it has done."""
-        out = []
+        rows = []
         for name, node in scene.nodes.items():
             state = (
                 "dead" if not node.running else "admitted" if scene.front.targets[name].admitted else "up, not admitted"
             )
             stages = node.heard("recovery_stage") if node.running else []
-            out.append([name, "director", state, f"life {node.lives}" + (f", {stages[-1]['stage']}" if stages else "")])
+            rows.append(
+                [name, "director", state, f"life {node.lives}" + (f", {stages[-1]['stage']}" if stages else "")]
+            )
         for box in scene.boxes.values():
             cold = box.role != "origin" and box.is_cold(now_us())
-            out.append(
+            rows.append(
                 [
                     box.name,
                     box.role,
@@ -98,18 +106,18 @@
                     f"{box.asked} asked, {box.worked} worked, {box.falls} falls",
                 ]
             )
-        return out
+        return rows
 
     def report(self, scene: Scene) -> dict:
         """{"rules": {rule: breaches}, "return": [[director, seconds after the power]], "worth": [share by
         second since the first admission], "lost_at": second, "back_at": second, "falls": {member: n}, ...}"""
         admitted = [
-            [who, round((at - self.back_us) / 1e6, 2)]
+            [who, round((at - self.power_back_us) / 1e6, 2)]
             for at, what, who, _ in scene.record.rows
-            if what == "admitted" and at >= self.back_us
+            if what == "admitted" and at >= self.power_back_us
         ]
         # What was asked in the last two seconds may be open still.
-        seconds = scene.front.by_second(self.began_us, now_us() - 2_000_000)
+        seconds = scene.front.by_second(self.first_admission_us, now_us() - 2_000_000)
         worth = [
             round(got / asked, 3) if asked else None
             for got, asked in (seconds.get(i, (0.0, 0.0)) for i in range(max(seconds, default=-1) + 1))
@@ -121,8 +129,8 @@
             "requests": len(scene.front.wishes),
             "return": admitted,
             "worth": worth,
-            "lost_at": round((self.lost_us - self.began_us) / 1e6, 1),
-            "back_at": round((self.back_us - self.began_us) / 1e6, 1),
+            "lost_at": round((self.power_lost_us - self.first_admission_us) / 1e6, 1),
+            "back_at": round((self.power_back_us - self.first_admission_us) / 1e6, 1),
             "falls": {b.name: b.falls for b in scene.boxes.values() if b.falls},
             "seen": scene.record.checker.observed_events,
             "rules": scene.record.checker.violations_by_rule(),
--- a/rookbend/testing/lease_simulation.py
+++ b/rookbend/testing/lease_simulation.py
@@ -25,7 +25,7 @@
 POLL_INTERVAL_US = 1 * SECOND_US
 LIVENESS_DELAY_US = 1 * SECOND_US
 STORAGE_DELAY_US = 1_000
-LEAST_TIMER_US = 1_000
+MIN_TIMER_US = 1_000
 MAX_START_DELAY_US = 100_000
 MAX_LEDGER_DELAY_US = 200_000
 MAX_DATAGRAM_BYTES = 256
@@ -130,7 +130,7 @@
             return
         if not director.frozen:
             self.feed(director, TimerExpired())
-        wait_us = max(LEAST_TIMER_US, machine.due_us - self.clock(director))
+        wait_us = max(MIN_TIMER_US, machine.due_us - self.clock(director))
         self.schedule.after(wait_us, self._timer_expired, director, machine)
 
     def _poll_liveness(self, director: SimulatedDirector, machine: LeaseMachine) -> None:
--- a/rookbend/testing/lying_peer.py
+++ b/rookbend/testing/lying_peer.py
@@ -16,9 +16,9 @@
     *(1 << 16, (1 << 31) - 1, 1 << 32, 1 << 48, 1 << 61, (1 << 62) - 1, 1 << 62),
 )
 TEXTS = "", "x", "x" * 40, "x" * 90, "x" * 150, "@orders", "@checks/3", "@nope/9", "drain", "pin3", "pin99", "unpin"
-OTHERS = None, True, False, b"x", 1.5
-NEAR = -1, 1, 2, 1000
-MOST_CHANGES = 3
+OTHER_VALUES = None, True, False, b"x", 1.5
+NEARBY_OFFSETS = -1, 1, 2, 1000
+MAX_CHANGES = 3
 
 Path = tuple[int, ...]
 
@@ -33,30 +33,30 @@
 def _replacement(generator: random.Random, old: Any) -> Any:
     choice = generator.random()
     if choice < 0.15:
-        return generator.choice((*NUMBERS, *TEXTS, *OTHERS))
+        return generator.choice((*NUMBERS, *TEXTS, *OTHER_VALUES))
     if isinstance(old, bool) or old is None:
-        return generator.choice(OTHERS)
+        return generator.choice(OTHER_VALUES)
     if isinstance(old, int):
-        return old + generator.choice(NEAR) if choice < 0.4 else generator.choice(NUMBERS)
+        return old + generator.choice(NEARBY_OFFSETS) if choice < 0.4 else generator.choice(NUMBERS)
     if isinstance(old, str):
         return generator.choice(TEXTS)
     if isinstance(old, list):
         return old * generator.choice((0, 2, 3))
     if isinstance(old, bytes) and choice < 0.8:
-        return _change_nested(generator, old)
-    return generator.choice(OTHERS)
+        return _mutate_nested(generator, old)
+    return generator.choice(OTHER_VALUES)
 
 
-def _change_nested(generator: random.Random, data: bytes) -> bytes:
+def _mutate_nested(generator: random.Random, data: bytes) -> bytes:
     """The same for a value that travels as bytes."""
     try:
         message = msgspec.msgpack.decode(data)
     except msgspec.MsgspecError:
         return generator.randbytes(len(data))
-    return msgspec.msgpack.encode(_change_message(generator, message))
+    return msgspec.msgpack.encode(_mutate_message(generator, message))
 
 
-def _change_message(generator: random.Random, message: Any) -> Any:
+def _mutate_message(generator: random.Random, message: Any) -> Any:
     paths = [path for path in _paths(message) if path]
     if not paths:
         return _replacement(generator, message)
@@ -68,9 +68,9 @@
     return message
 
 
-def change(generator: random.Random, data: bytes) -> bytes:
+def mutate_datagram(generator: random.Random, data: bytes) -> bytes:
     """The datagram with one to three values replaced: borders, near ones, other types, lists of other lengths."""
     message = msgspec.msgpack.decode(data[MAGIC_BYTES:])
-    for _ in range(generator.randint(1, MOST_CHANGES)):
-        message = _change_message(generator, message)
+    for _ in range(generator.randint(1, MAX_CHANGES)):
+        message = _mutate_message(generator, message)
     return (data[:MAGIC_BYTES] + msgspec.msgpack.encode(message))[: gossip.MAX_DATAGRAM_BYTES]
--- a/rookbend/testing/recovery_demand.py
+++ b/rookbend/testing/recovery_demand.py
@@ -7,7 +7,7 @@
 
 from rookbend.recovery import events
 from rookbend.testing.recovery_node import CLASSES, Node
-from rookbend.testing.recovery_origin import SECOND, Origin, World
+from rookbend.testing.recovery_origin import SECOND, Environment, Origin
 
 STEP_US = 50_000
 EXPENSIVE_READ_RATIO = 0.3
@@ -21,11 +21,11 @@
     """`requests` and `refused` count; `earned` has, by second since the epoch, the priority weight that was served and
     that was requested. `feed(number, event)` feeds a director now, `feed_later(at_us, number, event)` later."""
 
-    def __init__(self, world: World, origin: Origin, rng: random.Random, feed: Feed, feed_later: FeedLater):
+    def __init__(self, environment: Environment, origin: Origin, rng: random.Random, feed: Feed, feed_later: FeedLater):
         self.requests = 0
         self.refused = 0
         self.earned: dict[int, tuple[float, float]] = {}
-        self._world = world
+        self._environment = environment
         self._origin = origin
         self._random = rng
         self._feed = feed
@@ -39,8 +39,8 @@
     def step(self, now: int, second: int, nodes: list[Node]) -> None:
         """The requests of one step. While no director is ready, they are lost."""
         ready = [node for node in nodes if node.is_ready]
-        for _ in range(self._poisson(self._world.demand * STEP_US / SECOND)):
-            is_write = self._random.random() < self._world.writes
+        for _ in range(self._poisson(self._environment.requests_per_s * STEP_US / SECOND)):
+            is_write = self._random.random() < self._environment.write_ratio
             class_index = 0 if is_write else 1 + (self._random.random() < EXPENSIVE_READ_RATIO)
             served = bool(ready) and self._serve(now, self._random.choice(ready), class_index)
             self.requests += 1
@@ -80,9 +80,12 @@
         return succeeded and duration_us < SECOND
 
     def _finds_copy(self) -> bool:
-        world = self._world
-        coldness: float = 0.5 ** (self._fills / world.fills_to_half)
-        return self._random.random() >= world.miss_warm + (world.miss_cold - world.miss_warm) * coldness
+        environment = self._environment
+        coldness: float = 0.5 ** (self._fills / environment.fills_to_half)
+        return (
+            self._random.random()
+            >= environment.warm_miss_ratio + (environment.cold_miss_ratio - environment.warm_miss_ratio) * coldness
+        )
 
     @staticmethod
     def _take_token(now: int, node: Node, rate: float, is_write: bool) -> bool:
--- a/rookbend/testing/recovery_origin.py
+++ b/rookbend/testing/recovery_origin.py
@@ -13,7 +13,7 @@
 
 
 @dataclass
-class World:
+class Environment:
     """What surrounds the directors.
 
     `capacity`: calls a second that the origin answers; it collapses for `down_us` beyond `multiple` times that within
@@ -22,13 +22,13 @@
     half the way is done after `fills_to_half` fills.
     """
 
-    capacity: float = 140.0
-    demand: float = 400.0
-    writes: float = 0.1
-    miss_cold: float = 1.0
-    miss_warm: float = 0.1
+    calls_per_s: float = 140.0
+    requests_per_s: float = 400.0
+    write_ratio: float = 0.1
+    cold_miss_ratio: float = 1.0
+    warm_miss_ratio: float = 0.1
     fills_to_half: float = 300.0
-    multiple: float = 2.5
+    overload_multiple: float = 2.5
     window_us: int = 1_500_000
     queue_us: int = 1_000_000
     down_us: int = 4_000_000
@@ -38,37 +38,39 @@
 class Origin:
     """`falls` counts collapses, `calls` all calls; `most` is the fullest window, 1 being where it collapses."""
 
-    def __init__(self, world: World):
-        self.world = world
-        self.falls = 0
+    def __init__(self, environment: Environment):
+        self.environment = environment
+        self.collapses = 0
         self.calls = 0
-        self.most = 0.0
+        self.peak_load_ratio = 0.0
         self._recent_us: deque[int] = deque()
         self._free_us = 0
         self._down_until_us = 0
 
     def call(self, now: int) -> tuple[bool, int]:
         """Whether a call is answered, and the microseconds it takes."""
-        world = self.world
+        environment = self.environment
         self.calls += 1
         if now < self._down_until_us:
             return False, REFUSAL_US
         self._recent_us.append(now)
-        while self._recent_us[0] <= now - world.window_us:
+        while self._recent_us[0] <= now - environment.window_us:
             self._recent_us.popleft()
-        load = len(self._recent_us) / (world.multiple * world.capacity * world.window_us / SECOND)
-        self.most = max(self.most, load)
-        if load > 1:
+        load_ratio = len(self._recent_us) / (
+            environment.overload_multiple * environment.calls_per_s * environment.window_us / SECOND
+        )
+        self.peak_load_ratio = max(self.peak_load_ratio, load_ratio)
+        if load_ratio > 1:
             self._collapse(now)
             return False, REFUSAL_US
         free_us = max(self._free_us, now)
-        if free_us - now > world.queue_us:
+        if free_us - now > environment.queue_us:
             return False, REFUSAL_US
-        self._free_us = free_us + int(SECOND / world.capacity)
-        return True, free_us - now + world.call_us
+        self._free_us = free_us + int(SECOND / environment.calls_per_s)
+        return True, free_us - now + environment.call_us
 
     def _collapse(self, now: int) -> None:
-        self.falls += 1
-        self._down_until_us = now + self.world.down_us
+        self.collapses += 1
+        self._down_until_us = now + self.environment.down_us
         self._recent_us.clear()
         self._free_us = 0
--- a/rookbend/testing/recovery_simulation.py
+++ b/rookbend/testing/recovery_simulation.py
@@ -27,7 +27,7 @@
 from rookbend.state.model import Row
 from rookbend.testing.recovery_demand import STEP_US, Demand
 from rookbend.testing.recovery_node import CLASSES, DISK_BYTES, Node, empty_disk
-from rookbend.testing.recovery_origin import SECOND, Origin, World
+from rookbend.testing.recovery_origin import SECOND, Environment, Origin
 
 PARENT, ORIGIN = 1, 2
 EPOCH = 1_764_576_000 * SECOND
@@ -38,7 +38,7 @@
 DiskCopy = tuple[dict[Key, Row], int]  # rows, boot number
 
 
-class FleetSim:
+class RecoverySimulation:
     """`recovery` off: directors admit everything from the start. `gossip`: they exchange datagrams, of which `loss` and
     `duplication` are ratios and `late_us` the mean delay, about. `cut` holds pairs (from, to) that can't communicate;
     `coordinator`: its stream is up. `datagrams` counts by second since the epoch."""
@@ -47,13 +47,13 @@
         self,
         count: int,
         seed: int = 7,
-        world: World | None = None,
+        environment: Environment | None = None,
         recovery: bool = True,
         gossip: bool = True,
         keep_disk: bool = True,
         loss: float = 0.0,
         duplication: float = 0.0,
-        late_us: int = 2_000,
+        delay_us: int = 2_000,
     ):
         self.count = count
         self.seed = seed
@@ -62,34 +62,34 @@
         self.keep_disk = keep_disk
         self.loss = loss
         self.duplication = duplication
-        self.late_us = late_us
+        self.delay_us = delay_us
         self.random = random.Random(f"{seed} fleet")
         self.now = EPOCH
         self.nodes = [Node(number) for number in range(count)]
-        self.cut: set[tuple[int, int]] = set()
+        self.cut_links: set[tuple[int, int]] = set()
         self.coordinator = True
         self.revision = 1
         self.membership = _initial_membership()
         self.datagrams: Counter[int] = Counter()
-        world = world or World()
-        self.origin = Origin(world)
-        self.demand = Demand(world, self.origin, self.random, self._feed, self._feed_later)
-        self._heap: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
-        self._order = 0
-        self._push(self.now, self._step_demand)
+        environment = environment or Environment()
+        self.origin = Origin(environment)
+        self.demand = Demand(environment, self.origin, self.random, self._feed, self._feed_later)
+        self._calls: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
+        self._scheduled = 0
+        self._schedule(self.now, self._step_demand)
 
     # Time
 
-    def _push(self, at_us: int, what: Callable[..., None], *args: Any) -> None:
-        self._order += 1
-        heapq.heappush(self._heap, (at_us, self._order, what, args))
+    def _schedule(self, at_us: int, call: Callable[..., None], *args: Any) -> None:
+        self._scheduled += 1
+        heapq.heappush(self._calls, (at_us, self._scheduled, call, args))
 
-    def run(self, for_us: int) -> None:
+    def run(self, duration_us: int) -> None:
         """Simulates so many microseconds."""
-        end_us = self.now + for_us
-        while self._heap and self._heap[0][0] <= end_us:
-            self.now, _, what, args = heapq.heappop(self._heap)
-            what(*args)
+        end_us = self.now + duration_us
+        while self._calls and self._calls[0][0] <= end_us:
+            self.now, _, call, args = heapq.heappop(self._calls)
+            call(*args)
         self.now = end_us
 
     @property
@@ -103,7 +103,7 @@
         """Starts directors, all where none is named, spread over some time."""
         for number in numbers or range(self.count):
             if self.nodes[number].machine is None:
-                self._push(self.now + int(self.random.random() * spread_us), self._boot, number)
+                self._schedule(self.now + int(self.random.random() * spread_us), self._start, number)
 
     def power_off(self, *numbers: int) -> None:
         """Stops directors at once. The disks keep what was synced: in this model all that was put."""
@@ -137,7 +137,7 @@
             for event in waiting:
                 self._feed(number, event)
 
-    def _boot(self, number: int) -> None:
+    def _start(self, number: int) -> None:
         node = self.nodes[number]
         if node.machine is not None:
             return
@@ -158,15 +158,15 @@
             node.limits = SetAdmissionLimits(True, frozenset(), None, 0)
         self._connect_stream(number)
         if self.recovery:
-            self._push(self.now, self._timer, number, machine)
+            self._schedule(self.now, self._timer_expired, number, machine)
 
-    def _timer(self, number: int, machine: RecoveryMachine) -> None:
+    def _timer_expired(self, number: int, machine: RecoveryMachine) -> None:
         node = self.nodes[number]
         if node.machine is not machine:
             return
         if not node.is_frozen:
             self._feed(number, TimerExpired())
-        self._push(max(machine.due_us, self.now + MIN_TIMER_US), self._timer, number, machine)
+        self._schedule(max(machine.due_us, self.now + MIN_TIMER_US), self._timer_expired, number, machine)
 
     def _feed(self, number: int, event: events.Event) -> None:
         node = self.nodes[number]
@@ -178,7 +178,7 @@
         self._carry_out(node, node.machine.feed(self.now, event))
 
     def _feed_later(self, at_us: int, number: int, event: events.Event) -> None:
-        self._push(at_us, self._feed, number, event)
+        self._schedule(at_us, self._feed, number, event)
 
     def _carry_out(self, node: Node, actions: Sequence[object]) -> None:
         for action in actions:
@@ -194,8 +194,8 @@
         self.datagrams[self.second] += 1
         assert len(data) <= MAX_DATAGRAM_BYTES
         for _ in range(2 if self.random.random() < self.duplication else 1):
-            if (source, target) not in self.cut and self.random.random() >= self.loss:
-                delay_us = int(self.late_us * (1 + self.random.expovariate(1.0)))
+            if (source, target) not in self.cut_links and self.random.random() >= self.loss:
+                delay_us = int(self.delay_us * (1 + self.random.expovariate(1.0)))
                 self._feed_later(self.now + delay_us, target, DatagramReceived(source, data))
 
     # The coordinator's stream and operators
@@ -205,7 +205,7 @@
         if self.nodes[number].machine is None:
             return
         if not self.coordinator:
-            self._push(self.now + SECOND, self._connect_stream, number)
+            self._schedule(self.now + SECOND, self._connect_stream, number)
             return
         change = MembershipChange(True, self.revision, list(self.membership))
         self._feed(number, events.MembershipReceived(change))
@@ -232,7 +232,7 @@
 
     def _step_demand(self) -> None:
         self.demand.step(self.now, self.second, self.nodes)
-        self._push(self.now + STEP_US, self._step_demand)
+        self._schedule(self.now + STEP_US, self._step_demand)
 
     def stages(self) -> Counter[str]:
         """How many directors are in each stage, or dark."""
--- a/tests/test_leases_model_checking.py
+++ b/tests/test_leases_model_checking.py
@@ -29,7 +29,7 @@
 @pytest.mark.parametrize("bounds", SMALL.values(), ids=SMALL)
 def test_nothing_is_wrong_in_any_interleaving(bounds):
     found = search(LeaseModel(bounds, first_prompt_candidate=0), 6_000)
-    assert not found.wrong, "\n".join([found.wrong, *found.path])
+    assert not found.broken_property, "\n".join([found.broken_property, *found.path])
     assert found.complete or found.states >= 6_000
 
 
@@ -37,18 +37,18 @@
 def test_a_planted_fault_is_found(fault):
     with planted(fault) as model:
         found = search(model, 20_000)
-    assert found.wrong == fault.breaks
+    assert found.broken_property == fault.broken_property
     # The path is one that the model takes: it repeats the failure.
     with planted(fault) as model:
-        state = next(iter(model.first()))
+        state = next(iter(model.initial_states()))
         for name in found.path:
             state = next(after for step, after in model.steps(state) if step == name)
-        assert model.wrong(state) == fault.breaks
+        assert model.broken_property(state) == fault.broken_property
 
 
 def test_the_search_counts_what_it_saw_and_finds_the_shortest_way():
     class Counter:
-        def first(self):
+        def initial_states(self):
             return [0]
 
         def steps(self, state):
@@ -57,9 +57,9 @@
         def canonical(self, state):
             return state
 
-        def wrong(self, state):
+        def broken_property(self, state):
             return "seven" if state == 7 else ""
 
     found = search(Counter(), 100)
-    assert found.wrong == "seven" and len(found.path) == 4 and found.path.count("two") == 3
-    assert search(Counter(), 100, most_depth=2).states == 5
+    assert found.broken_property == "seven" and len(found.path) == 4 and found.path.count("two") == 3
+    assert search(Counter(), 100, max_depth=2).states == 5
--- a/tests/test_lying_peer.py
+++ b/tests/test_lying_peer.py
@@ -11,8 +11,8 @@
 from rookbend.coordination.actions import SendDatagram
 from rookbend.testing.lease_simulation import LeaseSimulation
 from rookbend.testing.lease_simulation_parts import SECOND_US
-from rookbend.testing.lying_peer import change
-from rookbend.testing.recovery_simulation import FleetSim, World
+from rookbend.testing.lying_peer import mutate_datagram
+from rookbend.testing.recovery_simulation import Environment, RecoverySimulation
 
 DIRECTORS = 5
 LIE_RATIOS = 0.05, 0.3, 1.0
@@ -29,7 +29,7 @@
 
     def lie(director, action):
         if director.number == liar and generator.random() < ratio:
-            action = SendDatagram(action.peer, change(generator, action.data))
+            action = SendDatagram(action.peer, mutate_datagram(generator, action.data))
         send(director, action)
 
     sim._handlers[SendDatagram] = lie
@@ -46,13 +46,13 @@
 @pytest.mark.parametrize("seed", range(SEEDS // 4))
 def test_gossip_of_a_lying_peer_raises_nothing_and_all_others_return(seed):
     generator = random.Random(seed)
-    sim = FleetSim(DIRECTORS, seed, World(demand=100))
+    sim = RecoverySimulation(DIRECTORS, seed, Environment(requests_per_s=100))
     liar, ratio = generator.randrange(DIRECTORS), generator.choice(LIE_RATIOS)
     send = sim._send
 
     def lie(source, target, data):
         if source == liar and generator.random() < ratio:
-            data = change(generator, data)
+            data = mutate_datagram(generator, data)
         send(source, target, data)
 
     sim._send = lie
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -17,7 +17,7 @@
 from rookbend.recovery.failure_classification import FailureClass
 from rookbend.recovery.startup_stages import Stage
 from rookbend.recovery.state_validity import PersistedRow
-from rookbend.testing.recovery_simulation import ORIGIN, PARENT, SECOND, FleetSim, World
+from rookbend.testing.recovery_simulation import ORIGIN, PARENT, SECOND, Environment, RecoverySimulation
 from tests.recovery_messages import NOW, hello
 
 # Messages
@@ -211,29 +211,29 @@
 
 def test_a_fleet_of_any_size_returns_without_overloading_its_origin():
     for count in (3, 40):
-        sim = FleetSim(count, world=World(demand=500))
+        sim = RecoverySimulation(count, environment=Environment(requests_per_s=500))
         sim.power_on()
         sim.run(15 * SECOND)
         sim.power_off()
         sim.demand.go_cold()
-        sim.origin.falls, sim.origin.most = 0, 0.0
+        sim.origin.collapses, sim.origin.peak_load_ratio = 0, 0.0
         sim.run(SECOND)
         sim.power_on()
         sim.run(45 * SECOND)
-        assert sim.stages() == {"serving": count} and sim.origin.falls == 0 and sim.origin.most < 0.95
+        assert sim.stages() == {"serving": count} and sim.origin.collapses == 0 and sim.origin.peak_load_ratio < 0.95
         datagrams = max(sim.datagrams.values()) / count
         assert datagrams <= machine.DATAGRAMS_PER_S + machine.DATAGRAM_BURST
 
 
 def test_the_same_load_without_recovery_overloads_the_origin():
-    sim = FleetSim(40, world=World(demand=500), recovery=False)
+    sim = RecoverySimulation(40, environment=Environment(requests_per_s=500), recovery=False)
     sim.power_on()
     sim.run(20 * SECOND)
-    assert sim.origin.falls > 0, "the load of the test above must be able to overload the origin"
+    assert sim.origin.collapses > 0, "the load of the test above must be able to overload the origin"
 
 
 def test_a_single_restart_in_a_healthy_fleet_is_ready_at_once():
-    sim = FleetSim(10, world=World(demand=100))
+    sim = RecoverySimulation(10, environment=Environment(requests_per_s=100))
     sim.power_on()
     sim.run(40 * SECOND)
     sim.power_off(3)
@@ -248,7 +248,9 @@
 
     @initialize(count=st.sampled_from([3, 5, 9]), seed=st.integers(0, 99), loss=st.sampled_from([0.0, 0.3]))
     def begin(self, count, seed, loss):
-        self.sim = FleetSim(count, seed, World(demand=20), loss=loss, duplication=loss, late_us=20_000)
+        self.sim = RecoverySimulation(
+            count, seed, Environment(requests_per_s=20), loss=loss, duplication=loss, delay_us=20_000
+        )
         self.random = random.Random(seed)
         self.sim.power_on()
         self.sim.run(2 * SECOND)
@@ -271,13 +273,13 @@
     @rule()
     def partition(self):
         half = self.sim.count // 2
-        self.sim.cut = {
+        self.sim.cut_links = {
             (a, b) for a in range(self.sim.count) for b in range(self.sim.count) if (a < half) != (b < half)
         }
 
     @rule()
     def heal(self):
-        self.sim.cut = set()
+        self.sim.cut_links = set()
 
     @rule(frozen=st.booleans())
     def freeze(self, frozen):
@@ -337,7 +339,7 @@
         if not hasattr(self, "sim"):
             return
         sim = self.sim
-        sim.cut, sim.coordinator, sim.loss = set(), True, 0.0
+        sim.cut_links, sim.coordinator, sim.loss = set(), True, 0.0
         sim.freeze(0, False)
         sim.power_on()
         for _ in range(20):
