--- a/rookbend/testing/__init__.py
+++ b/rookbend/testing/__init__.py
@@ -1,2 +1,5 @@
-"""The laboratory: stand-ins of outside systems, made from their public specifications, that behave and
-misbehave as they are told. Tests and measurements share them; the director never imports this package."""
+"""Test doubles of external systems, simulations and checkers, shared by tests and benchmarks.
+
+The test doubles follow the public specifications of the systems and inject faults on request. The director never
+imports this package.
+"""
--- a/rookbend/testing/cache_store.py
+++ b/rookbend/testing/cache_store.py
@@ -1,8 +1,9 @@
-"""A model of a cache's memory: copies by retention rank, and what is evicted for a new one. Pure.
+"""A model of a cache's memory: copies with a retention rank, and the eviction of copies for a new one.
 
-A copy has a rank of 1 to 3. Where memory is short the lowest rank is evicted first, within a rank the least recently
-used; a new copy evicts only its own rank or lower, else it is denied. A hit sets the rank anew, 0 leaves it. A parent
-knows no ranks: it stores all at one.
+A copy has a rank of 1 to 3. When memory is short, the lowest rank is evicted first, and within a rank the least
+recently used copy. A new copy evicts only copies of its own rank or lower; if those do not free enough memory, it is
+denied. A hit may change the rank; rank 0 leaves it unchanged. A parent does not use ranks: it stores all copies at one
+rank.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 
 @dataclass(slots=True)
 class Copy:
-    """A stored copy. `t0_us` is when it left the origin; `group` is the object's, for purges."""
+    """A stored copy. `t0_us` is when it left the origin; `group` is the purge group of its object."""
 
     size: int
     t0_us: int
@@ -43,12 +44,12 @@
         return len(self.ranks)
 
     def peek(self, key: Key) -> Copy | None:
-        """The copy; its recency stays."""
+        """Returns the copy, or None, without marking it as used."""
         rank = self.ranks.get(key)
         return None if rank is None else self.copies_by_rank[rank][key]
 
     def get(self, key: Key, new_rank: int = 0) -> Copy | None:
-        """The copy, most recently used from now on, at `new_rank` where that is not 0."""
+        """Returns the copy, or None, and marks it as the most recently used; a `new_rank` other than 0 is set."""
         rank = self.ranks.get(key)
         if rank is None:
             return None
@@ -63,7 +64,7 @@
         return copy
 
     def put(self, key: Key, copy: Copy) -> bool:
-        """Stores a new copy in place of an older one; False where it is denied."""
+        """Stores a copy, replacing an older one; returns False if it is denied."""
         present = self.peek(key)
         if present is not None and present.t0_us >= copy.t0_us:
             self.get(key, copy.rank)
@@ -96,7 +97,7 @@
             del self.keys_by_group[copy.group]
 
     def purge(self, created_us: int, object_name: str | int | None = None, group: int | None = None) -> int:
-        """Removes the copies of an object or a group that left the origin before the purge; their number."""
+        """Removes the copies of an object or a group that left the origin before the purge; returns their number."""
         keys: Collection[Key]
         if group is not None:
             keys = self.keys_by_group.get(group, ())
@@ -132,7 +133,7 @@
 
 
 def _sum_reaches(sizes: Iterable[int], target: int) -> bool:
-    """Whether the sum reaches the target; stops at the size that does."""
+    """Whether the sum reaches the target; stops as soon as it does."""
     total = 0
     for size in sizes:
         total += size
--- a/rookbend/testing/director_notifications.py
+++ b/rookbend/testing/director_notifications.py
@@ -1,4 +1,4 @@
-"""What each director was notified of: members out of service, and purges."""
+"""Records the notifications that each director has received: members out of service, and purges."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OutOfService:
-    """Since when a director knows that a member drains or has gone, and its newest state."""
+    """When a director was first notified that a member drains or has gone, and the member's latest state."""
 
     since_us: int
     status: MemberStatus
@@ -20,14 +20,14 @@
 
 @dataclass(frozen=True, slots=True)
 class PurgeNotification:
-    """When a director was notified of a purge, and when that was created."""
+    """When a director was notified of a purge, and when the purge was created."""
 
     notified_us: int
     created_us: int
 
 
 class DirectorNotifications:
-    """The notifications by director. A purge is forgotten `purge_retention_us` after its notification."""
+    """The notifications by director; a purge is discarded `purge_retention_us` after its notification."""
 
     def __init__(self, purge_retention_us: int) -> None:
         self._purge_retention_us = purge_retention_us
@@ -35,7 +35,7 @@
         self._purges: dict[tuple[str, str, int], list[PurgeNotification]] = {}  # by director, object and group
 
     def add_membership(self, event: MembershipSent) -> None:
-        """The first notification that a member is out of service sets the time."""
+        """Records a member's state; the first notification that it is out of service sets the time."""
         key = event.director, event.member
         if event.status is MemberStatus.SERVING:
             self._out_of_service.pop(key, None)
@@ -45,7 +45,7 @@
         self._out_of_service[key] = OutOfService(since_us, event.status)
 
     def add_purge(self, event: PurgeSent) -> None:
-        """Adds a purge, and forgets old ones of the same object or group."""
+        """Adds a purge, and discards expired ones of the same object or group."""
         key = event.director, event.object_name, event.group
         recent = [
             purge for purge in self._purges.get(key, ()) if event.at_us - purge.notified_us < self._purge_retention_us
@@ -53,11 +53,11 @@
         self._purges[key] = [*recent, PurgeNotification(event.at_us, event.created_us)]
 
     def out_of_service(self, director: str, member: str) -> OutOfService | None:
-        """What the director knows of a member that is out of service; None: it serves."""
+        """Returns the director's record of a member that is out of service, or None if the member serves."""
         return self._out_of_service.get((director, member))
 
     def purges(self, director: str, object_name: str, group: int) -> list[PurgeNotification]:
-        """The purges that the director knows of the object, then those of its group."""
+        """Returns the purges of the object that the director was notified of, then those of its group."""
         of_object = self._purges.get((director, object_name, ANY_GROUP), [])
         of_group = self._purges.get((director, ANY_OBJECT, group), [])
         return [*of_object, *of_group]
--- a/rookbend/testing/fault_timeline.py
+++ b/rookbend/testing/fault_timeline.py
@@ -1,30 +1,30 @@
-"""The faults of a run: what goes wrong, when, at what, and how it ends. Pure.
-
-`fault_timeline_format` reads and writes them as text. Kinds, and what undoes them at the end of their time:
-
-    kill        the process ends, connections are reset; it returns cold
-    vanish      the machine is cut off: open connections stay and are silent, new ones never come up
-    pause       it stands still and goes on
-    slow        its link carries `share` of what it did
-    lose        a whole zone, silently, or by `reset`
-    late        load reports come `by` later
-    lie         its agent says `says`, whatever is so
-    garble      `share` of its answers are spoilt
-    cut         the coordinator's stream breaks, every `by`
+"""The timeline of the faults injected into a run: kind, time, duration and targets of each.
+
+This module does no I/O; `fault_timeline_format` parses and formats the text. The kinds of faults, and how each ends:
+
+    kill        the process of a member ends and its connections are reset; it restarts with an empty cache
+    vanish      a member's host is unreachable: open connections stay up but silent, new ones are never established
+    pause       a member's process is suspended, and resumes at the end
+    slow        a member's link carries `share` of its bandwidth
+    lose        a whole zone is unreachable: connections stay silent, or are reset with `reset`
+    late        load reports of a member are delayed by `by`
+    lie         a member's health agent reports `says`, whatever the member's state
+    garble      `share` of a member's responses are corrupted
+    cut         the coordinator's stream breaks, again after every `by`
     double      the coordinator sends each event twice
     drop        `share` of the messages between directors is lost
-    term        a director gets SIGTERM, and is started again at the end
+    term        a director gets SIGTERM, and is restarted at the end
     hup         a director gets SIGHUP
-    read-slowly clients take `share` of what they could
-    flood       `share` more clients that send requests without an end
-    power       the machine loses its power: the process ends in that instant, and what its disk had not
-                synced is gone; it is started again at the end
-    cut-between what the first of a pair (`n0>n1`) sends to the second is lost; both ways need both pairs
-    freeze      a director stands still (SIGSTOP) and goes on (SIGCONT)
-    clock       a director's Unix clock shows `by` more, or less with `back`; at the end the true time again
-    disk        a director's disk is `says`: full, or read-only
-
-Two faults of one kind may not hold one target at once: the end of the first would end the second.
+    read-slowly clients read at `share` of their full rate
+    flood       `share` more clients, which send requests that never end
+    power       a machine loses power: the process ends at once, and data that its disk has not synced is lost; it
+                is restarted at the end
+    cut-between messages from the first of a pair (`n0>n1`) to the second are lost; a cut both ways takes both pairs
+    freeze      a director is suspended (SIGSTOP), and resumes (SIGCONT) at the end
+    clock       a director's Unix clock is ahead by `by`, or behind with `back`; at the end it is correct again
+    disk        a director's disk is in the state `says`: full, or read-only
+
+Faults of the same kind on the same target must not overlap, because the end of the first would end the second.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 
 
 class TargetType(StrEnum):
-    """What a kind of fault falls on."""
+    """The type of target that a kind of fault applies to."""
 
     MEMBER = "member"
     ZONE = "zone"
@@ -50,12 +50,12 @@
     DIRECTOR = "director"
     CLIENTS = "clients"
     MACHINE = "machine"  # a director or a member
-    PAIR = "pair"  # two of them, in order
+    PAIR = "pair"  # two machines, in order
 
 
 @dataclass(frozen=True, slots=True)
 class FaultKind:
-    """What a kind falls on, and its directives beside those that all have."""
+    """The target type of a kind of fault, and its directives in addition to the common ones."""
 
     target_type: TargetType
     required: str | None = None
@@ -87,7 +87,7 @@
 
 
 class Fault(msgspec.Struct, frozen=True):
-    """One fault. `targets` are names, `*` or a percentage; `duration_us` 0: for good."""
+    """One fault. `targets` are names, `*` or a percentage; a `duration_us` of 0 means that the fault never ends."""
 
     name: str
     kind: str
@@ -104,18 +104,18 @@
 
     @property
     def target_type(self) -> TargetType:
-        """What it falls on."""
+        """The target type of the fault's kind."""
         return KINDS[self.kind].target_type
 
     @property
     def end_us(self) -> int:
-        """When it ends; 0: never."""
+        """The end of the fault, or 0 if it never ends."""
         return self.at_us + self.duration_us if self.duration_us else 0
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """A fault begins or ends at one target, at a time of the run."""
+    """The begin or the end of a fault at one target; `at_us` counts from the start of the run."""
 
     at_us: int
     fault: Fault
@@ -124,9 +124,9 @@
 
 
 def select_targets(fault: Fault, names: Sequence[str]) -> list[str]:
-    """The targets of a fault among `names`; the same for a seed in each process.
+    """Returns the targets of a fault among `names`. A seed selects the same targets in every process.
 
-    Raises `SettingsError` where it names one that is not there.
+    Raises `SettingsError` if the fault names an unknown target.
     """
     candidates = sorted(names)
     targets: set[str] = set()
@@ -152,9 +152,9 @@
 
 
 def plan_steps(faults: Sequence[Fault], names_by_type: dict[str, list[str]]) -> list[Step]:
-    """All beginnings and ends, in order of time; at one time ends come first.
+    """Returns all begins and ends in order of time; at the same time, ends come first.
 
-    Raises `SettingsError` where two faults of a kind hold one target at once, or a target is not there.
+    Raises `SettingsError` if two faults of the same kind overlap on a target, or if a target is unknown.
     """
     steps: list[Step] = []
     faults_by_target: dict[tuple[str, str], list[Fault]] = {}
--- a/rookbend/testing/fault_timeline_format.py
+++ b/rookbend/testing/fault_timeline_format.py
@@ -1,13 +1,13 @@
-"""The text of a fault timeline, in the form of the operators' settings.
+"""The text format of a fault timeline, which has the syntax of the operators' settings.
 
     [failure cache-dies]
         kind    kill
-        part    c3 c4                   names, or *, or 30%: drawn by the seed
+        part    c3 c4                   the targets: names, *, or a percentage, which the seed selects
         at      5s
-        for     12s                     0s, the default: for good
+        for     12s                     the default, 0s, means that the fault never ends
         seed    7
 
-The kinds and their further directives are in `fault_timeline`.
+`fault_timeline` describes the kinds and their further directives.
 """
 
 from __future__ import annotations
@@ -21,9 +21,9 @@
 from rookbend.testing.fault_timeline import KINDS, Fault
 
 SECTION_KIND = "failure"
-# Directives that only some kinds have.
+# Directives that apply only to some kinds.
 KIND_DIRECTIVES = "share", "by", "says", "reset", "back"
-FIELDS_BY_DIRECTIVE = {"part": "targets", "at": "at_us", "for": "duration_us", "by": "by_us"}  # others: of that name
+FIELDS_BY_DIRECTIVE = {"part": "targets", "at": "at_us", "for": "duration_us", "by": "by_us"}  # others keep their name
 MAX_TIME_US = v.TIME_UNITS["h"]
 FORMS = {
     "kind": Form(v.one_of(*KINDS), required=True),
@@ -40,7 +40,7 @@
 
 
 def parse_faults(text: str, file: str) -> tuple[Fault, ...]:
-    """The faults of a file's text. Raises `SettingsError`, worded as the settings' are."""
+    """Parses the text of a file. Raises `SettingsError` with a message in the wording of the settings parser."""
     faults: dict[str, Fault] = {}
     for section in read(text, file):
         if section.kind != SECTION_KIND or not section.name:
@@ -95,7 +95,7 @@
 
 
 def format_faults(faults: Iterable[Fault]) -> str:
-    """The text that `parse_faults` reads as these: what a run prints so that it can be repeated."""
+    """Returns text that `parse_faults` parses to the same faults; a run prints it so that it can be repeated."""
     lines = []
     for fault in faults:
         lines.append(f"[{SECTION_KIND} {fault.name}]")
--- a/rookbend/testing/invariant_checker.py
+++ b/rookbend/testing/invariant_checker.py
@@ -1,7 +1,7 @@
-"""The invariant checker: judges a run by what crossed the sockets or the simulated wire, never by what a director says.
+"""Checks the invariants of a run from the traffic on the sockets or the simulated network, not from directors' reports.
 
-Pure: it is fed with events in the order of their clock, and collects violations of the rules (`Rule`). State: an
-entry a request until it is closed, one a member, and the purges of late.
+The checker does no I/O. It takes events in order of time and collects violations of the rules in `Rule`. It keeps one
+entry for each open request and each member, and the recent purges.
 """
 
 from __future__ import annotations
@@ -30,20 +30,27 @@
 
 
 class Rule(StrEnum):
-    """What is checked; the values are the words of reports."""
-
-    ANSWER = "answer"  # exactly one final response a request, whole, by the deadline and its grace
-    ATTEMPTS = "attempts"  # at most `max_attempts` whole at members, and never two in flight at once
-    REPEAT = "repeat"  # what is not idempotent is retried or rejected only after proof that it never executed
-    DRAIN = "drain"  # nothing new to, nor from as a source, a member that drains or has gone, after the grace
-    COLD = "cold"  # a member in slow start is sent no more work in a window than overloads it
-    PURGE = "purge"  # no successful response from a copy older than a purge, after the grace
-    BYTES = "bytes"  # what is served is what a member produced for that object and part
+    """The rules that are checked; the values appear in reports."""
+
+    # Each request gets exactly one final response, complete and within the deadline plus its grace.
+    ANSWER = "answer"
+    # A request has at most `max_attempts` attempts that reach members, and never two in flight at once.
+    ATTEMPTS = "attempts"
+    # A request that is not idempotent is retried or rejected only once it is certain that it has not executed.
+    REPEAT = "repeat"
+    # After the grace, no attempt is sent to a member that drains or has gone, nor names it as a source.
+    DRAIN = "drain"
+    # A member in slow start is never sent as much work in a window as overloads it.
+    COLD = "cold"
+    # After the grace, no successful response comes from a copy that is older than a purge.
+    PURGE = "purge"
+    # A served response has the bytes that a member produced for that object and part.
+    BYTES = "bytes"
 
 
 @dataclass(frozen=True, slots=True)
 class InvariantLimits:
-    """The figures of the rules. `slack_us` is added to each time limit, for real sockets."""
+    """Limits of the rules. `slack_us` is added to each time limit to allow for the latency of real sockets."""
 
     max_attempts: int = 6
     answer_grace_us: int = 0
@@ -56,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """A rule that was broken; `subject` is a request's id or a member's name."""
+    """A violation of a rule; `subject` is the id of a request or the name of a member."""
 
     rule: Rule
     at_us: int
@@ -66,7 +73,7 @@
 
 @dataclass(slots=True)
 class RequestRecord:
-    """An open request and what was seen of it."""
+    """An open request and what has been observed of it."""
 
     request: RequestSent
     attempts: int = 0
@@ -74,11 +81,11 @@
     may_have_executed: bool = False
     responses: int = 0
     client_closed: bool = False
-    first_bytes_us: dict[str, int] = field(default_factory=dict)  # of the newest attempt, by member
+    first_bytes_us: dict[str, int] = field(default_factory=dict)  # first byte of the newest attempt, by member
 
 
 class InvariantChecker:
-    """Checks the rules event by event."""
+    """Checks the rules as events arrive."""
 
     def __init__(self, limits: InvariantLimits | None = None) -> None:
         self.limits = limits or InvariantLimits()
@@ -101,22 +108,22 @@
         }
 
     def observe(self, event: WireEvent) -> None:
-        """Takes the next event."""
+        """Processes the next event."""
         self.observed_events += 1
         self._handlers[type(event)](event)
 
     def close_expired(self, now_us: int) -> None:
-        """Closes the requests whose time is over: one without a response by then has broken the rule."""
+        """Closes requests past their deadline and grace; one without a response by then is a violation."""
         grace_us = self.limits.answer_grace_us + self.limits.slack_us
         for request_id, record in list(self.requests.items()):
             if record.request.deadline_us + grace_us >= now_us or record.in_flight:
                 continue
             if not record.responses and not record.client_closed:
-                self._report(Rule.ANSWER, now_us, request_id, "no answer")
+                self._report(Rule.ANSWER, now_us, request_id, "no response")
             del self.requests[request_id]
 
     def violations_by_rule(self) -> dict[str, int]:
-        """Counts of violations, all rules named."""
+        """Returns the number of violations of every rule, including zeros."""
         counts = {rule.value: 0 for rule in Rule}
         for violation in self.violations:
             counts[violation.rule.value] += 1
@@ -135,27 +142,27 @@
         request_id = event.request_id
         record = self.requests.get(request_id)
         if record is None:
-            self._report(Rule.ANSWER, at_us, request_id, "an answer to what was never asked, or is long closed")
+            self._report(Rule.ANSWER, at_us, request_id, "response to a request that is unknown or already closed")
             return
         record.responses += 1
         if record.responses > 1:
-            self._report(Rule.ANSWER, at_us, request_id, f"answer number {record.responses}")
+            self._report(Rule.ANSWER, at_us, request_id, f"response number {record.responses}")
             return
         if not event.is_whole:
-            self._report(Rule.ANSWER, at_us, request_id, "an answer that can't be read")
+            self._report(Rule.ANSWER, at_us, request_id, "malformed or truncated response")
         due_us = record.request.deadline_us + self.limits.answer_grace_us + self.limits.slack_us
         if at_us > due_us and not record.client_closed:
-            self._report(Rule.ANSWER, at_us, request_id, f"{(at_us - due_us) / 1000:.0f} ms late")
+            self._report(Rule.ANSWER, at_us, request_id, f"response {(at_us - due_us) / 1000:.0f} ms late")
         self._check_verdict(event, record)
 
     def _check_verdict(self, event: ResponseReceived, record: RequestRecord) -> None:
         may_execute = record.may_have_executed or bool(record.in_flight)
         if event.verdict == REJECTED and record.request.at_most_once and may_execute:
-            self._report(Rule.REPEAT, event.at_us, event.request_id, "refused, and it may have run")
+            self._report(Rule.REPEAT, event.at_us, event.request_id, "rejected although it may have executed")
         if event.verdict == SERVED and event.digest:
             produced = self._produced_digests.get(record.request.content_key, set())
             if event.digest not in produced:
-                self._report(Rule.BYTES, event.at_us, event.request_id, "served bytes that no member made for it")
+                self._report(Rule.BYTES, event.at_us, event.request_id, "served bytes that no member produced for it")
 
     def _on_client_closed(self, event: ClientClosed) -> None:
         if event.request_id in self.requests:
@@ -169,16 +176,18 @@
         member = event.member
         record = self.requests.get(request_id)
         if record is None:
-            self._report(Rule.ATTEMPTS, at_us, request_id, f"an attempt at {member} of what nobody asked")
+            self._report(Rule.ATTEMPTS, at_us, request_id, f"attempt at {member} for a request that is not open")
             return
         record.attempts += 1
         if record.attempts > self.limits.max_attempts:
             self._report(Rule.ATTEMPTS, at_us, request_id, f"attempt number {record.attempts}, at {member}")
         if record.in_flight:
             others = ", ".join(record.in_flight)
-            self._report(Rule.ATTEMPTS, at_us, request_id, f"at {member} while one is out at {others}")
+            self._report(
+                Rule.ATTEMPTS, at_us, request_id, f"attempt at {member} while another is in flight at {others}"
+            )
         if record.request.at_most_once and record.may_have_executed:
-            self._report(Rule.REPEAT, at_us, request_id, f"again, at {member}, and it may have run")
+            self._report(Rule.REPEAT, at_us, request_id, f"retried at {member} although it may have executed")
         record.in_flight[member] = event
         record.first_bytes_us[member] = event.first_byte_us
         self._check_drain(event, record.request.director, member, "to")
@@ -191,7 +200,7 @@
         if known is None or event.first_byte_us <= known.since_us + grace_us:
             return
         late_ms = (event.first_byte_us - known.since_us) / 1000
-        text = f"{event.request_id} sent {direction} it {late_ms:.0f} ms after it was told as {known.status.value}"
+        text = f"{event.request_id} sent {direction} it {late_ms:.0f} ms after notification as {known.status.value}"
         self._report(Rule.DRAIN, event.at_us, member, text)
 
     def _on_attempt_answered(self, event: AttemptAnswered) -> None:
@@ -214,7 +223,7 @@
                 continue
             older_ms = (purge.created_us - event.copied_us) / 1000
             before_ms = (sent_us - purge.notified_us) / 1000
-            text = f"from a copy {older_ms:.0f} ms older than a purge told {before_ms:.0f} ms before it was sent"
+            text = f"copy {older_ms:.0f} ms older than a purge, attempt sent {before_ms:.0f} ms after its notification"
             self._report(Rule.PURGE, event.at_us, event.request_id, text)
 
     def _on_fill_received(self, event: FillReceived) -> None:
@@ -235,5 +244,5 @@
         if overload_ratio > 1 and not budget.violation_reported:
             budget.violation_reported = True
             age_s = (at_us - budget.started_us) / 1e6
-            text = f"{overload_ratio:.2f} of what pushes it over, {age_s:.1f} s after its start"
+            text = f"sent {overload_ratio:.2f} times the work that overloads it, {age_s:.1f} s after its start"
             self._report(Rule.COLD, at_us, member, text)
--- a/rookbend/testing/invariant_events.py
+++ b/rookbend/testing/invariant_events.py
@@ -1,4 +1,4 @@
-"""What the invariant checker is fed with: events seen on the sockets or the simulated wire.
+"""Input events of the invariant checker, as observed on the sockets or on the simulated network.
 
 All times are microseconds on the observer's clock.
 """
@@ -10,12 +10,13 @@
 
 from rookbend.testing.slow_start_budget import SlowStart
 
-SERVED = "served"  # verdicts of a response; any other is a failure
+# Verdicts of a response; any other verdict is a failure.
+SERVED = "served"
 REJECTED = "refused"
 
 
 class MemberStatus(Enum):
-    """A member's state as the coordinator sends it."""
+    """The state of a member as the coordinator sends it."""
 
     SERVING = "serving"
     DRAINING = "draining"
@@ -24,7 +25,10 @@
 
 @dataclass(slots=True)
 class RequestSent:
-    """A whole request of a client has arrived at a director's machine; `content_key` is its object and part."""
+    """A complete request of a client has arrived at the host of a director.
+
+    `content_key` is the requested object and part.
+    """
 
     at_us: int
     request_id: str
@@ -37,7 +41,7 @@
 
 @dataclass(slots=True)
 class ResponseReceived:
-    """A client has read a response; `is_whole` False where its bytes can't be read as one."""
+    """A client has received a response; `is_whole` is False if the response is malformed or truncated."""
 
     at_us: int
     request_id: str
@@ -48,7 +52,7 @@
 
 @dataclass(slots=True)
 class ClientClosed:
-    """The client has cancelled the request, or closed: no response is owed."""
+    """The client has cancelled the request or closed its connection, so no response is required."""
 
     at_us: int
     request_id: str
@@ -56,7 +60,7 @@
 
 @dataclass(slots=True)
 class AttemptReceived:
-    """An attempt is whole at a member; `work_s` is the seconds of sending that its class takes on average."""
+    """A member has received a complete attempt; `work_s` is the mean transfer time of its class, in seconds."""
 
     at_us: int
     request_id: str
@@ -68,9 +72,9 @@
 
 @dataclass(slots=True)
 class AttemptAnswered:
-    """A member has written the end of an attempt, or learnt of its cancellation.
+    """A member has written the end of its response, or has received the cancellation of the attempt.
 
-    `copied_us` is when the copy left the origin, and `digest` its bytes', where the attempt succeeded.
+    If the attempt succeeded, `copied_us` is when the copy left the origin, and `digest` is the digest of its bytes.
     """
 
     at_us: int
@@ -84,7 +88,7 @@
 
 @dataclass(slots=True)
 class FillReceived:
-    """A fill has come to a member as a source: work as an attempt is."""
+    """A member has received a fill request as its source; a fill counts as work like an attempt."""
 
     at_us: int
     member: str
@@ -93,7 +97,7 @@
 
 @dataclass(slots=True)
 class MembershipSent:
-    """A director was notified of a member's state, or counts as notified."""
+    """A director has been notified of a member's state, or is considered notified."""
 
     at_us: int
     director: str
@@ -103,7 +107,7 @@
 
 @dataclass(slots=True)
 class PurgeSent:
-    """A director was notified of a purge of an object or a group, created at `created_us`."""
+    """A director has been notified of a purge of an object or a group; the purge was created at `created_us`."""
 
     at_us: int
     director: str
@@ -114,7 +118,7 @@
 
 @dataclass(slots=True)
 class MemberStarted:
-    """A member's process has started, its cache empty."""
+    """The process of a member has started, with an empty cache."""
 
     at_us: int
     member: str
--- a/rookbend/testing/weighted_score.py
+++ b/rookbend/testing/weighted_score.py
@@ -1,9 +1,9 @@
-"""The weighted score of a run: priority weight earned in proportion to what was requested, as operators count it. Pure.
+"""The weighted score of a run, as operators count it: the priority weight earned in proportion to that requested.
 
-A request earns the priority weight of its class if it succeeded within the class's latency objective (and a multiple
-of the time that its transfer takes), a part of it if it succeeded later but before the client gave up, and a part if
-it was served from a stale copy. The score mixes the whole run, its worst window and its worst class. A client's
-retries belong to its first try: what counts is when that was sent and what came last.
+A request earns the priority weight of its class if it succeeds within the latency objective of the class plus a
+multiple of its transfer time. It earns a fraction of the weight if it succeeds later, before the client gives up, and a
+fraction if it is served from a stale copy. The score combines the whole run, its worst window and its worst class.
+A client's retries count as one request: its time is that of the first attempt, its outcome that of the last.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClassObjective:
-    """What a request of a class earns, and by when."""
+    """The weights that a request of a class can earn, and its latency objective."""
 
     name: str
     priority_weight: float
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestOutcome:
-    """A request with all its tries: `succeeded_us` is the end of the successful response, or None."""
+    """A request with all its retries; `succeeded_us` is the end of the successful response, or None."""
 
     sent_us: int
     traffic_class: int
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WeightedRequest:
-    """What one request earned, and the most that it could."""
+    """The weight that one request earned, and the maximum that it could earn."""
 
     sent_us: int
     traffic_class: int
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Score:
-    """Ratios from 0 to 1; `worst_window_us` is where the worst window begins."""
+    """Ratios from 0 to 1; `worst_window_us` is the start of the worst window."""
 
     total: float
     whole_run: float
@@ -64,7 +64,7 @@
 
 
 def earned_weight(objective: ClassObjective, outcome: RequestOutcome) -> float:
-    """The priority weight that one request earned."""
+    """Returns the priority weight that one request earned."""
     if outcome.succeeded_us is None:
         return 0.0
     weight = objective.priority_weight * (objective.stale_priority_weight if outcome.is_stale else 1.0)
@@ -74,7 +74,7 @@
 
 
 def earned_ratio(requests: Iterable[WeightedRequest]) -> float:
-    """Earned weight in proportion to the possible; 1 where nothing was requested."""
+    """Returns the earned weight in proportion to the possible weight, or 1 without requests."""
     earned = 0.0
     possible = 0.0
     for request in requests:
@@ -84,7 +84,7 @@
 
 
 def score_run(objectives: list[ClassObjective], outcomes: list[RequestOutcome]) -> Score:
-    """The score of a run. A run without requests has lost nothing."""
+    """Returns the score of a run; a run without requests scores 1."""
     requests = [_weigh(objectives[outcome.traffic_class], outcome) for outcome in outcomes]
     requests.sort(key=lambda request: (request.sent_us, request.traffic_class, request.earned))
     whole_run = earned_ratio(requests)
@@ -104,9 +104,9 @@
 
 
 def find_worst_window(requests: list[WeightedRequest]) -> tuple[float, int]:
-    """The ratio and the start of the worst window; a run shorter than one is one window.
+    """Returns the ratio and the start of the worst window; a run shorter than a window counts as one window.
 
-    `requests` are in order of time.
+    `requests` must be in order of time.
     """
     if not requests:
         return 1.0, 0
@@ -115,7 +115,7 @@
     worst = 2.0  # above every ratio
     worst_us = first_us
     begin = 0  # index of the window's first request
-    end = 0  # index behind its last
+    end = 0  # index after the window's last request
     earned = 0.0
     possible = 0.0
     for begin_us in range(first_us, max(first_us, last_us - WINDOW_US) + 1, WINDOW_STEP_US):
