--- a/rookbend/testing/counter_totals.py
+++ b/rookbend/testing/counter_totals.py
@@ -1,9 +1,9 @@
 """Sums the counters of a fleet from the logs of its directors.
 
 A director writes its counters at exit (and on SIGUSR1) as one `counters` line. A file may hold several incarnations of
-a director, each begun by `ready`: an incarnation's last `counters` line is its total, and a killed one writes none.
-Every other event is counted by name, with `dropped=N` added back, so that a line written for many dropped ones counts
-for all of them.
+a director, each of which starts with a `ready` line. The last `counters` line of an incarnation is its total; a killed
+one writes none. Every event is also counted by name, with `dropped=N` added, so that a line that stands for N dropped
+lines counts for all of them.
 
     python -m rookbend.testing.counter_totals LOGDIR [--json]
 
@@ -23,13 +23,13 @@
 
 import msgspec
 
-DESCRIPTION = "Counts across a fleet: reads the logs of many directors and adds up what they say."
+DESCRIPTION = "Reads the logs of the directors of a fleet and sums their counters."
 COUNTERS_EVENT = "counters"
 READY_EVENT = "ready"
 
 
 def parse_line(line: str) -> dict[str, str]:
-    """The fields of one log line, logfmt or JSON; {} for a line that is neither (a traceback, say)."""
+    """Returns the fields of one log line, logfmt or JSON, or {} for any other line, such as one of a traceback."""
     line = line.strip()
     if line.startswith("{"):
         return _parse_json(line)
@@ -53,21 +53,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Maximum:
-    """The highest value of one director, and its name."""
+    """The highest value that a director reports, and the name of that director."""
 
     value: int
     director: str
 
 
 class FleetTotals:
-    """Totals of one fleet's logs: counters summed over every incarnation, events counted by name."""
+    """Totals of the logs of one fleet: counters summed over all incarnations, and events counted by name."""
 
     def __init__(self) -> None:
         self.counters: Counter[str] = Counter()
         self.events: Counter[str] = Counter()
         self.maxima: dict[str, Maximum] = {}  # by counter
-        self.directors = 0  # logs that held counters
-        self.unreadable_lines = 0  # tracebacks and the like
+        self.directors = 0  # whose log has counters
+        self.unreadable_lines = 0  # such as those of tracebacks
 
     def add_log(self, director: str, lines: Iterable[str]) -> None:
         """Adds the log of one director."""
@@ -85,7 +85,7 @@
             if event == COUNTERS_EVENT:
                 incarnation_counters = {name: int(value) for name, value in fields.items() if value.isdigit()}
             elif event == READY_EVENT:
-                # A new incarnation: the totals of the last one are final.
+                # A new incarnation starts: the counters of the previous one are final.
                 director_counters.update(incarnation_counters)
                 incarnation_counters = {}
         director_counters.update(incarnation_counters)
@@ -100,7 +100,7 @@
                 self.maxima[name] = Maximum(value, director)
 
     def report(self) -> dict[str, Any]:
-        """The totals as the JSON object that the program prints."""
+        """Returns the totals as the object that the program prints as JSON."""
         return {
             "directors": self.directors,
             "counters": dict(sorted(self.counters.items())),
@@ -111,7 +111,7 @@
 
 
 def read_logs(folder: Path) -> FleetTotals:
-    """The totals of the `*.log` files of a folder, one a director."""
+    """Returns the totals of the `*.log` files of a folder, one file for each director."""
     totals = FleetTotals()
     for path in sorted(folder.glob("*.log")):
         with path.open(errors="replace") as lines:
@@ -120,7 +120,7 @@
 
 
 def print_report(report: dict[str, Any]) -> None:
-    """Prints the report for people."""
+    """Prints the report as a table."""
     print(f"{report['directors']} directors, {report['unreadable_lines']} lines that are no event")
     for name, value in report["counters"].items():
         maximum, director = report["busiest"][name]
@@ -130,9 +130,9 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Prints the totals of a folder of logs; exit code 0."""
+    """Prints the totals of a folder of logs; returns exit code 0."""
     parser = argparse.ArgumentParser(prog="python -m rookbend.testing.counter_totals", description=DESCRIPTION)
-    parser.add_argument("logs", type=Path, help="a folder of director logs, one file a director")
+    parser.add_argument("logs", type=Path, help="a folder of director logs, one file for each director")
     parser.add_argument("--json", action="store_true", help="one JSON object instead of the table")
     args = parser.parse_args(argv)
     report = read_logs(args.logs).report()
--- a/rookbend/testing/director_process.py
+++ b/rookbend/testing/director_process.py
@@ -1,4 +1,4 @@
-"""Directors as processes of their own, started as an operator starts them."""
+"""Runs directors as separate processes, started as an operator starts them."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class DirectorProcess:
-    """A process that runs the program of a checkout; its configuration and log are in `folder`."""
+    """A director process that runs the code of `checkout`; its configuration and log are in `folder`."""
 
     def __init__(
         self,
@@ -39,7 +39,10 @@
         (folder / "rookbend.conf").write_text(operators)
 
     def start(self) -> float:
-        """Starts it and waits until it is ready; the seconds that took. Raises RuntimeError where it ends before."""
+        """Starts the process and waits until it is ready; returns the start-up time in seconds.
+
+        Raises RuntimeError with the log's text if the process ends before.
+        """
         started_s = time.monotonic()
         environ = {
             **os.environ,
@@ -57,32 +60,32 @@
         return time.monotonic() - started_s
 
     def resident_kb(self) -> int:
-        """Its resident memory."""
+        """Returns the resident memory in KiB. Raises RuntimeError if the kernel does not report it."""
         for line in Path(f"/proc/{self._running.pid}/status").read_text().splitlines():
             if line.startswith("VmRSS"):
                 return int(line.split()[1])
-        raise RuntimeError("no figure of resident memory")
+        raise RuntimeError("no VmRSS in the status of the director process")
 
     def cpu_s(self) -> float:
-        """The CPU time that it has used, in user and system mode (proc(5): fields 14 and 15 of stat)."""
+        """Returns the CPU time used in user and system mode (proc(5): fields 14 and 15 of stat)."""
         fields = Path(f"/proc/{self._running.pid}/stat").read_text().rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
     def stop(self) -> int:
-        """Ends it by SIGTERM; its exit code."""
+        """Ends the process with SIGTERM; returns its exit code."""
         self._running.send_signal(signal.SIGTERM)
         return self._running.wait()
 
     @property
     def _running(self) -> subprocess.Popen[bytes]:
         if self.process is None:
-            raise RuntimeError("the director was not started")
+            raise RuntimeError("the director process was not started")
         return self.process
 
 
 @asynccontextmanager
 async def running_directors(*directors: DirectorProcess) -> AsyncIterator[None]:
-    """Starts them, and stops them however the block ends: a measurement that failed leaves none behind."""
+    """Runs directors while the block runs, and stops them even if it fails, so that no process is left behind."""
     try:
         for director in directors:
             await trio.to_thread.run_sync(director.start)
@@ -95,7 +98,7 @@
 
 
 def find_free_port(host: str = "127.0.0.1", kind: int = socket.SOCK_STREAM) -> int:
-    """A port that is free on the host now."""
+    """Returns a port that is currently free on the host."""
     with socket.socket(socket.AF_INET, kind) as free_socket:
         free_socket.bind((host, 0))
         port: int = free_socket.getsockname()[1]
--- a/rookbend/testing/fault_timeline.py
+++ b/rookbend/testing/fault_timeline.py
@@ -10,13 +10,13 @@
     late        load reports of a member are delayed by `by`
     lie         a member's health agent reports `says`, whatever the member's state
     garble      `share` of a member's responses are corrupted
-    cut         the coordinator's stream breaks, again after every `by`
+    cut         the coordinator's stream breaks every `by`
     double      the coordinator sends each event twice
     drop        `share` of the messages between directors is lost
     term        a director gets SIGTERM, and is restarted at the end
     hup         a director gets SIGHUP
     read-slowly clients read at `share` of their full rate
-    flood       `share` more clients, which send requests that never end
+    flood       `share` more clients that send requests without an end
     power       a machine loses power: the process ends at once, and data that its disk has not synced is lost; it
                 is restarted at the end
     cut-between messages from the first of a pair (`n0>n1`) to the second are lost; a cut both ways takes both pairs
--- a/rookbend/testing/health_agents.py
+++ b/rookbend/testing/health_agents.py
@@ -1,6 +1,6 @@
-"""Stand-ins for what a member's machine runs beside its cache: an agent, an HTTP or a gRPC health service.
+"""Test doubles of the health services on a member's host: a text agent, an HTTP or a gRPC health service.
 
-Each poll is counted, and what it sent is remembered. How polls are answered may change at any time (`Behavior`).
+They count polls and record the bytes that pollers sent. `Behavior` selects the response and may change at any time.
 """
 
 from __future__ import annotations
@@ -20,25 +20,25 @@
 REMEMBERED_POLLS = 64
 BLOCK_BYTES = 65536
 SHARED_PORT_TRIES = 20
-_ABORTING_LINGER = struct.pack("ii", 1, 0)  # SO_LINGER of no time: closing resets the connection
+_ABORTING_LINGER = struct.pack("ii", 1, 0)  # SO_LINGER with a time-out of 0: closing resets the connection
 
 
 class ResponseMode(StrEnum):
-    """What a poller gets; the values are words of the tests' scenarios."""
-
-    RESPOND = "say"  # the text, whole (an agent's line, an HTTP response), then a close
-    STALL = "stall"  # the first half of the text, then nothing for as long as the poller stays
-    DRIBBLE = "dribble"  # the text, a byte a second
-    FLOOD = "flood"  # the text again and again, as fast as the poller reads
-    SILENT = "silent"  # nothing; the connection stays
-    RESET = "reset"  # the first half of the text, then a reset
-    CLOSE = "leave"  # nothing, and a close
+    """How a poll is answered; the values are used in the scenarios of tests."""
+
+    RESPOND = "say"  # sends the complete text (an agent's line, an HTTP response), then closes
+    STALL = "stall"  # sends the first half of the text, then nothing until the poller disconnects
+    DRIBBLE = "dribble"  # sends the text at one byte per second
+    FLOOD = "flood"  # sends the text repeatedly, as fast as the poller reads
+    SILENT = "silent"  # sends nothing and keeps the connection open
+    RESET = "reset"  # sends the first half of the text, then resets the connection
+    CLOSE = "leave"  # closes without sending anything
     GRPC = "grpc"  # grpc.health.v1
 
 
 @dataclass
 class Behavior:
-    """How polls are answered. `is_serving` and `ignores_grpc` (reads on, sends nothing more) are gRPC's."""
+    """How polls are answered; `is_serving` and `ignores_grpc` (keeps reading but sends nothing) apply to gRPC."""
 
     mode: ResponseMode = ResponseMode.RESPOND
     text: bytes = b"up ready\n"
@@ -48,7 +48,7 @@
 
 
 def http_response(status: int, body: str, *headers: str) -> bytes:
-    """A whole HTTP/1.1 response (RFC 9112), with further header lines."""
+    """Returns a complete HTTP/1.1 response (RFC 9112) with additional header lines."""
     data = body.encode()
     lines = [f"HTTP/1.1 {status} x", f"Content-Length: {len(data)}", "Connection: close", *headers]
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + data
@@ -59,7 +59,7 @@
 
 
 class HealthAgent:
-    """One listener. `on_poll(data)` is called with each poller's first bytes, or none where it sent none."""
+    """One listener. Calls `on_poll(data)` with the first bytes of each poller, or none if it sends none."""
 
     def __init__(self, host: str, behavior: Behavior | None = None, on_poll: Callable[[bytes], None] = _ignore) -> None:
         self.host = host
@@ -83,7 +83,7 @@
         }
 
     async def listen(self, nursery: trio.Nursery, port: int = 0) -> None:
-        """Raises OSError where the port can't be had."""
+        """Listens on the port, 0 for any free one. Raises OSError if it can't be bound."""
         listeners = await trio.open_tcp_listeners(port, host=self.host)
         self.port = listeners[0].socket.getsockname()[1]
         self._scope = trio.CancelScope()
@@ -94,7 +94,7 @@
             await trio.serve_listeners(self._serve_connection, listeners)
 
     def close(self) -> None:
-        """Stops listening, and drops whoever is connected: the next poller is refused."""
+        """Stops listening and closes open connections; the next connection is refused."""
         self._scope.cancel()
 
     async def _serve_connection(self, stream: trio.SocketStream) -> None:
@@ -107,14 +107,14 @@
                 else:
                     await self._serve_text(stream, self.behavior)
         except (trio.BrokenResourceError, trio.ClosedResourceError):
-            pass  # the poller has left
+            pass  # the poller has disconnected
         finally:
             self.open_connections -= 1
             self._grpc_servers.pop(stream, None)
 
     async def _serve_text(self, stream: trio.SocketStream, behavior: Behavior) -> None:
         data = b""
-        if behavior.text.startswith(b"HTTP"):  # an agent may be polled without a byte, HTTP can't
+        if behavior.text.startswith(b"HTTP"):  # an HTTP poller sends a request, an agent's poller may send nothing
             data = await stream.receive_some(BLOCK_BYTES)
         self.received.append(data)
         self.on_poll(data)
@@ -127,7 +127,7 @@
     async def _respond(self, stream: trio.SocketStream, behavior: Behavior) -> None:
         await self._send(stream, behavior.text)
         await stream.send_eof()
-        # Bytes left unread would reset the connection under our own response.
+        # Closing with unread bytes would reset the connection before the poller has read the response.
         await _read_to_end(stream)
 
     async def _stall(self, stream: trio.SocketStream, behavior: Behavior) -> None:
@@ -154,7 +154,7 @@
         stream.socket.setsockopt(trio.socket.SOL_SOCKET, trio.socket.SO_LINGER, _ABORTING_LINGER)
 
     async def _close(self, stream: trio.SocketStream, behavior: Behavior) -> None:
-        """Nothing: the connection is closed behind it."""
+        """Sends nothing; the caller closes the connection."""
 
     async def _serve_grpc(self, stream: trio.SocketStream) -> None:
         from rookbend.protocol.grpc_health_messages import ServingStatus
@@ -173,7 +173,7 @@
                 await self._send(stream, data)
 
     async def set_serving(self, is_serving: bool) -> None:
-        """Changes the gRPC status and notifies those who watch."""
+        """Changes the gRPC status and notifies the watching clients."""
         self.behavior.is_serving = is_serving
         for stream, server in list(self._grpc_servers.items()):
             await self._send(stream, server.changed())
@@ -185,7 +185,10 @@
 
 
 async def listen_on_shared_port(agents: list[HealthAgent], nursery: trio.Nursery) -> int:
-    """Has all agents listen on one port, each on its own host; the port. Raises OSError after many tries."""
+    """Listens with all agents on the same port, each on its own host, and returns the port.
+
+    Raises OSError after SHARED_PORT_TRIES failed attempts.
+    """
     for tries_left in reversed(range(SHARED_PORT_TRIES)):
         try:
             await agents[0].listen(nursery)
--- a/rookbend/testing/lease_invariants.py
+++ b/rookbend/testing/lease_invariants.py
@@ -1,4 +1,4 @@
-"""What must hold of leases whatever happens, as a simulation sees it: checked by simulated time."""
+"""Invariants of leases that a simulation checks, by simulated time rather than by the directors' clocks."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class LeaseInvariants:
-    """`violations` in words: two holders of a scope, a token twice, a token that does not grow."""
+    """Checks that a scope has one holder and that its tokens are unique and increase; `violations` has the failures."""
 
     def __init__(self) -> None:
         self.violations: list[str] = []
@@ -20,24 +20,24 @@
         self._highest: dict[int, int] = {}
 
     def lease_acquired(self, action: LeaseAcquired, holder: Holder) -> None:
-        """Checks the token of a lease."""
+        """Checks the token of an acquired lease."""
         scope, token = action.scope, action.token
         if self.holder_by_token.setdefault((scope, token), holder) != holder:
-            self.violations.append(f"token {token} of scope {scope} twice")
+            self.violations.append(f"token {token} of scope {scope} acquired by two holders")
         highest = self._highest.get(scope, 0)
         if token < highest:
-            self.violations.append(f"token {token} of scope {scope} after {highest}")
+            self.violations.append(f"token {token} of scope {scope} acquired after {highest}")
         self._highest[scope] = max(highest, token)
 
     def check_holders(self, scope: int, holders: Iterable[int], elapsed_us: int) -> None:
-        """Checks that at most one director holds the scope right now."""
+        """Checks that at most one director holds the scope at this time."""
         holders = list(holders)
         if len(holders) > 1:
-            self.violations.append(f"scope {scope} is owned by {holders} at {elapsed_us}")
+            self.violations.append(f"scope {scope} is held by directors {holders} at {elapsed_us} us")
 
 
 class SimulatedLedger:
-    """Takes report lines by token, like the ledger of the report; `lines` by number."""
+    """A report ledger that accepts lines by their fencing token; `lines` has the accepted ones by number."""
 
     def __init__(self, invariants: LeaseInvariants):
         self._guard = FencingGuard()
@@ -45,11 +45,11 @@
         self.lines: dict[int, str] = {}
 
     def append(self, line: WriteReportLine) -> ReportLineWritten:
-        """The outcome for the director that wrote the line."""
+        """Appends a line; returns the outcome for the director that wrote it."""
         is_stale = line.token < self._guard.highest.get(REPORT_SCOPE, 0)
         accepted = self._guard.accept(REPORT_SCOPE, line.token)
         if accepted and is_stale:
-            self._invariants.violations.append(f"the ledger took the line of token {line.token}")
+            self._invariants.violations.append(f"the ledger accepted a line with the stale token {line.token}")
         if accepted:
             self.lines.setdefault(line.number, line.line)
         highest_token = self._guard.highest[REPORT_SCOPE]
--- a/rookbend/testing/measurement_fleet.py
+++ b/rookbend/testing/measurement_fleet.py
@@ -1,7 +1,7 @@
-"""A small fleet on loopback for measurements: members, their agents and a coordinator, all in this process.
+"""A small fleet on loopback for benchmarks: members, their health agents and a coordinator, all in this process.
 
-Every member stores everything and responds at once: what is measured is the director. Each has a host of its own
-(127.1.x.y); all share one port, and so do their agents.
+Every member has a copy of every object and responds at once, so that the benchmark measures the director. Each cache
+has its own address (127.1.x.y); all members share one port, and all agents share another.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 class MemberServer:
-    """A cache, parent or origin that stores everything."""
+    """A cache, parent or origin that has a copy of every object."""
 
     def __init__(self, name: str, host: str, zone: str = "edge", flavor: str = "standard") -> None:
         self.name = name
@@ -37,10 +37,10 @@
         self.agent = HealthAgent(host)
         self.port = 0
         self.arrivals_s: deque[float] = deque(maxlen=REMEMBERED_ARRIVALS)  # monotonic
-        self.connections = 0  # accepted since it began to listen
+        self.connections = 0  # accepted since `listen`
 
     async def listen(self, nursery: trio.Nursery, port: int) -> None:
-        """Raises OSError where the port can't be had."""
+        """Listens on the port, 0 for any free one. Raises OSError if it can't be bound."""
         listeners = await trio.open_tcp_listeners(port, host=self.host)
         self.port = listeners[0].socket.getsockname()[1]
         nursery.start_soon(trio.serve_listeners, self._serve, listeners)
@@ -57,7 +57,7 @@
             pass
 
     def _respond(self, received: bytes) -> tuple[bytes, bytes]:
-        """What is left of the received bytes, and the responses to the commands that were whole."""
+        """Returns the bytes of an incomplete command, and the responses to the complete ones."""
         responses = b""
         while (line_end := received.find(LINE_END)) >= 0:
             words = received[:line_end].split(b" ")
@@ -84,7 +84,7 @@
 
 
 class CoordinatorServer:
-    """The coordinator's event stream."""
+    """The event stream of the coordinator."""
 
     def __init__(self) -> None:
         self.port = 0
@@ -99,7 +99,7 @@
         nursery.start_soon(trio.serve_listeners, self.serve, listeners)
 
     async def serve(self, stream: trio.SocketStream) -> None:
-        """Serves one director until it leaves."""
+        """Serves one director until it disconnects."""
         await stream.receive_some()
         await stream.send_all(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n")
         self.streams.append(stream)
@@ -121,7 +121,7 @@
 
 
 class MeasurementFleet:
-    """The members, their agents and the coordinator."""
+    """The members, their health agents and the coordinator."""
 
     def __init__(self, caches: int) -> None:
         self.caches = [MemberServer(f"c{i}", _cache_host(i)) for i in range(caches)]
@@ -132,7 +132,7 @@
         self.agent_port = 0
 
     async def open(self, nursery: trio.Nursery) -> None:
-        """Has all of them listen."""
+        """Starts listening with all members, agents and the coordinator. Raises OSError if a port can't be bound."""
         await self.coordinator.listen(nursery)
         port = 0
         for member in self.members:
@@ -143,7 +143,7 @@
     def director_config(
         self, allows_probes: bool, port: int, router_index: int = 0, router_count: int = 1
     ) -> dict[str, Any]:
-        """The configuration of one director, as JSON."""
+        """Returns the configuration of one director as an object to encode as JSON."""
         settings = copy.deepcopy(SETTINGS)
         settings["limits"]["probes"] = allows_probes
         settings["me"] = router_index
@@ -167,7 +167,7 @@
 
 @asynccontextmanager
 async def open_fleet(caches: int) -> AsyncIterator[MeasurementFleet]:
-    """A fleet that listens until the block ends."""
+    """Opens a fleet that listens until the block ends."""
     async with trio.open_nursery() as nursery:
         fleet = MeasurementFleet(caches)
         await fleet.open(nursery)
--- a/rookbend/testing/measurement_settings.py
+++ b/rookbend/testing/measurement_settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings of the fleets that measurements and tests start."""
+"""The platform settings of the fleets that benchmarks and tests start."""
 
 from __future__ import annotations
 
--- a/rookbend/testing/open_loop_client.py
+++ b/rookbend/testing/open_loop_client.py
@@ -1,4 +1,4 @@
-"""Clients of a director for measurements: the platform's frames, and requests at a rate that no response slows."""
+"""An open-loop client for benchmarks: it sends requests in the platform's frames at a rate independent of responses."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 import trio
 
 REQUEST_FRAME = 7
-MAX_REQUESTS_IN_FLIGHT = 32  # the protocol's bound on one connection
+MAX_REQUESTS_IN_FLIGHT = 32  # on one connection, by the protocol
 _BOUND_RETRY_S = 0.001
 _LENGTH_BYTES = 4
 
 
 def encode_frame(kind: int, stream: int, fields: dict[str, str] | None = None, body: bytes = b"") -> bytes:
-    """A frame as the platform's clients write it; without a field count where `fields` is None."""
+    """Encodes a frame as the platform's clients do; it has no field count if `fields` is None."""
     data = b"" if fields is None else _encode_fields(fields)
     return struct.pack(">IBI", 5 + len(data) + len(body), kind, stream) + data + body
 
@@ -30,7 +30,7 @@
 
 
 class RequestTiming(NamedTuple):
-    """A request that was answered: when it was due (monotonic), how long it took from then, the response's code."""
+    """A completed request: its due time (monotonic), the duration from then, and the code of the response."""
 
     due_s: float
     duration_s: float
@@ -38,7 +38,7 @@
 
 
 class OpenLoopClient:
-    """Sends each request when it is due, whatever was answered, and times it from then."""
+    """Sends each request at its due time, regardless of earlier responses, and measures its duration from then."""
 
     def __init__(
         self, address: tuple[str, int], rate: float, objects: list[str], seed: int, method: str = "video"
@@ -50,10 +50,10 @@
         self.random = random.Random(seed)
         self.due_s: dict[int, float] = {}  # of requests in flight, by stream
         self.timings: list[RequestTiming] = []
-        self.max_lateness_s = 0.0  # the most that this process sent late
+        self.max_lateness_s = 0.0  # the longest delay of a request by this process
 
     async def run(self) -> None:
-        """Sends requests until it is cancelled."""
+        """Sends requests until cancelled."""
         connection = await trio.open_tcp_stream(*self.address)
         async with connection, trio.open_nursery() as nursery:
             nursery.start_soon(self._receive, connection)
@@ -90,7 +90,7 @@
 
 
 def _complete_frame_bytes(data: bytes) -> int | None:
-    """The size of the first frame with its length field; None while it is incomplete."""
+    """Returns the size of the first frame including its length field, or None while the frame is incomplete."""
     if len(data) < _LENGTH_BYTES:
         return None
     frame_bytes = _LENGTH_BYTES + int.from_bytes(data[:_LENGTH_BYTES], "big")
--- a/rookbend/testing/shared_link.py
+++ b/rookbend/testing/shared_link.py
@@ -1,8 +1,8 @@
-"""A model of a link that its transfers share. Pure.
+"""A model of a link whose transfers share its capacity with max-min fairness.
 
-All transfers get an equal share of the link, none more than its own rate limit; what those leave goes to the others
-(max-min fairness). Progress is counted as the bytes that a transfer of a rate limit would have carried since the
-start (virtual time), so that a start or an end costs a logarithm, not a visit to each transfer.
+Each transfer gets an equal share of the link but at most its rate limit; the rest goes to the other transfers. The
+model keeps one progress value for each rate limit (virtual time): the bytes that a transfer with that limit would have
+carried since the start. A start or an end of a transfer therefore takes logarithmic time.
 """
 
 from __future__ import annotations
@@ -14,20 +14,23 @@
 
 
 class RateClass:
-    """The transfers of one rate limit: they progress alike, so a heap gives the first to end."""
+    """The transfers with the same rate limit; they progress equally, so a heap gives the next one to end."""
 
     __slots__ = ("count", "ends", "progress", "rate", "rate_limit")
 
     def __init__(self, rate_limit: float) -> None:
         self.rate_limit = rate_limit
-        self.rate = 0.0  # of each transfer, now
+        self.rate = 0.0  # current rate of each transfer
         self.progress = 0.0
         self.count = 0
         self.ends: list[tuple[float, int, Hashable]] = []  # progress at the end, transfer number, key
 
 
 class SharedLink:
-    """A link of `capacity` bytes a second; times are seconds. Drive it by `start`, `advance` and `next_end`."""
+    """A link with `capacity` in bytes per second and times in seconds.
+
+    The caller drives it with `start`, `advance` and `next_end`.
+    """
 
     def __init__(self, capacity: float) -> None:
         self.capacity = capacity
@@ -42,20 +45,20 @@
 
     @property
     def utilization(self) -> float:
-        """The present rate in proportion to the capacity."""
+        """The current total rate in proportion to the capacity."""
         if not self.capacity:
             return 1.0
         return sum(rate_class.rate * rate_class.count for rate_class in self.rate_classes.values()) / self.capacity
 
     def set_capacity(self, capacity: float, now: float) -> list[Hashable]:
-        """Changes the capacity; what has ended until now."""
+        """Changes the capacity; returns the keys of the transfers that have ended by `now`."""
         ended = self.advance(now)
         self.capacity = capacity
         self._share_capacity()
         return ended
 
     def start(self, key: Hashable, size: float, rate_limit: float, now: float) -> list[Hashable]:
-        """Starts a transfer of `size` bytes; what has ended until now."""
+        """Starts a transfer of `size` bytes; returns the keys of the transfers that have ended by `now`."""
         ended = self.advance(now)
         rate_class = self.rate_classes.setdefault(rate_limit, RateClass(rate_limit))
         self._last_number += 1
@@ -66,7 +69,7 @@
         return ended
 
     def cancel(self, key: Hashable, now: float) -> list[Hashable]:
-        """Cancels a transfer; what has ended until now (it may be among them)."""
+        """Cancels a transfer; returns the keys of those that have ended by `now`, which may include it."""
         ended = self.advance(now)
         transfer = self.transfers.pop(key, None)
         if transfer is not None:
@@ -76,7 +79,7 @@
         return ended
 
     def next_end(self) -> float:
-        """When the next transfer ends if nothing else changes; infinity where none does."""
+        """Returns when the next transfer ends if nothing else changes, or infinity if none does."""
         earliest = float("inf")
         for rate_class in self.rate_classes.values():
             self._drop_cancelled(rate_class)
@@ -86,7 +89,7 @@
         return earliest
 
     def advance(self, now: float) -> list[Hashable]:
-        """Moves on to a time; the transfers that ended on the way, in order."""
+        """Advances to `now`; returns the keys of the transfers that have ended, in order."""
         ended: list[Hashable] = []
         while (end := self.next_end()) <= now:
             self._move(end)
@@ -120,7 +123,7 @@
             heapq.heappop(ends)
 
     def _share_capacity(self) -> None:
-        """Max-min: the lowest rate limit first; what a class can't use is left to those after it."""
+        """Assigns the max-min rates, lowest rate limit first; capacity that a class can't use goes to later ones."""
         left = self.capacity
         count = len(self.transfers)
         for rate_limit in sorted(self.rate_classes):
