--- a/rookbend/testing/lease_simulation.py
+++ b/rookbend/testing/lease_simulation.py
@@ -1,8 +1,8 @@
-"""A fleet of lease machines in simulated time: the program's own, up to hundreds of them. Seeded.
+"""A seeded simulation of up to hundreds of the program's lease state machines in simulated time.
 
-Datagrams are lost, late or doubled, links are cut one way or both, clocks run fast and slow, storage is lost or fails,
-directors freeze, and a ledger takes the report's lines by token. Each director's clock is simulated time times its
-rate; invariants are checked by simulated time, whatever the directors believe.
+Datagrams are lost, delayed or duplicated, links are cut in one direction or both, clocks run fast or slow, storage is
+lost or fails, directors freeze, and a report ledger accepts lines by token. A director's clock is simulated time times
+its rate; invariants are checked by simulated time.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 
 class LeaseSimulation:
-    """See `SimulatedNetwork` for the network; `drift` is the ratio by which some clocks run fast or slow."""
+    """The simulation; `drift` is the ratio by which some clocks run fast or slow. `SimulatedNetwork` has the others."""
 
     def __init__(
         self,
@@ -66,7 +66,7 @@
 
     @property
     def violations(self) -> list[str]:
-        """What did not hold, in words."""
+        """The violated invariants, as messages."""
         return self.invariants.violations
 
     # Time
@@ -77,17 +77,17 @@
         return self.schedule.now_us
 
     def run(self, duration_us: int) -> None:
-        """Lets simulated time pass."""
+        """Advances simulated time."""
         self.schedule.run(duration_us)
 
     def clock(self, director: SimulatedDirector) -> int:
-        """The reading of a director's own clock."""
+        """Returns the time on a director's own clock."""
         return EPOCH_US + int((self.now_us - EPOCH_US) * director.clock_rate) + director.clock_step_us
 
     # Directors
 
     def start(self, *numbers: int) -> None:
-        """Starts those that are down, all without numbers."""
+        """Starts the given directors, or all, unless they are running."""
         for number in numbers or range(self.count):
             if self.directors[number].machine is None:
                 self._start(self.directors[number])
@@ -108,7 +108,7 @@
         self.schedule.after(0, self._poll_liveness, director, machine)
 
     def kill(self, *numbers: int) -> None:
-        """Stops these at once."""
+        """Kills the given directors."""
         for number in numbers:
             director = self.directors[number]
             director.machine = None
@@ -116,7 +116,7 @@
             director.delayed_events = []
 
     def freeze(self, number: int, frozen: bool = True) -> None:
-        """Stops a process, or lets it go on: then it finds what came meanwhile."""
+        """Suspends a director, or resumes it and feeds it the events that arrived in the meantime."""
         director = self.directors[number]
         director.frozen = frozen
         if not frozen:
@@ -134,7 +134,7 @@
         self.schedule.after(wait_us, self._timer_expired, director, machine)
 
     def _poll_liveness(self, director: SimulatedDirector, machine: LeaseMachine) -> None:
-        """Who is up, as recovery's gossip reports it: a little late, and not across a cut link."""
+        """Reports the live directors as the gossip of recovery does: with a delay, and not across a cut link."""
         if director.machine is not machine:
             return
         if not director.frozen:
@@ -154,7 +154,7 @@
             self.feed(director, event)
 
     def feed(self, director: SimulatedDirector, event: events.Event) -> None:
-        """Feeds an event, at once or when the director goes on."""
+        """Feeds an event to a director, or queues it until the director resumes."""
         if director.machine is None:
             return
         if director.frozen:
@@ -163,7 +163,7 @@
         self._carry_out(director, director.machine.feed(self.clock(director), event))
 
     def order(self, number: int, target: str, order: str) -> int:
-        """An operator's order at that director; its id."""
+        """Requests an order at a director; returns its id."""
         self._order_ids += 1
         self.feed(self.directors[number], events.OrderRequested(self._order_ids, target, order, "kim"))
         return self._order_ids
@@ -218,7 +218,7 @@
         self.feed(director, events.CountersCollected((10 * director.starts, 9, 1, 0)))
 
     def _write_report_line(self, director: SimulatedDirector, line: actions.WriteReportLine) -> None:
-        # The line is in the socket's buffer: it arrives whenever the network likes.
+        # The line is in the socket's buffer, so it arrives even if the director fails, after a random delay.
         delay_us = int(self.random.random() * MAX_LEDGER_DELAY_US)
         machine = director.machine
         self.schedule.after(delay_us, lambda: self._feed_incarnation(director, machine, self.ledger.append(line)))
@@ -226,7 +226,7 @@
     # Invariants
 
     def holders(self, scope: int) -> list[int]:
-        """Who holds the scope right now, each by its own clock; a frozen director too."""
+        """Returns the directors that hold the scope by their own clocks, including frozen ones."""
         return [
             director.number
             for director in self.directors
@@ -234,7 +234,7 @@
         ]
 
     def scopes(self) -> tuple[int, ...]:
-        """All scopes of the fleet."""
+        """Returns all scopes of the fleet."""
         return scopes_of(self.tasks, self.shards)
 
     def check(self) -> None:
@@ -243,5 +243,5 @@
             self.invariants.check_holders(scope, self.holders(scope), self.now_us - EPOCH_US)
 
     def leaderless_scopes(self) -> list[int]:
-        """Scopes that nobody holds."""
+        """Returns the scopes that no director holds."""
         return [scope for scope in self.scopes() if not self.holders(scope)]
--- a/rookbend/testing/lease_simulation_parts.py
+++ b/rookbend/testing/lease_simulation_parts.py
@@ -1,4 +1,4 @@
-"""What a simulation of leases is made of: directors, a schedule of calls, and a network that loses datagrams."""
+"""Components of the lease simulation: directors, a schedule of calls, and a network that loses datagrams."""
 
 from __future__ import annotations
 
@@ -18,11 +18,14 @@
 
 @dataclass
 class SimulatedDirector:
-    """One director; `machine` is None while it is down. What is counted is of its current incarnation."""
+    """One director; `machine` is None while it is down.
+
+    `applied_orders` and `order_outcomes` belong to its current incarnation.
+    """
 
     number: int
     clock_rate: float = 1.0
-    clock_step_us: int = 0  # by which its clock was set at its last start
+    clock_step_us: int = 0  # offset by which its clock was set at its last start
     storage: dict[tuple[str, str], bytes] = field(default_factory=dict)
     storage_fails: bool = False
     machine: LeaseMachine | None = None
@@ -30,12 +33,12 @@
     frozen: bool = False
     delayed_events: list[events.Event] = field(default_factory=list)  # while frozen
     applied_orders: list[tuple[str, str]] = field(default_factory=list)  # (target, order)
-    order_outcomes: dict[int, str] = field(default_factory=dict)  # by id: an error, or empty
+    order_outcomes: dict[int, str] = field(default_factory=dict)  # by id; an error, or empty for success
     log_counts: Counter[str] = field(default_factory=Counter)
 
 
 class Schedule:
-    """Calls at simulated times; those of one time in the order in which they were scheduled."""
+    """Calls at simulated times; calls for the same time run in the order in which they were scheduled."""
 
     def __init__(self) -> None:
         self.now_us = EPOCH_US
@@ -43,12 +46,12 @@
         self._scheduled = 0
 
     def after(self, delay_us: int, call: Callable[..., None], *args: Any) -> None:
-        """Schedules a call."""
+        """Schedules a call `delay_us` from now."""
         self._scheduled += 1
         heapq.heappush(self._calls, (self.now_us + delay_us, self._scheduled, call, args))
 
     def run(self, duration_us: int) -> None:
-        """Lets time pass."""
+        """Advances simulated time by `duration_us` and runs the calls that are due."""
         end_us = self.now_us + duration_us
         while self._calls and self._calls[0][0] <= end_us:
             self.now_us, _, call, args = heapq.heappop(self._calls)
@@ -57,7 +60,11 @@
 
 
 class SimulatedNetwork:
-    """`loss` and `duplication` are ratios of datagrams, `delay_us` the least delay; `cut_links` are (from, to)."""
+    """A network that loses, duplicates and delays datagrams.
+
+    `loss` and `duplication` are ratios of datagrams, `delay_us` is the minimum delay, and `cut_links` has the links
+    that lose everything, as pairs (from, to).
+    """
 
     def __init__(self, generator: random.Random, loss: float, duplication: float, delay_us: int):
         self._random = generator
@@ -69,7 +76,7 @@
         self.bytes_sent = 0
 
     def send(self, time_us: int, sender: int, receiver: int, size: int) -> Iterator[int]:
-        """The delays of the copies that arrive."""
+        """Sends a datagram; yields the delay in microseconds of each copy that arrives."""
         self.datagrams_by_second[(time_us - EPOCH_US) // SECOND_US] += 1
         self.bytes_sent += size
         for _ in range(2 if self._random.random() < self._duplication else 1):
--- a/rookbend/testing/lying_peer.py
+++ b/rookbend/testing/lying_peer.py
@@ -1,4 +1,4 @@
-"""Changes fields of datagrams, as a peer does that lies or runs another version: msgpack stays msgpack."""
+"""Mutates fields of datagrams, like a faulty peer or one of another version; the result is still valid msgpack."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from rookbend.protocol import gossip
 
-MAGIC_BYTES = len(gossip.MAGIC)  # as many as of the leases' protocol
+MAGIC_BYTES = len(gossip.MAGIC)  # the lease protocol's magic has the same length
 NUMBERS = (
     *(0, 1, -1, -2, 2, 3, 5, 7, 127, 255),
     *(1 << 16, (1 << 31) - 1, 1 << 32, 1 << 48, 1 << 61, (1 << 62) - 1, 1 << 62),
@@ -48,7 +48,7 @@
 
 
 def _mutate_nested(generator: random.Random, data: bytes) -> bytes:
-    """The same for a value that travels as bytes."""
+    """Mutates a value that is encoded as bytes; bytes that are not msgpack become random ones."""
     try:
         message = msgspec.msgpack.decode(data)
     except msgspec.MsgspecError:
@@ -69,7 +69,10 @@
 
 
 def mutate_datagram(generator: random.Random, data: bytes) -> bytes:
-    """The datagram with one to three values replaced: borders, near ones, other types, lists of other lengths."""
+    """Returns the datagram with one to MAX_CHANGES values replaced, truncated to the maximum size of a datagram.
+
+    Replacements are boundary values, nearby values, values of other types and lists of other lengths.
+    """
     message = msgspec.msgpack.decode(data[MAGIC_BYTES:])
     for _ in range(generator.randint(1, MAX_CHANGES)):
         message = _mutate_message(generator, message)
--- a/rookbend/testing/recovery_demand.py
+++ b/rookbend/testing/recovery_demand.py
@@ -1,4 +1,4 @@
-"""Demand of the clients of a simulated fleet (recovery_simulation.py), and what of it is served."""
+"""The demand of the clients in the recovery simulation, and the part of it that is served."""
 
 from __future__ import annotations
 
@@ -11,15 +11,18 @@
 
 STEP_US = 50_000
 EXPENSIVE_READ_RATIO = 0.3
-BURST_S = 0.5  # of the origin's rate that a director may use at once
+BURST_S = 0.5  # seconds of its origin rate that a director may use at once
 
 Feed = Callable[[int, events.Event], None]
 FeedLater = Callable[[int, int, events.Event], None]
 
 
 class Demand:
-    """`requests` and `refused` count; `earned` has, by second since the epoch, the priority weight that was served and
-    that was requested. `feed(number, event)` feeds a director now, `feed_later(at_us, number, event)` later."""
+    """Sends requests to ready directors; `requests` and `refused` are counts.
+
+    `earned` has the priority weights that were served and requested, by second since the epoch. `feed(number, event)`
+    feeds a director at once, `feed_later(at_us, number, event)` at a later time.
+    """
 
     def __init__(self, environment: Environment, origin: Origin, rng: random.Random, feed: Feed, feed_later: FeedLater):
         self.requests = 0
@@ -33,11 +36,11 @@
         self._fills = 0.0
 
     def go_cold(self) -> None:
-        """All caches are empty."""
+        """Empties all caches."""
         self._fills = 0.0
 
     def step(self, now: int, second: int, nodes: list[Node]) -> None:
-        """The requests of one step. While no director is ready, they are lost."""
+        """Sends the requests of one step; they fail while no director is ready."""
         ready = [node for node in nodes if node.is_ready]
         for _ in range(self._poisson(self._environment.requests_per_s * STEP_US / SECOND)):
             is_write = self._random.random() < self._environment.write_ratio
@@ -50,7 +53,7 @@
             self.earned[second] = served_weight + weight * served, requested_weight + weight
 
     def served_ratio(self, second: int) -> float:
-        """The priority weight served in a second, of what was requested."""
+        """Returns the priority weight served in a second in proportion to that requested."""
         served_weight, requested_weight = self.earned.get(second, (0.0, 0.0))
         return served_weight / requested_weight if requested_weight else 0.0
 
--- a/rookbend/testing/recovery_node.py
+++ b/rookbend/testing/recovery_node.py
@@ -1,4 +1,4 @@
-"""One director of a simulated fleet (recovery_simulation.py): its coordinator, its disk, and what it was told to do."""
+"""One director of the recovery simulation: its recovery state machine, its disk, and the actions it has carried out."""
 
 from __future__ import annotations
 
@@ -19,15 +19,17 @@
 
 
 def empty_disk() -> Ledger:
-    """A disk without rows."""
+    """Returns a disk without rows."""
     return Ledger(DISK_BYTES)
 
 
 @dataclass
 class Node:
-    """`boot_number` is the disk's; `incarnations` are the (boot number, incarnation) pairs it announced; `members` and
-    `orders` are what was passed on to the director; `frozen_events` came while it was suspended; `actions` counts by
-    class."""
+    """One director. `boot_number` is on its disk, `incarnations` are the (boot number, incarnation) pairs it announced.
+
+    `members` and `orders` were forwarded to the director, `frozen_events` arrived while it was suspended, and `actions`
+    counts actions by class name.
+    """
 
     number: int
     disk: Ledger = field(default_factory=empty_disk)
@@ -46,11 +48,11 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether clients reach it."""
+        """Whether the director accepts requests of clients."""
         return self.machine is not None and self.limits is not None and self.limits.ready and not self.is_frozen
 
     def power_off(self) -> None:
-        """Everything but the disk is lost."""
+        """Stops the director; it loses all state except its disk."""
         self.machine = None
         self.limits = None
         self.is_frozen = False
@@ -59,7 +61,7 @@
         self.orders = {}
 
     def persisted_rows(self) -> tuple[PersistedRow, ...]:
-        """The rows on its disk."""
+        """Returns the rows on the director's disk."""
         return tuple(
             PersistedRow(kind, key, row.value, row.stored_us)
             for kind, rows in self.disk.rows.items()
@@ -67,7 +69,7 @@
         )
 
     def apply(self, now: int, action: object) -> None:
-        """Carries out an action that concerns this director alone."""
+        """Carries out an action that affects only this director."""
         match action:
             case PersistRow(kind, key, value):
                 self.disk.put(now, kind, key, value)
--- a/rookbend/testing/recovery_origin.py
+++ b/rookbend/testing/recovery_origin.py
@@ -1,6 +1,6 @@
-"""The origin of a simulated fleet (recovery_simulation.py).
+"""The origin of the recovery simulation: it answers calls at a fixed rate and queues them for a limited time.
 
-It answers so many calls a second, queues them for a second, refuses then, and collapses when it is overloaded.
+It refuses calls that would wait longer, and collapses for some seconds when it is overloaded.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 
 @dataclass
 class Environment:
-    """What surrounds the directors.
+    """Parameters of the origin and of the clients' demand.
 
-    `capacity`: calls a second that the origin answers; it collapses for `down_us` beyond `multiple` times that within
-    `window_us`, and queues for `queue_us` at most; a call takes `call_us`. `demand`: requests a second of all clients,
-    `writes` the ratio of writes among them. Of the reads `miss_cold` find no copy at first and `miss_warm` at last;
-    half the way is done after `fills_to_half` fills.
+    The origin answers `calls_per_s`, queues a call for at most `queue_us` and takes `call_us` for it; more than
+    `overload_multiple` times that rate within `window_us` makes it collapse for `down_us`. The clients together send
+    `requests_per_s`, of which `write_ratio` are writes. The miss ratio of reads falls from `cold_miss_ratio` towards
+    `warm_miss_ratio`; every `fills_to_half` fills halve the difference.
     """
 
     calls_per_s: float = 140.0
@@ -36,7 +36,7 @@
 
 
 class Origin:
-    """`falls` counts collapses, `calls` all calls; `most` is the fullest window, 1 being where it collapses."""
+    """The origin. `collapses` and `calls` are counts; `peak_load_ratio` is the highest load; it collapses above 1."""
 
     def __init__(self, environment: Environment):
         self.environment = environment
@@ -48,7 +48,7 @@
         self._down_until_us = 0
 
     def call(self, now: int) -> tuple[bool, int]:
-        """Whether a call is answered, and the microseconds it takes."""
+        """Returns whether a call is answered, and its duration in microseconds."""
         environment = self.environment
         self.calls += 1
         if now < self._down_until_us:
--- a/rookbend/testing/recovery_simulation.py
+++ b/rookbend/testing/recovery_simulation.py
@@ -1,9 +1,8 @@
-"""A fleet of recovery coordinators in simulated time: the program's own, up to hundreds of them, with one origin.
+"""A seeded simulation of up to hundreds of the program's recovery state machines in simulated time, with one origin.
 
-Modelled besides them is the least that shows what they do together: datagrams that are lost, late, duplicated or cut
-between two directors; a coordinator's stream that may be away; a disk each, that may be lost or restored from an old
-copy; demand of reads and writes, spread evenly over the ready directors, of which a ratio that falls as caches fill
-goes to the origin. Seeded; the same seed gives the same run.
+It models datagrams that are lost, delayed, duplicated or cut between two directors, a coordinator's stream that may be
+down, a disk for each director that may be lost or restored from an old copy, and reads and writes, spread evenly over
+the ready directors. The ratio of reads that go to the origin falls as caches fill. The same seed gives the same run.
 """
 
 from __future__ import annotations
@@ -39,9 +38,11 @@
 
 
 class RecoverySimulation:
-    """`recovery` off: directors admit everything from the start. `gossip`: they exchange datagrams, of which `loss` and
-    `duplication` are ratios and `late_us` the mean delay, about. `cut` holds pairs (from, to) that can't communicate;
-    `coordinator`: its stream is up. `datagrams` counts by second since the epoch."""
+    """Without `recovery`, directors admit everything from the start; with `gossip`, they exchange datagrams.
+
+    `loss` and `duplication` are ratios of datagrams, `delay_us` is their minimum delay, and `cut_links` has pairs
+    (from, to) that lose everything. `coordinator`: its stream is up. `datagrams` counts by second since EPOCH.
+    """
 
     def __init__(
         self,
@@ -85,7 +86,7 @@
         heapq.heappush(self._calls, (at_us, self._scheduled, call, args))
 
     def run(self, duration_us: int) -> None:
-        """Simulates so many microseconds."""
+        """Advances simulated time."""
         end_us = self.now + duration_us
         while self._calls and self._calls[0][0] <= end_us:
             self.now, _, call, args = heapq.heappop(self._calls)
@@ -100,35 +101,35 @@
     # Directors
 
     def power_on(self, *numbers: int, spread_us: int = 200_000) -> None:
-        """Starts directors, all where none is named, spread over some time."""
+        """Starts the given directors, or all, at random times within `spread_us`."""
         for number in numbers or range(self.count):
             if self.nodes[number].machine is None:
                 self._schedule(self.now + int(self.random.random() * spread_us), self._start, number)
 
     def power_off(self, *numbers: int) -> None:
-        """Stops directors at once. The disks keep what was synced: in this model all that was put."""
+        """Stops the given directors, or all, at once. Disks keep synced rows, which in this model are all rows."""
         for number in numbers or range(self.count):
             self.nodes[number].power_off()
 
     def lose_disk(self, number: int) -> None:
-        """Puts an empty disk in place."""
+        """Replaces the disk with an empty one."""
         self.restore_disk(number, ({}, 0))
 
     def copy_disk(self, number: int) -> DiskCopy:
-        """A copy for `restore_disk`."""
+        """Returns a copy of the disk for `restore_disk`."""
         node = self.nodes[number]
         rows = {(kind, key): row for kind, rows in node.disk.rows.items() for key, row in rows.items()}
         return rows, node.boot_number
 
     def restore_disk(self, number: int, copy: DiskCopy) -> None:
-        """Puts a copy in place of the disk."""
+        """Replaces the disk with a copy."""
         rows, boot_number = copy
         node = self.nodes[number]
         node.disk = Ledger(DISK_BYTES, dict(rows)) if rows else empty_disk()
         node.boot_number = boot_number
 
     def freeze(self, number: int, frozen: bool) -> None:
-        """Suspends a director, or lets it go on with all that came meanwhile."""
+        """Suspends a director, or resumes it and feeds it the events that arrived in the meantime."""
         node = self.nodes[number]
         node.is_frozen = frozen
         if not frozen:
@@ -201,7 +202,7 @@
     # The coordinator's stream and operators
 
     def _connect_stream(self, number: int) -> None:
-        """The stream comes up, where the coordinator is there; tried again each second."""
+        """Connects the stream of a director if the coordinator is up, and otherwise retries each second."""
         if self.nodes[number].machine is None:
             return
         if not self.coordinator:
@@ -212,7 +213,7 @@
         self._feed(number, events.StreamActive())
 
     def drain(self, name: str, state: MemberState = MemberState.DRAINING) -> None:
-        """The coordinator changes a member's state, and notifies all that are up."""
+        """Changes a member's state at the coordinator, which notifies all running directors."""
         self.revision += 1
         for index, entry in enumerate(self.membership):
             if entry.name != name:
@@ -225,7 +226,7 @@
                     self._feed(node.number, event)
 
     def order(self, number: int, member: str, order: str) -> None:
-        """An operator requests an order at a director."""
+        """Requests an operator's order at a director."""
         self._feed(number, events.OrderRequested(member, order, "kim"))
 
     # Demand and results
@@ -235,7 +236,7 @@
         self._schedule(self.now + STEP_US, self._step_demand)
 
     def stages(self) -> Counter[str]:
-        """How many directors are in each stage, or dark."""
+        """Returns the number of directors in each start-up stage; "dark" counts those that are down."""
         return Counter(
             "dark" if node.machine is None else node.machine.sequence.stage.name.lower() for node in self.nodes
         )
