--- a/rookbend/testing/demo.py
+++ b/rookbend/testing/demo.py
@@ -1,7 +1,7 @@
-"""A fleet on this machine that loses its power and returns: `rookbend demo`.
+"""Demonstrates a power loss and the recovery of a fleet on this machine: `rookbend demo`.
 
-Directors are processes of this program; caches, a parent, the origin, the coordinator and the clients are
-stand-ins (`lab.stage`). What is shown is what crossed the wires, never a director's word.
+Directors are processes of this program; caches, a parent, the origin, the coordinator and the clients are test doubles
+(`rookbend.testing.cluster.stage`). Results come from the observed traffic, not from directors' reports.
 """
 
 from __future__ import annotations
@@ -23,33 +23,33 @@
 
 
 def default_operator_settings() -> str:
-    """Recovery on, and a disk where the library for it is there."""
+    """Returns settings with recovery, and with durable state if its library, apsw, is installed."""
     return RECOVERY + (STATE if find_spec("apsw") else "")
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """Sizes and seconds of a demonstration."""
+    """The size of the fleet and the timing of a demonstration."""
 
     directors: int = 3
     caches: int = 6
     rate: float = 90.0
     seed: int = 7
-    before_outage_s: float = 8.0  # from the first admission to the loss
+    before_outage_s: float = 8.0  # from the first admission to the power loss
     outage_s: float = 2.0
-    after_return_s: float = 20.0  # from the return to the report
-    operator_settings: str | None = None  # None: `default_operators`
+    after_return_s: float = 20.0  # from the return of power to the report
+    operator_settings: str | None = None  # None: `default_operator_settings`
 
 
 class Demo:
-    """`watch(rows)` is called each half second with the table of what there is."""
+    """Runs a demonstration; calls `on_progress(phase, rows)` every REFRESH_INTERVAL_S with the table of processes."""
 
     def __init__(self, plan: Plan, on_progress: Callable[[str, list[list[str]]], None]):
         self.plan, self.on_progress, self.phase = plan, on_progress, "starting"
         self.first_admission_us = self.power_lost_us = self.power_back_us = 0
 
     async def run(self, log_folder: Path | None = None) -> dict:
-        """The report: see `report`. `keep` is a folder for configurations and logs."""
+        """Runs the demonstration and returns its `report`; configurations and logs stay in `log_folder` if given."""
         plan = self.plan
         operator_settings = default_operator_settings() if plan.operator_settings is None else plan.operator_settings
         with tempfile.TemporaryDirectory(prefix="rookbend-demo-") as folder:
@@ -86,7 +86,7 @@
             await trio.sleep(REFRESH_INTERVAL_S)
 
     def rows(self, scene: Scene) -> list[list[str]]:
-        """One row a process: name, what it is, state, and what it has done."""
+        """Returns one row for each process: name, role, state and activity."""
         rows = []
         for name, node in scene.nodes.items():
             state = (
@@ -109,14 +109,18 @@
         return rows
 
     def report(self, scene: Scene) -> dict:
-        """{"rules": {rule: breaches}, "return": [[director, seconds after the power]], "worth": [share by
-        second since the first admission], "lost_at": second, "back_at": second, "falls": {member: n}, ...}"""
+        """Returns the report as an object to encode as JSON.
+
+        `rules` counts violations by rule, `return` has [director, seconds from the return of power to its admission],
+        `worth` the ratio of priority weight earned in each second since the first admission, `lost_at` and `back_at`
+        the seconds of the power loss and of its end, and `falls` the overloads by member.
+        """
         admitted = [
             [who, round((at - self.power_back_us) / 1e6, 2)]
             for at, what, who, _ in scene.record.rows
             if what == "admitted" and at >= self.power_back_us
         ]
-        # What was asked in the last two seconds may be open still.
+        # Requests of the last two seconds may still be open.
         seconds = scene.front.by_second(self.first_admission_us, now_us() - 2_000_000)
         worth = [
             round(got / asked, 3) if asked else None
--- a/rookbend/testing/simulation/__init__.py
+++ b/rookbend/testing/simulation/__init__.py
@@ -1,9 +1,13 @@
-"""A whole fleet in simulated time: real engines and modules, up to hundreds, before modelled caches, parents
-and one origin that tips over.
+"""A fleet in simulated time: up to hundreds of real engines and routers, with modelled caches, parents and origin.
 
-`world` says how large everything is; `cache`, `sources` and `links` what the members do; `catalogue` what is
-asked for; `node` and `fleet` run it and count what comes of it; `careless` is what the module was before. The
-directors' part is the program's own (`Engine` with its `Router`); only sockets and time are modelled.
+`deployment`   sizes and parameters
+`cache`, `sources`, `links`   models of the members and of their links
+`catalogue`   popularity of the requested objects
+`node`, `fleet`, `clock`   directors, clients and results, in simulated time
+`planted_fault`   a router without origin protection, for comparison
+
+The directors run the program's own `Engine` and `Router`; only sockets and time are modelled for them. The origin fails
+for some seconds when it is overloaded.
 """
 
 from rookbend.testing.simulation.deployment import Deployment as Deployment
--- a/rookbend/testing/simulation/cache.py
+++ b/rookbend/testing/simulation/cache.py
@@ -1,7 +1,7 @@
-"""A cache: slots, a queue, copies kept for a time after their last use, a link out.
+"""A model of a cache: slots, a queue, copies that expire after their last use, and an outbound link.
 
-A request holds its slot until its last byte, also while its fill is on the way, so slow fills fill the queues
-of caches that are themselves well.
+A request holds its slot until its last byte is sent, also during its fill, so slow fills fill the queues of caches that
+are healthy themselves.
 """
 
 from __future__ import annotations
@@ -70,7 +70,7 @@
         key = a.request.object_id, a.request.part
         job.call = call = Call(key, job.work_s, answer, job.profile.traffic_class.is_write, a.only_if_cached)
         self.sim.after(self.deployment.source_delay_s, self.sources[a.source].request, call, self.location_link)
-        if not job.profile.traffic_class.is_write:  # a write is not asked for twice
+        if not job.profile.traffic_class.is_write:  # a write is not retried
             self.sim.after(self.deployment.fill_timeout_s, self._fill_timed_out, job, call)
 
     def _fill_timed_out(self, job: Job, call: Call) -> None:
@@ -105,7 +105,10 @@
             self._retry_fill(job, status, detail)
 
     def _cancel_fill(self, job: Job) -> None:
-        """The fill under way is given up where fills end with who asked; else it runs on."""
+        """Cancels the fill in progress of a job.
+
+        If the client has cancelled the job, the fill runs on unless the deployment has `aborts_fills`.
+        """
         call = job.call
         if call is not None and not call.is_closed and (self.deployment.aborts_fills or not job.is_closed):
             call.is_closed = True
--- a/rookbend/testing/simulation/catalogue.py
+++ b/rookbend/testing/simulation/catalogue.py
@@ -1,4 +1,4 @@
-"""Objects by popularity, as many as make the wanted share of requests find no copy."""
+"""The objects of a traffic class by popularity."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Catalogue:
-    """Objects of a kind by Zipf's law, as many as make the wanted share of reads find no copy."""
+    """The objects of a traffic class, requested by Zipf's law; their number is chosen to give the wanted miss ratio."""
 
     def __init__(self, profile: ClassProfile, requests_per_s: float, miss_ratio: float, parts: int):
         lo, hi = 10, 2_000_000
@@ -28,8 +28,11 @@
 
     @staticmethod
     def _miss_ratio(count: int, zipf: float, mean_requests: float) -> float:
-        """In steps of like ranks: the share of requests whose object was not asked for in the time before."""
-        ranks, rank = [], 1  # (how many, the weight of each)
+        """Returns the ratio of requests for objects that were not requested within the retention time.
+
+        `mean_requests` is the mean number of requests in that time. Ranks are grouped; each group is about a tenth of its first rank.
+        """
+        ranks, rank = [], 1  # (number of objects, weight of each)
         while rank <= count:
             until = min(count, int(rank * 1.1) + 1)
             ranks.append((until - rank + 1, ((rank + until) / 2) ** -zipf))
--- a/rookbend/testing/simulation/clock.py
+++ b/rookbend/testing/simulation/clock.py
@@ -1,4 +1,4 @@
-"""Simulated time: what is due, in order, and a clock that engines read."""
+"""Simulated time: a schedule of calls, and a clock for engines."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 class Simulation:
-    """Microseconds. Whatever is due at the same moment runs in the order in which it was asked for."""
+    """A schedule of calls by time in microseconds; calls for the same time run in the order of scheduling."""
 
     def __init__(self):
         self._now, self._scheduled, self._heap = EPOCH, 0, []
 
     @property
     def time(self) -> int:
-        """Microseconds since the beginning."""
+        """Microseconds since the start of the simulation."""
         return self._now - EPOCH
 
     @property
@@ -31,7 +31,7 @@
         self.at(self._now + int(delay_s * 1e6), call, *args)
 
     def run(self, until_us: int) -> None:
-        """Up to that many microseconds since the beginning."""
+        """Runs the calls that are due up to `until_us` microseconds after the start of the simulation."""
         end_us = EPOCH + until_us
         heap = self._heap
         while heap and heap[0][0] <= end_us:
@@ -41,7 +41,7 @@
 
 
 class SimClock:
-    """What `Engine` asks of a clock."""
+    """The clock interface of `Engine`, with simulated time."""
 
     def __init__(self, sim: Simulation):
         self.sim = sim
--- a/rookbend/testing/simulation/fleet.py
+++ b/rookbend/testing/simulation/fleet.py
@@ -1,4 +1,4 @@
-"""The fleet: directors' engines over the modelled members, clients before them, and what came of it."""
+"""The fleet: directors' engines with modelled members and clients, and the results of a run."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 from rookbend.testing.simulation.node import Node
 from rookbend.testing.simulation.sources import Origin, Parent
 
-PARTS, PART_INTERVAL_S = 12, 0.55  # parts of an object that is asked for in order, and the time between two
-LOCATION_LINK_HEADROOM = 1.3  # links into locations, over what is asked of them
-MAX_RETRIES = 3  # a client's, after its first
+PARTS, PART_INTERVAL_S = 12, 0.55  # parts of an object, requested in order at this interval
+LOCATION_LINK_HEADROOM = 1.3  # capacity of the links into locations in proportion to their demand
+MAX_RETRIES = 3  # of a client, after its first request
 
 
 class SimulatedFleet:
-    """`make(settings, seed)` gives a director's module: the program's, or a policy to compare with."""
+    """The fleet; `make_router(settings, seed)` returns a director's router: the program's, or one to compare with."""
 
     def __init__(self, deployment: Deployment, seed: int = 7, make_router=Router):
         self.deployment, self.seed, self.make_router = deployment, seed, make_router
@@ -89,7 +89,7 @@
         row.update(names)
 
     def warm_caches(self) -> None:
-        """Caches and parents hold what was asked for lately, each at its hashed place."""
+        """Fills caches and parents with the objects of recent requests, each at the members that it hashes to."""
         for name, catalogue in self.catalogues.items():
             profile = self.profiles[name]
             requests_per_s = self.deployment.requests_per_s * profile.request_ratio / self.parts(profile)
@@ -108,13 +108,13 @@
         return random.Random(f"{self.seed} {name} {rank}").getrandbits(50)
 
     def work_of(self, request: Request) -> tuple[ClassProfile, float]:
-        """The same for each asking of a part."""
+        """Returns the class and the transfer time of a request; both are the same for every request of a part."""
         profile = self.profiles[request.class_name]
         spread = random.Random(request.object_id * 31 + request.part)
         return profile, profile.mean_work_s * math.exp(spread.gauss(-(profile.sigma**2) / 2, profile.sigma))
 
     def start_clients(self, duration_s: float, load_factor=lambda second: 1.0) -> None:
-        """Requests for so many seconds from now; `shape` multiplies the load."""
+        """Sends requests for `duration_s` from now; `load_factor(second)` multiplies the load."""
         end_us = self.sim.now + int(duration_s * 1e6)
         for profile in self.deployment.profiles:
             requests_per_s = self.deployment.requests_per_s * profile.request_ratio / self.parts(profile)
@@ -204,10 +204,10 @@
         row["worth_milli"] += int(earned * 1000)
         row["owed_milli"] += int(traffic_class.priority_weight * 1000)
 
-    # What came of it
+    # Results
 
     def served_ratio(self, first: int = 0, last: int = 10**6) -> float:
-        """Worth served of what was asked for in those seconds."""
+        """Returns the priority weight earned in proportion to that requested, in seconds `first` to `last`."""
         rows = [r for s, r in self.counts_by_second.items() if first <= s < last]
         requested = sum(r["owed_milli"] for r in rows)
         return sum(r["worth_milli"] for r in rows) / requested if requested else 0.0
--- a/rookbend/testing/simulation/links.py
+++ b/rookbend/testing/simulation/links.py
@@ -1,4 +1,4 @@
-"""A link that transfers share, and copies that are kept for a time, in simulated time."""
+"""A link that is shared by transfers, and copies that expire after their last use, in simulated time."""
 
 from __future__ import annotations
 
@@ -9,7 +9,10 @@
 
 
 class SimulatedLink:
-    """A link out (or into a location), in transfers at full pace; work is seconds of one such transfer."""
+    """The outbound link of a member, or the link into a location.
+
+    Its capacity is a number of transfers at the full rate; the size of a transfer is its seconds at that rate.
+    """
 
     def __init__(self, sim: Simulation, links: float):
         self.sim, self.shared_link, self.callbacks = sim, SharedLink(links), {}
@@ -39,7 +42,7 @@
 
 
 class RetainedCopies:
-    """Copies, each kept for `keep_us` after its last use. Those long gone are dropped as it grows."""
+    """Copies that expire `retention_us` after their last use; long expired ones are removed when a copy is added."""
 
     def __init__(self, sim: Simulation, retention_us: int):
         self.sim, self.retention_us, self.last_used_us = sim, retention_us, {}
--- a/rookbend/testing/simulation/node.py
+++ b/rookbend/testing/simulation/node.py
@@ -1,4 +1,4 @@
-"""A director of a simulated fleet: the program's engine and module, over a backend without sockets."""
+"""A director of a simulated fleet: the program's engine and router, with a backend that has no sockets."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Node:
-    """A director: its engine, and the backend that the engine sends by."""
+    """A director: its engine, and the backend through which the engine sends attempts."""
 
     def __init__(self, fleet, number: int, zone: int):
         self.fleet, self.sim, self.zone = fleet, fleet.sim, zone
@@ -57,10 +57,10 @@
         return AttemptStatus.TIMEOUT
 
     def is_out(self, attempt: Attempt) -> bool:
-        return True  # what is sent is on its way at once
+        return True  # an attempt is on the wire as soon as it is sent
 
     def forget(self, server: int) -> None:
-        pass  # attempts that are out end by themselves
+        pass  # attempts in flight end by themselves
 
     def close_idle(self, server: int) -> None:
         pass  # connections are not modelled
--- a/rookbend/testing/simulation/planted_fault.py
+++ b/rookbend/testing/simulation/planted_fault.py
@@ -1,4 +1,4 @@
-"""The module as it was before it spared the origin: a side to compare with, a fault that tests must find."""
+"""A router without origin protection, as it was before that existed: a baseline, and a fault that tests must detect."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 from rookbend.routing.request_state import Attempt
 
 
-class NoOriginProtection(OriginProtection):
-    """Goes on sending to an origin that refuses calls."""
+class DisabledOriginProtection(OriginProtection):
+    """Never skips an origin, even if it refuses calls."""
 
     def skips_origin(self, request_id: int, now_us: int) -> bool:
         return False
 
 
 class OriginRefusalsAsLateFills(FillMonitor):
-    """Takes the refusals of an origin for a full link."""
+    """Treats the refusals of an origin as late fills, as if its link were full."""
 
     def __init__(self, limit: FillConcurrencyLimit, membership: Membership) -> None:
         super().__init__(limit)
@@ -34,11 +34,11 @@
 
 
 class RouterWithoutOriginProtection(Router):
-    """A router with both rules in place of its own."""
+    """A router with both faults."""
 
     def __init__(self, settings: Settings, seed: int = 0) -> None:
         super().__init__(settings, seed)
-        self.origin_protection = NoOriginProtection(settings, seed)
+        self.origin_protection = DisabledOriginProtection(settings, seed)
         self.reads.origin_protection = self.origin_protection
         self.fill_monitor = OriginRefusalsAsLateFills(self.fill_limit, self.membership)
         self.reads.fill_monitor = self.fill_monitor
--- a/rookbend/testing/simulation/sources.py
+++ b/rookbend/testing/simulation/sources.py
@@ -1,7 +1,8 @@
-"""What caches are filled from: parents with copies of their own, and the origin.
+"""The sources of fills: parents with copies of their own, and the origin.
 
-The origin works with few workers; it turns calls away above a rate, and asked for far more than it can do it
-stops: what it had is never answered, and it takes nothing new. A parent asks again for what is turned away.
+The origin has a limited number of workers. It refuses calls above a rate, and goes down when it is asked for far more
+than its capacity: then running and queued calls are never answered, and new ones are not accepted. A parent retries calls
+that are refused.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 
 
 class Call:
-    """Something asked of a parent or of the origin; `over` once nobody waits for it."""
+    """A call to a parent or to the origin; `is_closed` once it has been answered or cancelled."""
 
     __slots__ = ("attempts", "is_closed", "is_write", "key", "on_answer", "only_if_cached", "work_s")
 
@@ -40,8 +41,8 @@
 class Origin:
     def __init__(self, sim: Simulation, deployment):
         self.sim, self.deployment = sim, deployment
-        self.arrivals_us: deque[int] = deque()  # arrivals of the last window
-        self.accepted_us: deque[int] = deque()  # and of these taken, in the last second
+        self.arrivals_us: deque[int] = deque()  # arrivals in the overload window
+        self.accepted_us: deque[int] = deque()  # arrivals of accepted calls in the last second
         self.queue: deque[Call] = deque()
         self.busy_workers = self.overloads = 0
         self.down_until_us = 0
@@ -52,13 +53,16 @@
         self.counts["asked"] += 1
         if now < self.down_until_us:
             if deployment.is_silent_when_down:
-                return  # who asked finds out by its own time-out
+                return  # the caller times out
             detail = AttemptDetail.SOURCE_UNREACHABLE if call.is_write else AttemptDetail.ORIGIN_FAILED
             return self.sim.after(deployment.source_delay_s, call.on_answer, AttemptStatus.FULL, detail)
         self.arrivals_us.append(now)
         while self.arrivals_us[0] <= now - deployment.origin_window_s * 1e6:
             self.arrivals_us.popleft()
-        if len(self.arrivals_us) > deployment.origin_multiple * deployment.origin_per_s * deployment.origin_window_s:
+        if (
+            len(self.arrivals_us)
+            > deployment.origin_overload_multiple * deployment.origin_per_s * deployment.origin_window_s
+        ):
             self.overloads += 1
             self.down_until_us = now + int(deployment.origin_down_s * 1e6)
             self.arrivals_us.clear()
@@ -66,7 +70,10 @@
             return
         while self.accepted_us and self.accepted_us[0] <= now - 1_000_000:
             self.accepted_us.popleft()
-        if deployment.origin_rate and len(self.accepted_us) >= deployment.origin_rate * deployment.origin_per_s:
+        if (
+            deployment.origin_admission_ratio
+            and len(self.accepted_us) >= deployment.origin_admission_ratio * deployment.origin_per_s
+        ):
             self.counts["refused"] += 1
             return self.sim.after(
                 deployment.source_delay_s, call.on_answer, AttemptStatus.FULL, AttemptDetail.ORIGIN_FAILED
@@ -85,7 +92,7 @@
 
     def _call_finished(self, call: Call, overloads: int) -> None:
         self.busy_workers -= 1
-        if overloads == self.overloads:  # else it stopped in the middle of it
+        if overloads == self.overloads:  # otherwise the origin went down during the call
             self.counts["done"] += 1
             self.counts["wasted"] += call.is_closed
             self.sim.after(self.deployment.source_delay_s, call.on_answer, AttemptStatus.OK, AttemptDetail.ORIGIN_ASKED)
@@ -93,8 +100,10 @@
 
 
 class Parent:
-    """Fills caches from its copies, and itself from the origin. `place` is the link into the asker's
-    location."""
+    """Fills caches from its copies, and its copies from the origin.
+
+    `location_link` is the link into the location of the requesting cache.
+    """
 
     def __init__(self, sim: Simulation, deployment, origin: Origin, retention_us: int):
         self.sim, self.deployment, self.origin = sim, deployment, origin
@@ -139,8 +148,8 @@
     def _send(self, call: Call, location_link: SimulatedLink, detail: AttemptDetail) -> None:
         if call.is_closed:
             return
-        # One after the other, the second as fast as its link goes: both links carry each byte once, and a
-        # transfer that one of them holds up takes nothing of the other meanwhile.
+        # The transfer crosses the parent's link, then the location's link at its full capacity. Each link carries
+        # every byte once, and a transfer delayed by one link takes no capacity of the other meanwhile.
         self.link.send(
             call,
             call.work_s,
