--- a/rookbend/model_checking/bounds.py
+++ b/rookbend/model_checking/bounds.py
@@ -1,4 +1,4 @@
-"""How far the model of the lease protocol goes: its terms in ticks, and how often each thing may happen."""
+"""Bounds of the model of the lease protocol: its terms in ticks, and the maximum number of each kind of step."""
 
 from __future__ import annotations
 
@@ -10,23 +10,23 @@
 
 @dataclass(frozen=True)
 class TickTerms(LeaseTerms):
-    """A lease of three ticks, of which a holder counts one."""
+    """Terms in ticks: a lease lasts three ticks for a voter, and one tick for its holder."""
 
     lease_us: int = 3
-    drift_ratio: float = 1 / 2  # (1 - 1/2) / (1 + 1/2) of 3
+    drift_ratio: float = 1 / 2  # the holder's lease is 3 * (1 - 1/2) / (1 + 1/2) ticks
     handover_us: int = 1
 
 
 class Budget(NamedTuple):
-    """How often each thing may still happen."""
+    """The remaining number of steps of each kind."""
 
-    rounds: int  # of requests, all candidates together
+    rounds: int  # rounds of requests by all candidates together
     ticks: int
     duplicates: int
-    drifts: int  # a tick fast or slow, each process once
-    with_disk: int  # restarts of voters, by what they find
-    without_disk: int
-    stale_disk: int
+    drifts: int  # clocks that gain or lose a tick, at most once in each process
+    with_disk: int  # restarts of voters that find their disk
+    without_disk: int  # restarts of voters that have lost their disk
+    stale_disk: int  # restarts of voters that find the disk as it was before the newest grant
     candidate_restarts: int
     releases: int
     acts: int
@@ -35,9 +35,10 @@
 
 @dataclass(frozen=True)
 class Bounds:
-    """The size of the fleet, and how often each thing of `Budget` may happen in a run.
+    """The size of the fleet, and the `Budget` of a run.
 
-    `clock_tokens`: tokens follow a clock that is never stepped back, else they only count up from what is known.
+    With `clock_tokens`, tokens follow a clock that is never stepped back; otherwise a new token is one above the
+    highest that the candidate knows.
     """
 
     voters: int = 3
@@ -55,8 +56,8 @@
     acts: int = 0
     receiver_restarts: int = 0
     clock_tokens: bool = False
-    known_tokens: tuple[int, ...] = ()  # the highest that each candidate knows at first
+    known_tokens: tuple[int, ...] = ()  # the highest token that each candidate knows at first
 
     def budget(self) -> Budget:
-        """The budget of a run."""
+        """Returns the budget of a run."""
         return Budget(*(getattr(self, name) for name in Budget._fields))
--- a/rookbend/model_checking/candidate_steps.py
+++ b/rookbend/model_checking/candidate_steps.py
@@ -23,7 +23,7 @@
 
 
 def steps(model: ModelRules, state: State, number: int) -> Iterator[tuple[str, State]]:
-    """What the candidate may do: request, check an act, release, restart."""
+    """Yields the steps of a candidate: request, check its lease before an act, release, restart."""
     candidate = state.candidates[number]
     budget = state.budget
     for scope, saved in enumerate(candidate.leases):
@@ -39,7 +39,7 @@
         if budget.releases:
             yield f"release c{number} s{scope}", _release(model, state, number, scope)
     if budget.candidate_restarts:
-        # What it had sent and checked is on its way still; what it knew is gone.
+        # Messages and acts of the candidate are still in flight; its memory is lost.
         idle = (LeaseState(),) * len(candidate.leases)
         restarted = candidate._replace(incarnation=candidate.incarnation + 1, known_token=0, leases=idle)
         spent = state.spend(candidate_restarts=budget.candidate_restarts - 1)
@@ -47,7 +47,7 @@
 
 
 def _request(model: ModelRules, state: State, number: int, scope: int) -> State:
-    """Sends a round of requests: a renewal, another round or a new try."""
+    """Sends a round of requests: a renewal, a further round or a new attempt."""
     candidate = state.candidates[number]
     local = state.now + candidate.drift
     lease = model.lease(state, number, scope)
@@ -80,7 +80,7 @@
 
 
 def vote_received(model: ModelRules, state: State, voter: int, vote: Message) -> State:
-    """The candidate counts a vote; one for an earlier incarnation changes nothing."""
+    """Counts a vote at its candidate; a vote for an earlier incarnation has no effect."""
     candidate = state.candidates[vote.candidate]
     if candidate.incarnation != vote.incarnation:
         return state
@@ -109,13 +109,13 @@
 
 
 def refused(model: ModelRules, state: State, request: Message, highest_token: int) -> State:
-    """The candidate learns the highest token of a voter that refused."""
+    """Tells the candidate the highest token of a voter that has refused its request."""
     candidate = state.candidates[request.candidate]
     if candidate.incarnation != request.incarnation:
         return state
     lease = model.lease(state, request.candidate, request.scope)
     if lease.phase is Phase.REQUESTING and highest_token >= lease.token:
-        lease.abandon()  # with that token the scope can't be had any more
+        lease.abandon()  # the scope can no longer be acquired with this token
         candidate = candidate.with_lease(request.scope, lease_state(lease))
     known_token = max(candidate.known_token, highest_token)
     return state.with_candidate(request.candidate, candidate._replace(known_token=known_token))
--- a/rookbend/model_checking/faults.py
+++ b/rookbend/model_checking/faults.py
@@ -1,5 +1,8 @@
-"""Faults planted into the lease, each a change of a few words that looks harmless; the search must find what
-each breaks within its bounds. `python -m benchmarks.leases_model_checking` prints the table."""
+"""Faults planted into the lease protocol, each a small change that looks harmless.
+
+The search must find the property that each fault breaks within its bounds. `python -m benchmarks.leases_model_checking`
+prints a table of them.
+"""
 
 from __future__ import annotations
 
@@ -16,12 +19,12 @@
 from rookbend.model_checking.bounds import Bounds, TickTerms
 from rookbend.model_checking.lease import LeaseModel
 
-Patch = tuple[object, str, object]  # where, what, with what
+Patch = tuple[object, str, object]  # owner, attribute, replacement
 
 
 @dataclass(frozen=True)
 class Fault:
-    """`breaks` is the property that must be found broken."""
+    """A planted fault; the search must find that `broken_property` does not hold."""
 
     name: str
     description: str
@@ -33,7 +36,7 @@
 
 @contextmanager
 def planted(fault: Fault) -> Iterator[LeaseModel]:
-    """The model with the fault in the program's own classes, while it lasts."""
+    """Patches the fault into the program's own classes for the duration of the block; gives the model."""
     originals = [(owner, attribute, getattr(owner, attribute)) for owner, attribute, _ in fault.patches]
     for owner, attribute, replacement in fault.patches:
         setattr(owner, attribute, replacement)
@@ -67,7 +70,7 @@
 FAULTS = (
     Fault(
         "no-quiet-time",
-        "a voter whose disk is gone votes at once after a start",
+        "a voter that has lost its disk votes immediately after a restart",
         TWO_HOLDERS,
         Bounds(rounds=2, ticks=0, without_disk=1),
         ((Voter, "__init__", faulty_behaviour.start_without_quarantine),),
@@ -75,7 +78,7 @@
     ),
     Fault(
         "kept-grant-is-over",
-        "a grant found on disk counts as run out",
+        "a grant found on disk counts as expired",
         TWO_HOLDERS,
         Bounds(rounds=3, ticks=0, with_disk=1),
         ((Voter, "__init__", faulty_behaviour.start_with_expired_grants),),
@@ -83,7 +86,7 @@
     ),
     Fault(
         "grants-while-granted",
-        "a voter does not look whether its grant to another lasts",
+        "a voter does not check whether its grant to another holder is still valid",
         TWO_HOLDERS,
         Bounds(rounds=3, ticks=0),
         ((Voter, "_wait_us", lambda self, now, grant, holder: 0),),
@@ -91,7 +94,7 @@
     ),
     Fault(
         "token-at-least",
-        "`<` for `<=`: a token is granted a second time",
+        "`<` instead of `<=`: a token is granted a second time",
         TOKEN_REUSED,
         Bounds(rounds=2, ticks=3),
         ((Voter, "request", faulty_behaviour.request_granting_equal_token),),
@@ -99,7 +102,7 @@
     ),
     Fault(
         "half-is-enough",
-        "half of the voters, not more than half",
+        "half of the voters are enough, instead of more than half",
         TWO_HOLDERS,
         Bounds(rounds=2, ticks=0),
         ((lease, "majority_granted_since", faulty_behaviour.majority_of_half_plus(0)),),
@@ -107,14 +110,14 @@
     ),
     Fault(
         "no-drift-margin",
-        "the holder counts all of the lease",
+        "the holder uses the whole lease, without the margin for clock drift",
         TWO_HOLDERS,
         Bounds(rounds=2, ticks=2, drifts=1, known_tokens=(0, 1)),
         model=_without_drift_margin,
     ),
     Fault(
         "counted-from-the-answer",
-        "the lease is counted from the vote, not from the ask",
+        "the lease is counted from the vote, not from the request",
         TWO_HOLDERS,
         Bounds(rounds=2, ticks=3, known_tokens=(0, 1)),
         ((Lease, "record_grant", faulty_behaviour.record_grant_from_vote),),
@@ -122,7 +125,7 @@
     ),
     Fault(
         "one-vote-counts-twice",
-        "a voter that answers two rounds counts as two",
+        "a voter that votes in two rounds counts as two voters",
         TWO_HOLDERS,
         Bounds(rounds=3, ticks=0),
         ((Lease, "record_grant", faulty_behaviour.record_grant_for_other_voter),),
@@ -130,7 +133,7 @@
     ),
     Fault(
         "owner-without-clock",
-        "the owner does not look at its clock",
+        "the holder does not check the expiry of its lease",
         TWO_HOLDERS,
         Bounds(rounds=2, ticks=3, known_tokens=(0, 1)),
         ((Lease, "is_held", lambda self, now: self.phase is Phase.HELD),),
@@ -138,7 +141,7 @@
     ),
     Fault(
         "votes-of-an-earlier-try",
-        "votes outlast giving up",
+        "votes are kept after the candidate abandons its attempt",
         TWO_HOLDERS,
         Bounds(rounds=3, ticks=0, releases=1, known_tokens=(0, 5)),
         (
@@ -149,7 +152,7 @@
     ),
     Fault(
         "late-release",
-        "a doubled release of an earlier token frees the newer grant",
+        "a duplicated release of an earlier token releases the newer grant",
         TWO_HOLDERS,
         Bounds(rounds=3, ticks=0, releases=1, duplicates=1, known_tokens=(0, 5)),
         ((Voter, "release", faulty_behaviour.release_any_token),),
@@ -157,7 +160,7 @@
     ),
     Fault(
         "grant-not-on-disk",
-        "a vote goes out before its grant is on disk",
+        "a vote is sent before its grant is on disk",
         TOKEN_REUSED,
         Bounds(rounds=2, ticks=3, with_disk=1),
         model=_with_prompt_candidates(persists_grants=False, recalls_tokens=False),
@@ -179,7 +182,7 @@
     ),
     Fault(
         "receiver-off-by-one",
-        "a receiver takes the token before the highest",
+        "a receiver accepts the token one below the highest",
         STALE_TOKEN,
         Bounds(rounds=2, ticks=3, acts=2, known_tokens=(0, 1)),
         ((FencingGuard, "accept", faulty_behaviour.accept_equal_or_one_less),),
@@ -187,14 +190,14 @@
     ),
     Fault(
         "receiver-forgets",
-        "a receiver's highest token is not on disk",
+        "a receiver does not persist its highest token",
         STALE_TOKEN,
         Bounds(rounds=2, ticks=3, acts=2, receiver_restarts=1, known_tokens=(0, 1)),
         model=_with_prompt_candidates(persists_tokens=False),
     ),
     Fault(
         "new-voters-at-once",
-        "half of the fleet goes by other voters, without both majorities",
+        "half of the fleet uses a new set of voters, without a majority of both sets",
         TWO_HOLDERS,
         Bounds(voters=4, rounds=2, ticks=0),
         model=_new_voters_at_once,
--- a/rookbend/model_checking/faulty_behaviour.py
+++ b/rookbend/model_checking/faulty_behaviour.py
@@ -1,4 +1,4 @@
-"""Replacements for methods of the lease protocol, each wrong in one respect; `faults` tells what each breaks."""
+"""Faulty replacements for methods of the lease protocol; `faults` names the property that each breaks."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def start_without_quarantine(self: Voter, terms: LeaseTerms, now: int, persisted: Mapping[int, PersistedGrant]) -> None:
-    """A voter's constructor: no quarantine after a start."""
+    """`Voter.__init__`: starts without a quarantine."""
     self.terms, self.quarantine_until_us, self.token_floor = terms, now, 0
     self.grants = {s: Grant(holder, token, now + terms.lease_us) for s, (holder, token) in persisted.items()}
 
@@ -18,13 +18,13 @@
 def start_with_expired_grants(
     self: Voter, terms: LeaseTerms, now: int, persisted: Mapping[int, PersistedGrant]
 ) -> None:
-    """A voter's constructor: no quarantine, and persisted grants have expired."""
+    """`Voter.__init__`: starts without a quarantine, and with persisted grants as expired."""
     self.terms, self.quarantine_until_us, self.token_floor = terms, now, 0
     self.grants = {s: Grant(holder, token, now) for s, (holder, token) in persisted.items()}
 
 
 def request_granting_equal_token(self: Voter, now: int, scope: int, holder: Holder, token: int) -> Vote:
-    """`Voter.request`: grants a token a second time."""
+    """`Voter.request`: also grants a token that equals the highest one."""
     grant = self.grants.get(scope, NO_GRANT)
     if grant.holder == holder and grant.token == token and now < grant.expires_us:
         self.grants[scope] = Grant(holder, token, now + self.terms.lease_us)
@@ -37,7 +37,7 @@
 
 
 def majority_of_half_plus(extra: int) -> Callable[[Quorums, Mapping[int, int]], int]:
-    """`majority_granted_since`: a majority is half of the voters and `extra`."""
+    """Returns a `majority_granted_since` whose majority is half of the voters plus `extra`."""
 
     def majority_granted_since(sets: Quorums, granted_us: Mapping[int, int]) -> int:
         earliest_us = 0
@@ -53,7 +53,7 @@
 
 
 def record_grant_from_vote(self: Lease, now: int, voter: int, round_: int, token: int) -> bool:
-    """`Lease.record_grant`: counts the lease from the vote."""
+    """`Lease.record_grant`: counts the lease from the arrival of the vote."""
     if round_ not in self.rounds_sent_us or token != self.token or self.phase is Phase.IDLE:
         return False
     self.granted_us[voter] = now
@@ -61,7 +61,7 @@
 
 
 def record_grant_for_other_voter(self: Lease, now: int, voter: int, round_: int, token: int) -> bool:
-    """`Lease.record_grant`: counts a second vote of a voter as another's."""
+    """`Lease.record_grant`: counts a second vote of a voter as that of another voter."""
     sent_us = self.rounds_sent_us.get(round_)
     if sent_us is None or token != self.token or self.phase is Phase.IDLE:
         return False
@@ -80,7 +80,7 @@
 
 
 def request_keeping_votes(self: Lease, now: int, token: int) -> int:
-    """`Lease.request`: keeps the votes of the try before."""
+    """`Lease.request`: keeps the votes of the previous attempt."""
     self.phase, self.token, self.expires_us, self.rounds_sent_us = Phase.REQUESTING, token, 0, {}
     return self.next_round(now)
 
@@ -99,7 +99,7 @@
 
 
 def accept_equal_or_one_less(self: FencingGuard, scope: int, token: int) -> bool:
-    """`FencingGuard.accept`: takes the token before the highest."""
+    """`FencingGuard.accept`: also accepts the token one below the highest."""
     if token < self.highest.get(scope, 0) - 1:
         return False
     self.highest[scope] = max(token, self.highest.get(scope, 0))
--- a/rookbend/model_checking/lease.py
+++ b/rookbend/model_checking/lease.py
@@ -1,20 +1,20 @@
-"""A model of voters, candidates and a receiver for `search`: the real `Voter`, `Lease` and `FencingGuard`.
+"""A model of voters, candidates and a receiver for `search`, with the program's `Voter`, `Lease` and `FencingGuard`.
 
-Around them a network loses, delays, duplicates and reorders, clocks drift, processes stop, restart and lose disks.
+The network loses, delays, duplicates and reorders messages, clocks drift, processes stop, restart and lose disks.
 
-Time is a few ticks: a lease of 3, of which a holder counts 1, so that a voter's clock may gain a tick and a holder's
-lose one. A process that is stopped is one that takes no step while the others do; its clock goes on. An act is two
-steps, the check before it and its arrival at the receiver: whatever happens between them may.
+Time is a few ticks: a lease lasts 3 for a voter and 1 for its holder, so that a voter's clock may gain a tick and a
+holder's may lose one. A stopped process takes no step while others do, but its clock goes on. An act, which is work
+under a lease, has two steps: the check of the lease and the arrival at the receiver. Any steps may happen in between.
 
-What is checked in each state and step (docs/OWNERSHIP.md has the words):
+The properties that are checked in each state and step (docs/OWNERSHIP.md defines them):
 
-    two holders     never two in effect of one scope, each by its own clock
-    old token       no receiver takes an older token after a newer one
-    token twice     no token of a scope is ever two holders'
+    two holders     a scope never has two holders at once, each by its own clock
+    old token       no receiver accepts an older token after a newer one
+    token twice     no token of a scope is ever held by two holders
     token back      a holder's token is above that of every holder before it
 
-Reductions that lose nothing: a refusal reaches its candidate at once or never (it only raises the token that is
-requested with next), and a vote for an incarnation that has ended is dropped.
+Reductions that preserve all violations: a refusal reaches its candidate at once or never (it only raises the token of
+the next request), and a vote for an incarnation that has ended is dropped.
 """
 
 from __future__ import annotations
@@ -39,10 +39,10 @@
 
 
 class LeaseModel(ModelRules):
-    """The model under its rules."""
+    """The model of the lease protocol; see `Model` in `search` for its methods."""
 
     def initial_states(self) -> Iterator[State]:
-        """The one state at the beginning."""
+        """Yields the single initial state."""
         bounds = self.bounds
         idle = (LeaseState(),) * bounds.scopes
         known_tokens = bounds.known_tokens or (0,) * bounds.candidates
@@ -51,9 +51,9 @@
         yield State(BEGAN_TICK, 0, (VoterState(),) * bounds.voters, candidates, receivers, (), bounds.budget())
 
     def canonical(self, state: State) -> Hashable:
-        """The same for states that differ only in the numbers of the voters."""
+        """Returns the same value for states that differ only in the numbering of the voters."""
         if self.quorums_by_candidate:
-            return state  # voters are not alike
+            return state  # the voters are not interchangeable
         rows = []
         for number, voter in enumerate(state.voters):
             granted = tuple(
@@ -78,7 +78,7 @@
         )
 
     def broken_property(self, state: State) -> str:
-        """The property that the state breaks, or empty."""
+        """Returns the name of the property that the state breaks, or an empty string."""
         for scope in range(self.bounds.scopes):
             holders = 0
             for number, candidate in enumerate(state.candidates):
@@ -89,7 +89,7 @@
         return VIOLATION_NAMES[state.violation]
 
     def steps(self, state: State) -> Iterator[tuple[str, State]]:
-        """All steps out of a state: (name, the state it leads to)."""
+        """Yields all steps from a state, as (name, next state)."""
         for name, after in self._all_steps(state):
             yield name, self._without_lost_votes(after)
 
@@ -110,7 +110,7 @@
         if not budget.drifts:
             return
         spent = state.spend(drifts=budget.drifts - 1)
-        # Only a fast voter does harm, only a slow candidate.
+        # Only a fast voter or a slow candidate can break a property.
         for number, voter in enumerate(state.voters):
             if not voter.drift:
                 yield f"fast v{number}", spent.with_voter(number, voter._replace(drift=1))
@@ -120,7 +120,7 @@
 
     @staticmethod
     def _without_lost_votes(state: State) -> State:
-        """Drops the votes for incarnations that have ended."""
+        """Returns the state without votes for incarnations that have ended."""
         for number, voter in enumerate(state.voters):
             if not voter.outbox:
                 continue
--- a/rookbend/model_checking/lease_state.py
+++ b/rookbend/model_checking/lease_state.py
@@ -1,6 +1,6 @@
-"""States of the model of the lease protocol: tuples, and the program's objects made from them and back.
+"""States of the model of the lease protocol as tuples, and their conversion to and from the program's objects.
 
-Messages lie with the voter that they go to or come from, so voters are alike but for their number.
+Each message is stored with the voter that receives or sends it, so that voters differ only in their number.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from rookbend.leases.voter import Grant, PersistedGrant, Voter
 from rookbend.model_checking.bounds import Budget
 
-BEGAN_TICK = 10  # no time is 0
+BEGAN_TICK = 10  # not 0, because a time of 0 means none
 PHASES = tuple(Phase)
 HELD_PHASE = PHASES.index(Phase.HELD)
 REQUEST, RELEASE, VOTE = 1, 2, 3
@@ -22,7 +22,7 @@
 
 
 class Violation(IntEnum):
-    """What a step broke."""
+    """The property that a step broke."""
 
     NONE = 0
     STALE_TOKEN = 1
@@ -31,7 +31,7 @@
 
 
 class Message(NamedTuple):
-    """A message between a candidate and the voter that it lies with."""
+    """A message between a candidate and the voter with which it is stored."""
 
     kind: int
     candidate: int
@@ -42,7 +42,7 @@
 
 
 class VoterState(NamedTuple):
-    """`stale_disk` is the disk before the newest grant."""
+    """The state of a voter; `stale_disk` is its disk before the newest grant."""
 
     grants: tuple[tuple[int, Grant], ...] = ()
     token_floor: int = 0
@@ -54,7 +54,7 @@
     outbox: tuple[Message, ...] = ()
 
     def voter(self, terms: LeaseTerms) -> Voter:
-        """The program's object."""
+        """Returns the program's `Voter` in this state."""
         voter = object.__new__(Voter)
         voter.terms = terms
         voter.token_floor = self.token_floor
@@ -63,13 +63,13 @@
         return voter
 
     def with_voter(self, voter: Voter) -> VoterState:
-        """This state after the program's object has changed."""
+        """Returns this state with the values of the program's `Voter`."""
         grants = tuple(sorted(voter.grants.items()))
         return VoterState(grants, voter.token_floor, voter.quarantine_until_us, *self[3:])
 
 
 class LeaseState(NamedTuple):
-    """One scope at one candidate; `phase` is an index of `PHASES`."""
+    """The lease of one scope at one candidate; `phase` is an index of `PHASES`."""
 
     phase: int = 0
     token: int = 0
@@ -79,7 +79,7 @@
     granted: tuple[tuple[int, int], ...] = ()
 
     def lease(self, scope: int, holder: Holder, terms: LeaseTerms, quorums: Quorums) -> Lease:
-        """The program's object."""
+        """Returns the program's `Lease` in this state."""
         lease = Lease(scope, holder, terms, quorums)
         lease.phase = PHASES[self.phase]
         lease.token = self.token
@@ -91,7 +91,7 @@
 
 
 def lease_state(lease: Lease) -> LeaseState:
-    """The state of the program's object."""
+    """Returns the state of the program's `Lease`."""
     return LeaseState(
         PHASES.index(lease.phase),
         lease.token,
@@ -103,14 +103,14 @@
 
 
 class Act(NamedTuple):
-    """Work under a lease that was checked and has not arrived at its receiver."""
+    """Work under a lease that the candidate has checked, in flight to its receiver."""
 
     scope: int
     token: int
 
 
 class CandidateState(NamedTuple):
-    """`known_token` is the highest that it knows; `leases` by scope."""
+    """The state of a candidate; `known_token` is the highest token that it knows, `leases` is by scope."""
 
     incarnation: int
     drift: int
@@ -119,12 +119,12 @@
     acts: tuple[Act, ...] = ()
 
     def with_lease(self, scope: int, lease: LeaseState) -> CandidateState:
-        """This state with another lease of that scope."""
+        """Returns this state with the lease of a scope replaced."""
         return self._replace(leases=replaced(self.leases, scope, lease))
 
 
 class ReceiverState(NamedTuple):
-    """`highest` is what it has seen, `accepted` the highest that truly took effect."""
+    """The state of a receiver; `highest` is the token that it remembers, `accepted` the highest that took effect."""
 
     highest: int = 0
     disk: int = 0
@@ -132,7 +132,7 @@
 
 
 class Acquisition(NamedTuple):
-    """A lease that was once held."""
+    """A lease that is or was held."""
 
     scope: int
     token: int
@@ -152,18 +152,18 @@
     budget: Budget
 
     def with_voter(self, number: int, voter: VoterState) -> State:
-        """This state with another state of that voter."""
+        """Returns this state with the state of a voter replaced."""
         return self._replace(voters=replaced(self.voters, number, voter))
 
     def with_candidate(self, number: int, candidate: CandidateState) -> State:
-        """This state with another state of that candidate."""
+        """Returns this state with the state of a candidate replaced."""
         return self._replace(candidates=replaced(self.candidates, number, candidate))
 
     def spend(self, **budget: int) -> State:
-        """This state with these figures of the budget."""
+        """Returns this state with the given values of the budget."""
         return self._replace(budget=self.budget._replace(**budget))
 
 
 def replaced(rows: tuple[Row, ...], index: int, row: Row) -> tuple[Row, ...]:
-    """The rows with one of them replaced."""
+    """Returns the rows with one of them replaced."""
     return (*rows[:index], row, *rows[index + 1 :])
--- a/rookbend/model_checking/receiver_steps.py
+++ b/rookbend/model_checking/receiver_steps.py
@@ -10,7 +10,7 @@
 
 
 def steps(model: ModelRules, state: State, scope: int) -> Iterator[tuple[str, State]]:
-    """What may happen at the receiver of a scope: an act arrives, it restarts."""
+    """Yields the steps of the receiver of a scope: an act arrives, the receiver restarts."""
     for number, candidate in enumerate(state.candidates):
         for token in sorted({act.token for act in candidate.acts if act.scope == scope}):
             yield f"act c{number} s{scope} {token}", _act_arrived(model, state, number, Act(scope, token))
--- a/rookbend/model_checking/rules.py
+++ b/rookbend/model_checking/rules.py
@@ -1,4 +1,4 @@
-"""The rules of one model of the lease protocol: its bounds, and what the drivers do."""
+"""The parameters of a model of the lease protocol: its bounds, and the behaviour of the drivers."""
 
 from __future__ import annotations
 
@@ -13,10 +13,11 @@
 
 @dataclass
 class ModelRules:
-    """The flags are what the drivers must do, and do not in a planted fault.
+    """The parameters; each flag is something that the drivers must do, and that a planted fault turns off.
 
-    Candidates from `first_prompt_candidate` on receive a vote as it is given; their requests still wait.
-    `quorums_by_candidate`: sets of voters that each goes by; else all voters are the one set of all.
+    Candidates from number `first_prompt_candidate` on receive votes without delay; their requests are still delayed.
+    `quorums_by_candidate` has the sets of voters that each candidate uses; without it, all candidates use one set of
+    all voters.
     """
 
     bounds: Bounds = field(default_factory=Bounds)
@@ -28,7 +29,7 @@
     quorums_by_candidate: tuple[Quorums, ...] = ()
 
     def lease(self, state: State, candidate: int, scope: int) -> Lease:
-        """The program's object of a candidate's lease."""
+        """Returns the program's `Lease` of a candidate."""
         quorums: Quorums = (frozenset(range(self.bounds.voters)),)
         if self.quorums_by_candidate:
             quorums = self.quorums_by_candidate[candidate]
--- a/rookbend/model_checking/search.py
+++ b/rookbend/model_checking/search.py
@@ -1,7 +1,7 @@
-"""Breadth-first search over states that are tuples: all of them to a depth, or to a number of states.
+"""Breadth-first search of the states of a model, up to a depth or to a number of states.
 
-A model gives its first states, the steps out of one, and what is wrong with one. A state that was seen, or whose
-canonical form was, is not entered again. The path to the first wrong state is kept as steps.
+A model gives its initial states, the steps from a state, and the property that a state breaks. A state whose canonical
+form has been visited is not visited again. The search records the steps to the first state that breaks a property.
 """
 
 from __future__ import annotations
@@ -12,29 +12,32 @@
 from multiprocessing.pool import Pool
 from typing import Any, NamedTuple, Protocol
 
-MAX_CHUNK_STATES = 2_000  # of one task of a process
+MAX_CHUNK_STATES = 2_000  # in one task of a worker process
 CHUNKS_PER_JOB = 4
 
 
 class Model(Protocol):
-    """What is searched; its states are hashable."""
+    """A model to search; its states are hashable."""
 
     def initial_states(self) -> Iterable[Any]:
-        """The states at the beginning."""
+        """Returns the initial states."""
 
     def steps(self, state: Any) -> Iterable[tuple[str, Any]]:
-        """The steps out of a state: (name, the state it leads to)."""
+        """Returns the steps from a state, as (name, next state)."""
 
     def canonical(self, state: Any) -> Hashable:
-        """The same for states that differ only in the names of like parts."""
+        """Returns the canonical form: equal for states that differ only in the numbering of interchangeable parts."""
 
     def broken_property(self, state: Any) -> str:
-        """The property that the state breaks, or empty."""
+        """Returns the name of the property that the state breaks, or an empty string."""
 
 
 @dataclass(slots=True)
 class Found:
-    """`complete`: everything to `depth` was seen. `path` leads to what is `wrong`."""
+    """The result of a search; if it is `complete`, all states up to `depth` were visited.
+
+    `path` has the steps to the state that breaks `broken_property`.
+    """
 
     states: int = 0
     steps: int = 0
@@ -46,16 +49,16 @@
 
 
 class NumberedState(NamedTuple):
-    """A state that was entered."""
+    """A visited state."""
 
     number: int
     state: Any
 
 
 class Successor(NamedTuple):
-    """A step out of the state at `parent_index` of a list; `key` is the hash of the canonical form of where it leads.
+    """A step from the state at `parent_index` of a list; `key` is the hash of the canonical form of the next state.
 
-    `state` is None where the list led to the same key before: it is not sent to another process twice.
+    `state` is None if an earlier step from the same list led to the same key, so that it is sent between processes once.
     """
 
     parent_index: int
@@ -65,11 +68,11 @@
     broken_property: str
 
 
-_model: Model | None = None  # what forked processes search
+_model: Model | None = None  # inherited by forked worker processes
 
 
 def _expand(states: list[Any]) -> list[Successor]:
-    assert _model is not None, "set by search"
+    assert _model is not None, "search sets the model before it starts workers"
     successors: list[Successor] = []
     keys: set[int] = set()
     for index, state in enumerate(states):
@@ -90,12 +93,12 @@
         self._model = model
         self._max_states = max_states
         self.found = Found()
-        self._parents: dict[int, tuple[int, str]] = {}  # by state: its parent and the step from there
+        self._parents: dict[int, tuple[int, str]] = {}  # by state number: the parent's number and the step
         self._seen: set[int] = set()
         self.frontier: list[NumberedState] = []
 
     def begin(self) -> bool:
-        """Enters the first states; whether the search ends with them."""
+        """Visits the initial states; returns whether the search ends with them."""
         for state in self._model.initial_states():
             key = hash(self._model.canonical(state))
             if key not in self._seen:
@@ -108,14 +111,14 @@
         return False
 
     def chunks(self, jobs: int) -> list[list[NumberedState]]:
-        """The states of this depth, in tasks for the processes."""
+        """Returns the states of the current depth, divided into tasks for worker processes."""
         size = MAX_CHUNK_STATES
         if jobs > 1:
             size = max(1, min(size, len(self.frontier) // (CHUNKS_PER_JOB * jobs) + 1))
         return [self.frontier[start : start + size] for start in range(0, len(self.frontier), size)]
 
     def enter_level(self, chunks: list[list[NumberedState]], results: Iterable[Sequence[Successor]]) -> bool:
-        """Enters the successors of all chunks; whether the search ends with them."""
+        """Visits the successors of all chunks; returns whether the search ends with them."""
         level: list[NumberedState] = []
         for chunk, successors in zip(chunks, results, strict=True):
             for successor in successors:
@@ -131,7 +134,7 @@
         return False
 
     def _enter(self, parent: int, successor: Successor) -> bool:
-        """Whether the state is new."""
+        """Counts a step; returns whether it leads to a new state."""
         found = self.found
         found.steps += 1
         kind = successor.step.partition(" ")[0]
@@ -160,9 +163,9 @@
     jobs: int = 1,
     progress: Callable[[Found], None] | None = None,
 ) -> Found:
-    """Ends at the first wrong state, after `most_depth` steps, or past `most_states`.
+    """Searches until a state breaks a property, to `max_depth` steps, or until `max_states` states are visited.
 
-    With `jobs` over 1 the model must be one that forked processes may hold. `progress` is called after each depth.
+    With `jobs` above 1, the model must be usable in forked processes. `progress` is called after each depth.
     """
     global _model
     _model = model
@@ -190,7 +193,7 @@
     while current.frontier and current.found.depth < max_depth:
         chunks = current.chunks(jobs)
         states = [[numbered.state for numbered in chunk] for chunk in chunks]
-        # The whole level: a pool that is ended amid its work may never end.
+        # Waits for the whole level: a pool that is closed during its work may never terminate.
         results = pool.map(_expand, states, 1) if pool is not None else map(_expand, states)
         if current.enter_level(chunks, results):
             return current.found
--- a/rookbend/model_checking/voter_steps.py
+++ b/rookbend/model_checking/voter_steps.py
@@ -12,7 +12,7 @@
 
 
 def steps(model: ModelRules, state: State, number: int) -> Iterator[tuple[str, State]]:
-    """What may happen at the voter: a message arrives or its vote does, it restarts."""
+    """Yields the steps of a voter: a message arrives, one of its votes arrives at the candidate, the voter restarts."""
     voter = state.voters[number]
     for index, message in enumerate(voter.inbox):
         if index and voter.inbox[index - 1] == message:
@@ -54,7 +54,8 @@
     row = state.voters[number]
     voter = Voter(model.terms, state.now + row.drift, dict(disk))
     if recalls_tokens:
-        # It asks while it is in quarantine; that the others answer is what one restart without a disk means.
+        # The voter asks the others during its quarantine. They all answer, because the model assumes that a voter
+        # without a disk restarts only while the others are available.
         others = (other.voter(model.terms) for peer, other in enumerate(state.voters) if peer != number)
         voter.raise_token_floor(max((other.highest_token for other in others), default=0))
     return state.with_voter(number, row.with_voter(voter)._replace(disk=disk))
--- a/rookbend/testing/simulation/catalogue.py
+++ b/rookbend/testing/simulation/catalogue.py
@@ -21,24 +21,27 @@
                 hi = count
         self.count = hi
         weights = [1 / (i + 1) ** profile.zipf for i in range(self.count)]
-        total, cumulative, self.sums = sum(weights), 0.0, []
+        total_weight, cumulative, self.sums = sum(weights), 0.0, []
         for w in weights:
-            cumulative += w / total
+            cumulative += w / total_weight
             self.sums.append(cumulative)
 
     @staticmethod
     def _miss_ratio(count: int, zipf: float, mean_requests: float) -> float:
         """Returns the ratio of requests for objects that were not requested within the retention time.
 
-        `mean_requests` is the mean number of requests in that time. Ranks are grouped; each group is about a tenth of its first rank.
+        `mean_requests` is the mean number of requests in that time. Objects are grouped by rank; the last rank of a
+        group is about 1.1 times the first.
         """
         ranks, rank = [], 1  # (number of objects, weight of each)
         while rank <= count:
-            until = min(count, int(rank * 1.1) + 1)
-            ranks.append((until - rank + 1, ((rank + until) / 2) ** -zipf))
-            rank = until + 1
-        total = sum(many * weight for many, weight in ranks)
-        return sum(many * weight / total * math.exp(-weight / total * mean_requests) for many, weight in ranks)
+            last_rank = min(count, int(rank * 1.1) + 1)
+            ranks.append((last_rank - rank + 1, ((rank + last_rank) / 2) ** -zipf))
+            rank = last_rank + 1
+        total_weight = sum(size * weight for size, weight in ranks)
+        return sum(
+            size * weight / total_weight * math.exp(-weight / total_weight * mean_requests) for size, weight in ranks
+        )
 
     def draw(self, value: float) -> int:
         return min(bisect.bisect_left(self.sums, value), self.count - 1)
--- a/rookbend/testing/simulation/sources.py
+++ b/rookbend/testing/simulation/sources.py
@@ -1,8 +1,8 @@
 """The sources of fills: parents with copies of their own, and the origin.
 
 The origin has a limited number of workers. It refuses calls above a rate, and goes down when it is asked for far more
-than its capacity: then running and queued calls are never answered, and new ones are not accepted. A parent retries calls
-that are refused.
+than its capacity: then running and queued calls are never answered, and new ones are not accepted. A parent retries
+refused calls.
 """
 
 from __future__ import annotations
