--- a/rookbend/model_checking/search.py
+++ b/rookbend/model_checking/search.py
@@ -58,7 +58,7 @@
 class Successor(NamedTuple):
     """A step from the state at `parent_index` of a list; `key` is the hash of the canonical form of the next state.
 
-    `state` is None if an earlier step from the same list led to the same key, so that it is sent between processes once.
+    `state` is None if an earlier step from the same list led to the same key: it is sent between processes once.
     """
 
     parent_index: int
--- a/tests/test_counter_totals.py
+++ b/tests/test_counter_totals.py
@@ -1,8 +1,8 @@
-"""Counts across a fleet: each life's last counters count once, dropped lines count back."""
+"""Totals of a fleet's counters: the last counters of each incarnation count, and dropped log lines are added."""
 
 from rookbend.testing.counter_totals import FleetTotals, parse_line
 
-LIFE = [
+INCARNATION_LOG = [
     "timestamp=t level=info event=ready director=n0",
     'timestamp=t level=warning event=member_garbage member=c1 reason="an answer stopped short"',
     "timestamp=t level=warning event=member_garbage member=c1 reason=x dropped=4",
@@ -11,9 +11,12 @@
 ]
 
 
-def test_a_lifes_last_counters_count_and_a_restart_adds_the_next():
+def test_last_counters_of_each_incarnation_are_summed():
     totals = FleetTotals()
-    totals.add_log("n0", LIFE + LIFE[:1] + ["Traceback (most recent call last):", "event=counters connects=2"])
+    totals.add_log(
+        "n0",
+        INCARNATION_LOG + INCARNATION_LOG[:1] + ["Traceback (most recent call last):", "event=counters connects=2"],
+    )
     totals.add_log("n1", ['{"event": "counters", "connects": 30, "level": "info"}'])
     report = totals.report()
     assert report["counters"] == {"connects": 9 + 2 + 30, "attempts": 12}
@@ -22,5 +25,5 @@
     assert report["unreadable_lines"] == 1 and report["directors"] == 2
 
 
-def test_lines_that_are_no_event_give_nothing():
+def test_lines_without_an_event_have_no_fields():
     assert parse_line("plain text") == {} and parse_line('{"a": ') == {} and parse_line('a="open') == {}
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -1,4 +1,4 @@
-"""The demonstration runs through: a fleet is lost and returns, the report says how, no rule is broken."""
+"""The demonstration: a fleet loses power and recovers, the report shows the recovery, and no rule is violated."""
 
 import json
 import os
@@ -6,18 +6,18 @@
 import sys
 
 
-def test_the_demo_loses_its_power_returns_and_reports(tmp_path):
-    words = [sys.executable, "-m", "rookbend", "demo", "--json", "--calm", "2", "--after", "4", "--keep", tmp_path]
-    ended = subprocess.run(words, text=True, capture_output=True, env={**os.environ})
-    assert ended.returncode == 0, ended.stdout + ended.stderr
-    report = json.loads(ended.stdout)
+def test_demo_reports_the_recovery_from_a_power_loss(tmp_path):
+    command = [sys.executable, "-m", "rookbend", "demo", "--json", "--calm", "2", "--after", "4", "--keep", tmp_path]
+    completed = subprocess.run(command, text=True, capture_output=True, env={**os.environ})
+    assert completed.returncode == 0, completed.stdout + completed.stderr
+    report = json.loads(completed.stdout)
     assert sorted(name for name, _ in report["return"]) == ["n0", "n1", "n2"]
     assert report["breaches"] == [] and report["seen"] > 100
     assert (tmp_path / "n0" / "log").stat().st_size
 
 
-def test_the_demo_refuses_a_size_it_can_not_hold():
-    ended = subprocess.run(
+def test_demo_rejects_an_unsupported_number_of_directors():
+    completed = subprocess.run(
         [sys.executable, "-m", "rookbend", "demo", "--directors", "0"], text=True, capture_output=True
     )
-    assert ended.returncode == 2 and ended.stderr == "rookbend: --directors: 1 to 40\n"
+    assert completed.returncode == 2 and completed.stderr == "rookbend: --directors: 1 to 40\n"
--- a/tests/test_invariant_checker.py
+++ b/tests/test_invariant_checker.py
@@ -1,4 +1,4 @@
-"""The rules' checker: a good run breaks nothing, and a planted fault for each rule is seen."""
+"""The invariant checker finds no violation in a correct run, and detects a planted fault for each rule."""
 
 import pytest
 
@@ -19,75 +19,78 @@
 from rookbend.testing.weighted_score import ClassObjective, RequestOutcome, earned_weight, score_run
 
 MS, SECOND = 1_000, 1_000_000
-WARMTH = SlowStart(capacity=10.0, cold_ratio=0.2, warm_up_us=10 * SECOND, overload_multiple=4.0)
+SLOW_START = SlowStart(capacity=10.0, cold_ratio=0.2, warm_up_us=10 * SECOND, overload_multiple=4.0)
 
 
-def read(rid="r", at=0, once=False):
-    return RequestSent(at, rid, "n1", once, at + 2 * SECOND, ("obj", 0), 17)
+def request(request_id="r", at=0, at_most_once=False):
+    return RequestSent(at, request_id, "n1", at_most_once, at + 2 * SECOND, ("obj", 0), 17)
 
 
-def good(rid="r", at=0, member="c1", t0=0, digest="d"):
+def success(request_id="r", at=0, member="c1", copied_us=0, digest="d"):
     return [
-        AttemptReceived(at + 10 * MS, rid, member, at + 9 * MS, "p1"),
-        AttemptAnswered(at + 20 * MS, rid, member, True, True, t0, digest),
+        AttemptReceived(at + 10 * MS, request_id, member, at + 9 * MS, "p1"),
+        AttemptAnswered(at + 20 * MS, request_id, member, True, True, copied_us, digest),
     ]
 
 
-def served(rid="r", at=30 * MS, digest="d"):
-    return ResponseReceived(at, rid, "served", digest)
+def response(request_id="r", at=30 * MS, digest="d"):
+    return ResponseReceived(at, request_id, "served", digest)
 
 
-def missed(rid="r", at=0, member="c1", ran=False):
-    return [AttemptReceived(at, rid, member, at), AttemptAnswered(at + MS, rid, member, ran)]
+def failure(request_id="r", at=0, member="c1", may_have_executed=False):
+    return [
+        AttemptReceived(at, request_id, member, at),
+        AttemptAnswered(at + MS, request_id, member, may_have_executed),
+    ]
 
 
-def judge(*events, until=60 * SECOND):
+def check(*events, until_us=60 * SECOND):
     checker = InvariantChecker()
     for event in events:
-        for one in event if isinstance(event, list) else [event]:
-            checker.observe(one)
-    checker.close_expired(until)
+        for single_event in event if isinstance(event, list) else [event]:
+            checker.observe(single_event)
+    checker.close_expired(until_us)
     return checker
 
 
-def test_a_good_run_breaks_nothing_and_leaves_nothing():
-    checker = judge(
+def test_correct_run_has_no_violation_and_leaves_no_open_request():
+    checker = check(
         MembershipSent(0, "n1", "c9", MemberStatus.DRAINING),
         PurgeSent(0, "n1", 0, "obj"),
-        MemberStarted(0, "c1", WARMTH),
-        read(),
-        missed(at=MS, member="c2"),
-        good(),
-        served(),
-        read("w", once=True),
-        missed("w", 40 * MS),
-        good("w", 50 * MS, "records"),
-        served("w", 90 * MS),
-        read("gone"),
+        MemberStarted(0, "c1", SLOW_START),
+        request(),
+        failure(at=MS, member="c2"),
+        success(),
+        response(),
+        request("w", at_most_once=True),
+        failure("w", 40 * MS),
+        success("w", 50 * MS, "records"),
+        response("w", 90 * MS),
+        request("gone"),
         ClientClosed(50 * MS, "gone"),
-        read("full"),
-        missed("full", 2 * MS),
+        request("full"),
+        failure("full", 2 * MS),
         ResponseReceived(9 * MS, "full", "refused"),
     )
     assert checker.violations == [] and checker.requests == {} and checker.observed_events == 21
 
 
-LATE = 700 * MS
+AFTER_GRACE = 700 * MS
 
 
 @pytest.mark.parametrize(
     "rule, events",
     [
-        ("answer", [read()]),
-        ("answer", [read(), good(), served(), served()]),
-        ("answer", [read(), good(), served(at=2 * SECOND + 51 * MS)]),
-        ("answer", [read(), ResponseReceived(MS, "r", "failed", is_whole=False)]),
-        ("answer", [ResponseReceived(MS, "nobody", "failed")]),
-        ("attempts", [read(), *[missed(at=i * 9 * MS) for i in range(7)], ResponseReceived(SECOND, "r", "failed")]),
+        ("answer", [request()]),
+        ("answer", [request(), success(), response(), response()]),
+        ("answer", [request(), success(), response(at=2 * SECOND + 51 * MS)]),
+        ("answer", [request(), ResponseReceived(MS, "r", "failed", is_whole=False)]),
+        ("answer", [ResponseReceived(MS, "unknown", "failed")]),
+        ("attempts", [request(), *[failure(at=i * 9 * MS) for i in range(7)], ResponseReceived(SECOND, "r", "failed")]),
         (
             "attempts",
             [
-                read(),
+                request(),
                 AttemptReceived(MS, "r", "c1", MS),
                 AttemptReceived(2 * MS, "r", "c2", MS),
                 AttemptAnswered(3 * MS, "r", "c1", False),
@@ -95,13 +98,24 @@
                 ResponseReceived(9 * MS, "r", "failed"),
             ],
         ),
-        ("attempts", [AttemptReceived(MS, "nobody", "c1", MS)]),
-        ("repeat", [read(once=True), missed(ran=True), missed(at=9 * MS), ResponseReceived(SECOND, "r", "failed")]),
-        ("repeat", [read(once=True), missed(ran=True), ResponseReceived(SECOND, "r", "refused")]),
+        ("attempts", [AttemptReceived(MS, "unknown", "c1", MS)]),
+        (
+            "repeat",
+            [
+                request(at_most_once=True),
+                failure(may_have_executed=True),
+                failure(at=9 * MS),
+                ResponseReceived(SECOND, "r", "failed"),
+            ],
+        ),
+        (
+            "repeat",
+            [request(at_most_once=True), failure(may_have_executed=True), ResponseReceived(SECOND, "r", "refused")],
+        ),
         (
             "repeat",
             [
-                read(once=True),
+                request(at_most_once=True),
                 AttemptReceived(MS, "r", "c1", MS),
                 ResponseReceived(9 * MS, "r", "refused"),
                 AttemptAnswered(SECOND, "r", "c1", True),
@@ -111,72 +125,93 @@
             "drain",
             [
                 MembershipSent(0, "n1", "c1", MemberStatus.DRAINING),
-                read(at=LATE),
-                good(at=LATE),
-                served(at=LATE + 30 * MS),
+                request(at=AFTER_GRACE),
+                success(at=AFTER_GRACE),
+                response(at=AFTER_GRACE + 30 * MS),
             ],
         ),
         (
             "drain",
-            [MembershipSent(0, "n1", "p1", MemberStatus.GONE), read(at=LATE), good(at=LATE), served(at=LATE + 30 * MS)],
+            [
+                MembershipSent(0, "n1", "p1", MemberStatus.GONE),
+                request(at=AFTER_GRACE),
+                success(at=AFTER_GRACE),
+                response(at=AFTER_GRACE + 30 * MS),
+            ],
         ),
         (
             "drain",
             [
                 MembershipSent(0, "n1", "c1", MemberStatus.DRAINING),
-                MembershipSent(LATE, "n1", "c1", MemberStatus.GONE),
-                read(at=LATE),
-                good(at=LATE),
-                served(at=LATE + 30 * MS),
+                MembershipSent(AFTER_GRACE, "n1", "c1", MemberStatus.GONE),
+                request(at=AFTER_GRACE),
+                success(at=AFTER_GRACE),
+                response(at=AFTER_GRACE + 30 * MS),
             ],
         ),
         (
             "cold",
             [
-                MemberStarted(0, "c1", WARMTH),
-                read(),
+                MemberStarted(0, "c1", SLOW_START),
+                request(),
                 AttemptReceived(MS, "r", "c1", MS, work_s=13.0),
                 AttemptAnswered(2 * MS, "r", "c1", False),
                 ResponseReceived(3 * MS, "r", "failed"),
             ],
         ),
-        ("cold", [MemberStarted(0, "p1", WARMTH), *[FillReceived(i * 9 * MS, "p1", 1.3) for i in range(10)]]),
-        ("purge", [PurgeSent(0, "n1", 0, "obj"), read(at=LATE), good(at=LATE, t0=-1), served(at=LATE + 30 * MS)]),
-        ("purge", [PurgeSent(0, "n1", 0, group=17), read(at=LATE), good(at=LATE, t0=-1), served(at=LATE + 30 * MS)]),
-        ("bytes", [read(), good(), served(digest="other")]),
+        ("cold", [MemberStarted(0, "p1", SLOW_START), *[FillReceived(i * 9 * MS, "p1", 1.3) for i in range(10)]]),
+        (
+            "purge",
+            [
+                PurgeSent(0, "n1", 0, "obj"),
+                request(at=AFTER_GRACE),
+                success(at=AFTER_GRACE, copied_us=-1),
+                response(at=AFTER_GRACE + 30 * MS),
+            ],
+        ),
+        (
+            "purge",
+            [
+                PurgeSent(0, "n1", 0, group=17),
+                request(at=AFTER_GRACE),
+                success(at=AFTER_GRACE, copied_us=-1),
+                response(at=AFTER_GRACE + 30 * MS),
+            ],
+        ),
+        ("bytes", [request(), success(), response(digest="other")]),
     ],
 )
-def test_each_planted_fault_is_seen_and_no_other(rule, events):
-    assert judge(*events).violations_by_rule() == {**dict.fromkeys(map(str, Rule), 0), rule: 1}
+def test_each_planted_fault_violates_exactly_its_rule(rule, events):
+    assert check(*events).violations_by_rule() == {**dict.fromkeys(map(str, Rule), 0), rule: 1}
 
 
-def test_what_is_within_the_grace_or_told_to_another_breaks_nothing():
-    soon = 400 * MS
+def test_events_within_the_grace_or_notified_to_another_director_are_no_violation():
+    within_grace = 400 * MS
     assert (
-        judge(
+        check(
             MembershipSent(0, "n1", "c1", MemberStatus.DRAINING),
             MembershipSent(0, "n2", "c2", MemberStatus.GONE),
             PurgeSent(0, "n1", 0, "obj"),
             MembershipSent(0, "n1", "p1", MemberStatus.GONE),
-            read(at=soon),
-            good(at=soon, t0=-1),
-            served(at=soon + 30 * MS),
-            MembershipSent(soon, "n1", "c1", MemberStatus.SERVING),
-            MembershipSent(soon, "n1", "p1", MemberStatus.SERVING),
-            read("s", LATE),
-            good("s", LATE, t0=1),
-            served("s", LATE + 30 * MS),
+            request(at=within_grace),
+            success(at=within_grace, copied_us=-1),
+            response(at=within_grace + 30 * MS),
+            MembershipSent(within_grace, "n1", "c1", MemberStatus.SERVING),
+            MembershipSent(within_grace, "n1", "p1", MemberStatus.SERVING),
+            request("s", AFTER_GRACE),
+            success("s", AFTER_GRACE, copied_us=1),
+            response("s", AFTER_GRACE + 30 * MS),
         ).violations
         == []
     )
 
 
-def test_a_member_bears_more_as_it_warms():
-    late = 11 * SECOND
-    events = [MemberStarted(0, "c1", WARMTH), *[FillReceived(late + i * MS, "c1", 5.0) for i in range(10)]]
-    assert judge(*events).violations == [], "50 of 60 seconds' work, when it bears all"
-    assert judge(
-        *[e if isinstance(e, MemberStarted) else FillReceived(e.at_us - late, "c1", 5.0) for e in events]
+def test_slow_start_budget_grows_with_the_age_of_the_member():
+    warm_at = 11 * SECOND
+    events = [MemberStarted(0, "c1", SLOW_START), *[FillReceived(warm_at + i * MS, "c1", 5.0) for i in range(10)]]
+    assert check(*events).violations == [], "50 s of work in a window that allows 60 s at full capacity"
+    assert check(
+        *[e if isinstance(e, MemberStarted) else FillReceived(e.at_us - warm_at, "c1", 5.0) for e in events]
     ).violations_by_rule()["cold"]
 
 
@@ -185,7 +220,7 @@
 
 
 @pytest.mark.parametrize(
-    "cls, ended, worth",
+    "objective, outcome, expected",
     [
         (VIDEO, RequestOutcome(0, 0, 600 * MS), 2.0),
         (VIDEO, RequestOutcome(0, 0, 601 * MS), 0.2),
@@ -195,17 +230,17 @@
         (PAGE, RequestOutcome(0, 1, 301 * MS), 0.0),
     ],
 )
-def test_what_one_request_earns(cls, ended, worth):
-    assert earned_weight(cls, ended) == pytest.approx(worth)
+def test_weight_earned_by_one_request(objective, outcome, expected):
+    assert earned_weight(objective, outcome) == pytest.approx(expected)
 
 
-def test_the_figure_mixes_the_whole_the_worst_span_and_the_worst_class():
-    """60 s of a video and a page each second; the pages of seconds 20 to 29 are lost."""
+def test_score_combines_whole_run_worst_window_and_worst_class():
+    """A run of 60 s with one video and one page each second; the pages of seconds 20 to 29 fail."""
     requests = [RequestOutcome(s * SECOND, 0, s * SECOND + 1) for s in range(60)]
     requests += [RequestOutcome(s * SECOND, 1, None if 20 <= s < 30 else s * SECOND + 1) for s in range(60)]
-    figure = score_run([VIDEO, PAGE], requests)
-    assert figure.whole_run == pytest.approx(170 / 180) and figure.worst_window == pytest.approx(2 / 3)
-    assert figure.worst_window_us == 20 * SECOND and figure.by_class == {"video": 1.0, "page": pytest.approx(5 / 6)}
-    assert figure.total == pytest.approx(0.6 * 170 / 180 + 0.1 * 2 / 3 + 0.3 * 5 / 6)
+    score = score_run([VIDEO, PAGE], requests)
+    assert score.whole_run == pytest.approx(170 / 180) and score.worst_window == pytest.approx(2 / 3)
+    assert score.worst_window_us == 20 * SECOND and score.by_class == {"video": 1.0, "page": pytest.approx(5 / 6)}
+    assert score.total == pytest.approx(0.6 * 170 / 180 + 0.1 * 2 / 3 + 0.3 * 5 / 6)
     assert score_run([VIDEO, PAGE], []).total == 1.0
     assert score_run([VIDEO, PAGE], requests[:3]).worst_window == 1.0
