--- a/rookbend/testing/demo.py
+++ b/rookbend/testing/demo.py
@@ -70,10 +70,10 @@
                 await scene.admitted()
                 self.first_admission_us, self.phase = now_us(), "serving"
                 await trio.sleep(plan.before_outage_s)
-                self.power_lost_us, self.phase = now_us(), "without power"
+                self.power_lost_us, self.phase = now_us(), "power lost"
                 scene.power_off()
                 await trio.sleep(plan.outage_s)
-                self.power_back_us, self.phase = now_us(), "power is back"
+                self.power_back_us, self.phase = now_us(), "power restored"
                 await scene.power_on()
                 await trio.sleep(plan.after_return_s)
                 nursery.cancel_scope.cancel()
@@ -89,12 +89,10 @@
         """Returns one row for each process: name, role, state and activity."""
         rows = []
         for name, node in scene.nodes.items():
-            state = (
-                "dead" if not node.running else "admitted" if scene.front.targets[name].admitted else "up, not admitted"
-            )
+            state = "down" if not node.running else "admitted" if scene.front.targets[name].admitted else "not admitted"
             stages = node.heard("recovery_stage") if node.running else []
             rows.append(
-                [name, "director", state, f"life {node.lives}" + (f", {stages[-1]['stage']}" if stages else "")]
+                [name, "director", state, f"incarnation {node.lives}" + (f", {stages[-1]['stage']}" if stages else "")]
             )
         for box in scene.boxes.values():
             cold = box.role != "origin" and box.is_cold(now_us())
@@ -102,8 +100,8 @@
                 [
                     box.name,
                     box.role,
-                    "dead" if box.down else "cold" if cold else "warm",
-                    f"{box.asked} asked, {box.worked} worked, {box.falls} falls",
+                    "down" if box.down else "cold" if cold else "warm",
+                    f"{box.asked} requests, {box.worked} accepted, {box.falls} overloads",
                 ]
             )
         return rows
--- a/rookbend/testing/director_process.py
+++ b/rookbend/testing/director_process.py
@@ -61,23 +61,23 @@
 
     def resident_kb(self) -> int:
         """Returns the resident memory in KiB. Raises RuntimeError if the kernel does not report it."""
-        for line in Path(f"/proc/{self._running.pid}/status").read_text().splitlines():
+        for line in Path(f"/proc/{self._started_process.pid}/status").read_text().splitlines():
             if line.startswith("VmRSS"):
                 return int(line.split()[1])
         raise RuntimeError("no VmRSS in the status of the director process")
 
     def cpu_s(self) -> float:
         """Returns the CPU time used in user and system mode (proc(5): fields 14 and 15 of stat)."""
-        fields = Path(f"/proc/{self._running.pid}/stat").read_text().rpartition(")")[2].split()
+        fields = Path(f"/proc/{self._started_process.pid}/stat").read_text().rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
     def stop(self) -> int:
         """Ends the process with SIGTERM; returns its exit code."""
-        self._running.send_signal(signal.SIGTERM)
-        return self._running.wait()
+        self._started_process.send_signal(signal.SIGTERM)
+        return self._started_process.wait()
 
     @property
-    def _running(self) -> subprocess.Popen[bytes]:
+    def _started_process(self) -> subprocess.Popen[bytes]:
         if self.process is None:
             raise RuntimeError("the director process was not started")
         return self.process
--- a/rookbend/testing/health_agents.py
+++ b/rookbend/testing/health_agents.py
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from rookbend.protocol.grpc_health_server import GrpcHealthServer
 
-REMEMBERED_POLLS = 64
+MAX_RECORDED_POLLS = 64
 BLOCK_BYTES = 65536
 SHARED_PORT_TRIES = 20
 _ABORTING_LINGER = struct.pack("ii", 1, 0)  # SO_LINGER with a time-out of 0: closing resets the connection
@@ -69,7 +69,7 @@
         self.polls = 0
         self.open_connections = 0
         self.sent_bytes = 0
-        self.received: deque[bytes] = deque(maxlen=REMEMBERED_POLLS)
+        self.received: deque[bytes] = deque(maxlen=MAX_RECORDED_POLLS)
         self._scope = trio.CancelScope()
         self._grpc_servers: dict[trio.SocketStream, GrpcHealthServer] = {}
         self._responders: dict[ResponseMode, Callable[[trio.SocketStream, Behavior], Awaitable[None]]] = {
--- a/rookbend/testing/invariant_checker.py
+++ b/rookbend/testing/invariant_checker.py
@@ -40,7 +40,7 @@
     REPEAT = "repeat"
     # After the grace, no attempt is sent to a member that drains or has gone, nor names it as a source.
     DRAIN = "drain"
-    # A member in slow start is never sent as much work in a window as overloads it.
+    # A member in slow start is never sent more work in a window than its overload limit.
     COLD = "cold"
     # After the grace, no successful response comes from a copy that is older than a purge.
     PURGE = "purge"
--- a/rookbend/testing/lease_simulation.py
+++ b/rookbend/testing/lease_simulation.py
@@ -32,7 +32,7 @@
 
 
 class LeaseSimulation:
-    """The simulation; `drift` is the ratio by which some clocks run fast or slow. `SimulatedNetwork` has the others."""
+    """`drift` is the ratio by which some clocks run fast or slow; `SimulatedNetwork` describes loss and delay."""
 
     def __init__(
         self,
--- a/rookbend/testing/lying_peer.py
+++ b/rookbend/testing/lying_peer.py
@@ -1,4 +1,4 @@
-"""Mutates fields of datagrams, like a faulty peer or one of another version; the result is still valid msgpack."""
+"""Mutates the fields of a datagram but not its msgpack encoding, like a faulty peer or one of another version."""
 
 from __future__ import annotations
 
--- a/rookbend/testing/measurement_fleet.py
+++ b/rookbend/testing/measurement_fleet.py
@@ -19,7 +19,7 @@
 from rookbend.testing.health_agents import HealthAgent, listen_on_shared_port
 from rookbend.testing.measurement_settings import SETTINGS
 
-REMEMBERED_ARRIVALS = 4096
+MAX_RECORDED_ARRIVALS = 4096
 KEEPALIVE_INTERVAL_S = 1
 HOSTS_PER_SUBNET = 250
 CONTENT = b"x" * 2000
@@ -36,7 +36,7 @@
         self.flavor = flavor
         self.agent = HealthAgent(host)
         self.port = 0
-        self.arrivals_s: deque[float] = deque(maxlen=REMEMBERED_ARRIVALS)  # monotonic
+        self.arrivals_s: deque[float] = deque(maxlen=MAX_RECORDED_ARRIVALS)  # monotonic
         self.connections = 0  # accepted since `listen`
 
     async def listen(self, nursery: trio.Nursery, port: int) -> None:
--- a/rookbend/testing/simulation/deployment.py
+++ b/rookbend/testing/simulation/deployment.py
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """Times are in seconds. `load` is the requested bandwidth in proportion to that of all links of caches."""
+    """The parameters; `load` is the requested bandwidth in proportion to that of the links of all caches."""
 
     directors: int = 200
     locations: int = 18
@@ -69,7 +69,7 @@
     fill_timeout_s: float = 2.5
     fill_retries: int = 1
     parent_retries: int = 2
-    collapses_fills: bool = False  # parents let requests join a fill in progress, and directors are told so
+    collapses_fills: bool = False  # requests can join a fill in progress at a parent
     aborts_fills: bool = True  # a fill is cancelled with the request that started it
     drops_abandoned_calls: bool = False  # the origin skips queued calls that have been cancelled
     allows_direct_to_source: bool = False
--- a/rookbend/testing/weighted_score.py
+++ b/rookbend/testing/weighted_score.py
@@ -112,7 +112,7 @@
         return 1.0, 0
     first_us = requests[0].sent_us
     last_us = requests[-1].sent_us
-    worst = 2.0  # above every ratio
+    worst = 2.0  # above every possible ratio
     worst_us = first_us
     begin = 0  # index of the window's first request
     end = 0  # index after the window's last request
