--- a/rookbend/testing/demo.py
+++ b/rookbend/testing/demo.py
@@ -101,7 +101,7 @@
                     box.name,
                     box.role,
                     "down" if box.down else "cold" if cold else "warm",
-                    f"{box.asked} requests, {box.worked} accepted, {box.falls} overloads",
+                    f"{box.asked} requests, {box.worked} requests and fills accepted, {box.falls} overloads",
                 ]
             )
         return rows
