--- a/rookbend/model_checking/search.py
+++ b/rookbend/model_checking/search.py
@@ -1,7 +1,7 @@
-"""Breadth-first search over states that are tuples: all of them to a depth, or to a number of states.
+"""Breadth-first search of the states of a model, up to a depth or to a number of states.
 
-A model gives its first states, the steps out of one, and what is wrong with one. A state that was seen, or whose
-canonical form was, is not entered again. The path to the first wrong state is kept as steps.
+A model gives its initial states, the steps from a state, and the property that a state breaks. A state whose canonical
+form has been visited is not visited again. The search records the steps to the first state that breaks a property.
 """
 
 from __future__ import annotations
@@ -12,64 +12,67 @@
 from multiprocessing.pool import Pool
 from typing import Any, NamedTuple, Protocol
 
-MAX_CHUNK_STATES = 2_000  # of one task of a process
+MAX_CHUNK_STATES = 2_000  # in one task of a worker process
 CHUNKS_PER_JOB = 4
 
 
 class Model(Protocol):
-    """What is searched; its states are hashable."""
+    """A model to search; its states are hashable."""
 
-    def first(self) -> Iterable[Any]:
-        """The states at the beginning."""
+    def initial_states(self) -> Iterable[Any]:
+        """Returns the initial states."""
 
     def steps(self, state: Any) -> Iterable[tuple[str, Any]]:
-        """The steps out of a state: (name, the state it leads to)."""
+        """Returns the steps from a state, as (name, next state)."""
 
     def canonical(self, state: Any) -> Hashable:
-        """The same for states that differ only in the names of like parts."""
+        """Returns the canonical form: equal for states that differ only in the numbering of interchangeable parts."""
 
-    def wrong(self, state: Any) -> str:
-        """The property that the state breaks, or empty."""
+    def broken_property(self, state: Any) -> str:
+        """Returns the name of the property that the state breaks, or an empty string."""
 
 
 @dataclass(slots=True)
 class Found:
-    """`complete`: everything to `depth` was seen. `path` leads to what is `wrong`."""
+    """The result of a search; if it is `complete`, all states up to `depth` were visited.
+
+    `path` has the steps to the state that breaks `broken_property`.
+    """
 
     states: int = 0
     steps: int = 0
     depth: int = 0
     complete: bool = False
-    wrong: str = ""
+    broken_property: str = ""
     path: list[str] = field(default_factory=list)
     by_step: dict[str, int] = field(default_factory=dict)
 
 
 class NumberedState(NamedTuple):
-    """A state that was entered."""
+    """A visited state."""
 
     number: int
     state: Any
 
 
 class Successor(NamedTuple):
-    """A step out of the state at `parent_index` of a list; `key` is the hash of the canonical form of where it leads.
+    """A step from the state at `parent_index` of a list; `key` is the hash of the canonical form of the next state.
 
-    `state` is None where the list led to the same key before: it is not sent to another process twice.
+    `state` is None if an earlier step from the same list led to the same key: it is sent between processes once.
     """
 
     parent_index: int
     step: str
     state: Any
     key: int
-    wrong: str
+    broken_property: str
 
 
-_model: Model | None = None  # what forked processes search
+_model: Model | None = None  # inherited by forked worker processes
 
 
 def _expand(states: list[Any]) -> list[Successor]:
-    assert _model is not None, "set by search"
+    assert _model is not None, "search sets the model before it starts workers"
     successors: list[Successor] = []
     keys: set[int] = set()
     for index, state in enumerate(states):
@@ -79,59 +82,59 @@
                 successors.append(Successor(index, step, None, key, ""))
             else:
                 keys.add(key)
-                successors.append(Successor(index, step, after, key, _model.wrong(after)))
+                successors.append(Successor(index, step, after, key, _model.broken_property(after)))
     return successors
 
 
 class _Search:
     """A search in progress."""
 
-    def __init__(self, model: Model, most_states: int):
+    def __init__(self, model: Model, max_states: int):
         self._model = model
-        self._most_states = most_states
+        self._max_states = max_states
         self.found = Found()
-        self._parents: dict[int, tuple[int, str]] = {}  # by state: its parent and the step from there
+        self._parents: dict[int, tuple[int, str]] = {}  # by state number: the parent's number and the step
         self._seen: set[int] = set()
         self.frontier: list[NumberedState] = []
 
     def begin(self) -> bool:
-        """Enters the first states; whether the search ends with them."""
-        for state in self._model.first():
+        """Visits the initial states; returns whether the search ends with them."""
+        for state in self._model.initial_states():
             key = hash(self._model.canonical(state))
             if key not in self._seen:
                 self._seen.add(key)
                 self.found.states += 1
                 self.frontier.append(NumberedState(self.found.states, state))
-                self.found.wrong = self._model.wrong(state)
-                if self.found.wrong:
+                self.found.broken_property = self._model.broken_property(state)
+                if self.found.broken_property:
                     return True
         return False
 
     def chunks(self, jobs: int) -> list[list[NumberedState]]:
-        """The states of this depth, in tasks for the processes."""
+        """Returns the states of the current depth, divided into tasks for worker processes."""
         size = MAX_CHUNK_STATES
         if jobs > 1:
             size = max(1, min(size, len(self.frontier) // (CHUNKS_PER_JOB * jobs) + 1))
         return [self.frontier[start : start + size] for start in range(0, len(self.frontier), size)]
 
     def enter_level(self, chunks: list[list[NumberedState]], results: Iterable[Sequence[Successor]]) -> bool:
-        """Enters the successors of all chunks; whether the search ends with them."""
+        """Visits the successors of all chunks; returns whether the search ends with them."""
         level: list[NumberedState] = []
         for chunk, successors in zip(chunks, results, strict=True):
             for successor in successors:
                 if self._enter(chunk[successor.parent_index].number, successor):
-                    if successor.wrong:
-                        self._found_wrong(successor.wrong)
+                    if successor.broken_property:
+                        self._record_violation(successor.broken_property)
                         return True
                     level.append(NumberedState(self.found.states, successor.state))
-            if self.found.states >= self._most_states:
+            if self.found.states >= self._max_states:
                 return True
         self.found.depth += 1
         self.frontier = level
         return False
 
     def _enter(self, parent: int, successor: Successor) -> bool:
-        """Whether the state is new."""
+        """Counts a step; returns whether it leads to a new state."""
         found = self.found
         found.steps += 1
         kind = successor.step.partition(" ")[0]
@@ -143,8 +146,8 @@
         self._parents[found.states] = parent, successor.step
         return True
 
-    def _found_wrong(self, wrong: str) -> None:
-        self.found.wrong = wrong
+    def _record_violation(self, broken_property: str) -> None:
+        self.found.broken_property = broken_property
         number = self.found.states
         path: list[str] = []
         while number in self._parents:
@@ -155,22 +158,22 @@
 
 def search(
     model: Model,
-    most_states: int,
-    most_depth: int = 1_000,
+    max_states: int,
+    max_depth: int = 1_000,
     jobs: int = 1,
     progress: Callable[[Found], None] | None = None,
 ) -> Found:
-    """Ends at the first wrong state, after `most_depth` steps, or past `most_states`.
+    """Searches until a state breaks a property, to `max_depth` steps, or until `max_states` states are visited.
 
-    With `jobs` over 1 the model must be one that forked processes may hold. `progress` is called after each depth.
+    With `jobs` above 1, the model must be usable in forked processes. `progress` is called after each depth.
     """
     global _model
     _model = model
     if jobs == 1:
-        return _run(model, most_states, most_depth, jobs, progress, None)
+        return _run(model, max_states, max_depth, jobs, progress, None)
     pool = multiprocessing.get_context("fork").Pool(jobs)
     try:
-        return _run(model, most_states, most_depth, jobs, progress, pool)
+        return _run(model, max_states, max_depth, jobs, progress, pool)
     finally:
         pool.close()
         pool.join()
@@ -178,19 +181,19 @@
 
 def _run(
     model: Model,
-    most_states: int,
-    most_depth: int,
+    max_states: int,
+    max_depth: int,
     jobs: int,
     progress: Callable[[Found], None] | None,
     pool: Pool | None,
 ) -> Found:
-    current = _Search(model, most_states)
+    current = _Search(model, max_states)
     if current.begin():
         return current.found
-    while current.frontier and current.found.depth < most_depth:
+    while current.frontier and current.found.depth < max_depth:
         chunks = current.chunks(jobs)
         states = [[numbered.state for numbered in chunk] for chunk in chunks]
-        # The whole level: a pool that is ended amid its work may never end.
+        # Waits for the whole level: a pool that is closed during its work may never terminate.
         results = pool.map(_expand, states, 1) if pool is not None else map(_expand, states)
         if current.enter_level(chunks, results):
             return current.found
--- a/rookbend/model_checking/voter_steps.py
+++ b/rookbend/model_checking/voter_steps.py
@@ -12,7 +12,7 @@
 
 
 def steps(model: ModelRules, state: State, number: int) -> Iterator[tuple[str, State]]:
-    """What may happen at the voter: a message arrives or its vote does, it restarts."""
+    """Yields the steps of a voter: a message arrives, one of its votes arrives at the candidate, the voter restarts."""
     voter = state.voters[number]
     for index, message in enumerate(voter.inbox):
         if index and voter.inbox[index - 1] == message:
@@ -21,11 +21,11 @@
         if state.budget.duplicates:
             spent = state.spend(duplicates=state.budget.duplicates - 1)
             yield f"again v{number} {tuple(message)}", _received(model, spent, number, message)
-    for index, vote in enumerate(voter.write_scheduler):
-        if index and voter.write_scheduler[index - 1] == vote:
+    for index, vote in enumerate(voter.outbox):
+        if index and voter.outbox[index - 1] == vote:
             continue
-        write_scheduler = voter.write_scheduler[:index] + voter.write_scheduler[index + 1 :]
-        sent = state.with_voter(number, voter._replace(write_scheduler=write_scheduler))
+        outbox = voter.outbox[:index] + voter.outbox[index + 1 :]
+        sent = state.with_voter(number, voter._replace(outbox=outbox))
         yield f"from v{number} {tuple(vote)}", candidate_steps.vote_received(model, sent, number, vote)
     yield from _restarts(model, state, number)
 
@@ -54,7 +54,8 @@
     row = state.voters[number]
     voter = Voter(model.terms, state.now + row.drift, dict(disk))
     if recalls_tokens:
-        # It asks while it is in quarantine; that the others answer is what one restart without a disk means.
+        # The voter asks the others during its quarantine. They all answer, because the model assumes that a voter
+        # without a disk restarts only while the others are available.
         others = (other.voter(model.terms) for peer, other in enumerate(state.voters) if peer != number)
         voter.raise_token_floor(max((other.highest_token for other in others), default=0))
     return state.with_voter(number, row.with_voter(voter)._replace(disk=disk))
@@ -80,5 +81,5 @@
     if vote.granted and message.candidate >= model.first_prompt_candidate:
         return candidate_steps.vote_received(model, state.with_voter(number, row), number, answer)
     if vote.granted:
-        row = row._replace(write_scheduler=tuple(sorted((*row.write_scheduler, answer))))
+        row = row._replace(outbox=tuple(sorted((*row.outbox, answer))))
     return state.with_voter(number, row)
--- a/rookbend/testing/recovery_simulation.py
+++ b/rookbend/testing/recovery_simulation.py
@@ -1,9 +1,8 @@
-"""A fleet of recovery coordinators in simulated time: the program's own, up to hundreds of them, with one origin.
+"""A seeded simulation of up to hundreds of the program's recovery state machines in simulated time, with one origin.
 
-Modelled besides them is the least that shows what they do together: datagrams that are lost, late, duplicated or cut
-between two directors; a coordinator's stream that may be away; a disk each, that may be lost or restored from an old
-copy; demand of reads and writes, spread evenly over the ready directors, of which a ratio that falls as caches fill
-goes to the origin. Seeded; the same seed gives the same run.
+It models datagrams that are lost, delayed, duplicated or cut between two directors, a coordinator's stream that may be
+down, a disk for each director that may be lost or restored from an old copy, and reads and writes, spread evenly over
+the ready directors. The ratio of reads that go to the origin falls as caches fill. The same seed gives the same run.
 """
 
 from __future__ import annotations
@@ -27,7 +26,7 @@
 from rookbend.state.model import Row
 from rookbend.testing.recovery_demand import STEP_US, Demand
 from rookbend.testing.recovery_node import CLASSES, DISK_BYTES, Node, empty_disk
-from rookbend.testing.recovery_origin import SECOND, Origin, World
+from rookbend.testing.recovery_origin import SECOND, Environment, Origin
 
 PARENT, ORIGIN = 1, 2
 EPOCH = 1_764_576_000 * SECOND
@@ -38,22 +37,24 @@
 DiskCopy = tuple[dict[Key, Row], int]  # rows, boot number
 
 
-class FleetSim:
-    """`recovery` off: directors admit everything from the start. `gossip`: they exchange datagrams, of which `loss` and
-    `duplication` are ratios and `late_us` the mean delay, about. `cut` holds pairs (from, to) that can't communicate;
-    `coordinator`: its stream is up. `datagrams` counts by second since the epoch."""
+class RecoverySimulation:
+    """Without `recovery`, directors admit everything from the start; with `gossip`, they exchange datagrams.
+
+    `loss` and `duplication` are ratios of datagrams, `delay_us` is their minimum delay, and `cut_links` has pairs
+    (from, to) that lose everything. `coordinator`: its stream is up. `datagrams` counts by second since EPOCH.
+    """
 
     def __init__(
         self,
         count: int,
         seed: int = 7,
-        world: World | None = None,
+        environment: Environment | None = None,
         recovery: bool = True,
         gossip: bool = True,
         keep_disk: bool = True,
         loss: float = 0.0,
         duplication: float = 0.0,
-        late_us: int = 2_000,
+        delay_us: int = 2_000,
     ):
         self.count = count
         self.seed = seed
@@ -62,34 +63,34 @@
         self.keep_disk = keep_disk
         self.loss = loss
         self.duplication = duplication
-        self.late_us = late_us
+        self.delay_us = delay_us
         self.random = random.Random(f"{seed} fleet")
         self.now = EPOCH
         self.nodes = [Node(number) for number in range(count)]
-        self.cut: set[tuple[int, int]] = set()
+        self.cut_links: set[tuple[int, int]] = set()
         self.coordinator = True
         self.revision = 1
         self.membership = _initial_membership()
         self.datagrams: Counter[int] = Counter()
-        world = world or World()
-        self.origin = Origin(world)
-        self.demand = Demand(world, self.origin, self.random, self._feed, self._feed_later)
-        self._heap: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
-        self._order = 0
-        self._push(self.now, self._step_demand)
+        environment = environment or Environment()
+        self.origin = Origin(environment)
+        self.demand = Demand(environment, self.origin, self.random, self._feed, self._feed_later)
+        self._calls: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
+        self._scheduled = 0
+        self._schedule(self.now, self._step_demand)
 
     # Time
 
-    def _push(self, at_us: int, what: Callable[..., None], *args: Any) -> None:
-        self._order += 1
-        heapq.heappush(self._heap, (at_us, self._order, what, args))
+    def _schedule(self, at_us: int, call: Callable[..., None], *args: Any) -> None:
+        self._scheduled += 1
+        heapq.heappush(self._calls, (at_us, self._scheduled, call, args))
 
-    def run(self, for_us: int) -> None:
-        """Simulates so many microseconds."""
-        end_us = self.now + for_us
-        while self._heap and self._heap[0][0] <= end_us:
-            self.now, _, what, args = heapq.heappop(self._heap)
-            what(*args)
+    def run(self, duration_us: int) -> None:
+        """Advances simulated time."""
+        end_us = self.now + duration_us
+        while self._calls and self._calls[0][0] <= end_us:
+            self.now, _, call, args = heapq.heappop(self._calls)
+            call(*args)
         self.now = end_us
 
     @property
@@ -100,35 +101,35 @@
     # Directors
 
     def power_on(self, *numbers: int, spread_us: int = 200_000) -> None:
-        """Starts directors, all where none is named, spread over some time."""
+        """Starts the given directors, or all, at random times within `spread_us`."""
         for number in numbers or range(self.count):
             if self.nodes[number].machine is None:
-                self._push(self.now + int(self.random.random() * spread_us), self._boot, number)
+                self._schedule(self.now + int(self.random.random() * spread_us), self._start, number)
 
     def power_off(self, *numbers: int) -> None:
-        """Stops directors at once. The disks keep what was synced: in this model all that was put."""
+        """Stops the given directors, or all, at once. Disks keep synced rows, which in this model are all rows."""
         for number in numbers or range(self.count):
             self.nodes[number].power_off()
 
     def lose_disk(self, number: int) -> None:
-        """Puts an empty disk in place."""
+        """Replaces the disk with an empty one."""
         self.restore_disk(number, ({}, 0))
 
     def copy_disk(self, number: int) -> DiskCopy:
-        """A copy for `restore_disk`."""
+        """Returns a copy of the disk for `restore_disk`."""
         node = self.nodes[number]
         rows = {(kind, key): row for kind, rows in node.disk.rows.items() for key, row in rows.items()}
         return rows, node.boot_number
 
     def restore_disk(self, number: int, copy: DiskCopy) -> None:
-        """Puts a copy in place of the disk."""
+        """Replaces the disk with a copy."""
         rows, boot_number = copy
         node = self.nodes[number]
         node.disk = Ledger(DISK_BYTES, dict(rows)) if rows else empty_disk()
         node.boot_number = boot_number
 
     def freeze(self, number: int, frozen: bool) -> None:
-        """Suspends a director, or lets it go on with all that came meanwhile."""
+        """Suspends a director, or resumes it and feeds it the events that arrived in the meantime."""
         node = self.nodes[number]
         node.is_frozen = frozen
         if not frozen:
@@ -137,7 +138,7 @@
             for event in waiting:
                 self._feed(number, event)
 
-    def _boot(self, number: int) -> None:
+    def _start(self, number: int) -> None:
         node = self.nodes[number]
         if node.machine is not None:
             return
@@ -158,15 +159,15 @@
             node.limits = SetAdmissionLimits(True, frozenset(), None, 0)
         self._connect_stream(number)
         if self.recovery:
-            self._push(self.now, self._timer, number, machine)
+            self._schedule(self.now, self._timer_expired, number, machine)
 
-    def _timer(self, number: int, machine: RecoveryMachine) -> None:
+    def _timer_expired(self, number: int, machine: RecoveryMachine) -> None:
         node = self.nodes[number]
         if node.machine is not machine:
             return
         if not node.is_frozen:
             self._feed(number, TimerExpired())
-        self._push(max(machine.due_us, self.now + MIN_TIMER_US), self._timer, number, machine)
+        self._schedule(max(machine.due_us, self.now + MIN_TIMER_US), self._timer_expired, number, machine)
 
     def _feed(self, number: int, event: events.Event) -> None:
         node = self.nodes[number]
@@ -178,7 +179,7 @@
         self._carry_out(node, node.machine.feed(self.now, event))
 
     def _feed_later(self, at_us: int, number: int, event: events.Event) -> None:
-        self._push(at_us, self._feed, number, event)
+        self._schedule(at_us, self._feed, number, event)
 
     def _carry_out(self, node: Node, actions: Sequence[object]) -> None:
         for action in actions:
@@ -194,25 +195,25 @@
         self.datagrams[self.second] += 1
         assert len(data) <= MAX_DATAGRAM_BYTES
         for _ in range(2 if self.random.random() < self.duplication else 1):
-            if (source, target) not in self.cut and self.random.random() >= self.loss:
-                delay_us = int(self.late_us * (1 + self.random.expovariate(1.0)))
+            if (source, target) not in self.cut_links and self.random.random() >= self.loss:
+                delay_us = int(self.delay_us * (1 + self.random.expovariate(1.0)))
                 self._feed_later(self.now + delay_us, target, DatagramReceived(source, data))
 
     # The coordinator's stream and operators
 
     def _connect_stream(self, number: int) -> None:
-        """The stream comes up, where the coordinator is there; tried again each second."""
+        """Connects the stream of a director if the coordinator is up, and otherwise retries each second."""
         if self.nodes[number].machine is None:
             return
         if not self.coordinator:
-            self._push(self.now + SECOND, self._connect_stream, number)
+            self._schedule(self.now + SECOND, self._connect_stream, number)
             return
         change = MembershipChange(True, self.revision, list(self.membership))
         self._feed(number, events.MembershipReceived(change))
         self._feed(number, events.StreamActive())
 
     def drain(self, name: str, state: MemberState = MemberState.DRAINING) -> None:
-        """The coordinator changes a member's state, and notifies all that are up."""
+        """Changes a member's state at the coordinator, which notifies all running directors."""
         self.revision += 1
         for index, entry in enumerate(self.membership):
             if entry.name != name:
@@ -225,17 +226,17 @@
                     self._feed(node.number, event)
 
     def order(self, number: int, member: str, order: str) -> None:
-        """An operator requests an order at a director."""
+        """Requests an operator's order at a director."""
         self._feed(number, events.OrderRequested(member, order, "kim"))
 
     # Demand and results
 
     def _step_demand(self) -> None:
         self.demand.step(self.now, self.second, self.nodes)
-        self._push(self.now + STEP_US, self._step_demand)
+        self._schedule(self.now + STEP_US, self._step_demand)
 
     def stages(self) -> Counter[str]:
-        """How many directors are in each stage, or dark."""
+        """Returns the number of directors in each start-up stage; "dark" counts those that are down."""
         return Counter(
             "dark" if node.machine is None else node.machine.sequence.stage.name.lower() for node in self.nodes
         )
