--- a/tests/test_order_targets.py
+++ b/tests/test_order_targets.py
@@ -50,7 +50,7 @@
 
 
 def test_an_order_on_a_member_whose_name_has_the_prefix_of_scopes_is_refused():
-    given = MemberOrders(None, None, object()).give("@checks/1", Order.DRAIN, "kim", True)
+    given = MemberOrders(None, None, object()).submit("@checks/1", Order.DRAIN, "kim", True)
 
     async def main():
         return await given
