--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -24,7 +24,7 @@
 from rookbend.leases.events import ShutdownRequested
 from rookbend.leases.leader_tasks import ORDERS_SCOPE
 from rookbend.leases.lease import LeaseTerms
-from rookbend.testing.cluster import allow_probes, stage
+from rookbend.testing.cluster import allow_probes, open_cluster
 from rookbend.testing.lease_simulation import LeaseSimulation
 from rookbend.testing.lease_simulation_parts import SECOND_US
 
@@ -51,42 +51,45 @@
 
 
 async def checks(side: str, directors: int, seconds: float, seed: int) -> dict:
-    async with stage(directors, 4, 1, seed, SIDES[side]) as scene:
-        scene.change = allow_probes
-        await scene.start()
-        for name in scene.names:
-            await scene.nodes[name].said("recovery_stage", stage="serving")
+    async with open_cluster(directors, 4, 1, seed, SIDES[side]) as cluster:
+        cluster.change = allow_probes
+        await cluster.start()
+        for name in cluster.names:
+            await cluster.nodes[name].said("recovery_stage", stage="serving")
         if side == "owners":
-            for name in scene.names:
-                await scene.until_told(
+            for name in cluster.names:
+                await cluster.until_told(
                     name,
                     "/owners",
                     lambda found: all(r["owner"] >= 0 for r in found["owners"] if r["scope"] != "report"),
                 )
-        pids = [node.process.pid for node in scene.nodes.values()]
+        pids = [node.process.pid for node in cluster.nodes.values()]
         await trio.sleep(1.0)
-        before, cpu = sum(b.checks for b in scene.boxes.values()), sum(map(cpu_s, pids))
+        before, cpu = sum(b.checks for b in cluster.boxes.values()), sum(map(cpu_s, pids))
         await trio.sleep(seconds)
-        made = sum(b.checks for b in scene.boxes.values()) - before
+        made = sum(b.checks for b in cluster.boxes.values()) - before
         cpu = sum(map(cpu_s, pids)) - cpu
-        scene.boxes["c1"].ill = True
+        cluster.boxes["c1"].ill = True
         began, last = time.monotonic(), 0.0
-        for name in scene.names:
-            await scene.nodes[name].said("member_state", member="c1", state="down")
+        for name in cluster.names:
+            await cluster.nodes[name].said("member_state", member="c1", state="down")
             last = time.monotonic() - began
         stands = all_have = None
         if side == "owners":
             began = time.monotonic()
-            found = await scene.ask(
-                scene.names[-1], "/orders", "POST", {"member": "c2", "order": "maintain", "by": "bench", "fleet": True}
+            found = await cluster.ask(
+                cluster.names[-1],
+                "/orders",
+                "POST",
+                {"member": "c2", "order": "maintain", "by": "bench", "fleet": True},
             )
             assert found["status"] == 200, found
             stands = time.monotonic() - began
-            for name in scene.names:
-                await scene.nodes[name].said("member_state", member="c2", state="maintenance")
+            for name in cluster.names:
+                await cluster.nodes[name].said("member_state", member="c2", state="maintenance")
             all_have = time.monotonic() - began
         return {
-            "checks": made / seconds / len(scene.boxes),
+            "checks": made / seconds / len(cluster.boxes),
             "cpu": cpu / seconds,
             "known": last,
             "stands": stands,
--- a/benchmarks/mixed_versions.py
+++ b/benchmarks/mixed_versions.py
@@ -42,7 +42,7 @@
     until_member_state,
     use_version,
 )
-from rookbend.testing.cluster import allow_probes, stage
+from rookbend.testing.cluster import allow_probes, open_cluster
 from rookbend.testing.cluster.process import CHECKOUT
 
 MEMBERS = ("c0", "c1", "c2")
@@ -50,103 +50,103 @@
 
 async def check_stored_data(old: Path, new: Path, seed: int, steps: int) -> int:
     """Versions in turn start from what the one before stored; the number of starts."""
-    async with stage(directors=3, caches=3, seed=seed, operators=SETTINGS) as scene:
-        scene.change = allow_probes
+    async with open_cluster(directors=3, caches=3, seed=seed, operators=SETTINGS) as cluster:
+        cluster.change = allow_probes
         tokens: dict[str, int] = {}
         for step in range(steps):
-            use_version(scene, new if step % 2 else old)
-            await scene.start()
-            for name in scene.names:
-                await scene.nodes[name].said("ready")
+            use_version(cluster, new if step % 2 else old)
+            await cluster.start()
+            for name in cluster.names:
+                await cluster.nodes[name].said("ready")
                 for member in MEMBERS[:step]:
-                    await until_member_state(scene, name, member, "maintenance")
-            leader = await leader_of(scene, "orders")
-            held = (await scene.ask(leader, "/owners"))["owners"]
+                    await until_member_state(cluster, name, member, "maintenance")
+            leader = await leader_of(cluster, "orders")
+            held = (await cluster.ask(leader, "/owners"))["owners"]
             for row in held:
                 if row["ours"]:
                     require(row["token"] > tokens.get(row["scope"], 0), f"the token of {row['scope']} did not grow")
-            await order_for_fleet(scene, "n0", MEMBERS[step], "maintain")
+            await order_for_fleet(cluster, "n0", MEMBERS[step], "maintain")
             tokens.update({row["scope"]: row["token"] for row in held})
-            for name in scene.names:
-                scene.nodes[name].signal(signal.SIGTERM)
-            for name in scene.names:
-                require(await scene.nodes[name].ended() == 0, f"{name} did not end with 0")
-        scene.verdict()
+            for name in cluster.names:
+                cluster.nodes[name].signal(signal.SIGTERM)
+            for name in cluster.names:
+                require(await cluster.nodes[name].ended() == 0, f"{name} did not end with 0")
+        cluster.verdict()
     return steps
 
 
 async def check_mixed_fleet(old: Path, new: Path, seed: int) -> int:
     """n0 of the old version, n1 and n2 of the new one; the number of leases handed over."""
-    async with stage(directors=3, caches=3, seed=seed, operators=SETTINGS) as scene:
-        scene.change = allow_probes
-        use_version(scene, new)
-        use_version(scene, old, "n0")
-        await scene.start()
-        for name in scene.names:
-            await scene.nodes[name].said("ready")
+    async with open_cluster(directors=3, caches=3, seed=seed, operators=SETTINGS) as cluster:
+        cluster.change = allow_probes
+        use_version(cluster, new)
+        use_version(cluster, old, "n0")
+        await cluster.start()
+        for name in cluster.names:
+            await cluster.nodes[name].said("ready")
         moved = 0
         for target in (0, 1, 0, 2):
-            leader = await leader_of(scene, "orders")
+            leader = await leader_of(cluster, "orders")
             if leader != f"n{target}":
                 body = {"order": "move", "scope": "orders", "place": target}
-                answer = await scene.ask(leader, "/owners", "POST", body)
+                answer = await cluster.ask(leader, "/owners", "POST", body)
                 require(answer["status"] == 200, f"the move to n{target} was answered with {answer}")
                 with trio.fail_after(TIMEOUT_S):
-                    while await leader_of(scene, "orders") != f"n{target}":
+                    while await leader_of(cluster, "orders") != f"n{target}":
                         await trio.sleep(0.05)
                 moved += 1
-            await order_for_fleet(scene, "n1" if target == 0 else "n0", "c1", "maintain" if target == 0 else "ready")
+            await order_for_fleet(cluster, "n1" if target == 0 else "n0", "c1", "maintain" if target == 0 else "ready")
         # The lease also moves where its holder ends by SIGTERM.
-        leader = await leader_of(scene, "orders")
-        scene.nodes[leader].signal(signal.SIGTERM)
-        lost = await scene.nodes[leader].said("lease_lost", scope="orders")
+        leader = await leader_of(cluster, "orders")
+        cluster.nodes[leader].signal(signal.SIGTERM)
+        lost = await cluster.nodes[leader].said("lease_lost", scope="orders")
         require(lost["why"].startswith("handed to"), f"{leader} ended without handing over its lease: {lost['why']}")
-        require(await scene.nodes[leader].ended() == 0, f"{leader} did not end with 0")
-        scene.verdict()
+        require(await cluster.nodes[leader].ended() == 0, f"{leader} did not end with 0")
+        cluster.verdict()
     return moved + 1
 
 
 async def check_exclusions(old: Path, new: Path, seed: int) -> int:
     """Versions in turn start with the file of exclusions that the one before wrote; the number of starts."""
-    async with stage(directors=1, caches=3, seed=seed, operators="[health]\n") as scene:
-        scene.doors = True
-        node = scene.nodes["n0"]
+    async with open_cluster(directors=1, caches=3, seed=seed, operators="[health]\n") as cluster:
+        cluster.doors = True
+        node = cluster.nodes["n0"]
         excluded: list[str] = []
         for checkout, member in ((old, "c1"), (new, "c2"), (old, "c0")):
-            use_version(scene, checkout)
+            use_version(cluster, checkout)
             # Not `scene.start`, since that empties the folder with the file.
-            node.start(scene.nursery, scene.config("n0"), scene.settings_text("n0"))
+            node.start(cluster.nursery, cluster.config("n0"), cluster.settings_text("n0"))
             await node.said("ready")
             for known in excluded:
-                await until_member_state(scene, "n0", known, "draining")
-            status, text = await scene.call("n0", "PUT", f"/maintenance/enter?member={member}")
+                await until_member_state(cluster, "n0", known, "draining")
+            status, text = await cluster.call("n0", "PUT", f"/maintenance/enter?member={member}")
             require(status == 200, f"the exclusion of {member} was answered with {status} {text}")
             excluded.append(member)
             node.signal(signal.SIGTERM)
             require(await node.ended() == 0, "the director did not end with 0")
-        scene.verdict()
+        cluster.verdict()
     return len(excluded)
 
 
 async def check_upgrades(old: Path, new: Path, seed: int, steps: int) -> dict[str, int]:
     """Upgrades under requests, between the versions in turn; what clients saw."""
-    async with stage(directors=1, caches=3, seed=seed, rate=REQUESTS_PER_S, operators="[health]\n") as scene:
-        use_version(scene, old)
-        await scene.serve_with_doors()
-        status, _ = await scene.call("n0", "PUT", "/maintenance/enter?member=c1")
+    async with open_cluster(directors=1, caches=3, seed=seed, rate=REQUESTS_PER_S, operators="[health]\n") as cluster:
+        use_version(cluster, old)
+        await cluster.serve_with_doors()
+        status, _ = await cluster.call("n0", "PUT", "/maintenance/enter?member=c1")
         require(status == 200, f"the exclusion was answered with {status}")
         for step in range(steps):
-            await scene.served_more(ANSWERS_BETWEEN_STEPS)
-            use_version(scene, old if step % 2 else new)
-            predecessor = await scene.upgrade("n0")
-            await scene.until_yes("n0")
-            await scene.served_more(ANSWERS_BETWEEN_STEPS)
-            require(await scene.retire(predecessor) == 0, f"the process before upgrade {step + 1} did not end with 0")
-            await until_member_state(scene, "n0", "c1", "draining")
-        await scene.served_more(ANSWERS_BETWEEN_STEPS)
-        verdicts = [verdict for request in scene.front.wishes for verdict in request.verdicts]
+            await cluster.served_more(ANSWERS_BETWEEN_STEPS)
+            use_version(cluster, old if step % 2 else new)
+            predecessor = await cluster.upgrade("n0")
+            await cluster.until_yes("n0")
+            await cluster.served_more(ANSWERS_BETWEEN_STEPS)
+            require(await cluster.retire(predecessor) == 0, f"the process before upgrade {step + 1} did not end with 0")
+            await until_member_state(cluster, "n0", "c1", "draining")
+        await cluster.served_more(ANSWERS_BETWEEN_STEPS)
+        verdicts = [verdict for request in cluster.front.wishes for verdict in request.verdicts]
         require("lost" not in verdicts, f"{verdicts.count('lost')} requests were lost in upgrades")
-        scene.verdict()
+        cluster.verdict()
         return {"upgrades": steps, "requests": len(verdicts), "lost": verdicts.count("lost")}
 
 
--- a/benchmarks/operations.py
+++ b/benchmarks/operations.py
@@ -26,124 +26,126 @@
 from benchmarks.measure import figures, machine, percentile, spread, table
 from benchmarks.recovery_cost import cpu_s
 from rookbend.protocol.coordinator_stream import split_address
-from rookbend.testing.cluster import stage
+from rookbend.testing.cluster import open_cluster
 
 RATE = 100.0
 SILENT = 200
 BEAT_S = 0.02
 
 
-async def call_ms(scene, path: str = "/status") -> float:
+async def call_ms(cluster, path: str = "/status") -> float:
     began = time.monotonic()
-    status, _ = await scene.call("n0", "GET", path)
+    status, _ = await cluster.call("n0", "GET", path)
     assert status == 200, f"{path}: {status}"
     return (time.monotonic() - began) * 1000
 
 
-async def calls(scene, count: int) -> list[float]:
+async def calls(cluster, count: int) -> list[float]:
     found = []
     for n in range(count):
-        found.append(await call_ms(scene, "/status/metrics" if n % 2 else "/status"))
+        found.append(await call_ms(cluster, "/status/metrics" if n % 2 else "/status"))
         await trio.sleep(BEAT_S)
     return found
 
 
 async def door(rate: float, silent: int, count: int, seed: int) -> list[float]:
-    async with stage(1, 3, 1, seed, "", rate) as scene:
-        await scene.serve_with_doors()
+    async with open_cluster(1, 3, 1, seed, "", rate) as cluster:
+        await cluster.serve_with_doors()
         if rate:
-            await scene.served_more(int(rate / 4))
-        address, held = split_address(scene.places["n0"]["operator"]), []
+            await cluster.served_more(int(rate / 4))
+        address, held = split_address(cluster.places["n0"]["operator"]), []
         for i in range(silent):
             stream = await trio.open_tcp_stream(*address)
             if i % 2:
                 await stream.send_all(b"GET /status HT")
             held.append(stream)
-        found = await calls(scene, count)
+        found = await calls(cluster, count)
         for stream in held:
             await stream.aclose()
-        scene.verdict()
+        cluster.verdict()
         return found
 
 
 async def upgrades(count: int, seed: int) -> dict:
-    async with stage(1, 3, 1, seed, "", RATE) as scene:
-        await scene.serve_with_doors()
+    async with open_cluster(1, 3, 1, seed, "", RATE) as cluster:
+        await cluster.serve_with_doors()
         took = []
         for _ in range(count):
             began = time.monotonic()
-            old = await scene.upgrade("n0")
-            await scene.until_yes("n0")
+            old = await cluster.upgrade("n0")
+            await cluster.until_yes("n0")
             took.append(time.monotonic() - began)
-            await scene.served_more(10)
-            assert await scene.retire(old) == 0
-        verdicts = [v for w in scene.front.wishes for v in w.verdicts]
-        scene.verdict()
+            await cluster.served_more(10)
+            assert await cluster.retire(old) == 0
+        verdicts = [v for w in cluster.front.wishes for v in w.verdicts]
+        cluster.verdict()
         return {
             "asked": len(verdicts),
             "lost": verdicts.count("lost"),
             "unsent": verdicts.count("unsent"),
             "yes_s": took,
-            "late_ms": scene.front.late_s * 1000,
+            "late_ms": cluster.front.late_s * 1000,
         }
 
 
 async def told(seconds: float, seed: int) -> dict:
     """The largest share by which a figure is off, over answers of clients and arrivals at caches."""
-    async with stage(1, 3, 1, seed, "", RATE) as scene:
-        await scene.serve_with_doors()
+    async with open_cluster(1, 3, 1, seed, "", RATE) as cluster:
+        await cluster.serve_with_doors()
         worst = {"served": 0.0, "in_flight": 0.0}
         ends = time.monotonic() + seconds
         while time.monotonic() < ends:
             await trio.sleep(0.2)
-            seen_before = scene.record.counts["answer", "served"]
-            open_before = sum(len(line.open) for t in scene.front.targets.values() for line in t.lines)
-            found = await scene.figures("n0")
-            seen = scene.record.counts["answer", "served"]
-            opened = sum(len(line.open) for t in scene.front.targets.values() for line in t.lines)
+            seen_before = cluster.record.counts["answer", "served"]
+            open_before = sum(len(line.open) for t in cluster.front.targets.values() for line in t.lines)
+            found = await cluster.figures("n0")
+            seen = cluster.record.counts["answer", "served"]
+            opened = sum(len(line.open) for t in cluster.front.targets.values() for line in t.lines)
             served = sum(v for k, v in found.items() if k.endswith(".served"))
             off = max(0, seen_before - served, served - seen)
             worst["served"] = max(worst["served"], off / max(1, seen))
             low, high = sorted((open_before, opened))
             flying = found["svc.in_flight"]
             worst["in_flight"] = max(worst["in_flight"], float(max(0, low - flying, flying - high)))
-        scene.front.running.cancel()
+        cluster.front.running.cancel()
         await trio.sleep(1.0)
-        found = await scene.figures("n0")
-        quiet = abs(sum(v for k, v in found.items() if k.endswith(".served")) - scene.record.counts["answer", "served"])
+        found = await cluster.figures("n0")
+        quiet = abs(
+            sum(v for k, v in found.items() if k.endswith(".served")) - cluster.record.counts["answer", "served"]
+        )
         return {**worst, "off_when_quiet": quiet}
 
 
 async def reload(count: int, seed: int) -> list[float]:
     """The slowest call of the door about each SIGHUP that brings other settings, in milliseconds."""
-    async with stage(1, 3, 1, seed, "", RATE) as scene:
-        await scene.serve_with_doors()
-        await scene.served_more(20)
-        node, slowest = scene.nodes["n0"], []
+    async with open_cluster(1, 3, 1, seed, "", RATE) as cluster:
+        await cluster.serve_with_doors()
+        await cluster.served_more(20)
+        node, slowest = cluster.nodes["n0"], []
         for n in range(count):
-            scene.change = lambda s, n=n: {**s, "limits": {**s["limits"], "maxAttempts": 3 + n % 3}}
-            node.config_file.write_text(json.dumps(scene.config("n0")))
+            cluster.change = lambda s, n=n: {**s, "limits": {**s["limits"], "maxAttempts": 3 + n % 3}}
+            node.config_file.write_text(json.dumps(cluster.config("n0")))
             node.signal(signal.SIGHUP)
-            slowest.append(max([await call_ms(scene) for _ in range(4)]))
+            slowest.append(max([await call_ms(cluster) for _ in range(4)]))
         assert len(node.heard("reloaded")) >= count - 1
-        scene.verdict()
+        cluster.verdict()
         return slowest
 
 
 async def cost(on: bool, seconds: float, seed: int) -> float:
     """CPU microseconds an answer."""
-    async with stage(1, 3, 1, seed, "", RATE) as scene:
-        scene.doors = on
-        await scene.start()
-        await scene.admitted()
+    async with open_cluster(1, 3, 1, seed, "", RATE) as cluster:
+        cluster.doors = on
+        await cluster.start()
+        await cluster.admitted()
         await trio.sleep(min(2.0, seconds))
-        pid = scene.nodes["n0"].process.pid
-        used, answers, ends = cpu_s(pid), scene.record.count("answer"), time.monotonic() + seconds
+        pid = cluster.nodes["n0"].process.pid
+        used, answers, ends = cpu_s(pid), cluster.record.count("answer"), time.monotonic() + seconds
         while (left := ends - time.monotonic()) > 0:
             await trio.sleep(min(1.0, left))
             if on:
-                await scene.figures("n0")
-        return (cpu_s(pid) - used) / max(1, scene.record.count("answer") - answers) * 1e6
+                await cluster.figures("n0")
+        return (cpu_s(pid) - used) / max(1, cluster.record.count("answer") - answers) * 1e6
 
 
 def main(argv: list[str] | None = None) -> int:
--- a/benchmarks/operator_interface.py
+++ b/benchmarks/operator_interface.py
@@ -11,8 +11,8 @@
 
 import trio
 
-from rookbend.testing.cluster import allow_probes, stage
-from rookbend.testing.cluster.scenario import Scene
+from rookbend.testing.cluster import allow_probes, open_cluster
+from rookbend.testing.cluster.scenario import ProcessCluster
 
 REQUESTS_PER_S = 40.0
 TIMEOUT_S = 60.0
@@ -54,39 +54,39 @@
         raise VersionMismatchError(message)
 
 
-def use_version(scene: Scene, checkout: Path, *names: str) -> None:
+def use_version(cluster: ProcessCluster, checkout: Path, *names: str) -> None:
     """The named directors, or all of them, start from this checkout from now on."""
-    for name in names or scene.names:
-        scene.nodes[name].checkout = checkout
+    for name in names or cluster.names:
+        cluster.nodes[name].checkout = checkout
 
 
-async def leader_of(scene: Scene, scope: str) -> str:
+async def leader_of(cluster: ProcessCluster, scope: str) -> str:
     """The director that holds the lease of the scope; waits until there is one."""
     with trio.fail_after(TIMEOUT_S):
         while True:
-            for name in scene.names:
-                owners = (await scene.ask(name, "/owners")).get("owners", ())
+            for name in cluster.names:
+                owners = (await cluster.ask(name, "/owners")).get("owners", ())
                 if any(row["ours"] and row["scope"] == scope for row in owners):
                     return name
             await trio.sleep(0.05)
 
 
-async def until_member_state(scene: Scene, name: str, member: str, state: str) -> None:
+async def until_member_state(cluster: ProcessCluster, name: str, member: str, state: str) -> None:
     """Waits until a director reports this state of the member."""
-    await scene.until_told(
+    await cluster.until_told(
         name,
         "/members",
         lambda answer: any(row["member"] == member and row["state"] == state for row in answer["members"]),
     )
 
 
-async def order_for_fleet(scene: Scene, name: str, member: str, order: str) -> None:
+async def order_for_fleet(cluster: ProcessCluster, name: str, member: str, order: str) -> None:
     """An order for all directors, given at one of them, and in effect at each."""
     body = {"member": member, "order": order, "by": "kim", "fleet": True}
-    answer = await scene.ask(name, "/orders", "POST", body)
+    answer = await cluster.ask(name, "/orders", "POST", body)
     require(answer["status"] == 200, f"the order on {member} at {name} was answered with {answer}")
-    for director in scene.names:
-        await until_member_state(scene, director, member, "maintenance" if order == "maintain" else "ready")
+    for director in cluster.names:
+        await until_member_state(cluster, director, member, "maintenance" if order == "maintain" else "ready")
 
 
 def keys_of(value: Any, path: str = "") -> set[str]:
@@ -117,25 +117,25 @@
 
 async def interface_of(checkout: Path, seed: int) -> dict[str, set[str]]:
     """What operators and their tools see of a director in a short run."""
-    async with stage(
+    async with open_cluster(
         directors=1, caches=3, seed=seed, rate=REQUESTS_PER_S, operators=SETTINGS.replace("0 1 2", "0")
-    ) as scene:
-        scene.change = allow_probes
-        use_version(scene, checkout)
-        await scene.serve_with_doors()
-        await scene.served_more(ANSWERS_BETWEEN_STEPS)
-        await order_for_fleet(scene, "n0", "c1", "maintain")
-        await scene.call("n0", "PUT", "/maintenance/enter?member=c2")
+    ) as cluster:
+        cluster.change = allow_probes
+        use_version(cluster, checkout)
+        await cluster.serve_with_doors()
+        await cluster.served_more(ANSWERS_BETWEEN_STEPS)
+        await order_for_fleet(cluster, "n0", "c1", "maintain")
+        await cluster.call("n0", "PUT", "/maintenance/enter?member=c2")
         for number in (signal.SIGHUP, signal.SIGUSR1):
-            scene.nodes["n0"].signal(number)
-        await scene.nodes["n0"].said("reloaded")
-        await scene.nodes["n0"].said("counters")
-        json_keys = {f"{path} {key}" for path in ADMIN_PATHS for key in keys_of(await scene.ask("n0", path))}
-        metrics = metric_names((await scene.ask("n0", "/metrics"))["text"])
-        operator_metrics = set(await scene.figures("n0"))
-        scene.nodes["n0"].signal(signal.SIGTERM)
-        await scene.nodes["n0"].ended()
-        events = {f"{line['event']} {key}" for line in scene.nodes["n0"].lines[-1] for key in line}
+            cluster.nodes["n0"].signal(number)
+        await cluster.nodes["n0"].said("reloaded")
+        await cluster.nodes["n0"].said("counters")
+        json_keys = {f"{path} {key}" for path in ADMIN_PATHS for key in keys_of(await cluster.ask("n0", path))}
+        metrics = metric_names((await cluster.ask("n0", "/metrics"))["text"])
+        operator_metrics = set(await cluster.figures("n0"))
+        cluster.nodes["n0"].signal(signal.SIGTERM)
+        await cluster.nodes["n0"].ended()
+        events = {f"{line['event']} {key}" for line in cluster.nodes["n0"].lines[-1] for key in line}
     for name, found in (("JSON keys", json_keys), ("metrics", metrics), ("operators' metrics", operator_metrics)):
         require(bool(found), f"the run of {checkout.name} has no {name}")
     return {"json": json_keys, "metrics": metrics, "operator metrics": operator_metrics, "log": events}
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -30,7 +30,7 @@
 from benchmarks.fleet import checkout
 from benchmarks.measure import figures, machine, table
 from rookbend.net.watch import ReconnectBackoff
-from rookbend.testing.cluster import stage
+from rookbend.testing.cluster import open_cluster
 from rookbend.testing.cluster.record import now_us
 from rookbend.testing.cluster.shared_state import ORIGIN, Make
 from rookbend.testing.recovery_simulation import SECOND, FleetSim, World
@@ -57,30 +57,30 @@
 
 
 async def real(side: str, code: Path | None, directors: int, rate: float, seconds: float, seed: int) -> dict:
-    async with stage(directors, 4, 1, seed, SIDES[side], rate, {"origin": WEAK}, code) as scene:
-        await scene.start()
-        await scene.admitted()
+    async with open_cluster(directors, 4, 1, seed, SIDES[side], rate, {"origin": WEAK}, code) as cluster:
+        await cluster.start()
+        await cluster.admitted()
         await trio.sleep(2.0)
-        scene.power_off()
-        scene.origin.most, falls = 0.0, scene.origin.falls
-        refused = scene.record.counts["answer", "refused"]
+        cluster.power_off()
+        cluster.origin.most, falls = 0.0, cluster.origin.falls
+        refused = cluster.record.counts["answer", "refused"]
         back = now_us()
-        await scene.power_on()
+        await cluster.power_on()
         await trio.sleep(seconds + 2.0)
-        by_second = scene.front.by_second(back, now_us() - 2_000_000)
+        by_second = cluster.front.by_second(back, now_us() - 2_000_000)
         shares = [got / asked for got, asked in (by_second[s] for s in sorted(by_second)) if asked]
-        breaches = len(scene.record.breaches())
-        datagrams = scene.record.peak("datagram", 1_000_000) / directors
+        breaches = len(cluster.record.breaches())
+        datagrams = cluster.record.peak("datagram", 1_000_000) / directors
     return {
         "to_50": held(shares, 0.5),
         "to_95": held(shares, 0.95),
         "worth": statistics.mean(shares),
-        "most": scene.origin.most,
-        "falls": scene.origin.falls - falls,
+        "most": cluster.origin.most,
+        "falls": cluster.origin.falls - falls,
         "datagrams": datagrams,
-        "refused": scene.record.counts["answer", "refused"] - refused,
+        "refused": cluster.record.counts["answer", "refused"] - refused,
         "breaches": breaches,
-        "late_ms": scene.front.late_s * 1000,
+        "late_ms": cluster.front.late_s * 1000,
     }
 
 
--- a/benchmarks/recovery_cost.py
+++ b/benchmarks/recovery_cost.py
@@ -20,7 +20,7 @@
 import trio
 
 from benchmarks.measure import figures, machine, spread, table
-from rookbend.testing.cluster import stage
+from rookbend.testing.cluster import open_cluster
 
 RECOVERY = "[state]\n folder {state}\n fleet f1\n[recovery]\n fleet f1\n first-rate 390\n"
 SIDES = {"off": "", "recovery": RECOVERY, "ownership": RECOVERY + "[ownership]\n report-ledger {ledger}\n"}
@@ -41,20 +41,20 @@
 
 
 async def turn(side: str, directors: int, warm: float, seconds: float, seed: int) -> dict:
-    async with stage(directors, 3, 1, seed, SIDES[side], RATE) as scene:
-        await scene.start()
-        await scene.admitted()
+    async with open_cluster(directors, 3, 1, seed, SIDES[side], RATE) as cluster:
+        await cluster.start()
+        await cluster.admitted()
         if side != "off":
-            for node in scene.nodes.values():
+            for node in cluster.nodes.values():
                 await node.said("recovery_stage", stage="serving")
-        for name in scene.names[1:]:  # one director gets all the requests, the others only talk to it
-            scene.front.targets[name].admitted = False
+        for name in cluster.names[1:]:  # one director gets all the requests, the others only talk to it
+            cluster.front.targets[name].admitted = False
         await trio.sleep(warm)
-        pid = scene.nodes["n0"].process.pid
-        before, answers = cpu_s(pid), scene.record.count("answer")
+        pid = cluster.nodes["n0"].process.pid
+        before, answers = cpu_s(pid), cluster.record.count("answer")
         await trio.sleep(seconds)
-        used, answers = cpu_s(pid) - before, scene.record.count("answer") - answers
-        scene.front.running.cancel()
+        used, answers = cpu_s(pid) - before, cluster.record.count("answer") - answers
+        cluster.front.running.cancel()
         await trio.sleep(1.0)
         idle = cpu_s(pid)
         await trio.sleep(seconds)
@@ -64,7 +64,7 @@
             "us": used / max(1, answers) * 1e6,
             "mb": memory_mb(pid),
             "answers": answers,
-            "late_ms": scene.front.late_s * 1000,
+            "late_ms": cluster.front.late_s * 1000,
         }
 
 
--- a/benchmarks/recovery_sweep.py
+++ b/benchmarks/recovery_sweep.py
@@ -35,7 +35,7 @@
 import trio
 
 from benchmarks.measure import figures, machine, table
-from rookbend.testing.cluster import Scene, allow_probes, disk, stage
+from rookbend.testing.cluster import ProcessCluster, allow_probes, disk, open_cluster
 from rookbend.testing.cluster.process import AFTER_SEND, BEFORE_SEND
 from rookbend.testing.cluster.shared_state import ORIGIN
 
@@ -51,106 +51,106 @@
 RATE = 60.0
 
 
-async def all_serve(scene: Scene) -> None:
-    for name in scene.names:
-        await scene.nodes[name].said("recovery_stage", stage="serving")
-    await scene.admitted()
-    await scene.served_more(60)
+async def all_serve(cluster: ProcessCluster) -> None:
+    for name in cluster.names:
+        await cluster.nodes[name].said("recovery_stage", stage="serving")
+    await cluster.admitted()
+    await cluster.served_more(60)
 
 
-async def orders(scene: Scene, rng: random.Random) -> None:
-    scene.power_off()
-    names = list(scene.off)
+async def orders(cluster: ProcessCluster, rng: random.Random) -> None:
+    cluster.power_off()
+    names = list(cluster.off)
     rng.shuffle(names)
     for name in names:
-        await scene.power_on(name)
+        await cluster.power_on(name)
         if rng.random() < 0.5:
             await trio.sleep(rng.random())
 
 
-async def thrice(scene: Scene, rng: random.Random) -> None:
+async def thrice(cluster: ProcessCluster, rng: random.Random) -> None:
     for stage_name in rng.sample(("writes", "reads", "fills"), 2):
-        scene.power_off()
-        await scene.power_on()
-        await scene.nodes[rng.choice(scene.names)].said("recovery_stage", stage=stage_name)
-    scene.power_off()
-    await scene.power_on()
+        cluster.power_off()
+        await cluster.power_on()
+        await cluster.nodes[rng.choice(cluster.names)].said("recovery_stage", stage=stage_name)
+    cluster.power_off()
+    await cluster.power_on()
 
 
-async def away(scene: Scene, rng: random.Random) -> None:
-    scene.power_off()
-    scene.coordinator.go()
-    await scene.power_on(known={"index": 0, "updates": []} if rng.random() < 0.5 else None)
+async def away(cluster: ProcessCluster, rng: random.Random) -> None:
+    cluster.power_off()
+    cluster.coordinator.go()
+    await cluster.power_on(known={"index": 0, "updates": []} if rng.random() < 0.5 else None)
     await trio.sleep(30.0)
-    scene.coordinator.back()
+    cluster.coordinator.back()
 
 
-async def frozen(scene: Scene, rng: random.Random) -> None:
-    scene.power_off()
-    await scene.power_on()
-    name = rng.choice(scene.names)
+async def frozen(cluster: ProcessCluster, rng: random.Random) -> None:
+    cluster.power_off()
+    await cluster.power_on()
+    name = rng.choice(cluster.names)
     if rng.random() < 0.5:
-        await scene.nodes[name].said("recovery_stage", stage=rng.choice(("writes", "reads", "fills")))
-    scene.freeze(name)
+        await cluster.nodes[name].said("recovery_stage", stage=rng.choice(("writes", "reads", "fills")))
+    cluster.freeze(name)
     await trio.sleep(20.0)
-    scene.thaw(name)
+    cluster.thaw(name)
 
 
-async def torn(scene: Scene, rng: random.Random) -> None:
-    scene.power_off()
-    for node in scene.nodes.values():
+async def torn(cluster: ProcessCluster, rng: random.Random) -> None:
+    cluster.power_off()
+    for node in cluster.nodes.values():
         await node.ended()
         disk.tear(node.state, rng.random())
-    await scene.power_on()
-    assert not any(node.heard("state_damaged") for node in scene.nodes.values()), "a torn write is no damage"
-
-
-async def swapped(scene: Scene, rng: random.Random) -> None:
-    one, other = rng.sample(scene.names, 2)
-    scene.power_off(one)
-    await scene.nodes[one].ended()
-    disk.lose(scene.nodes[one].state)
-    ours = scene.folder / "ours"
-    disk.copy(scene.nodes[one].state, ours)
-    disk.copy(scene.nodes[other].state, scene.nodes[one].state)
-    await scene.start(one)
-    assert await scene.nodes[one].ended() == 2, "it took another's folder"
-    said = [line.get("text", "") for line in scene.nodes[one].lines[-1]]
+    await cluster.power_on()
+    assert not any(node.heard("state_damaged") for node in cluster.nodes.values()), "a torn write is no damage"
+
+
+async def swapped(cluster: ProcessCluster, rng: random.Random) -> None:
+    one, other = rng.sample(cluster.names, 2)
+    cluster.power_off(one)
+    await cluster.nodes[one].ended()
+    disk.lose(cluster.nodes[one].state)
+    ours = cluster.folder / "ours"
+    disk.copy(cluster.nodes[one].state, ours)
+    disk.copy(cluster.nodes[other].state, cluster.nodes[one].state)
+    await cluster.start(one)
+    assert await cluster.nodes[one].ended() == 2, "it took another's folder"
+    said = [line.get("text", "") for line in cluster.nodes[one].lines[-1]]
     assert any(f"is of director '{other}'" in text for text in said), said
-    disk.copy(ours, scene.nodes[one].state)
-    await scene.power_on(one)
+    disk.copy(ours, cluster.nodes[one].state)
+    await cluster.power_on(one)
 
 
-async def weak(scene: Scene, rng: random.Random) -> None:
-    scene.origin.make = replace(ORIGIN, capacity=2.0, multiple=2.0)
-    scene.power_off()
-    await scene.power_on()
+async def weak(cluster: ProcessCluster, rng: random.Random) -> None:
+    cluster.origin.make = replace(ORIGIN, capacity=2.0, multiple=2.0)
+    cluster.power_off()
+    await cluster.power_on()
 
 
-async def vanished(scene: Scene, rng: random.Random) -> None:
-    scene.power_off()
-    await scene.power_on()
-    directors, caches = rng.sample(scene.names, 2), rng.sample([b.name for b in scene.caches], 2)
+async def vanished(cluster: ProcessCluster, rng: random.Random) -> None:
+    cluster.power_off()
+    await cluster.power_on()
+    directors, caches = rng.sample(cluster.names, 2), rng.sample([b.name for b in cluster.caches], 2)
     for pair in zip(directors, caches, strict=True):
         for name in pair:
-            scene.vanish(name)
-        await scene.served_more(20)
+            cluster.vanish(name)
+        await cluster.served_more(20)
         for name in pair:
-            scene.vanish(name, gone=False)
+            cluster.vanish(name, gone=False)
 
 
-async def bad_net(scene: Scene, rng: random.Random) -> None:
-    for a in scene.names:
-        for b in scene.names:
+async def bad_net(cluster: ProcessCluster, rng: random.Random) -> None:
+    for a in cluster.names:
+        for b in cluster.names:
             if a != b:
-                scene.ways.get(a, b).set(loss=0.3, double=0.4, reorder=0.4)
-    scene.power_off()
-    await scene.power_on()
+                cluster.ways.get(a, b).set(loss=0.3, double=0.4, reorder=0.4)
+    cluster.power_off()
+    await cluster.power_on()
     for _ in range(3):
         await trio.sleep(rng.random())
-        scene.coordinator.go()
+        cluster.coordinator.go()
         await trio.sleep(rng.random())
-        scene.coordinator.back()
+        cluster.coordinator.back()
 
 
 OWNERS = """
@@ -174,34 +174,34 @@
 """
 
 
-async def harm(scene: Scene, rng: random.Random) -> None:
+async def harm(cluster: ProcessCluster, rng: random.Random) -> None:
     """One fault, to its end."""
-    name, other = rng.sample(scene.names, 2)
-    node = scene.nodes[name]
+    name, other = rng.sample(cluster.names, 2)
+    node = cluster.nodes[name]
     kind = rng.choice(("kill", "freeze", "cut", "cut one way", "clock", "rate", "before", "after"))
     span_s = rng.uniform(0.2, 5.0)
     if kind == "kill":
-        scene.power_off(name)
+        cluster.power_off(name)
         await trio.sleep(span_s / 2)
-        await scene.power_on(name)
+        await cluster.power_on(name)
     elif kind == "freeze":
-        scene.freeze(name)
+        cluster.freeze(name)
         await trio.sleep(span_s)
-        scene.thaw(name)
+        cluster.thaw(name)
     elif kind.startswith("cut"):
-        others = [n for n in scene.names if n != name]
+        others = [n for n in cluster.names if n != name]
         for target in others if rng.random() < 0.5 else [other]:
-            scene.cut(name, target)
+            cluster.cut(name, target)
             if kind == "cut":
-                scene.cut(target, name)
+                cluster.cut(target, name)
         await trio.sleep(span_s)
-        scene.ways.heal()
+        cluster.ways.heal()
     elif kind in ("clock", "rate"):
         step, rate = rng.choice((-600.0, 600.0)), rng.choice((0.98, 1.02))
         node.set_clock(*((step,) if kind == "clock" else (0.0, rate)))
         await trio.sleep(span_s / 2)
     else:
-        for each in scene.nodes.values():  # whichever writes next
+        for each in cluster.nodes.values():  # whichever writes next
             each.stop_at(BEFORE_SEND if kind == "before" else AFTER_SEND)
         async with trio.open_nursery() as nursery:
 
@@ -210,29 +210,29 @@
                 nursery.cancel_scope.cancel()
 
             nursery.cancel_scope.deadline = trio.current_time() + 6.0
-            for each in scene.nodes.values():
+            for each in cluster.nodes.values():
                 nursery.start_soon(first, each)
-        for each in scene.nodes.values():
+        for each in cluster.nodes.values():
             each.stop_at()
         await trio.sleep(span_s)
-        for each in scene.names:
-            scene.thaw(each)
+        for each in cluster.names:
+            cluster.thaw(each)
 
 
 async def owners(seed: int) -> None:
     """A run of its own: five directors, four duties, twelve faults."""
     rng = random.Random(f"{seed} owners")
-    async with stage(5, 3, 1, seed, OWNERS) as scene:
-        scene.change = allow_probes
-        await scene.start()
-        await scene.admitted()
+    async with open_cluster(5, 3, 1, seed, OWNERS) as cluster:
+        cluster.change = allow_probes
+        await cluster.start()
+        await cluster.admitted()
         stood: list[str] = []
 
         async def order(number: int) -> None:
-            member, name = rng.choice(scene.caches).name, rng.choice(scene.names)
+            member, name = rng.choice(cluster.caches).name, rng.choice(cluster.names)
             with trio.move_on_after(6.0):
                 try:
-                    found = await scene.ask(
+                    found = await cluster.ask(
                         name,
                         "/orders",
                         "POST",
@@ -246,28 +246,28 @@
         for number in range(12):
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(order, number)
-                await harm(scene, rng)
-        scene.ways.heal()
-        for node in scene.nodes.values():
+                await harm(cluster, rng)
+        cluster.ways.heal()
+        for node in cluster.nodes.values():
             node.set_clock()
-        await scene.start()
-        lines = len(scene.ledger.tries)
-        await scene.until(lambda: sum(t.word == "ok" for t in scene.ledger.tries[lines:]) >= 3, "lines go on")
+        await cluster.start()
+        lines = len(cluster.ledger.tries)
+        await cluster.until(lambda: sum(t.word == "ok" for t in cluster.ledger.tries[lines:]) >= 3, "lines go on")
         counts = {}
-        for name in scene.names:
-            found = await scene.until_told(
+        for name in cluster.names:
+            found = await cluster.until_told(
                 name,
                 "/owners",
                 lambda found: all(r["owner"] >= 0 for r in found["owners"])
                 and found["orders"]["in_effect"] >= len(stood),
             )
             counts[name] = found["orders"]["in_effect"]
-        scene.front.running.cancel()
-        scene.verdict()
-        taken = [t for t in scene.ledger.tries if t.word == "ok"]
+        cluster.front.running.cancel()
+        cluster.verdict()
+        taken = [t for t in cluster.ledger.tries if t.word == "ok"]
         assert [t.token for t in taken] == sorted(t.token for t in taken), "an old owner's line was taken"
         assert len({t.number for t in taken}) == len(taken), "a line was taken twice"
-        old = sum(t.word == "old" for t in scene.ledger.tries)
+        old = sum(t.word == "old" for t in cluster.ledger.tries)
         print(
             f"owners {seed}: {len(taken)} lines taken, {old} of old owners refused, " f"{len(stood)} orders stood",
             flush=True,
@@ -293,15 +293,15 @@
     """One run. Raises AssertionError with its report where it does not end well."""
     if case == "owners":
         return await owners(seed)
-    async with stage(directors, 3, 1, seed, OPERATORS, RATE) as scene:
-        await scene.start()
-        await scene.admitted()
-        await scene.until(lambda: len(scene.world.ran) > 3, "writes ran")
-        await CASES[case](scene, random.Random(f"{seed} {case}"))
-        await all_serve(scene)
-        scene.front.running.cancel()
-        scene.verdict()
-        twice = [rids for rids in scene.world.ran.values() if len(rids) != len(set(rids))]
+    async with open_cluster(directors, 3, 1, seed, OPERATORS, RATE) as cluster:
+        await cluster.start()
+        await cluster.admitted()
+        await cluster.until(lambda: len(cluster.world.ran) > 3, "writes ran")
+        await CASES[case](cluster, random.Random(f"{seed} {case}"))
+        await all_serve(cluster)
+        cluster.front.running.cancel()
+        cluster.verdict()
+        twice = [rids for rids in cluster.world.ran.values() if len(rids) != len(set(rids))]
         assert not twice, f"an id ran twice: {twice}"
 
 
--- a/rookbend/testing/cluster/__init__.py
+++ b/rookbend/testing/cluster/__init__.py
@@ -27,7 +27,7 @@
 
 from rookbend.testing.cluster.director_config import allow_probes
 from rookbend.testing.cluster.process import HungProcessError
-from rookbend.testing.cluster.scenario import Scene
-from rookbend.testing.cluster.scenario_runner import stage
+from rookbend.testing.cluster.scenario import ProcessCluster
+from rookbend.testing.cluster.scenario_runner import open_cluster
 
-__all__ = ["HungProcessError", "Scene", "allow_probes", "stage"]
+__all__ = ["HungProcessError", "ProcessCluster", "allow_probes", "open_cluster"]
--- a/rookbend/testing/cluster/failure_record.py
+++ b/rookbend/testing/cluster/failure_record.py
@@ -36,24 +36,24 @@
     return Path(named) if named else Path(tempfile.gettempdir()) / DEFAULT_FOLDER
 
 
-def keep(error: Exception, scene: Reporter) -> Path:
+def keep(error: Exception, cluster: Reporter) -> Path:
     """Copies a scene's error, report, logs and configurations; returns the folder. Raises OSError."""
     kept = failures_folder() / f"{time.time_ns()}-{os.getpid()}"
     kept.mkdir(parents=True)
     (kept / "error.txt").write_text("".join(traceback.format_exception(error)))
-    (kept / "report.txt").write_text(scene.report())
-    for name in scene.names:
+    (kept / "report.txt").write_text(cluster.report())
+    for name in cluster.names:
         for file in KEPT_FILES:
-            source = scene.folder / name / file
+            source = cluster.folder / name / file
             if source.exists():
                 shutil.copyfile(source, kept / f"{name}.{file}")
     return kept
 
 
-def annotate(error: Exception, scene: Reporter) -> None:
+def annotate(error: Exception, cluster: Reporter) -> None:
     """Keeps the scene and notes in the error where it is, and what its report says."""
     try:
-        place = f"record, logs and settings: {keep(error, scene)}"
+        place = f"record, logs and settings: {keep(error, cluster)}"
     except OSError as fault:
         place = f"record, logs and settings not kept: {fault}"
-    error.add_note(f"{place}\n{scene.report()}")
+    error.add_note(f"{place}\n{cluster.report()}")
--- a/rookbend/testing/cluster/scenario.py
+++ b/rookbend/testing/cluster/scenario.py
@@ -41,7 +41,7 @@
 from rookbend.testing.weighted_score import earned_weight
 
 
-class Scene(Faults, Asking, Upgrades):
+class ProcessCluster(Faults, Asking, Upgrades):
     def __init__(
         self,
         nursery: trio.Nursery,
--- a/rookbend/testing/cluster/scenario_runner.py
+++ b/rookbend/testing/cluster/scenario_runner.py
@@ -10,12 +10,12 @@
 import trio
 
 from rookbend.testing.cluster import failure_record
-from rookbend.testing.cluster.scenario import Scene
+from rookbend.testing.cluster.scenario import ProcessCluster
 from rookbend.testing.cluster.shared_state import Make
 
 
 @asynccontextmanager
-async def stage(
+async def open_cluster(
     directors: int = 3,
     caches: int = 4,
     parents: int = 1,
@@ -26,16 +26,16 @@
     checkout: Path | None = None,
     folder: Path | None = None,
     notice_s: float = 1.0,
-) -> AsyncIterator[Scene]:
+) -> AsyncIterator[ProcessCluster]:
     """An open scene, whose directors are not started yet. With a `rate` clients ask so often a second, all
     together, from the first admission on. `operators` is the settings' text of all, or by name; in it
     `{state}` is a folder that outlives the process, `{dns}` where its DNS front may listen, `{resolver}` a
     stand-in that knows the members as that director does, `{ledger}` where it reaches the stand-in ledger."""
     with tempfile.TemporaryDirectory(prefix="rookbend-stage-") as made:
-        scene: Scene | None = None
+        cluster: ProcessCluster | None = None
         try:
             async with trio.open_nursery() as nursery:
-                scene = Scene(
+                cluster = ProcessCluster(
                     nursery,
                     folder or Path(made),
                     directors,
@@ -48,25 +48,25 @@
                     checkout,
                     notice_s,
                 )
-                await scene.open()
+                await cluster.open()
                 if rate:
-                    nursery.start_soon(_when_admitted, scene)
+                    nursery.start_soon(_when_admitted, cluster)
                 try:
-                    yield scene
-                    scene.assert_no_component_fault()
+                    yield cluster
+                    cluster.assert_no_component_fault()
                 finally:
                     with trio.CancelScope(shield=True):
-                        scene.front.running.cancel()
-                        await scene.stop()
+                        cluster.front.running.cancel()
+                        await cluster.stop()
                 nursery.cancel_scope.cancel()
         except Exception as error:
-            if scene is not None:
-                failure_record.annotate(error, scene)
+            if cluster is not None:
+                failure_record.annotate(error, cluster)
             raise
 
 
-async def _when_admitted(scene: Scene) -> None:
-    while not any(t.admitted for t in scene.front.targets.values()):
-        await scene.front.changed.wait()
-    scene.record.note("fault", "clients", "begin")
-    await scene.front.run()
+async def _when_admitted(cluster: ProcessCluster) -> None:
+    while not any(t.admitted for t in cluster.front.targets.values()):
+        await cluster.front.changed.wait()
+    cluster.record.note("fault", "clients", "begin")
+    await cluster.front.run()
--- a/rookbend/testing/cluster/soak.py
+++ b/rookbend/testing/cluster/soak.py
@@ -18,8 +18,8 @@
 from rookbend.protocol.coordinator_stream import split_address
 from rookbend.testing.cluster.process import Node
 from rookbend.testing.cluster.record import now_us
-from rookbend.testing.cluster.scenario import Scene
-from rookbend.testing.cluster.scenario_runner import stage
+from rookbend.testing.cluster.scenario import ProcessCluster
+from rookbend.testing.cluster.scenario_runner import open_cluster
 from rookbend.testing.cluster.traffic_classes import KINDS
 from rookbend.testing.cluster.workload import LostRequest
 
@@ -53,12 +53,12 @@
 class Soak:
     """One seed; `seconds` is how long new events begin."""
 
-    def __init__(self, scene: Scene, seed: int, seconds: float):
-        self.scene = scene
+    def __init__(self, cluster: ProcessCluster, seed: int, seconds: float):
+        self.cluster = cluster
         self.seconds = seconds
         self.random = random.Random(f"{seed} soak")
         self.result = SoakResult(seed, crowd=seed % 3 == 0)
-        self.stopped_us: dict[str, list[int]] = {name: [] for name in scene.names}  # SIGTERM
+        self.stopped_us: dict[str, list[int]] = {name: [] for name in cluster.names}  # SIGTERM
         self._events: list[Callable[[str], Awaitable[None]]] = [
             self._restart,
             self._restart_with_second_signal,
@@ -74,19 +74,19 @@
 
     async def run(self) -> SoakResult:
         """Plays the events one after the other, and judges."""
-        await self.scene.serve_with_doors()
-        await self.scene.served_more(50)
+        await self.cluster.serve_with_doors()
+        await self.cluster.served_more(50)
         if self.result.crowd:
-            self.scene.nursery.start_soon(self._crowd)
+            self.cluster.nursery.start_soon(self._crowd)
         end_s = trio.current_time() + self.seconds
         while trio.current_time() < end_s:
             event = self.random.choice(self._events)
-            director = self.random.choice(self.scene.names)
+            director = self.random.choice(self.cluster.names)
             self.result.events.append(f"{event.__name__.strip('_')} {director}")
-            self.scene.record.note("fault", director, event.__name__.strip("_"))
+            self.cluster.record.note("fault", director, event.__name__.strip("_"))
             await event(director)
             await trio.sleep(self.random.uniform(0, LONGEST_PAUSE_S))
-        await self.scene.served_more(50)
+        await self.cluster.served_more(50)
         self._judge()
         return self.result
 
@@ -108,16 +108,16 @@
 
     async def _start_again(self, name: str) -> None:
         began_s = trio.current_time()
-        await self.scene.until(lambda: not self.scene.front.targets[name].admitted, f"{name} is missed")
-        await self.scene.start(name)
-        await self.scene.admitted(name)
+        await self.cluster.until(lambda: not self.cluster.front.targets[name].admitted, f"{name} is missed")
+        await self.cluster.start(name)
+        await self.cluster.admitted(name)
         took_s = trio.current_time() - began_s
         self.result.slowest_start_s = max(self.result.slowest_start_s, took_s)
         if took_s > READY_WITHIN_S:
             self.result.failures.append(f"{name} was ready after {took_s:.1f} s")
 
     async def _restart(self, name: str, *then: signal.Signals, within_s: float = 0.0) -> None:
-        node = self.scene.nodes[name]
+        node = self.cluster.nodes[name]
         self._stop(node)
         for number in then:
             await trio.sleep(within_s)
@@ -133,40 +133,40 @@
         await self._restart(name, signal.SIGHUP, within_s=self.random.uniform(0, 1.0))
 
     async def _signals_at_once(self, name: str) -> None:
-        node = self.scene.nodes[name]
+        node = self.cluster.nodes[name]
         for number in self.random.sample((signal.SIGHUP, signal.SIGUSR1, signal.SIGHUP), 3):
             node.signal(number)
         await self._restart(name)
 
     def _write_changed_config(self, name: str) -> None:
         attempts = self.random.randint(3, 6)
-        self.scene.change = lambda settings: {**settings, "limits": {**settings["limits"], "maxAttempts": attempts}}
-        node = self.scene.nodes[name]
+        self.cluster.change = lambda settings: {**settings, "limits": {**settings["limits"], "maxAttempts": attempts}}
+        node = self.cluster.nodes[name]
         operator = json.loads(node.config_file.read_text())["operator"]
-        node.config_file.write_text(json.dumps({**self.scene.config(name), "operator": operator}))
+        node.config_file.write_text(json.dumps({**self.cluster.config(name), "operator": operator}))
 
     async def _reload(self, name: str) -> None:
-        node = self.scene.nodes[name]
+        node = self.cluster.nodes[name]
         before = len(node.heard("reloaded"))
         self._write_changed_config(name)
         node.signal(signal.SIGHUP)
-        await self.scene.until(lambda: len(node.heard("reloaded")) > before, f"{name} reloads")
+        await self.cluster.until(lambda: len(node.heard("reloaded")) > before, f"{name} reloads")
 
     async def _reload_of_broken_files(self, name: str) -> None:
-        node = self.scene.nodes[name]
+        node = self.cluster.nodes[name]
         before = len(node.heard("reload_failed"))
         whole = node.config_file.read_bytes()
         node.config_file.write_bytes(whole[: self.random.randrange(1, len(whole))])
         node.signal(signal.SIGHUP)
-        await self.scene.until(lambda: len(node.heard("reload_failed")) > before, f"{name} refuses to reload")
+        await self.cluster.until(lambda: len(node.heard("reload_failed")) > before, f"{name} refuses to reload")
         node.config_file.write_bytes(whole)
 
     async def _upgrade(self, name: str, reload: bool = False) -> None:
-        old = await self.scene.upgrade(name)
+        old = await self.cluster.upgrade(name)
         if reload:
             await trio.sleep(self.random.uniform(0, 0.5))
             old.signal(signal.SIGHUP)
-        await self.scene.until_yes(name)
+        await self.cluster.until_yes(name)
         self._stop(old)
         await self._until_ended(old)
 
@@ -176,19 +176,19 @@
     # What is round them
 
     async def _member_restart(self, _name: str) -> None:
-        member = self.random.choice([box.name for box in self.scene.caches])
-        self.scene.power_off(member)
+        member = self.random.choice([box.name for box in self.cluster.caches])
+        self.cluster.power_off(member)
         await trio.sleep(self.random.uniform(0.1, 1.0))
-        await self.scene.power_on(member)
+        await self.cluster.power_on(member)
 
     async def _silent_coordinator(self, _name: str) -> None:
-        self.scene.coordinator.go()
+        self.cluster.coordinator.go()
         await trio.sleep(self.random.uniform(0.5, 3.0))
-        self.scene.coordinator.back()
+        self.cluster.coordinator.back()
 
     async def _crowd(self) -> None:
         """Clients that connect to one director at once and send nothing."""
-        address = split_address(self.scene.places[self.random.choice(self.scene.names)]["listen"])
+        address = split_address(self.cluster.places[self.random.choice(self.cluster.names)]["listen"])
         await trio.sleep(self.random.uniform(0, self.seconds / 2))
         async with trio.open_nursery() as nursery:
             for _ in range(CROWD):
@@ -215,25 +215,25 @@
         )
 
     def _judge(self) -> None:
-        front, result = self.scene.front, self.result
+        front, result = self.cluster.front, self.result
         result.requests = len(front.wishes)
         result.served = sum(wish.done_us > 0 for wish in front.wishes)
         result.lost = len(front.lost)
         result.failures += [
-            f"lost at {request.director}: sent {(request.sent_us - self.scene.record.began_us) / 1e6:.3f} s, "
-            f"lost {(request.lost_us - self.scene.record.began_us) / 1e6:.3f} s"
+            f"lost at {request.director}: sent {(request.sent_us - self.cluster.record.began_us) / 1e6:.3f} s, "
+            f"lost {(request.lost_us - self.cluster.record.began_us) / 1e6:.3f} s"
             for request in front.lost
             if not self._may_be_lost(request)
         ]
-        result.failures += [f"{v.rule}: {v.subject} {v.text}" for v in self.scene.record.breaches()]
+        result.failures += [f"{v.rule}: {v.subject} {v.text}" for v in self.cluster.record.breaches()]
 
 
 async def soak(seed: int, seconds: float) -> SoakResult:
     """Plays one seed. Raises AssertionError where a director has contained a fault, or a wait hung."""
-    async with stage(DIRECTORS, 3, 1, seed, rate=RATE) as scene:
-        scene.front.heeds_closing = seed % 2 == 0  # the others use open connections to the end
-        result = await Soak(scene, seed, seconds).run()
-        scene.front.running.cancel()
+    async with open_cluster(DIRECTORS, 3, 1, seed, rate=RATE) as cluster:
+        cluster.front.heeds_closing = seed % 2 == 0  # the others use open connections to the end
+        result = await Soak(cluster, seed, seconds).run()
+        cluster.front.running.cancel()
         if result.failures:
             raise AssertionError("\n".join([*result.failures, *result.events]))
     return result
--- a/rookbend/testing/demo.py
+++ b/rookbend/testing/demo.py
@@ -14,7 +14,7 @@
 
 import trio
 
-from rookbend.testing.cluster import Scene, stage
+from rookbend.testing.cluster import ProcessCluster, open_cluster
 from rookbend.testing.cluster.record import now_us
 
 BEAT_S = 0.5
@@ -54,41 +54,45 @@
         operators = default_operators() if plan.operators is None else plan.operators
         with tempfile.TemporaryDirectory(prefix="rookbend-demo-") as folder:
             async with (
-                stage(
+                open_cluster(
                     plan.directors, plan.caches, 1, plan.seed, operators, plan.rate, folder=keep or Path(folder)
-                ) as scene,
+                ) as cluster,
                 trio.open_nursery() as nursery,
             ):
-                nursery.start_soon(self._show, scene)
-                await scene.start()
-                await scene.admitted()
+                nursery.start_soon(self._show, cluster)
+                await cluster.start()
+                await cluster.admitted()
                 self.began_us, self.act = now_us(), "serving"
                 await trio.sleep(plan.calm_s)
                 self.lost_us, self.act = now_us(), "without power"
-                scene.power_off()
+                cluster.power_off()
                 await trio.sleep(plan.dark_s)
                 self.back_us, self.act = now_us(), "power is back"
-                await scene.power_on()
+                await cluster.power_on()
                 await trio.sleep(plan.after_s)
                 nursery.cancel_scope.cancel()
-            self.watch("ended", self.rows(scene))
-        return self.report(scene)
+            self.watch("ended", self.rows(cluster))
+        return self.report(cluster)
 
-    async def _show(self, scene: Scene) -> None:
+    async def _show(self, cluster: ProcessCluster) -> None:
         while True:
-            self.watch(self.act, self.rows(scene))
+            self.watch(self.act, self.rows(cluster))
             await trio.sleep(BEAT_S)
 
-    def rows(self, scene: Scene) -> list[list[str]]:
+    def rows(self, cluster: ProcessCluster) -> list[list[str]]:
         """One row a process: name, what it is, state, and what it has done."""
         out = []
-        for name, node in scene.nodes.items():
+        for name, node in cluster.nodes.items():
             state = (
-                "dead" if not node.running else "admitted" if scene.front.targets[name].admitted else "up, not admitted"
+                "dead"
+                if not node.running
+                else "admitted"
+                if cluster.front.targets[name].admitted
+                else "up, not admitted"
             )
             stages = node.heard("recovery_stage") if node.running else []
             out.append([name, "director", state, f"life {node.lives}" + (f", {stages[-1]['stage']}" if stages else "")])
-        for box in scene.boxes.values():
+        for box in cluster.boxes.values():
             cold = box.role != "origin" and box.is_cold(now_us())
             out.append(
                 [
@@ -100,32 +104,32 @@
             )
         return out
 
-    def report(self, scene: Scene) -> dict:
+    def report(self, cluster: ProcessCluster) -> dict:
         """{"rules": {rule: breaches}, "return": [[director, seconds after the power]], "worth": [share by
         second since the first admission], "lost_at": second, "back_at": second, "falls": {member: n}, ...}"""
         admitted = [
             [who, round((at - self.back_us) / 1e6, 2)]
-            for at, what, who, _ in scene.record.rows
+            for at, what, who, _ in cluster.record.rows
             if what == "admitted" and at >= self.back_us
         ]
         # What was asked in the last two seconds may be open still.
-        seconds = scene.front.by_second(self.began_us, now_us() - 2_000_000)
+        seconds = cluster.front.by_second(self.began_us, now_us() - 2_000_000)
         worth = [
             round(got / asked, 3) if asked else None
             for got, asked in (seconds.get(i, (0.0, 0.0)) for i in range(max(seconds, default=-1) + 1))
         ]
-        breaches = scene.record.breaches()
+        breaches = cluster.record.breaches()
         return {
             "directors": self.plan.directors,
             "seed": self.plan.seed,
-            "requests": len(scene.front.wishes),
+            "requests": len(cluster.front.wishes),
             "return": admitted,
             "worth": worth,
             "lost_at": round((self.lost_us - self.began_us) / 1e6, 1),
             "back_at": round((self.back_us - self.began_us) / 1e6, 1),
-            "falls": {b.name: b.falls for b in scene.boxes.values() if b.falls},
-            "seen": scene.record.checker.observed_events,
-            "rules": scene.record.checker.violations_by_rule(),
+            "falls": {b.name: b.falls for b in cluster.boxes.values() if b.falls},
+            "seen": cluster.record.checker.observed_events,
+            "rules": cluster.record.checker.violations_by_rule(),
             "breaches": [f"{b.rule}: {b.subject} {b.text}" for b in breaches[:20]],
-            "client_late_ms": round(scene.front.late_s * 1000, 1),
+            "client_late_ms": round(cluster.front.late_s * 1000, 1),
         }
--- a/tests/recovery_scenes.py
+++ b/tests/recovery_scenes.py
@@ -2,7 +2,7 @@
 
 from contextlib import asynccontextmanager
 
-from rookbend.testing.cluster import stage
+from rookbend.testing.cluster import open_cluster
 
 RECOVERY = """
 [state]
@@ -18,29 +18,29 @@
 @asynccontextmanager
 async def fleet(directors=3, rate=60.0, operators=RECOVERY, **more):
     """A fleet that serves; the rules are judged at its end whatever the test looked at."""
-    async with stage(directors=directors, caches=3, rate=rate, operators=operators, **more) as scene:
-        await scene.start()
-        await scene.admitted()
-        yield scene
-        scene.front.running.cancel()
-        scene.verdict()
+    async with open_cluster(directors=directors, caches=3, rate=rate, operators=operators, **more) as cluster:
+        await cluster.start()
+        await cluster.admitted()
+        yield cluster
+        cluster.front.running.cancel()
+        cluster.verdict()
 
 
-async def all_reach(scene, what="serving", names=None):
-    for name in names or scene.names:
-        await scene.nodes[name].said("recovery_stage", stage=what)
+async def all_reach(cluster, what="serving", names=None):
+    for name in names or cluster.names:
+        await cluster.nodes[name].said("recovery_stage", stage=what)
 
 
-def told(scene, name, event, **fields):
-    return scene.nodes[name].heard(event, **fields)
+def told(cluster, name, event, **fields):
+    return cluster.nodes[name].heard(event, **fields)
 
 
 def order_on(found, member):
     return next(row["order"] for row in found["members"] if row["member"] == member)
 
 
-async def same_orders(scene, owner_name):
+async def same_orders(cluster, owner_name):
     """Waits until every director holds the orders of all: what a peer can give back."""
-    owner = (await scene.ask(owner_name, "/recovery"))["digests"]["order"]
-    for name in scene.names:
-        await scene.until_told(name, "/recovery", lambda found: found["digests"]["order"] == owner)
+    owner = (await cluster.ask(owner_name, "/recovery"))["digests"]["order"]
+    for name in cluster.names:
+        await cluster.until_told(name, "/recovery", lambda found: found["digests"]["order"] == owner)
--- a/tests/test_boot_numbers_processes.py
+++ b/tests/test_boot_numbers_processes.py
@@ -12,41 +12,41 @@
 LONGEST_START_S = 1.0
 
 
-def sent_since(scene, name, since_us):
+def sent_since(cluster, name, since_us):
     """Datagrams and TCP connections that a director began since then."""
     return [
         row
-        for row in scene.record.rows
+        for row in cluster.record.rows
         if row[0] >= since_us
         and (row[1:3] == ("datagram", name) or (row[1] == "call" and row[2].startswith(f"{name}>")))
     ]
 
 
-async def boot_known_of(scene, asked, number):
-    return (await scene.ask(asked, "/fleet"))["directors"][number]["boot"]
+async def boot_known_of(cluster, asked, number):
+    return (await cluster.ask(asked, "/fleet"))["directors"][number]["boot"]
 
 
 def test_a_start_cut_off_in_the_sync_of_its_boot_number_has_sent_nothing_and_is_not_counted():
     # Guards against a boot number that leaves a director before it is durable: two starts would share it.
     async def main():
-        async with fleet(rate=20) as scene:
-            node = scene.nodes["n1"]
+        async with fleet(rate=20) as cluster:
+            node = cluster.nodes["n1"]
             await node.said("state_open", boot=1)
-            scene.power_off("n1")
+            cluster.power_off("n1")
             await node.ended()
             node.stop_at(IN_SYNC)
             since = now_us()
-            await scene.power_on("n1")
+            await cluster.power_on("n1")
             await node.stopped()
-            await scene.served_more(10)  # the others go on, and hear nothing of it
-            assert not node.heard("state_open") and not sent_since(scene, "n1", since)
-            scene.power_off("n1")
+            await cluster.served_more(10)  # the others go on, and hear nothing of it
+            assert not node.heard("state_open") and not sent_since(cluster, "n1", since)
+            cluster.power_off("n1")
             await node.ended()
             node.stop_at()
-            await scene.power_on("n1")
+            await cluster.power_on("n1")
             assert (await node.said("state_open"))["boot"] == 2
-            await all_reach(scene, names=["n1"])
-            assert sent_since(scene, "n1", since) and await boot_known_of(scene, "n0", 1) == 2
+            await all_reach(cluster, names=["n1"])
+            assert sent_since(cluster, "n1", since) and await boot_known_of(cluster, "n0", 1) == 2
 
     trio.run(main)
 
@@ -56,17 +56,17 @@
     # Guards against a director that returns with a number that its peers have heard from an earlier start.
     async def main():
         moments = random.Random(seed)
-        async with fleet(rate=20, seed=seed) as scene:
-            node = scene.nodes["n1"]
+        async with fleet(rate=20, seed=seed) as cluster:
+            node = cluster.nodes["n1"]
             for _ in range(cuts):
-                scene.power_off("n1")
-                await scene.power_on("n1")
+                cluster.power_off("n1")
+                await cluster.power_on("n1")
                 await trio.sleep(moments.uniform(0, LONGEST_START_S))
-                scene.power_off("n1")
+                cluster.power_off("n1")
                 await node.ended()
                 announced = [line["boot"] for line in node.heard("state_open")]
-                heard_by_peers = [await boot_known_of(scene, peer, 1) for peer in ("n0", "n2")]
-                await scene.power_on("n1")
+                heard_by_peers = [await boot_known_of(cluster, peer, 1) for peer in ("n0", "n2")]
+                await cluster.power_on("n1")
                 assert (await node.said("state_open"))["boot"] > max(announced + heard_by_peers)
 
     trio.run(main)
--- a/tests/test_failure_record.py
+++ b/tests/test_failure_record.py
@@ -3,7 +3,7 @@
 import pytest
 import trio
 
-from rookbend.testing.cluster import stage
+from rookbend.testing.cluster import open_cluster
 from rookbend.testing.cluster.failure_record import ENVIRONMENT_VARIABLE
 
 
@@ -12,9 +12,9 @@
     monkeypatch.setenv(ENVIRONMENT_VARIABLE, str(tmp_path / "failures"))
 
     async def main():
-        async with stage(directors=1, caches=1, seed=11) as scene:
-            await scene.start()
-            await scene.nodes["n0"].said("ready")
+        async with open_cluster(directors=1, caches=1, seed=11) as cluster:
+            await cluster.start()
+            await cluster.nodes["n0"].said("ready")
             raise ValueError("as planted")
 
     with pytest.raises(ExceptionGroup) as raised:
--- a/tests/test_fault_players.py
+++ b/tests/test_fault_players.py
@@ -2,7 +2,7 @@
 
 import trio
 
-from rookbend.testing.cluster import stage
+from rookbend.testing.cluster import open_cluster
 
 TIMELINE = """
 [failure power]
@@ -87,14 +87,14 @@
 
 def test_each_kind_of_fault_begins_and_ends():
     async def main():
-        async with stage(directors=2, caches=3, rate=20) as scene:
-            await scene.start()
-            await scene.admitted()
-            await scene.play(TIMELINE)
-            noted = {(who, more) for _, what, who, more in scene.record.rows if what == "fault"}
+        async with open_cluster(directors=2, caches=3, rate=20) as cluster:
+            await cluster.start()
+            await cluster.admitted()
+            await cluster.play(TIMELINE)
+            noted = {(who, more) for _, what, who, more in cluster.record.rows if what == "fault"}
             assert [fault for fault in BEGAN_AND_ENDED if fault not in noted] == []
-            assert scene.nodes["n1"].lives == 2
-            await scene.admitted()
-            await scene.served_more(10)
+            assert cluster.nodes["n1"].lives == 2
+            await cluster.admitted()
+            await cluster.served_more(10)
 
     trio.run(main)
--- a/tests/test_late_signals_processes.py
+++ b/tests/test_late_signals_processes.py
@@ -5,7 +5,7 @@
 import pytest
 import trio
 
-from rookbend.testing.cluster import stage
+from rookbend.testing.cluster import open_cluster
 
 EVERY_S = 0.001
 
@@ -14,10 +14,10 @@
 def test_a_signal_at_any_moment_of_the_end_changes_no_exit_code(number):
     # Guards against a SIGHUP after the drain, which ended the process by that signal.
     async def main():
-        async with stage(directors=1, caches=1) as scene:
-            await scene.start()
-            await scene.admitted()
-            node = scene.nodes["n0"]
+        async with open_cluster(directors=1, caches=1) as cluster:
+            await cluster.start()
+            await cluster.admitted()
+            node = cluster.nodes["n0"]
             node.signal(signal.SIGTERM)
             while node.running:
                 node.process.send_signal(number)
--- a/tests/test_leases_processes.py
+++ b/tests/test_leases_processes.py
@@ -8,7 +8,7 @@
 import pytest
 import trio
 
-from rookbend.testing.cluster import allow_probes, stage
+from rookbend.testing.cluster import allow_probes, open_cluster
 from rookbend.testing.cluster.process import AFTER_SEND, BEFORE_SEND, IN_SYNC
 
 OWNERSHIP = """
@@ -38,34 +38,34 @@
 
 @asynccontextmanager
 async def fleet(directors=4, rate=0.0, operators=OWNERSHIP, **more):
-    async with stage(directors, caches=3, rate=rate, operators=operators, **more) as scene:
-        scene.change = allow_probes
-        await scene.start()
-        for name in scene.names:
-            await scene.nodes[name].said("ready")
-        await owner_of(scene, "orders")
-        yield scene
-        scene.front.running.cancel()
-        scene.verdict()
-        assert_no_old_owner(scene)
-
-
-def assert_no_old_owner(scene):
+    async with open_cluster(directors, caches=3, rate=rate, operators=operators, **more) as cluster:
+        cluster.change = allow_probes
+        await cluster.start()
+        for name in cluster.names:
+            await cluster.nodes[name].said("ready")
+        await owner_of(cluster, "orders")
+        yield cluster
+        cluster.front.running.cancel()
+        cluster.verdict()
+        assert_no_old_owner(cluster)
+
+
+def assert_no_old_owner(cluster):
     """No line was taken with a token older than one taken before, and none twice."""
-    taken = [t for t in scene.ledger.tries if t.word == "ok"]
+    taken = [t for t in cluster.ledger.tries if t.word == "ok"]
     assert [t.token for t in taken] == sorted(t.token for t in taken)
     assert len({t.number for t in taken}) == len(taken)
 
 
-async def owner_of(scene, scope, but=()):
+async def owner_of(cluster, scope, but=()):
     """The director that says that it owns the scope; waits until one does."""
     while True:
-        for name in scene.names:
-            if name in but or not scene.nodes[name].running:
+        for name in cluster.names:
+            if name in but or not cluster.nodes[name].running:
                 continue
             with trio.move_on_after(1.0):
                 try:
-                    found = await scene.ask(name, "/owners")
+                    found = await cluster.ask(name, "/owners")
                 except (OSError, trio.BrokenResourceError):
                     continue
                 if any(r["ours"] and r["scope"] == scope for r in found["owners"]):
@@ -82,16 +82,16 @@
     return next(row["state"] for row in found["members"] if row["member"] == member)
 
 
-async def all_know(scene, member, states, names=None):
-    for name in names or scene.names:
-        await scene.until_told(name, "/members", lambda found: state_of(found, member) in states)
+async def all_know(cluster, member, states, names=None):
+    for name in names or cluster.names:
+        await cluster.until_told(name, "/members", lambda found: state_of(found, member) in states)
 
 
-async def another_writes(scene, old):
+async def another_writes(cluster, old):
     """Waits for a line with a token above all that `old` was tried with."""
-    highest = max(t.token for t in scene.ledger.tries) if scene.ledger.tries else 0
-    await scene.until(
-        lambda: any(t.word == "ok" and t.token > highest for t in scene.ledger.tries), f"a line by another than {old}"
+    highest = max(t.token for t in cluster.ledger.tries) if cluster.ledger.tries else 0
+    await cluster.until(
+        lambda: any(t.word == "ok" and t.token > highest for t in cluster.ledger.tries), f"a line by another than {old}"
     )
 
 
@@ -101,25 +101,25 @@
 )
 def test_an_owner_stopped_amid_its_work_wakes_up_late_and_does_no_harm(where):
     async def main():
-        async with fleet() as scene:
-            await scene.until(lambda: any(t.word == "ok" for t in scene.ledger.tries), "a line")
-            old = await bounded(owner_of, scene, "report")
-            node = scene.nodes[old]
+        async with fleet() as cluster:
+            await cluster.until(lambda: any(t.word == "ok" for t in cluster.ledger.tries), "a line")
+            old = await bounded(owner_of, cluster, "report")
+            node = cluster.nodes[old]
             node.stop_at(where)
             if where == IN_SYNC:
                 with trio.move_on_after(1.0):  # something to be synced
-                    await scene.ask(old, "/orders", "POST", {"member": "c1", "order": "drain", "by": "kim"})
+                    await cluster.ask(old, "/orders", "POST", {"member": "c1", "order": "drain", "by": "kim"})
             await node.stopped()
-            await another_writes(scene, old)
-            new = await bounded(owner_of, scene, "report", (old,))
+            await another_writes(cluster, old)
+            new = await bounded(owner_of, cluster, "report", (old,))
             node.stop_at()
-            scene.thaw(old)
+            cluster.thaw(old)
             await node.said("lease_lost", scope="report")
             if where == BEFORE_SEND:
                 # Its line was checked before the stop and went out after it: the ledger refused it.
-                await scene.until(lambda: any(t.word == "old" for t in scene.ledger.tries), "an old token")
-            before = len(scene.ledger.tries)
-            await scene.until(lambda: len(scene.ledger.tries) >= before + 2, "lines go on")
+                await cluster.until(lambda: any(t.word == "old" for t in cluster.ledger.tries), "an old token")
+            before = len(cluster.ledger.tries)
+            await cluster.until(lambda: len(cluster.ledger.tries) >= before + 2, "lines go on")
             assert new != old
 
     trio.run(main)
@@ -127,51 +127,51 @@
 
 def test_members_are_checked_by_one_owner_and_all_know_though_owners_die_or_are_cut_off():
     async def main():
-        async with fleet() as scene:
-            await all_know(scene, "c0", ("ready", "degraded"))
-            scene.boxes["c0"].ill = True
-            await all_know(scene, "c0", ("down",))
+        async with fleet() as cluster:
+            await all_know(cluster, "c0", ("ready", "degraded"))
+            cluster.boxes["c0"].ill = True
+            await all_know(cluster, "c0", ("down",))
             # Each of its own, four directors would each ask; owners do once. Whose shard it is may move amid it.
-            before, n = scene.boxes["c1"].checks, scene.boxes["p0"].checks
-            await scene.until(lambda: scene.boxes["p0"].checks >= n + 4, "checks of p0")
-            assert scene.boxes["c1"].checks - before <= 2 * 4 + 4
-            first = await bounded(owner_of, scene, "orders")
-            scene.power_off(first)
-            left = [name for name in scene.names if name != first]
-            scene.boxes["c0"].ill = False
-            await all_know(scene, "c0", ("ready", "degraded"), left)
-            scene.boxes["c2"].ill = True
-            await all_know(scene, "c2", ("down",), left)
+            before, n = cluster.boxes["c1"].checks, cluster.boxes["p0"].checks
+            await cluster.until(lambda: cluster.boxes["p0"].checks >= n + 4, "checks of p0")
+            assert cluster.boxes["c1"].checks - before <= 2 * 4 + 4
+            first = await bounded(owner_of, cluster, "orders")
+            cluster.power_off(first)
+            left = [name for name in cluster.names if name != first]
+            cluster.boxes["c0"].ill = False
+            await all_know(cluster, "c0", ("ready", "degraded"), left)
+            cluster.boxes["c2"].ill = True
+            await all_know(cluster, "c2", ("down",), left)
             # A drain of the membership wins whatever an owner says.
-            scene.boxes["c1"].draining = True
-            scene.coordinator.tell_members("c1")
-            await all_know(scene, "c1", ("draining",), left)
-            await scene.power_on(first)
+            cluster.boxes["c1"].draining = True
+            cluster.coordinator.tell_members("c1")
+            await all_know(cluster, "c1", ("draining",), left)
+            await cluster.power_on(first)
 
     trio.run(main)
 
 
 def test_an_order_for_the_fleet_stands_through_the_loss_of_its_writer_of_a_disk_and_of_all_power():
     async def main():
-        async with fleet() as scene:
-            writer = await bounded(owner_of, scene, "orders")
-            other = next(name for name in scene.names if name != writer)
+        async with fleet() as cluster:
+            writer = await bounded(owner_of, cluster, "orders")
+            other = next(name for name in cluster.names if name != writer)
             order = {"member": "c1", "order": "maintain", "by": "kim", "fleet": True}
-            assert (await scene.ask(other, "/orders", "POST", order))["status"] == 200
-            scene.power_off(writer)
-            await all_know(scene, "c1", ("maintenance",), [n for n in scene.names if n != writer])
-            await scene.nodes[writer].ended()
-            for left in scene.nodes[writer].state.iterdir():
+            assert (await cluster.ask(other, "/orders", "POST", order))["status"] == 200
+            cluster.power_off(writer)
+            await all_know(cluster, "c1", ("maintenance",), [n for n in cluster.names if n != writer])
+            await cluster.nodes[writer].ended()
+            for left in cluster.nodes[writer].state.iterdir():
                 left.unlink()
-            await scene.power_on(writer)
-            await all_know(scene, "c1", ("maintenance",))
-            tokens = {r["scope"]: r["token"] for r in (await scene.ask(other, "/owners"))["owners"]}
-            scene.power_off()
-            await scene.power_on()
-            await bounded(owner_of, scene, "orders")
-            await all_know(scene, "c1", ("maintenance",))
-            new = await bounded(owner_of, scene, "orders")
-            found = await scene.ask(new, "/owners")
+            await cluster.power_on(writer)
+            await all_know(cluster, "c1", ("maintenance",))
+            tokens = {r["scope"]: r["token"] for r in (await cluster.ask(other, "/owners"))["owners"]}
+            cluster.power_off()
+            await cluster.power_on()
+            await bounded(owner_of, cluster, "orders")
+            await all_know(cluster, "c1", ("maintenance",))
+            new = await bounded(owner_of, cluster, "orders")
+            found = await cluster.ask(new, "/owners")
             for row in found["owners"]:
                 if row["ours"]:
                     assert row["token"] > tokens[row["scope"]], "tokens grow over a loss of all power"
@@ -184,57 +184,57 @@
 def test_voters_split_two_and_three_and_the_side_without_a_majority_owns_nothing():
     async def main():
         operators = OWNERSHIP.replace("voters        0 1 2", "voters        0 1 2 3 4")
-        async with fleet(directors=5, operators=operators) as scene:
+        async with fleet(directors=5, operators=operators) as cluster:
             small, large = ("n0", "n1"), ("n2", "n3", "n4")
             for turn in ((small, large), (("n2", "n3"), ("n0", "n1", "n4"))):
                 few, many = turn
-                scene.split(few, many)
+                cluster.split(few, many)
                 for name in few:
-                    await scene.until_told(name, "/owners", lambda found: not any(r["ours"] for r in found["owners"]))
-                owner = await bounded(owner_of, scene, "orders", few)
+                    await cluster.until_told(name, "/owners", lambda found: not any(r["ours"] for r in found["owners"]))
+                owner = await bounded(owner_of, cluster, "orders", few)
                 assert owner in many
-                refused = await scene.ask(
+                refused = await cluster.ask(
                     few[0], "/orders", "POST", {"member": "c0", "order": "drain", "by": "kim", "fleet": True}
                 )
                 assert refused["status"] == 503 and ("owns" in refused["fault"] or "can't be told" in refused["fault"])
-                scene.split(few, many, cut=False)
-            assert (await scene.ask("n0", "/owners"))["status"] == 200
+                cluster.split(few, many, cut=False)
+            assert (await cluster.ask("n0", "/owners"))["status"] == 200
 
     trio.run(main)
 
 
 def test_sigterm_hands_over_and_a_reload_of_half_the_voters_makes_no_second_owner():
     async def main():
-        async with fleet(directors=5) as scene:
-            owner = await bounded(owner_of, scene, "orders")
-            scene.nodes[owner].signal(signal.SIGTERM)
-            lost = await scene.nodes[owner].said("lease_lost", scope="orders")
+        async with fleet(directors=5) as cluster:
+            owner = await bounded(owner_of, cluster, "orders")
+            cluster.nodes[owner].signal(signal.SIGTERM)
+            lost = await cluster.nodes[owner].said("lease_lost", scope="orders")
             assert lost["why"].startswith("handed to")
             heir = "n" + lost["why"].split()[-1]
-            await scene.nodes[heir].said("lease_acquired", scope="orders")
-            assert await scene.nodes[owner].ended() == 0
-            await scene.power_on(owner)
-            await scene.nodes[owner].said("ready")
-            for name in scene.names[:3]:
-                node = scene.nodes[name]
-                node.settings_file.write_text(scene.settings_text(name).replace("0 1 2", "2 3 4"))
+            await cluster.nodes[heir].said("lease_acquired", scope="orders")
+            assert await cluster.nodes[owner].ended() == 0
+            await cluster.power_on(owner)
+            await cluster.nodes[owner].said("ready")
+            for name in cluster.names[:3]:
+                node = cluster.nodes[name]
+                node.settings_file.write_text(cluster.settings_text(name).replace("0 1 2", "2 3 4"))
                 node.signal(signal.SIGHUP)
                 await node.said("lease_voters_changed")
-            await scene.until_told("n0", "/owners", lambda found: found["voters_differ"] == [3, 4])
+            await cluster.until_told("n0", "/owners", lambda found: found["voters_differ"] == [3, 4])
             holders = [
                 name
-                for name in scene.names
-                if any(r["ours"] and r["scope"] == "orders" for r in (await scene.ask(name, "/owners"))["owners"])
+                for name in cluster.names
+                if any(r["ours"] and r["scope"] == "orders" for r in (await cluster.ask(name, "/owners"))["owners"])
             ]
             assert len(holders) <= 1
-            for name in scene.names[3:]:
-                node = scene.nodes[name]
-                node.settings_file.write_text(scene.settings_text(name).replace("0 1 2", "2 3 4"))
+            for name in cluster.names[3:]:
+                node = cluster.nodes[name]
+                node.settings_file.write_text(cluster.settings_text(name).replace("0 1 2", "2 3 4"))
                 node.signal(signal.SIGHUP)
-            for name in scene.names:
-                await scene.until_told(name, "/owners", lambda found: found["voters_before"] is None)
-            scene.power_off("n0", "n1")
-            assert await bounded(owner_of, scene, "orders") in ("n2", "n3", "n4")
+            for name in cluster.names:
+                await cluster.until_told(name, "/owners", lambda found: found["voters_before"] is None)
+            cluster.power_off("n0", "n1")
+            assert await bounded(owner_of, cluster, "orders") in ("n2", "n3", "n4")
 
     trio.run(main)
 
@@ -247,14 +247,14 @@
 
     async def main():
         operators = OWNERSHIP.replace("report-ledger {ledger}", f"report-file   {path}")
-        async with fleet(directors=3, operators=operators) as scene:
-            await scene.until(lambda: len(lines()) >= 2, "two lines")
-            old = await bounded(owner_of, scene, "report")
+        async with fleet(directors=3, operators=operators) as cluster:
+            await cluster.until(lambda: len(lines()) >= 2, "two lines")
+            old = await bounded(owner_of, cluster, "report")
             first = lines()[-1]["token"]
-            scene.power_off(old)
-            await scene.until(lambda: lines()[-1]["token"] > first, "a line of the next owner")
+            cluster.power_off(old)
+            await cluster.until(lambda: lines()[-1]["token"] > first, "a line of the next owner")
             tokens = [line["token"] for line in lines()]
             assert tokens == sorted(tokens) and len({line["number"] for line in lines()}) == len(lines())
-            await scene.power_on(old)
+            await cluster.power_on(old)
 
     trio.run(main)
--- a/tests/test_operations_faults.py
+++ b/tests/test_operations_faults.py
@@ -7,149 +7,149 @@
 import trio
 
 from rookbend.protocol.coordinator_stream import split_address
-from rookbend.testing.cluster import stage
+from rookbend.testing.cluster import open_cluster
 from rookbend.testing.cluster.record import now_us
 from rookbend.testing.invariant_events import MembershipSent, MemberStatus
 
 
-def tell_out(scene, name, out):
+def tell_out(cluster, name, out):
     """From here on the order binds the director: the checker judges it as it judges a drain."""
-    scene.record.see(MembershipSent(now_us(), "n0", name, MemberStatus.DRAINING if out else MemberStatus.SERVING))
+    cluster.record.see(MembershipSent(now_us(), "n0", name, MemberStatus.DRAINING if out else MemberStatus.SERVING))
 
 
-async def order(scene, way, name, door=None):
-    newest = scene.places["n0"]["operator"]
-    scene.places["n0"]["operator"] = door or newest
+async def order(cluster, way, name, door=None):
+    newest = cluster.places["n0"]["operator"]
+    cluster.places["n0"]["operator"] = door or newest
     try:
-        status, text = await scene.call("n0", "PUT", f"/maintenance/{way}?member={name}")
+        status, text = await cluster.call("n0", "PUT", f"/maintenance/{way}?member={name}")
     finally:
-        scene.places["n0"]["operator"] = newest
+        cluster.places["n0"]["operator"] = newest
     assert status == 200, text
-    tell_out(scene, name, way == "enter")
+    tell_out(cluster, name, way == "enter")
 
 
-async def until_used_again(scene, name):
+async def until_used_again(cluster, name):
     """The caches' own copies of what they sent: one of that cache is newer than now."""
     since = now_us()
-    await scene.until(
-        lambda: any(c.member == name and c.asked_us > since for c in scene.world.copies), f"{name} is used again"
+    await cluster.until(
+        lambda: any(c.member == name and c.asked_us > since for c in cluster.world.copies), f"{name} is used again"
     )
 
 
 def test_a_ban_holds_before_during_and_after_an_upgrade_whoever_was_told():
     async def main():
-        async with stage(directors=1, caches=4, rate=40) as scene:
-            await scene.serve_with_doors()
-            await scene.served_more(20)
-            await order(scene, "enter", "c0")  # before
-            old_door = scene.places["n0"]["operator"]
-            old = await scene.upgrade("n0")
-            await scene.until_yes("n0")
-            await order(scene, "enter", "c1", old_door)  # during, at the old one's door
-            await order(scene, "enter", "c2")  # and at the new one's
-            await scene.served_more(30)
-            await order(scene, "exit", "c1")  # undone at the other
-            assert await scene.retire(old) == 0
-            await scene.served_more(30)
-            figures = await scene.figures("n0")
+        async with open_cluster(directors=1, caches=4, rate=40) as cluster:
+            await cluster.serve_with_doors()
+            await cluster.served_more(20)
+            await order(cluster, "enter", "c0")  # before
+            old_door = cluster.places["n0"]["operator"]
+            old = await cluster.upgrade("n0")
+            await cluster.until_yes("n0")
+            await order(cluster, "enter", "c1", old_door)  # during, at the old one's door
+            await order(cluster, "enter", "c2")  # and at the new one's
+            await cluster.served_more(30)
+            await order(cluster, "exit", "c1")  # undone at the other
+            assert await cluster.retire(old) == 0
+            await cluster.served_more(30)
+            figures = await cluster.figures("n0")
             assert figures["svc.caches_excluded"] == 2 and figures["svc.caches_known"] == 4
-            await order(scene, "exit", "c0")
-            await until_used_again(scene, "c0")
-            scene.verdict()
-            old = await scene.upgrade("n0")  # c2 is still out
-            await scene.until_yes("n0")
-            assert await scene.retire(old) == 0
-            await scene.served_more(30)
-            assert (await scene.figures("n0"))["svc.caches_excluded"] == 1
-            scene.verdict()
+            await order(cluster, "exit", "c0")
+            await until_used_again(cluster, "c0")
+            cluster.verdict()
+            old = await cluster.upgrade("n0")  # c2 is still out
+            await cluster.until_yes("n0")
+            assert await cluster.retire(old) == 0
+            await cluster.served_more(30)
+            assert (await cluster.figures("n0"))["svc.caches_excluded"] == 1
+            cluster.verdict()
 
     trio.run(main)
 
 
 def test_with_no_room_in_tmpdir_an_order_still_binds_and_reaches_the_process_beside():
     async def main():
-        async with stage(directors=1, caches=3, rate=40) as scene:
-            await scene.serve_with_doors()
-            resource.prlimit(scene.nodes["n0"].process.pid, resource.RLIMIT_FSIZE, (0, 0))
-            old = await scene.upgrade("n0")
-            await scene.until_yes("n0")
-            old_door = scene.places["n0"]["operator"]
-            await order(scene, "enter", "c0")
+        async with open_cluster(directors=1, caches=3, rate=40) as cluster:
+            await cluster.serve_with_doors()
+            resource.prlimit(cluster.nodes["n0"].process.pid, resource.RLIMIT_FSIZE, (0, 0))
+            old = await cluster.upgrade("n0")
+            await cluster.until_yes("n0")
+            old_door = cluster.places["n0"]["operator"]
+            await order(cluster, "enter", "c0")
             await old.said("exclusions_unwritten")
-            assert await scene.retire(old) == 0
-            await scene.served_more(30)
-            assert (await scene.figures("n0"))["svc.caches_excluded"] == 1 and old_door
-            scene.verdict()
+            assert await cluster.retire(old) == 0
+            await cluster.served_more(30)
+            assert (await cluster.figures("n0"))["svc.caches_excluded"] == 1 and old_door
+            cluster.verdict()
 
     trio.run(main)
 
 
 def test_a_spoilt_file_of_the_process_before_is_said_and_the_start_goes_on():
     async def main():
-        async with stage(directors=1, caches=3, rate=40) as scene:
-            await scene.serve_with_doors()
-            (scene.nodes["n0"].temporary / "rookbend.n0.kept").write_bytes(b"\0" * 100)
-            old = await scene.upgrade("n0")
-            await scene.until_yes("n0")
-            assert scene.nodes["n0"].heard("exclusions_unusable")
-            assert await scene.retire(old) == 0
-            await scene.served_more(20)
-            scene.verdict()
+        async with open_cluster(directors=1, caches=3, rate=40) as cluster:
+            await cluster.serve_with_doors()
+            (cluster.nodes["n0"].temporary / "rookbend.n0.kept").write_bytes(b"\0" * 100)
+            old = await cluster.upgrade("n0")
+            await cluster.until_yes("n0")
+            assert cluster.nodes["n0"].heard("exclusions_unusable")
+            assert await cluster.retire(old) == 0
+            await cluster.served_more(20)
+            cluster.verdict()
 
     trio.run(main)
 
 
 def test_a_next_process_that_stands_still_before_its_yes_takes_nothing_away():
     async def main():
-        async with stage(directors=1, rate=40) as scene:
-            await scene.serve_with_doors()
-            door = scene.places["n0"]["operator"]
-            old = await scene.upgrade("n0")
-            new = scene.nodes["n0"]
+        async with open_cluster(directors=1, rate=40) as cluster:
+            await cluster.serve_with_doors()
+            door = cluster.places["n0"]["operator"]
+            old = await cluster.upgrade("n0")
+            new = cluster.nodes["n0"]
             while not old.heard("upgrade_asked"):
                 await old.changed.wait()
             new.signal(signal.SIGSTOP)  # it has our listeners; it may have begun to serve or not
             if not old.heard("upgrade_shared"):
-                await scene.served_more(30)
+                await cluster.served_more(30)
             new.kill()
             await new.ended()
-            scene.undo_upgrade("n0", old, door)
-            await scene.served_more(20)
-            scene.verdict()
+            cluster.undo_upgrade("n0", old, door)
+            await cluster.served_more(20)
+            cluster.verdict()
 
     trio.run(main)
 
 
 def test_an_old_process_that_freezes_while_both_serve_costs_only_what_it_held():
     async def main():
-        async with stage(directors=1, rate=40) as scene:
-            await scene.serve_with_doors()
-            old = await scene.upgrade("n0")
-            await scene.until_yes("n0")
-            await scene.served_more(20)
+        async with open_cluster(directors=1, rate=40) as cluster:
+            await cluster.serve_with_doors()
+            old = await cluster.upgrade("n0")
+            await cluster.until_yes("n0")
+            await cluster.served_more(20)
             old.signal(signal.SIGSTOP)
-            scene.front.give_up("n0")  # what is open at a process that stands can't come in time
-            await scene.served_more(20)
+            cluster.front.give_up("n0")  # what is open at a process that stands can't come in time
+            await cluster.served_more(20)
             old.kill()
             await old.ended()
-            await scene.nodes["n0"].said("upgrade_alone_again")
-            await scene.served_more(20)
-            scene.verdict()
+            await cluster.nodes["n0"].said("upgrade_alone_again")
+            await cluster.served_more(20)
+            cluster.verdict()
 
     trio.run(main)
 
 
 def test_two_upgrades_within_ten_seconds_and_a_reload_in_the_middle():
     async def main():
-        async with stage(directors=1, rate=40) as scene:
-            await scene.serve_with_doors()
+        async with open_cluster(directors=1, rate=40) as cluster:
+            await cluster.serve_with_doors()
             began = trio.current_time()
-            first = await scene.upgrade("n0")
-            await scene.until_yes("n0")
-            scene.change = lambda s: {**s, "limits": {**s["limits"], "maxAttempts": 3}}
-            second = scene.nodes["n0"]
+            first = await cluster.upgrade("n0")
+            await cluster.until_yes("n0")
+            cluster.change = lambda s: {**s, "limits": {**s["limits"], "maxAttempts": 3}}
+            second = cluster.nodes["n0"]
             for node in (first, second):
-                config = scene.config("n0")
+                config = cluster.config("n0")
                 node.config_file.write_text(
                     json.dumps({**config, "operator": json.loads(node.config_file.read_text())["operator"]})
                 )
@@ -157,23 +157,23 @@
             for node in (first, second):
                 assert "max_attempts" in (await node.said("reloaded"))["changed"]
             first.signal(signal.SIGTERM)  # not waited for: the next upgrade begins while it ends
-            await scene.upgrade("n0")
-            await scene.until_yes("n0")
-            assert await scene.retire(second) == 0
+            await cluster.upgrade("n0")
+            await cluster.until_yes("n0")
+            assert await cluster.retire(second) == 0
             assert await first.ended() == 0
-            assert trio.current_time() - began < 10 or scene.front.late_s > 0.5
-            await scene.served_more(30)
-            assert not [w for w in scene.front.wishes if "lost" in w.verdicts], scene.report()
-            scene.verdict()
+            assert trio.current_time() - began < 10 or cluster.front.late_s > 0.5
+            await cluster.served_more(30)
+            assert not [w for w in cluster.front.wishes if "lost" in w.verdicts], cluster.report()
+            cluster.verdict()
 
     trio.run(main)
 
 
 def test_the_door_answers_within_a_second_while_hundreds_of_half_calls_stand_there():
     async def main():
-        async with stage(directors=1, rate=40) as scene:
-            await scene.serve_with_doors()
-            address = split_address(scene.places["n0"]["operator"])
+        async with open_cluster(directors=1, rate=40) as cluster:
+            await cluster.serve_with_doors()
+            address = split_address(cluster.places["n0"]["operator"])
             held = []
             for i in range(300):
                 stream = await trio.open_tcp_stream(*address)
@@ -182,12 +182,12 @@
                 held.append(stream)
                 if i % 30 == 29:
                     began = trio.current_time()
-                    assert (await scene.call("n0", "GET", "/status"))[0] == 200
+                    assert (await cluster.call("n0", "GET", "/status"))[0] == 200
                     # Guards nothing by time but the promise itself, with room for a busy machine.
-                    assert trio.current_time() - began < 1.0 + scene.front.late_s
-            await scene.served_more(20)
+                    assert trio.current_time() - began < 1.0 + cluster.front.late_s
+            await cluster.served_more(20)
             for stream in held:
                 await stream.aclose()
-            scene.verdict()
+            cluster.verdict()
 
     trio.run(main)
--- a/tests/test_process_cluster.py
+++ b/tests/test_process_cluster.py
@@ -8,7 +8,7 @@
 
 import trio
 
-from rookbend.testing.cluster import stage
+from rookbend.testing.cluster import open_cluster
 from rookbend.testing.cluster.process import SHIM, Node
 from rookbend.testing.cluster.record import Record
 from rookbend.testing.cluster.relay import UdpRelay, Ways
@@ -17,18 +17,18 @@
 
 def test_a_power_loss_of_all_in_the_middle_of_writes_breaks_no_rule():
     async def main():
-        async with stage(directors=3, rate=60) as scene:
-            await scene.start()
-            await scene.admitted()
-            await scene.until(lambda: len(scene.world.ran) > 5, "writes ran")
-            await scene.play("[failure dark]\n kind power\n part n0 n1 n2 c0 c1 c2 c3 p0\n at 0s\n for 200ms\n")
-            for node in scene.nodes.values():
+        async with open_cluster(directors=3, rate=60) as cluster:
+            await cluster.start()
+            await cluster.admitted()
+            await cluster.until(lambda: len(cluster.world.ran) > 5, "writes ran")
+            await cluster.play("[failure dark]\n kind power\n part n0 n1 n2 c0 c1 c2 c3 p0\n at 0s\n for 200ms\n")
+            for node in cluster.nodes.values():
                 await node.said("ready")
-            assert all(node.lives == 2 for node in scene.nodes.values())
-            ran = len(scene.world.ran)
-            await scene.until(lambda: len(scene.world.ran) > ran + 5, "writes ran again")
-            scene.verdict()
-            once = [rids for rids in scene.world.ran.values() if len(rids) != len(set(rids))]
+            assert all(node.lives == 2 for node in cluster.nodes.values())
+            ran = len(cluster.world.ran)
+            await cluster.until(lambda: len(cluster.world.ran) > ran + 5, "writes ran again")
+            cluster.verdict()
+            once = [rids for rids in cluster.world.ran.values() if len(rids) != len(set(rids))]
             assert not once, f"run twice under one id: {once}"
 
     trio.run(main)
@@ -36,23 +36,23 @@
 
 def test_a_cut_wire_carries_nothing_until_it_heals_and_a_frozen_director_goes_on():
     async def main():
-        async with stage(directors=2, caches=2) as scene:
-            await scene.start()
-            await scene.admitted()
-            scene.cut("coordinator", "n0")
-            scene.freeze("n1")
-            scene.boxes["c0"].draining = True
-            scene.coordinator.tell_members("c0")
-            lost = await scene.nodes["n0"].said("coordinator_lost")
+        async with open_cluster(directors=2, caches=2) as cluster:
+            await cluster.start()
+            await cluster.admitted()
+            cluster.cut("coordinator", "n0")
+            cluster.freeze("n1")
+            cluster.boxes["c0"].draining = True
+            cluster.coordinator.tell_members("c0")
+            lost = await cluster.nodes["n0"].said("coordinator_lost")
             assert lost["reason"] == "the stream is silent"
-            assert not scene.nodes["n1"].heard("coordinator_lost")
-            scene.heal("coordinator", "n0")
-            calls = scene.coordinator.calls["n0"]
-            await scene.until(lambda: scene.coordinator.calls["n0"] > calls, "n0 calls again")
-            scene.thaw("n1")
-            for name in scene.names:
-                assert (await scene.ask(name, "/metrics"))["status"] == 200
-            scene.verdict()
+            assert not cluster.nodes["n1"].heard("coordinator_lost")
+            cluster.heal("coordinator", "n0")
+            calls = cluster.coordinator.calls["n0"]
+            await cluster.until(lambda: cluster.coordinator.calls["n0"] > calls, "n0 calls again")
+            cluster.thaw("n1")
+            for name in cluster.names:
+                assert (await cluster.ask(name, "/metrics"))["status"] == 200
+            cluster.verdict()
 
     trio.run(main)
 
@@ -116,12 +116,12 @@
     script.write_text(
         textwrap.dedent("""
         import trio
-        from rookbend.testing.cluster import stage
+        from rookbend.testing.cluster import open_cluster
         async def main():
-            async with stage(directors=2, caches=1) as scene:
-                await scene.start()
-                await scene.admitted()
-                print(*(n.process.pid for n in scene.nodes.values()), flush=True)
+            async with open_cluster(directors=2, caches=1) as cluster:
+                await cluster.start()
+                await cluster.admitted()
+                print(*(n.process.pid for n in cluster.nodes.values()), flush=True)
                 await trio.sleep_forever()
         trio.run(main)
     """)
--- a/tests/test_state_processes.py
+++ b/tests/test_state_processes.py
@@ -3,29 +3,29 @@
 import trio
 
 from rookbend.testing.cluster import disk as faults
-from rookbend.testing.cluster import stage
+from rookbend.testing.cluster import open_cluster
 
 STATE = "[state]\n folder {state}\n fleet f1\n"
 
 
 def test_a_director_refuses_a_folder_that_is_not_its_own_in_one_line_and_exit_2():
     async def main():
-        async with stage(directors=2, caches=1, operators=STATE) as scene:
-            await scene.start()
-            await scene.admitted()
-            assert [scene.nodes[n].heard("state_open")[0]["boot"] for n in scene.names] == [1, 1]
-            scene.power_off("n0", "n1")
-            for node in scene.nodes.values():
+        async with open_cluster(directors=2, caches=1, operators=STATE) as cluster:
+            await cluster.start()
+            await cluster.admitted()
+            assert [cluster.nodes[n].heard("state_open")[0]["boot"] for n in cluster.names] == [1, 1]
+            cluster.power_off("n0", "n1")
+            for node in cluster.nodes.values():
                 await node.ended()
-            faults.copy(scene.nodes["n0"].state, scene.nodes["n1"].state)
-            await scene.start()
-            assert await scene.nodes["n1"].ended() == 2
-            raw = scene.nodes["n1"].heard("raw")
+            faults.copy(cluster.nodes["n0"].state, cluster.nodes["n1"].state)
+            await cluster.start()
+            assert await cluster.nodes["n1"].ended() == 2
+            raw = cluster.nodes["n1"].heard("raw")
             assert len(raw) == 1 and "is of director 'n0', not 'n1'" in raw[0]["text"]
-            assert (await scene.nodes["n0"].said("state_open"))["boot"] == 2
-            faults.spoil(scene.nodes["n1"].state)
-            await scene.start("n1")
-            assert "damaged-1" in (await scene.nodes["n1"].said("state_damaged"))["moved"]
-            await scene.admitted()
+            assert (await cluster.nodes["n0"].said("state_open"))["boot"] == 2
+            faults.spoil(cluster.nodes["n1"].state)
+            await cluster.start("n1")
+            assert "damaged-1" in (await cluster.nodes["n1"].said("state_damaged"))["moved"]
+            await cluster.admitted()
 
     trio.run(main)
