--- a/benchmarks/operator_interface.py
+++ b/benchmarks/operator_interface.py
@@ -12,7 +12,7 @@
 import trio
 
 from rookbend.testing.cluster import allow_probes, open_cluster
-from rookbend.testing.cluster.scenario import ProcessCluster
+from rookbend.testing.cluster.process_cluster import ProcessCluster
 
 REQUESTS_PER_S = 40.0
 TIMEOUT_S = 60.0
--- a/rookbend/testing/cluster/__init__.py
+++ b/rookbend/testing/cluster/__init__.py
@@ -1,5 +1,5 @@
 """A cluster of real processes: directors as the program runs them, stand-ins of all they talk to, relays between them,
-faults, and a record of what crossed. See `scenario`.
+faults, and a record of what crossed. See `process_cluster`.
 
     process          a director's process, its log lines, its clock
     relay            TCP and UDP between any two, with faults for each direction
@@ -19,15 +19,15 @@
     upgrades         a second process of one director
     report_ledger    the ledger of the fleet's report
     address_block    the addresses that a scenario uses
-    scenario         all of it together
-    scenario_runner  opens and ends a scenario
+    process_cluster  all of it together
+    cluster_runner   opens and ends a scenario
     failure_record   what a failed one leaves behind
     soak             seeded events under load, judged
 """
 
+from rookbend.testing.cluster.cluster_runner import open_cluster
 from rookbend.testing.cluster.director_config import allow_probes
 from rookbend.testing.cluster.process import HungProcessError
-from rookbend.testing.cluster.scenario import ProcessCluster
-from rookbend.testing.cluster.scenario_runner import open_cluster
+from rookbend.testing.cluster.process_cluster import ProcessCluster
 
 __all__ = ["HungProcessError", "ProcessCluster", "allow_probes", "open_cluster"]
--- a/rookbend/testing/cluster/scenario_runner.py
+++ b/rookbend/testing/cluster/cluster_runner.py
@@ -10,7 +10,7 @@
 import trio
 
 from rookbend.testing.cluster import failure_record
-from rookbend.testing.cluster.scenario import ProcessCluster
+from rookbend.testing.cluster.process_cluster import ProcessCluster
 from rookbend.testing.cluster.shared_state import Make
 
 
--- a/rookbend/testing/cluster/soak.py
+++ b/rookbend/testing/cluster/soak.py
@@ -16,10 +16,10 @@
 import trio
 
 from rookbend.protocol.coordinator_stream import split_address
+from rookbend.testing.cluster.cluster_runner import open_cluster
 from rookbend.testing.cluster.process import Node
+from rookbend.testing.cluster.process_cluster import ProcessCluster
 from rookbend.testing.cluster.record import now_us
-from rookbend.testing.cluster.scenario import ProcessCluster
-from rookbend.testing.cluster.scenario_runner import open_cluster
 from rookbend.testing.cluster.traffic_classes import KINDS
 from rookbend.testing.cluster.workload import LostRequest
 
--- a/tests/test_boot_numbers_processes.py
+++ b/tests/test_boot_numbers_processes.py
@@ -7,7 +7,7 @@
 
 from rookbend.testing.cluster.process import IN_SYNC
 from rookbend.testing.cluster.record import now_us
-from tests.recovery_scenes import all_reach, fleet
+from tests.recovery_clusters import all_reach, fleet
 
 LONGEST_START_S = 1.0
 
--- a/tests/test_recovery_disks_processes.py
+++ b/tests/test_recovery_disks_processes.py
@@ -4,7 +4,7 @@
 import trio
 
 from rookbend.testing.cluster import disk
-from tests.recovery_scenes import all_reach, fleet, order_on, same_orders, told
+from tests.recovery_clusters import all_reach, fleet, order_on, same_orders, told
 
 
 def test_an_order_outlives_its_director_and_even_its_disk_and_is_refused_where_the_disk_is_full():
--- a/tests/test_recovery_names_processes.py
+++ b/tests/test_recovery_names_processes.py
@@ -7,7 +7,7 @@
 from rookbend.protocol.coordinator_stream import split_address
 from rookbend.testing.cluster import open_cluster
 from rookbend.testing.cluster.dns_names import look_up, submit
-from tests.recovery_scenes import RECOVERY, all_reach
+from tests.recovery_clusters import RECOVERY, all_reach
 
 DNS = """
 [dns]
--- a/tests/test_recovery_processes.py
+++ b/tests/test_recovery_processes.py
@@ -7,7 +7,7 @@
 import trio
 
 from rookbend.testing.cluster.record import now_us
-from tests.recovery_scenes import RECOVERY, all_reach, fleet, told
+from tests.recovery_clusters import RECOVERY, all_reach, fleet, told
 
 
 def test_all_lose_power_amid_writes_three_times_and_return_in_other_orders():
