--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -52,13 +52,13 @@
 
 async def checks(side: str, directors: int, seconds: float, seed: int) -> dict:
     async with open_cluster(directors, 4, 1, seed, SIDES[side]) as cluster:
-        cluster.change = allow_probes
+        cluster.change_settings = allow_probes
         await cluster.start()
         for name in cluster.names:
-            await cluster.nodes[name].said("recovery_stage", stage="serving")
+            await cluster.nodes[name].wait_for_log("recovery_stage", stage="serving")
         if side == "owners":
             for name in cluster.names:
-                await cluster.until_told(
+                await cluster.wait_for_answer(
                     name,
                     "/owners",
                     lambda found: all(r["owner"] >= 0 for r in found["owners"] if r["scope"] != "report"),
@@ -72,12 +72,12 @@
         cluster.boxes["c1"].ill = True
         began, last = time.monotonic(), 0.0
         for name in cluster.names:
-            await cluster.nodes[name].said("member_state", member="c1", state="down")
+            await cluster.nodes[name].wait_for_log("member_state", member="c1", state="down")
             last = time.monotonic() - began
         stands = all_have = None
         if side == "owners":
             began = time.monotonic()
-            found = await cluster.ask(
+            found = await cluster.admin_request(
                 cluster.names[-1],
                 "/orders",
                 "POST",
@@ -86,7 +86,7 @@
             assert found["status"] == 200, found
             stands = time.monotonic() - began
             for name in cluster.names:
-                await cluster.nodes[name].said("member_state", member="c2", state="maintenance")
+                await cluster.nodes[name].wait_for_log("member_state", member="c2", state="maintenance")
             all_have = time.monotonic() - began
         return {
             "checks": made / seconds / len(cluster.boxes),
--- a/benchmarks/mixed_versions.py
+++ b/benchmarks/mixed_versions.py
@@ -51,17 +51,17 @@
 async def check_stored_data(old: Path, new: Path, seed: int, steps: int) -> int:
     """Versions in turn start from what the one before stored; the number of starts."""
     async with open_cluster(directors=3, caches=3, seed=seed, operators=SETTINGS) as cluster:
-        cluster.change = allow_probes
+        cluster.change_settings = allow_probes
         tokens: dict[str, int] = {}
         for step in range(steps):
             use_version(cluster, new if step % 2 else old)
             await cluster.start()
             for name in cluster.names:
-                await cluster.nodes[name].said("ready")
+                await cluster.nodes[name].wait_for_log("ready")
                 for member in MEMBERS[:step]:
                     await until_member_state(cluster, name, member, "maintenance")
             leader = await leader_of(cluster, "orders")
-            held = (await cluster.ask(leader, "/owners"))["owners"]
+            held = (await cluster.admin_request(leader, "/owners"))["owners"]
             for row in held:
                 if row["ours"]:
                     require(row["token"] > tokens.get(row["scope"], 0), f"the token of {row['scope']} did not grow")
@@ -70,26 +70,26 @@
             for name in cluster.names:
                 cluster.nodes[name].signal(signal.SIGTERM)
             for name in cluster.names:
-                require(await cluster.nodes[name].ended() == 0, f"{name} did not end with 0")
-        cluster.verdict()
+                require(await cluster.nodes[name].wait_for_exit() == 0, f"{name} did not end with 0")
+        cluster.check_invariants()
     return steps
 
 
 async def check_mixed_fleet(old: Path, new: Path, seed: int) -> int:
     """n0 of the old version, n1 and n2 of the new one; the number of leases handed over."""
     async with open_cluster(directors=3, caches=3, seed=seed, operators=SETTINGS) as cluster:
-        cluster.change = allow_probes
+        cluster.change_settings = allow_probes
         use_version(cluster, new)
         use_version(cluster, old, "n0")
         await cluster.start()
         for name in cluster.names:
-            await cluster.nodes[name].said("ready")
+            await cluster.nodes[name].wait_for_log("ready")
         moved = 0
         for target in (0, 1, 0, 2):
             leader = await leader_of(cluster, "orders")
             if leader != f"n{target}":
                 body = {"order": "move", "scope": "orders", "place": target}
-                answer = await cluster.ask(leader, "/owners", "POST", body)
+                answer = await cluster.admin_request(leader, "/owners", "POST", body)
                 require(answer["status"] == 200, f"the move to n{target} was answered with {answer}")
                 with trio.fail_after(TIMEOUT_S):
                     while await leader_of(cluster, "orders") != f"n{target}":
@@ -99,32 +99,32 @@
         # The lease also moves where its holder ends by SIGTERM.
         leader = await leader_of(cluster, "orders")
         cluster.nodes[leader].signal(signal.SIGTERM)
-        lost = await cluster.nodes[leader].said("lease_lost", scope="orders")
+        lost = await cluster.nodes[leader].wait_for_log("lease_lost", scope="orders")
         require(lost["why"].startswith("handed to"), f"{leader} ended without handing over its lease: {lost['why']}")
-        require(await cluster.nodes[leader].ended() == 0, f"{leader} did not end with 0")
-        cluster.verdict()
+        require(await cluster.nodes[leader].wait_for_exit() == 0, f"{leader} did not end with 0")
+        cluster.check_invariants()
     return moved + 1
 
 
 async def check_exclusions(old: Path, new: Path, seed: int) -> int:
     """Versions in turn start with the file of exclusions that the one before wrote; the number of starts."""
     async with open_cluster(directors=1, caches=3, seed=seed, operators="[health]\n") as cluster:
-        cluster.doors = True
+        cluster.operator_endpoints = True
         node = cluster.nodes["n0"]
         excluded: list[str] = []
         for checkout, member in ((old, "c1"), (new, "c2"), (old, "c0")):
             use_version(cluster, checkout)
             # Not `scene.start`, since that empties the folder with the file.
             node.start(cluster.nursery, cluster.config("n0"), cluster.settings_text("n0"))
-            await node.said("ready")
+            await node.wait_for_log("ready")
             for known in excluded:
                 await until_member_state(cluster, "n0", known, "draining")
-            status, text = await cluster.call("n0", "PUT", f"/maintenance/enter?member={member}")
+            status, text = await cluster.operator_request("n0", "PUT", f"/maintenance/enter?member={member}")
             require(status == 200, f"the exclusion of {member} was answered with {status} {text}")
             excluded.append(member)
             node.signal(signal.SIGTERM)
-            require(await node.ended() == 0, "the director did not end with 0")
-        cluster.verdict()
+            require(await node.wait_for_exit() == 0, "the director did not end with 0")
+        cluster.check_invariants()
     return len(excluded)
 
 
@@ -132,21 +132,24 @@
     """Upgrades under requests, between the versions in turn; what clients saw."""
     async with open_cluster(directors=1, caches=3, seed=seed, rate=REQUESTS_PER_S, operators="[health]\n") as cluster:
         use_version(cluster, old)
-        await cluster.serve_with_doors()
-        status, _ = await cluster.call("n0", "PUT", "/maintenance/enter?member=c1")
+        await cluster.start_with_operator_endpoints()
+        status, _ = await cluster.operator_request("n0", "PUT", "/maintenance/enter?member=c1")
         require(status == 200, f"the exclusion was answered with {status}")
         for step in range(steps):
-            await cluster.served_more(ANSWERS_BETWEEN_STEPS)
+            await cluster.wait_for_served(ANSWERS_BETWEEN_STEPS)
             use_version(cluster, old if step % 2 else new)
             predecessor = await cluster.upgrade("n0")
-            await cluster.until_yes("n0")
-            await cluster.served_more(ANSWERS_BETWEEN_STEPS)
-            require(await cluster.retire(predecessor) == 0, f"the process before upgrade {step + 1} did not end with 0")
+            await cluster.wait_until_accepting("n0")
+            await cluster.wait_for_served(ANSWERS_BETWEEN_STEPS)
+            require(
+                await cluster.stop_predecessor(predecessor) == 0,
+                f"the process before upgrade {step + 1} did not end with 0",
+            )
             await until_member_state(cluster, "n0", "c1", "draining")
-        await cluster.served_more(ANSWERS_BETWEEN_STEPS)
+        await cluster.wait_for_served(ANSWERS_BETWEEN_STEPS)
         verdicts = [verdict for request in cluster.front.wishes for verdict in request.verdicts]
         require("lost" not in verdicts, f"{verdicts.count('lost')} requests were lost in upgrades")
-        cluster.verdict()
+        cluster.check_invariants()
         return {"upgrades": steps, "requests": len(verdicts), "lost": verdicts.count("lost")}
 
 
--- a/benchmarks/operations.py
+++ b/benchmarks/operations.py
@@ -35,7 +35,7 @@
 
 async def call_ms(cluster, path: str = "/status") -> float:
     began = time.monotonic()
-    status, _ = await cluster.call("n0", "GET", path)
+    status, _ = await cluster.operator_request("n0", "GET", path)
     assert status == 200, f"{path}: {status}"
     return (time.monotonic() - began) * 1000
 
@@ -50,10 +50,10 @@
 
 async def door(rate: float, silent: int, count: int, seed: int) -> list[float]:
     async with open_cluster(1, 3, 1, seed, "", rate) as cluster:
-        await cluster.serve_with_doors()
+        await cluster.start_with_operator_endpoints()
         if rate:
-            await cluster.served_more(int(rate / 4))
-        address, held = split_address(cluster.places["n0"]["operator"]), []
+            await cluster.wait_for_served(int(rate / 4))
+        address, held = split_address(cluster.addresses["n0"]["operator"]), []
         for i in range(silent):
             stream = await trio.open_tcp_stream(*address)
             if i % 2:
@@ -62,23 +62,23 @@
         found = await calls(cluster, count)
         for stream in held:
             await stream.aclose()
-        cluster.verdict()
+        cluster.check_invariants()
         return found
 
 
 async def upgrades(count: int, seed: int) -> dict:
     async with open_cluster(1, 3, 1, seed, "", RATE) as cluster:
-        await cluster.serve_with_doors()
+        await cluster.start_with_operator_endpoints()
         took = []
         for _ in range(count):
             began = time.monotonic()
             old = await cluster.upgrade("n0")
-            await cluster.until_yes("n0")
+            await cluster.wait_until_accepting("n0")
             took.append(time.monotonic() - began)
-            await cluster.served_more(10)
-            assert await cluster.retire(old) == 0
+            await cluster.wait_for_served(10)
+            assert await cluster.stop_predecessor(old) == 0
         verdicts = [v for w in cluster.front.wishes for v in w.verdicts]
-        cluster.verdict()
+        cluster.check_invariants()
         return {
             "asked": len(verdicts),
             "lost": verdicts.count("lost"),
@@ -91,14 +91,14 @@
 async def told(seconds: float, seed: int) -> dict:
     """The largest share by which a figure is off, over answers of clients and arrivals at caches."""
     async with open_cluster(1, 3, 1, seed, "", RATE) as cluster:
-        await cluster.serve_with_doors()
+        await cluster.start_with_operator_endpoints()
         worst = {"served": 0.0, "in_flight": 0.0}
         ends = time.monotonic() + seconds
         while time.monotonic() < ends:
             await trio.sleep(0.2)
             seen_before = cluster.record.counts["answer", "served"]
             open_before = sum(len(line.open) for t in cluster.front.targets.values() for line in t.lines)
-            found = await cluster.figures("n0")
+            found = await cluster.read_operator_metrics("n0")
             seen = cluster.record.counts["answer", "served"]
             opened = sum(len(line.open) for t in cluster.front.targets.values() for line in t.lines)
             served = sum(v for k, v in found.items() if k.endswith(".served"))
@@ -109,7 +109,7 @@
             worst["in_flight"] = max(worst["in_flight"], float(max(0, low - flying, flying - high)))
         cluster.front.running.cancel()
         await trio.sleep(1.0)
-        found = await cluster.figures("n0")
+        found = await cluster.read_operator_metrics("n0")
         quiet = abs(
             sum(v for k, v in found.items() if k.endswith(".served")) - cluster.record.counts["answer", "served"]
         )
@@ -119,32 +119,32 @@
 async def reload(count: int, seed: int) -> list[float]:
     """The slowest call of the door about each SIGHUP that brings other settings, in milliseconds."""
     async with open_cluster(1, 3, 1, seed, "", RATE) as cluster:
-        await cluster.serve_with_doors()
-        await cluster.served_more(20)
+        await cluster.start_with_operator_endpoints()
+        await cluster.wait_for_served(20)
         node, slowest = cluster.nodes["n0"], []
         for n in range(count):
-            cluster.change = lambda s, n=n: {**s, "limits": {**s["limits"], "maxAttempts": 3 + n % 3}}
+            cluster.change_settings = lambda s, n=n: {**s, "limits": {**s["limits"], "maxAttempts": 3 + n % 3}}
             node.config_file.write_text(json.dumps(cluster.config("n0")))
             node.signal(signal.SIGHUP)
             slowest.append(max([await call_ms(cluster) for _ in range(4)]))
-        assert len(node.heard("reloaded")) >= count - 1
-        cluster.verdict()
+        assert len(node.find_logs("reloaded")) >= count - 1
+        cluster.check_invariants()
         return slowest
 
 
 async def cost(on: bool, seconds: float, seed: int) -> float:
     """CPU microseconds an answer."""
     async with open_cluster(1, 3, 1, seed, "", RATE) as cluster:
-        cluster.doors = on
+        cluster.operator_endpoints = on
         await cluster.start()
-        await cluster.admitted()
+        await cluster.wait_until_admitted()
         await trio.sleep(min(2.0, seconds))
         pid = cluster.nodes["n0"].process.pid
         used, answers, ends = cpu_s(pid), cluster.record.count("answer"), time.monotonic() + seconds
         while (left := ends - time.monotonic()) > 0:
             await trio.sleep(min(1.0, left))
             if on:
-                await cluster.figures("n0")
+                await cluster.read_operator_metrics("n0")
         return (cpu_s(pid) - used) / max(1, cluster.record.count("answer") - answers) * 1e6
 
 
--- a/benchmarks/operator_interface.py
+++ b/benchmarks/operator_interface.py
@@ -65,7 +65,7 @@
     with trio.fail_after(TIMEOUT_S):
         while True:
             for name in cluster.names:
-                owners = (await cluster.ask(name, "/owners")).get("owners", ())
+                owners = (await cluster.admin_request(name, "/owners")).get("owners", ())
                 if any(row["ours"] and row["scope"] == scope for row in owners):
                     return name
             await trio.sleep(0.05)
@@ -73,7 +73,7 @@
 
 async def until_member_state(cluster: ProcessCluster, name: str, member: str, state: str) -> None:
     """Waits until a director reports this state of the member."""
-    await cluster.until_told(
+    await cluster.wait_for_answer(
         name,
         "/members",
         lambda answer: any(row["member"] == member and row["state"] == state for row in answer["members"]),
@@ -83,7 +83,7 @@
 async def order_for_fleet(cluster: ProcessCluster, name: str, member: str, order: str) -> None:
     """An order for all directors, given at one of them, and in effect at each."""
     body = {"member": member, "order": order, "by": "kim", "fleet": True}
-    answer = await cluster.ask(name, "/orders", "POST", body)
+    answer = await cluster.admin_request(name, "/orders", "POST", body)
     require(answer["status"] == 200, f"the order on {member} at {name} was answered with {answer}")
     for director in cluster.names:
         await until_member_state(cluster, director, member, "maintenance" if order == "maintain" else "ready")
@@ -120,21 +120,23 @@
     async with open_cluster(
         directors=1, caches=3, seed=seed, rate=REQUESTS_PER_S, operators=SETTINGS.replace("0 1 2", "0")
     ) as cluster:
-        cluster.change = allow_probes
+        cluster.change_settings = allow_probes
         use_version(cluster, checkout)
-        await cluster.serve_with_doors()
-        await cluster.served_more(ANSWERS_BETWEEN_STEPS)
+        await cluster.start_with_operator_endpoints()
+        await cluster.wait_for_served(ANSWERS_BETWEEN_STEPS)
         await order_for_fleet(cluster, "n0", "c1", "maintain")
-        await cluster.call("n0", "PUT", "/maintenance/enter?member=c2")
+        await cluster.operator_request("n0", "PUT", "/maintenance/enter?member=c2")
         for number in (signal.SIGHUP, signal.SIGUSR1):
             cluster.nodes["n0"].signal(number)
-        await cluster.nodes["n0"].said("reloaded")
-        await cluster.nodes["n0"].said("counters")
-        json_keys = {f"{path} {key}" for path in ADMIN_PATHS for key in keys_of(await cluster.ask("n0", path))}
-        metrics = metric_names((await cluster.ask("n0", "/metrics"))["text"])
-        operator_metrics = set(await cluster.figures("n0"))
+        await cluster.nodes["n0"].wait_for_log("reloaded")
+        await cluster.nodes["n0"].wait_for_log("counters")
+        json_keys = {
+            f"{path} {key}" for path in ADMIN_PATHS for key in keys_of(await cluster.admin_request("n0", path))
+        }
+        metrics = metric_names((await cluster.admin_request("n0", "/metrics"))["text"])
+        operator_metrics = set(await cluster.read_operator_metrics("n0"))
         cluster.nodes["n0"].signal(signal.SIGTERM)
-        await cluster.nodes["n0"].ended()
+        await cluster.nodes["n0"].wait_for_exit()
         events = {f"{line['event']} {key}" for line in cluster.nodes["n0"].lines[-1] for key in line}
     for name, found in (("JSON keys", json_keys), ("metrics", metrics), ("operators' metrics", operator_metrics)):
         require(bool(found), f"the run of {checkout.name} has no {name}")
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -59,7 +59,7 @@
 async def real(side: str, code: Path | None, directors: int, rate: float, seconds: float, seed: int) -> dict:
     async with open_cluster(directors, 4, 1, seed, SIDES[side], rate, {"origin": WEAK}, code) as cluster:
         await cluster.start()
-        await cluster.admitted()
+        await cluster.wait_until_admitted()
         await trio.sleep(2.0)
         cluster.power_off()
         cluster.origin.most, falls = 0.0, cluster.origin.falls
@@ -69,7 +69,7 @@
         await trio.sleep(seconds + 2.0)
         by_second = cluster.front.by_second(back, now_us() - 2_000_000)
         shares = [got / asked for got, asked in (by_second[s] for s in sorted(by_second)) if asked]
-        breaches = len(cluster.record.breaches())
+        breaches = len(cluster.record.find_violations())
         datagrams = cluster.record.peak("datagram", 1_000_000) / directors
     return {
         "to_50": held(shares, 0.5),
--- a/benchmarks/recovery_cost.py
+++ b/benchmarks/recovery_cost.py
@@ -43,10 +43,10 @@
 async def turn(side: str, directors: int, warm: float, seconds: float, seed: int) -> dict:
     async with open_cluster(directors, 3, 1, seed, SIDES[side], RATE) as cluster:
         await cluster.start()
-        await cluster.admitted()
+        await cluster.wait_until_admitted()
         if side != "off":
             for node in cluster.nodes.values():
-                await node.said("recovery_stage", stage="serving")
+                await node.wait_for_log("recovery_stage", stage="serving")
         for name in cluster.names[1:]:  # one director gets all the requests, the others only talk to it
             cluster.front.targets[name].admitted = False
         await trio.sleep(warm)
--- a/benchmarks/recovery_sweep.py
+++ b/benchmarks/recovery_sweep.py
@@ -53,14 +53,14 @@
 
 async def all_serve(cluster: ProcessCluster) -> None:
     for name in cluster.names:
-        await cluster.nodes[name].said("recovery_stage", stage="serving")
-    await cluster.admitted()
-    await cluster.served_more(60)
+        await cluster.nodes[name].wait_for_log("recovery_stage", stage="serving")
+    await cluster.wait_until_admitted()
+    await cluster.wait_for_served(60)
 
 
 async def orders(cluster: ProcessCluster, rng: random.Random) -> None:
     cluster.power_off()
-    names = list(cluster.off)
+    names = list(cluster.powered_off)
     rng.shuffle(names)
     for name in names:
         await cluster.power_on(name)
@@ -72,17 +72,17 @@
     for stage_name in rng.sample(("writes", "reads", "fills"), 2):
         cluster.power_off()
         await cluster.power_on()
-        await cluster.nodes[rng.choice(cluster.names)].said("recovery_stage", stage=stage_name)
+        await cluster.nodes[rng.choice(cluster.names)].wait_for_log("recovery_stage", stage=stage_name)
     cluster.power_off()
     await cluster.power_on()
 
 
 async def away(cluster: ProcessCluster, rng: random.Random) -> None:
     cluster.power_off()
-    cluster.coordinator.go()
+    cluster.coordinator.disconnect()
     await cluster.power_on(known={"index": 0, "updates": []} if rng.random() < 0.5 else None)
     await trio.sleep(30.0)
-    cluster.coordinator.back()
+    cluster.coordinator.reconnect()
 
 
 async def frozen(cluster: ProcessCluster, rng: random.Random) -> None:
@@ -90,31 +90,31 @@
     await cluster.power_on()
     name = rng.choice(cluster.names)
     if rng.random() < 0.5:
-        await cluster.nodes[name].said("recovery_stage", stage=rng.choice(("writes", "reads", "fills")))
+        await cluster.nodes[name].wait_for_log("recovery_stage", stage=rng.choice(("writes", "reads", "fills")))
     cluster.freeze(name)
     await trio.sleep(20.0)
-    cluster.thaw(name)
+    cluster.resume(name)
 
 
 async def torn(cluster: ProcessCluster, rng: random.Random) -> None:
     cluster.power_off()
     for node in cluster.nodes.values():
-        await node.ended()
+        await node.wait_for_exit()
         disk.tear(node.state, rng.random())
     await cluster.power_on()
-    assert not any(node.heard("state_damaged") for node in cluster.nodes.values()), "a torn write is no damage"
+    assert not any(node.find_logs("state_damaged") for node in cluster.nodes.values()), "a torn write is no damage"
 
 
 async def swapped(cluster: ProcessCluster, rng: random.Random) -> None:
     one, other = rng.sample(cluster.names, 2)
     cluster.power_off(one)
-    await cluster.nodes[one].ended()
+    await cluster.nodes[one].wait_for_exit()
     disk.lose(cluster.nodes[one].state)
     ours = cluster.folder / "ours"
     disk.copy(cluster.nodes[one].state, ours)
     disk.copy(cluster.nodes[other].state, cluster.nodes[one].state)
     await cluster.start(one)
-    assert await cluster.nodes[one].ended() == 2, "it took another's folder"
+    assert await cluster.nodes[one].wait_for_exit() == 2, "it took another's folder"
     said = [line.get("text", "") for line in cluster.nodes[one].lines[-1]]
     assert any(f"is of director '{other}'" in text for text in said), said
     disk.copy(ours, cluster.nodes[one].state)
@@ -134,7 +134,7 @@
     for pair in zip(directors, caches, strict=True):
         for name in pair:
             cluster.vanish(name)
-        await cluster.served_more(20)
+        await cluster.wait_for_served(20)
         for name in pair:
             cluster.vanish(name, gone=False)
 
@@ -148,9 +148,9 @@
     await cluster.power_on()
     for _ in range(3):
         await trio.sleep(rng.random())
-        cluster.coordinator.go()
+        cluster.coordinator.disconnect()
         await trio.sleep(rng.random())
-        cluster.coordinator.back()
+        cluster.coordinator.reconnect()
 
 
 OWNERS = """
@@ -187,7 +187,7 @@
     elif kind == "freeze":
         cluster.freeze(name)
         await trio.sleep(span_s)
-        cluster.thaw(name)
+        cluster.resume(name)
     elif kind.startswith("cut"):
         others = [n for n in cluster.names if n != name]
         for target in others if rng.random() < 0.5 else [other]:
@@ -206,7 +206,7 @@
         async with trio.open_nursery() as nursery:
 
             async def first(each) -> None:
-                await each.stopped()
+                await each.wait_until_stopped()
                 nursery.cancel_scope.cancel()
 
             nursery.cancel_scope.deadline = trio.current_time() + 6.0
@@ -216,23 +216,23 @@
             each.stop_at()
         await trio.sleep(span_s)
         for each in cluster.names:
-            cluster.thaw(each)
+            cluster.resume(each)
 
 
 async def owners(seed: int) -> None:
     """A run of its own: five directors, four duties, twelve faults."""
     rng = random.Random(f"{seed} owners")
     async with open_cluster(5, 3, 1, seed, OWNERS) as cluster:
-        cluster.change = allow_probes
+        cluster.change_settings = allow_probes
         await cluster.start()
-        await cluster.admitted()
+        await cluster.wait_until_admitted()
         stood: list[str] = []
 
         async def order(number: int) -> None:
             member, name = rng.choice(cluster.caches).name, rng.choice(cluster.names)
             with trio.move_on_after(6.0):
                 try:
-                    found = await cluster.ask(
+                    found = await cluster.admin_request(
                         name,
                         "/orders",
                         "POST",
@@ -252,10 +252,10 @@
             node.set_clock()
         await cluster.start()
         lines = len(cluster.ledger.tries)
-        await cluster.until(lambda: sum(t.word == "ok" for t in cluster.ledger.tries[lines:]) >= 3, "lines go on")
+        await cluster.wait_until(lambda: sum(t.word == "ok" for t in cluster.ledger.tries[lines:]) >= 3, "lines go on")
         counts = {}
         for name in cluster.names:
-            found = await cluster.until_told(
+            found = await cluster.wait_for_answer(
                 name,
                 "/owners",
                 lambda found: all(r["owner"] >= 0 for r in found["owners"])
@@ -263,7 +263,7 @@
             )
             counts[name] = found["orders"]["in_effect"]
         cluster.front.running.cancel()
-        cluster.verdict()
+        cluster.check_invariants()
         taken = [t for t in cluster.ledger.tries if t.word == "ok"]
         assert [t.token for t in taken] == sorted(t.token for t in taken), "an old owner's line was taken"
         assert len({t.number for t in taken}) == len(taken), "a line was taken twice"
@@ -295,12 +295,12 @@
         return await owners(seed)
     async with open_cluster(directors, 3, 1, seed, OPERATORS, RATE) as cluster:
         await cluster.start()
-        await cluster.admitted()
-        await cluster.until(lambda: len(cluster.world.ran) > 3, "writes ran")
+        await cluster.wait_until_admitted()
+        await cluster.wait_until(lambda: len(cluster.world.ran) > 3, "writes ran")
         await CASES[case](cluster, random.Random(f"{seed} {case}"))
         await all_serve(cluster)
         cluster.front.running.cancel()
-        cluster.verdict()
+        cluster.check_invariants()
         twice = [rids for rids in cluster.world.ran.values() if len(rids) != len(set(rids))]
         assert not twice, f"an id ran twice: {twice}"
 
--- a/rookbend/testing/cluster/admin_client.py
+++ b/rookbend/testing/cluster/admin_client.py
@@ -42,9 +42,9 @@
 class Asking:
     """The part of `Scene` that asks."""
 
-    async def ask(self, name: str, path: str, method: str = "GET", body: dict | None = None) -> dict:
+    async def admin_request(self, name: str, path: str, method: str = "GET", body: dict | None = None) -> dict:
         """One question to the director's operators' listener; the decoded answer, with its `status`."""
-        status, found = await http(self.places[name]["admin"], path, method, body)
+        status, found = await http(self.addresses[name]["admin"], path, method, body)
         try:
             decoded = msgspec.json.decode(found)
         except msgspec.DecodeError:
@@ -53,23 +53,23 @@
             self.record.note("asked", name, f"{method} {path} {status} {decoded.get('fault', '')}".rstrip())
         return {**decoded, "status": status}
 
-    async def call(self, name: str, method: str, path: str) -> tuple[int, str]:
+    async def operator_request(self, name: str, method: str, path: str) -> tuple[int, str]:
         """One call at the newest door of a director: status and text."""
-        status, found = await http(self.places[name]["operator"], path, method)
+        status, found = await http(self.addresses[name]["operator"], path, method)
         return status, found.decode()
 
-    async def figures(self, name: str) -> dict[str, int]:
+    async def read_operator_metrics(self, name: str) -> dict[str, int]:
         """The figures at that door, by name."""
-        _, text = await self.call(name, "GET", "/status/metrics")
+        _, text = await self.operator_request(name, "GET", "/status/metrics")
         return {line.partition(":")[0]: int(line.partition(":")[2].partition("|")[0]) for line in text.splitlines()}
 
-    async def until_told(self, name: str, path: str, holds: Callable[[dict], bool]) -> dict:
+    async def wait_for_answer(self, name: str, path: str, holds: Callable[[dict], bool]) -> dict:
         """Asks a director's listener again and again until the answer is as wanted. Raises `HungProcessError`."""
         found = None
         with trio.move_on_after(HANG_S):
             while True:
                 try:
-                    found = await self.ask(name, path)
+                    found = await self.admin_request(name, path)
                     if holds(found):
                         return found
                 except (OSError, trio.BrokenResourceError):
--- a/rookbend/testing/cluster/clients.py
+++ b/rookbend/testing/cluster/clients.py
@@ -50,7 +50,7 @@
         self.wishes: list[Wish] = []
         self.late_s = 0.0  # the most that a request was sent late: the lab's own lateness
         self.lost: list[LostRequest] = []
-        self.heeds_closing = True  # whether a connection takes no new request once the director has announced its end
+        self.honors_closing = True  # whether a connection takes no new request once the director has announced its end
         self.unsent = 0  # wishes for which no director was admitted
         self.changed = trio.Event()  # something was answered, admitted or lost
         self._rid = 0
@@ -92,7 +92,7 @@
                 target.admitted = False
             await trio.sleep(PAUSE_S)
 
-    def give_up(self, name: str) -> None:
+    def drop_connections(self, name: str) -> None:
         """What is open at that director is lost: its machine has vanished, nothing of it comes any more."""
         for line in list(self.targets[name].lines):
             reset(line.stream)
@@ -113,7 +113,7 @@
             for rid, wish, sent_us in line.open.values():
                 self.lost.append(LostRequest(target.name, sent_us, now_us()))
                 # The process, or the way to it, has gone: that it left them unanswered is no breach.
-                self.record.see(ClientClosed(now_us(), rid))
+                self.record.feed(ClientClosed(now_us(), rid))
                 wish.verdicts.append("lost")
                 self._again(wish, 0.1)
             line.open.clear()
@@ -131,7 +131,7 @@
         async for more in line.stream:
             data += more
             while len(data) >= 4 and len(data) >= 4 + (size := int.from_bytes(data[:4], "big")):
-                if data[4] == CLOSING and self.heeds_closing and not line.closing:
+                if data[4] == CLOSING and self.honors_closing and not line.closing:
                     line.closing = True  # the next request goes out on a new connection
                     target.nursery.start_soon(self._hold, target)
                 self._take(line, data[4 : 4 + size])
@@ -151,7 +151,7 @@
             fields[data[at + 1 : n].decode()] = data[n + 2 : v].decode()
             at = v
         body = data[at:]
-        self.record.see(ResponseReceived(now_us(), rid or f"stream {stream}", verdict, digest(body) if body else ""))
+        self.record.feed(ResponseReceived(now_us(), rid or f"stream {stream}", verdict, digest(body) if body else ""))
         self.record.note("answer", verdict)
         if wish is None:
             return
@@ -200,7 +200,7 @@
             fields["again"] = "1"
         now = now_us()
         line.open[line.last] = OpenRequest(rid, wish, now)
-        self.record.see(
+        self.record.feed(
             RequestSent(
                 now, rid, target.name, kind.write, now + kind.deadline_us, (wish.key, wish.part), group_of(wish.key)
             )
@@ -232,7 +232,7 @@
 
     # What came of them
 
-    def ended(self, since_us: int = 0, until_us: int = 1 << 62) -> list[RequestOutcome]:
+    def outcomes(self, since_us: int = 0, until_us: int = 1 << 62) -> list[RequestOutcome]:
         return [
             RequestOutcome(w.first_us, w.kind, w.done_us or None)
             for w in self.wishes
@@ -242,7 +242,7 @@
     def by_second(self, began_us: int, until_us: int = 1 << 62) -> dict[int, tuple[float, float]]:
         """Worth earned and asked for, by the second in which it was first asked."""
         out: dict[int, tuple[float, float]] = {}
-        for e in self.ended(began_us, until_us):
+        for e in self.outcomes(began_us, until_us):
             second = (e.sent_us - began_us) // 1_000_000
             got, asked = out.get(second, (0.0, 0.0))
             worth = self.kinds[e.traffic_class].worth
--- a/rookbend/testing/cluster/coordinator.py
+++ b/rookbend/testing/cluster/coordinator.py
@@ -47,7 +47,7 @@
         self._changed.set()
         self._changed = trio.Event()
 
-    def tell_members(self, *names: str) -> None:
+    def publish_members(self, *names: str) -> None:
         """What has changed of these."""
         self.revision += 1
         lines = []
@@ -95,25 +95,25 @@
         whole = {"endpoints": {"revision": self.revision, "complete": True, "members": lines}}
         recent = [event for at, event in self.purges if at > now_us() - purge_life_us]
         self.told[director] = self.index
-        self.record_told(director, whole)
+        self.record_delivery(director, whole)
         for event in recent:
-            self.record_told(director, event)
+            self.record_delivery(director, event)
         return {
             "index": self.index,
             "updates": [{"index": 0, **self._for(director, event)} for event in (whole, *recent)],
         }
 
-    def record_told(self, director: str, event: dict) -> None:
+    def record_delivery(self, director: str, event: dict) -> None:
         """From here on the event binds that director."""
         at = now_us()
         for m in event.get("endpoints", {}).get("members", ()):
-            self.record.see(MembershipSent(at, director, m["id"], PHASES[m["phase"]]))
+            self.record.feed(MembershipSent(at, director, m["id"], PHASES[m["phase"]]))
         if (e := event.get("evict")) is not None:
-            self.record.see(PurgeSent(at, director, e["unix_ms"] * 1000, e.get("ref", ""), e.get("shard", -1)))
+            self.record.feed(PurgeSent(at, director, e["unix_ms"] * 1000, e.get("ref", ""), e.get("shard", -1)))
 
     # Streams
 
-    def go(self) -> None:
+    def disconnect(self) -> None:
         """It vanishes: streams are reset, calls are too until it is `back`."""
         self.away = True
         self.record.note("fault", "coordinator", "away")
@@ -121,14 +121,14 @@
             reset(stream)
         self._streams.clear()
 
-    def back(self) -> None:
+    def reconnect(self) -> None:
         self.away = False
         self.record.note("fault", "coordinator", "back")
 
     async def _write(self, stream, director: str, index: int, event: dict) -> None:
         data = json.dumps({"index": index, **self._for(director, event)})
         await stream.send_all(f"id: {index}\ndata: {data}\n\n".encode())
-        self.record_told(director, event)
+        self.record_delivery(director, event)
 
     async def _serve(self, director: str, stream: trio.SocketStream) -> None:
         self.calls[director] = self.calls.get(director, 0) + 1
--- a/rookbend/testing/cluster/dns_names.py
+++ b/rookbend/testing/cluster/dns_names.py
@@ -96,12 +96,12 @@
     """A write by name, of an object and an id of that number; the rules' checker hears of both ends."""
     rid = key = f"{number:016x}"
     group = group_of(key)
-    record.see(RequestSent(now_us(), rid, director, True, now_us() + deadline_us, (key, 0), group))
+    record.feed(RequestSent(now_us(), rid, director, True, now_us() + deadline_us, (key, 0), group))
     try:
         found = await look_up(server, f"r{rid}.p0.{key}.g{group}.{min(WRITES)}.{zone}")
     except trio.Cancelled:
-        record.see(ClientClosed(now_us(), rid))  # its asker gives up
+        record.feed(ClientClosed(now_us(), rid))  # its asker gives up
         raise
     verdict = {"NOERROR": "served", "REFUSED": "refused"}.get(found[0], "failed")
-    record.see(ResponseReceived(now_us(), rid, verdict, ""))
+    record.feed(ResponseReceived(now_us(), rid, verdict, ""))
     return found
--- a/rookbend/testing/cluster/faults.py
+++ b/rookbend/testing/cluster/faults.py
@@ -18,7 +18,7 @@
         """These lose their power in one instant; all directors, caches and parents where none is named."""
         chosen = names or [*self.names, *(b.name for b in self.boxes.values() if b.role != "origin")]
         self.record.note("fault", "power", "off " + " ".join(chosen))
-        self.off.update(dict.fromkeys(chosen))
+        self.powered_off.update(dict.fromkeys(chosen))
         for name in chosen:
             if name in self.nodes:
                 self.nodes[name].kill()
@@ -29,13 +29,13 @@
     async def power_on(self, *names: str, known: dict | None = None) -> None:
         """They return in this order, all that are without power if none is named: boxes cold and empty,
         directors as they start."""
-        for name in names or sorted(self.off, key=lambda n: n in self.nodes):
-            self.off.pop(name, None)
+        for name in names or sorted(self.powered_off, key=lambda n: n in self.nodes):
+            self.powered_off.pop(name, None)
             if name in self.boxes:
                 self.boxes[name].come_back()
-                self.coordinator.tell_members(name)
+                self.coordinator.publish_members(name)
             else:
-                await self.nodes[name].ended()
+                await self.nodes[name].wait_for_exit()
                 disk.lose(self.nodes[name].state)
                 await self.start(name, known=known)
 
@@ -43,9 +43,9 @@
         """It stands still. What is open at it is given up by its clients: no answer of a process that stands
         can come in time."""
         self.nodes[name].signal(signal.SIGSTOP)
-        self.front.give_up(name)
+        self.front.drop_connections(name)
 
-    def thaw(self, name: str) -> None:
+    def resume(self, name: str) -> None:
         self.nodes[name].signal(signal.SIGCONT)
 
     def vanish(self, name: str, gone: bool = True) -> None:
@@ -56,7 +56,7 @@
             for pair in ((name, other), (other, name)):
                 self.ways.get(*pair).set(silent=gone, deaf=gone)
         if gone and name in self.names:
-            self.front.give_up(name)
+            self.front.drop_connections(name)
 
     def cut(self, source: str, target: str) -> None:
         """Nothing of what the one says reaches the other."""
@@ -76,7 +76,7 @@
 
     async def play(self, text: str, file: str = "day") -> None:
         """The failures of a text, from now on; `seed` and lines go into the report of a failed run."""
-        self.day = fault_timeline_format.parse_faults(text, file)
+        self.fault_schedule = fault_timeline_format.parse_faults(text, file)
         others = *self.names, *self.boxes, "coordinator", "clients"
         pairs = [f"{a}>{b}" for a in self.names for b in others if a != b]
         world = {
@@ -87,7 +87,7 @@
             fault_timeline.TargetType.COORDINATOR: ["coordinator"],
         }
         begun = trio.current_time()
-        steps = fault_timeline.plan_steps(self.day, world)
+        steps = fault_timeline.plan_steps(self.fault_schedule, world)
         at = 0
         while at < len(steps):
             due = steps[at].at_us
@@ -114,13 +114,13 @@
         return {
             "power": self._play_power,
             "kill": self._play_power,
-            "freeze": lambda step: (self.freeze if step.begins else self.thaw)(step.target),
+            "freeze": lambda step: (self.freeze if step.begins else self.resume)(step.target),
             "vanish": lambda step: self.vanish(step.target, step.begins),
             "cut-between": lambda step: (self.cut if step.begins else self.heal)(*step.target.split(">")),
             "clock": self._play_clock,
             "disk": lambda step: self.nodes[step.target].set_disk(step.fault.says if step.begins else ""),
             "drop": self._play_loss,
-            "cut": lambda step: self.coordinator.go() if step.begins else self.coordinator.back(),
+            "cut": lambda step: self.coordinator.disconnect() if step.begins else self.coordinator.reconnect(),
             "term": self._play_stop,
             "hup": self._play_reload,
         }
--- a/rookbend/testing/cluster/member_wire.py
+++ b/rookbend/testing/cluster/member_wire.py
@@ -71,7 +71,7 @@
         source = self.world.members.get(fields.get("next", ""))
         write = fields["c"] in WRITES
         self.asked += 1
-        self.record.see(
+        self.record.feed(
             AttemptReceived(now_us(), rid, self.name, first, fields.get("next", ""), self.work_of(key, part))
         )
         group = group_of(key)
@@ -97,7 +97,7 @@
         finally:
             line.works.pop(rid, None)
             if not work.told:  # given up, or its connection has gone: it may have run
-                self.record.see(AttemptAnswered(now_us(), rid, self.name, True))
+                self.record.feed(AttemptAnswered(now_us(), rid, self.name, True))
 
     async def _write(self, rid: str, key: str) -> Got:
         """A write runs at the origin, whatever becomes of its answer."""
@@ -122,7 +122,7 @@
         if got.copy is not None:
             self.world.copies.append(Sent(work.asked_us, key, got.copy.t0_us, self.name))
         work.told = True
-        self.record.see(
+        self.record.feed(
             AttemptAnswered(
                 now_us(),
                 rid,
--- a/rookbend/testing/cluster/members.py
+++ b/rookbend/testing/cluster/members.py
@@ -77,7 +77,7 @@
         self._log.clear()
         self._total, self._free_us = 0.0, 0
         if self.role != "origin":
-            self.record.see(MemberStarted(now_us(), self.name, self.slow_start))
+            self.record.feed(MemberStarted(now_us(), self.name, self.slow_start))
         self.record.note("start", self.name)
 
     def _fall(self) -> None:
@@ -180,7 +180,7 @@
         if self.down:
             return Got("error", "unreached")
         if self.role != "origin":
-            self.record.see(FillReceived(now_us(), self.name, self.work_of(key, part)))
+            self.record.feed(FillReceived(now_us(), self.name, self.work_of(key, part)))
         origin = next(b for b in self.world.members.values() if b.role == "origin")
         got = await self.get(key, part, group, oldest_us, origin, 0, True)
         if got.copy is None and self.role == "parent" and got.note in ("denied", "unreached"):
--- a/rookbend/testing/cluster/process.py
+++ b/rookbend/testing/cluster/process.py
@@ -61,7 +61,7 @@
         self.temporary = temporary or folder / "tmp"  # its $TMPDIR, as it was left
         self.config_file, self.settings_file = folder / "config.json", folder / "rookbend.conf"
         self.process: subprocess.Popen | None = None
-        self.lives = 0
+        self.start_count = 0
         self.lines: list[list[dict]] = []
         self.changed = trio.Event()
         folder.mkdir(parents=True, exist_ok=True)
@@ -88,7 +88,7 @@
         ledger go out, or in the sync of its disk: `BEFORE_SEND`, `AFTER_SEND`, `IN_SYNC`; 0: nowhere."""
         self._stops[0] = where
 
-    async def stopped(self) -> None:
+    async def wait_until_stopped(self) -> None:
         """Waits until it stands still."""
         with trio.move_on_after(HANG_S):
             while self.running:
@@ -129,9 +129,9 @@
             stderr=subprocess.PIPE,
             preexec_fn=die_with_parent,
         )
-        self.lives += 1
+        self.start_count += 1
         self.lines.append([])
-        self.record.note("start", self.name, f"life {self.lives}")
+        self.record.note("start", self.name, f"life {self.start_count}")
         nursery.start_soon(self._read, self.process, self.lines[-1])
 
     async def _read(self, process: subprocess.Popen, lines: list[dict]) -> None:
@@ -154,7 +154,7 @@
         self.changed.set()
         self.changed = trio.Event()
 
-    def heard(self, event: str, **fields) -> list[dict]:
+    def find_logs(self, event: str, **fields) -> list[dict]:
         """Lines of this life with that event and those fields."""
         return [
             line
@@ -162,10 +162,10 @@
             if line.get("event") == event and all(line.get(k) == v for k, v in fields.items())
         ]
 
-    async def said(self, event: str, **fields) -> dict:
+    async def wait_for_log(self, event: str, **fields) -> dict:
         """Waits for a log line of this life. Raises `HungProcessError` where the process ends without it."""
         with trio.move_on_after(HANG_S):
-            while not (found := self.heard(event, **fields)):
+            while not (found := self.find_logs(event, **fields)):
                 if not self.running:
                     break
                 await self.changed.wait()
@@ -174,7 +174,7 @@
         last = "\n".join(map(str, self.lines[-1][-20:])) if self.lines else ""
         raise HungProcessError(f"{self.name} did not say {event} {fields or ''}; its last lines:\n{last}")
 
-    async def ended(self) -> int:
+    async def wait_for_exit(self) -> int:
         """Waits for its end; the exit code, negative for a signal."""
         with trio.move_on_after(HANG_S):
             await self._gone(self.process)
--- a/rookbend/testing/cluster/process_cluster.py
+++ b/rookbend/testing/cluster/process_cluster.py
@@ -57,8 +57,8 @@
         notice_s: float,
     ):
         self.nursery, self.folder, self.seed, self.operators = nursery, folder, seed, operators
-        self.addresses = AddressBlock()
-        self.net = self.addresses.prefix
+        self.address_block = AddressBlock()
+        self.net = self.address_block.prefix
         self.record = Record(InvariantLimits(slack_us=150_000, purge_retention_us=2 * PURGE_LIFE_US))
         self.world, self.ways = World(self.record, seed), Ways()
         self.names = [f"n{i}" for i in range(directors)]
@@ -76,14 +76,14 @@
         self.nodes = {n: Node(n, folder / n, self.record, **more) for n in self.names}
         self.ledger = Ledger(self.record)
         self.front = Front(self.record, seed, rate, notice_s=notice_s)
-        self.elders: dict[str, list[Node]] = {}
+        self.predecessors: dict[str, list[Node]] = {}
         self.relays: dict[tuple[str, str], TcpRelay] = {}
-        self.places: dict[str, dict[str, str]] = {}
+        self.addresses: dict[str, dict[str, str]] = {}
         self.peers: dict[str, str] = {}
-        self.day: tuple[fault_timeline.Fault, ...] = ()
-        self.change: Callable[[dict], dict] = lambda settings: settings  # of what directors are told
-        self.doors = False  # whether directors are told where their operators' door is
-        self.off: dict[str, None] = {}  # what has lost its power, in that order
+        self.fault_schedule: tuple[fault_timeline.Fault, ...] = ()
+        self.change_settings: Callable[[dict], dict] = lambda settings: settings  # of what directors are told
+        self.operator_endpoints = False  # whether directors are told where their operators' door is
+        self.powered_off: dict[str, None] = {}  # what has lost its power, in that order
 
     def _host(self, name: str, what: int) -> str:
         return f"{self.net}.{1 + self.names.index(name)}.{what}"
@@ -110,7 +110,7 @@
             relay = TcpRelay(self.ways, self.record, name, "coordinator", lambda called=called: called)
             await relay.listen(self.nursery, self._host(name, 8))
             self.relays[name, "coordinator"] = relay
-            self.places[name] = {
+            self.addresses[name] = {
                 "listen": f"{self._host(name, 1)}:{find_free_port(self._host(name, 1))}",
                 "admin": f"{self._host(name, 2)}:{find_free_port(self._host(name, 2))}",
                 "peers": f"{self._host(name, 3)}:{find_free_port(self._host(name, 3), socket.SOCK_DGRAM)}",
@@ -118,12 +118,12 @@
                 "dns": f"{self._host(name, 5)}:{find_free_port(self._host(name, 5))}",
                 "resolver": await Resolver(name, self._address_of).listen(self.nursery, self._host(name, 6)),
             }
-        heard = {n: split_address(self.places[n]["peers"]) for n in self.names}
+        heard = {n: split_address(self.addresses[n]["peers"]) for n in self.names}
         self.peers = await UdpRelay(self.ways, self.record, heard, self.seed).listen(
             self.nursery, lambda name: self._host(name, 4)
         )
         for name in self.names:
-            listens = split_address(self.places[name]["listen"])
+            listens = split_address(self.addresses[name]["listen"])
             relay = TcpRelay(self.ways, self.record, "clients", name, lambda listens=listens: listens)
             await relay.listen(self.nursery, self._host(name, 7))
             self.front.add(name, relay.address, self.nursery)
@@ -131,14 +131,14 @@
     # Directors
 
     def config(self, name: str, known: dict | None = None) -> dict:
-        i, place = self.names.index(name), self.places[name]
-        seed = (self.seed * 1000 + i) * 1000 + self.nodes[name].lives
+        i, place = self.names.index(name), self.addresses[name]
+        seed = (self.seed * 1000 + i) * 1000 + self.nodes[name].start_count
         return {
             "name": name,
             "listen": place["listen"],
-            "operator": place["operator"] if self.doors else "",
+            "operator": place["operator"] if self.operator_endpoints else "",
             "seed": f"{seed:x}",
-            "settings": self.change(settings_for(len(self.names), len(self.caches), i)),
+            "settings": self.change_settings(settings_for(len(self.names), len(self.caches), i)),
             "coordinator": self._address_of(name, "coordinator"),
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
             "peer_listen": place["peers"],
@@ -150,12 +150,12 @@
         more = self.operators(name) if callable(self.operators) else self.operators
         for word, means in (
             ("{state}", str(self.nodes[name].state)),
-            ("{dns}", self.places[name]["dns"]),
-            ("{resolver}", self.places[name]["resolver"]),
+            ("{dns}", self.addresses[name]["dns"]),
+            ("{resolver}", self.addresses[name]["resolver"]),
             ("{ledger}", self._address_of(name, "ledger")),
         ):
             more = more.replace(word, means)
-        return OPERATORS.format(admin=self.places[name]["admin"], more=more)
+        return OPERATORS.format(admin=self.addresses[name]["admin"], more=more)
 
     async def start(self, *names: str, known: dict | None = None) -> None:
         """Starts directors, all that do not run if none is named; returns when the processes exist."""
@@ -166,13 +166,13 @@
                 left.unlink()
             self.nodes[name].start(self.nursery, self.config(name, known), self.settings_text(name))
 
-    async def admitted(self, *names: str) -> None:
+    async def wait_until_admitted(self, *names: str) -> None:
         """Waits until the front has admitted them."""
-        await self.until(
+        await self.wait_until(
             lambda: all(self.front.targets[n].admitted for n in names or self.names), f"{names or self.names} admitted"
         )
 
-    async def until(self, holds: Callable[[], bool], what: str) -> None:
+    async def wait_until(self, holds: Callable[[], bool], what: str) -> None:
         """Waits for something that answers, admissions and log lines change. Raises `HungProcessError`."""
         with trio.move_on_after(HANG_S):
             while not holds():
@@ -182,50 +182,50 @@
             return
         raise HungProcessError(f"never: {what}\n{self.report()}")
 
-    async def served_more(self, count: int) -> None:
+    async def wait_for_served(self, count: int) -> None:
         """Waits for so many more answers that serve."""
         wanted = self.record.counts["answer", "served"] + count
-        await self.until(lambda: self.record.counts["answer", "served"] >= wanted, f"{count} more served")
+        await self.wait_until(lambda: self.record.counts["answer", "served"] >= wanted, f"{count} more served")
 
     # The end
 
     def report(self) -> str:
         """What repeats the run, and what happened in it."""
-        lines = [f"seed {self.seed}", fault_timeline_format.format_faults(self.day), self.record.story()]
+        lines = [f"seed {self.seed}", fault_timeline_format.format_faults(self.fault_schedule), self.record.timeline()]
         for name, node in self.nodes.items():
             if node.lines:
-                lines.append(f"-- {name}, life {node.lives}, last lines:")
+                lines.append(f"-- {name}, life {node.start_count}, last lines:")
                 lines += [str(line) for line in node.lines[-1][-12:]]
         return "\n".join(lines)
 
-    def verdict(self) -> None:
+    def check_invariants(self) -> None:
         """Raises AssertionError with the breaches and the report where a rule was broken."""
-        found = self.record.breaches()
+        found = self.record.find_violations()
         assert not found, "\n".join([*(f"{b.rule}: {b.subject} {b.text}" for b in found[:10]), self.report()])
 
     def assert_no_component_fault(self) -> None:
         """Raises AssertionError where a director has logged a fault that it contained."""
-        logged = [line for node in self.every_node() for life in node.lines for line in life]
+        logged = [line for node in self.all_nodes() for life in node.lines for line in life]
         faults = [line for line in logged if line.get("event") == COMPONENT_FAULT]
         assert not faults, "\n".join(str(fault.get("traceback")) for fault in faults[:3])
 
     def worth(self, since_us: int = 0, until_us: int = 1 << 62) -> float:
         """The share of the worth asked for in that time that was earned."""
-        ended = self.front.ended(since_us, until_us)
+        ended = self.front.outcomes(since_us, until_us)
         asked = sum(self.front.kinds[e.traffic_class].worth.priority_weight for e in ended)
         return sum(earned_weight(self.front.kinds[e.traffic_class].worth, e) for e in ended) / asked if asked else 1.0
 
-    def every_node(self) -> list[Node]:
+    def all_nodes(self) -> list[Node]:
         """The newest process of each director, and those before it."""
-        return [*self.nodes.values(), *(old for olds in self.elders.values() for old in olds)]
+        return [*self.nodes.values(), *(old for olds in self.predecessors.values() for old in olds)]
 
     async def stop(self) -> None:
         """Ends exactly the processes that the scene has started."""
-        every = self.every_node()
+        every = self.all_nodes()
         for node in every:
             if node.running:
                 node.kill()
         for node in every:
             if node.process is not None:
-                await node.ended()
-        self.addresses.release()
+                await node.wait_for_exit()
+        self.address_block.release()
--- a/rookbend/testing/cluster/record.py
+++ b/rookbend/testing/cluster/record.py
@@ -27,7 +27,7 @@
         self.counts: Counter[tuple[str, str]] = Counter()  # (what, who)
         self.began_us = now_us()
 
-    def see(self, event: WireEvent) -> None:
+    def feed(self, event: WireEvent) -> None:
         self.checker.observe(event)
 
     def note(self, what: str, who: str, more: str = "") -> None:
@@ -49,11 +49,11 @@
             most = max(most, high - low + 1)
         return most
 
-    def breaches(self) -> list[Violation]:
+    def find_violations(self) -> list[Violation]:
         self.checker.close_expired(now_us())
         return self.checker.violations
 
-    def story(self) -> str:
+    def timeline(self) -> str:
         """Starts, ends and faults in order, for a failed run: seconds since the stage began."""
         told = ("start", "end", "fault", "fall", "admitted", "lost", "asked")
         return "\n".join(
--- a/rookbend/testing/cluster/soak.py
+++ b/rookbend/testing/cluster/soak.py
@@ -74,8 +74,8 @@
 
     async def run(self) -> SoakResult:
         """Plays the events one after the other, and judges."""
-        await self.cluster.serve_with_doors()
-        await self.cluster.served_more(50)
+        await self.cluster.start_with_operator_endpoints()
+        await self.cluster.wait_for_served(50)
         if self.result.crowd:
             self.cluster.nursery.start_soon(self._crowd)
         end_s = trio.current_time() + self.seconds
@@ -86,7 +86,7 @@
             self.cluster.record.note("fault", director, event.__name__.strip("_"))
             await event(director)
             await trio.sleep(self.random.uniform(0, LONGEST_PAUSE_S))
-        await self.cluster.served_more(50)
+        await self.cluster.wait_for_served(50)
         self._judge()
         return self.result
 
@@ -99,18 +99,18 @@
     async def _until_ended(self, node: Node) -> None:
         """SIGKILL comes at the page's earliest."""
         with trio.move_on_after(KILL_AFTER_S):
-            if code := await node.ended():
+            if code := await node.wait_for_exit():
                 self.result.failures.append(f"{node.name} ended with {code}")
             return
         self.result.failures.append(f"{node.name} had not ended {KILL_AFTER_S:g} s after SIGTERM")
         node.kill()
-        await node.ended()
+        await node.wait_for_exit()
 
     async def _start_again(self, name: str) -> None:
         began_s = trio.current_time()
-        await self.cluster.until(lambda: not self.cluster.front.targets[name].admitted, f"{name} is missed")
+        await self.cluster.wait_until(lambda: not self.cluster.front.targets[name].admitted, f"{name} is missed")
         await self.cluster.start(name)
-        await self.cluster.admitted(name)
+        await self.cluster.wait_until_admitted(name)
         took_s = trio.current_time() - began_s
         self.result.slowest_start_s = max(self.result.slowest_start_s, took_s)
         if took_s > READY_WITHIN_S:
@@ -140,25 +140,30 @@
 
     def _write_changed_config(self, name: str) -> None:
         attempts = self.random.randint(3, 6)
-        self.cluster.change = lambda settings: {**settings, "limits": {**settings["limits"], "maxAttempts": attempts}}
+        self.cluster.change_settings = lambda settings: {
+            **settings,
+            "limits": {**settings["limits"], "maxAttempts": attempts},
+        }
         node = self.cluster.nodes[name]
         operator = json.loads(node.config_file.read_text())["operator"]
         node.config_file.write_text(json.dumps({**self.cluster.config(name), "operator": operator}))
 
     async def _reload(self, name: str) -> None:
         node = self.cluster.nodes[name]
-        before = len(node.heard("reloaded"))
+        before = len(node.find_logs("reloaded"))
         self._write_changed_config(name)
         node.signal(signal.SIGHUP)
-        await self.cluster.until(lambda: len(node.heard("reloaded")) > before, f"{name} reloads")
+        await self.cluster.wait_until(lambda: len(node.find_logs("reloaded")) > before, f"{name} reloads")
 
     async def _reload_of_broken_files(self, name: str) -> None:
         node = self.cluster.nodes[name]
-        before = len(node.heard("reload_failed"))
+        before = len(node.find_logs("reload_failed"))
         whole = node.config_file.read_bytes()
         node.config_file.write_bytes(whole[: self.random.randrange(1, len(whole))])
         node.signal(signal.SIGHUP)
-        await self.cluster.until(lambda: len(node.heard("reload_failed")) > before, f"{name} refuses to reload")
+        await self.cluster.wait_until(
+            lambda: len(node.find_logs("reload_failed")) > before, f"{name} refuses to reload"
+        )
         node.config_file.write_bytes(whole)
 
     async def _upgrade(self, name: str, reload: bool = False) -> None:
@@ -166,7 +171,7 @@
         if reload:
             await trio.sleep(self.random.uniform(0, 0.5))
             old.signal(signal.SIGHUP)
-        await self.cluster.until_yes(name)
+        await self.cluster.wait_until_accepting(name)
         self._stop(old)
         await self._until_ended(old)
 
@@ -182,13 +187,13 @@
         await self.cluster.power_on(member)
 
     async def _silent_coordinator(self, _name: str) -> None:
-        self.cluster.coordinator.go()
+        self.cluster.coordinator.disconnect()
         await trio.sleep(self.random.uniform(0.5, 3.0))
-        self.cluster.coordinator.back()
+        self.cluster.coordinator.reconnect()
 
     async def _crowd(self) -> None:
         """Clients that connect to one director at once and send nothing."""
-        address = split_address(self.cluster.places[self.random.choice(self.cluster.names)]["listen"])
+        address = split_address(self.cluster.addresses[self.random.choice(self.cluster.names)]["listen"])
         await trio.sleep(self.random.uniform(0, self.seconds / 2))
         async with trio.open_nursery() as nursery:
             for _ in range(CROWD):
@@ -225,13 +230,13 @@
             for request in front.lost
             if not self._may_be_lost(request)
         ]
-        result.failures += [f"{v.rule}: {v.subject} {v.text}" for v in self.cluster.record.breaches()]
+        result.failures += [f"{v.rule}: {v.subject} {v.text}" for v in self.cluster.record.find_violations()]
 
 
 async def soak(seed: int, seconds: float) -> SoakResult:
     """Plays one seed. Raises AssertionError where a director has contained a fault, or a wait hung."""
     async with open_cluster(DIRECTORS, 3, 1, seed, rate=RATE) as cluster:
-        cluster.front.heeds_closing = seed % 2 == 0  # the others use open connections to the end
+        cluster.front.honors_closing = seed % 2 == 0  # the others use open connections to the end
         result = await Soak(cluster, seed, seconds).run()
         cluster.front.running.cancel()
         if result.failures:
--- a/rookbend/testing/cluster/upgrades.py
+++ b/rookbend/testing/cluster/upgrades.py
@@ -14,46 +14,46 @@
 class Upgrades:
     """The part of `Scene` that upgrades. `nodes[name]` is the newest process, `elders` those before."""
 
-    elders: dict[str, list[Node]]
+    predecessors: dict[str, list[Node]]
 
-    async def serve_with_doors(self) -> None:
+    async def start_with_operator_endpoints(self) -> None:
         """Starts all directors, each with an operators' door; returns once the front admits them."""
-        self.doors = True
+        self.operator_endpoints = True
         await self.start()
-        await self.admitted()
+        await self.wait_until_admitted()
 
     async def upgrade(self, name: str) -> Node:
         """Starts the next process beside the one that serves; returns the one before."""
         await trio.lowlevel.checkpoint()
         old = self.nodes[name]
         new = Node(name, old.folder / "next", self.record, old.checkout, temporary=old.temporary)
-        new.lives = old.lives
-        self.elders.setdefault(name, []).append(old)
+        new.start_count = old.start_count
+        self.predecessors.setdefault(name, []).append(old)
         self.nodes[name] = new
         host = self._host(name, 2)
-        self.places[name]["operator"] = f"{host}:{find_free_port(host)}"
+        self.addresses[name]["operator"] = f"{host}:{find_free_port(host)}"
         new.start(self.nursery, self.config(name), self.settings_text(name))
         return old
 
-    async def until_yes(self, name: str) -> None:
+    async def wait_until_accepting(self, name: str) -> None:
         """Waits until the newest door of a director says that it takes clients."""
         with trio.move_on_after(HANG_S):
             while self.nodes[name].running:
                 try:
-                    if (await self.call(name, "GET", "/status"))[0] == 200:
+                    if (await self.operator_request(name, "GET", "/status"))[0] == 200:
                         return
                 except (OSError, trio.BrokenResourceError):
                     pass
                 await trio.sleep(0.01)
         raise HungProcessError(f"{name} never said yes\n{self.report()}")
 
-    async def retire(self, old: Node) -> int:
+    async def stop_predecessor(self, old: Node) -> int:
         """SIGTERM to the process before, and its end."""
         old.signal(signal.SIGTERM)
-        return await old.ended()
+        return await old.wait_for_exit()
 
     def undo_upgrade(self, name: str, old: Node, door: str) -> None:
         """The next process has ended: the one before is the director again."""
-        self.elders[name].remove(old)
+        self.predecessors[name].remove(old)
         self.nodes[name] = old
-        self.places[name]["operator"] = door
+        self.addresses[name]["operator"] = door
--- a/rookbend/testing/demo.py
+++ b/rookbend/testing/demo.py
@@ -61,7 +61,7 @@
             ):
                 nursery.start_soon(self._show, cluster)
                 await cluster.start()
-                await cluster.admitted()
+                await cluster.wait_until_admitted()
                 self.began_us, self.act = now_us(), "serving"
                 await trio.sleep(plan.calm_s)
                 self.lost_us, self.act = now_us(), "without power"
@@ -90,8 +90,10 @@
                 if cluster.front.targets[name].admitted
                 else "up, not admitted"
             )
-            stages = node.heard("recovery_stage") if node.running else []
-            out.append([name, "director", state, f"life {node.lives}" + (f", {stages[-1]['stage']}" if stages else "")])
+            stages = node.find_logs("recovery_stage") if node.running else []
+            out.append(
+                [name, "director", state, f"life {node.start_count}" + (f", {stages[-1]['stage']}" if stages else "")]
+            )
         for box in cluster.boxes.values():
             cold = box.role != "origin" and box.is_cold(now_us())
             out.append(
@@ -118,7 +120,7 @@
             round(got / asked, 3) if asked else None
             for got, asked in (seconds.get(i, (0.0, 0.0)) for i in range(max(seconds, default=-1) + 1))
         ]
-        breaches = cluster.record.breaches()
+        breaches = cluster.record.find_violations()
         return {
             "directors": self.plan.directors,
             "seed": self.plan.seed,
--- a/tests/recovery_clusters.py
+++ b/tests/recovery_clusters.py
@@ -20,19 +20,19 @@
     """A fleet that serves; the rules are judged at its end whatever the test looked at."""
     async with open_cluster(directors=directors, caches=3, rate=rate, operators=operators, **more) as cluster:
         await cluster.start()
-        await cluster.admitted()
+        await cluster.wait_until_admitted()
         yield cluster
         cluster.front.running.cancel()
-        cluster.verdict()
+        cluster.check_invariants()
 
 
 async def all_reach(cluster, what="serving", names=None):
     for name in names or cluster.names:
-        await cluster.nodes[name].said("recovery_stage", stage=what)
+        await cluster.nodes[name].wait_for_log("recovery_stage", stage=what)
 
 
 def told(cluster, name, event, **fields):
-    return cluster.nodes[name].heard(event, **fields)
+    return cluster.nodes[name].find_logs(event, **fields)
 
 
 def order_on(found, member):
@@ -41,6 +41,6 @@
 
 async def same_orders(cluster, owner_name):
     """Waits until every director holds the orders of all: what a peer can give back."""
-    owner = (await cluster.ask(owner_name, "/recovery"))["digests"]["order"]
+    owner = (await cluster.admin_request(owner_name, "/recovery"))["digests"]["order"]
     for name in cluster.names:
-        await cluster.until_told(name, "/recovery", lambda found: found["digests"]["order"] == owner)
+        await cluster.wait_for_answer(name, "/recovery", lambda found: found["digests"]["order"] == owner)
--- a/tests/test_boot_numbers_processes.py
+++ b/tests/test_boot_numbers_processes.py
@@ -23,7 +23,7 @@
 
 
 async def boot_known_of(cluster, asked, number):
-    return (await cluster.ask(asked, "/fleet"))["directors"][number]["boot"]
+    return (await cluster.admin_request(asked, "/fleet"))["directors"][number]["boot"]
 
 
 def test_a_start_cut_off_in_the_sync_of_its_boot_number_has_sent_nothing_and_is_not_counted():
@@ -31,20 +31,20 @@
     async def main():
         async with fleet(rate=20) as cluster:
             node = cluster.nodes["n1"]
-            await node.said("state_open", boot=1)
+            await node.wait_for_log("state_open", boot=1)
             cluster.power_off("n1")
-            await node.ended()
+            await node.wait_for_exit()
             node.stop_at(IN_SYNC)
             since = now_us()
             await cluster.power_on("n1")
-            await node.stopped()
-            await cluster.served_more(10)  # the others go on, and hear nothing of it
-            assert not node.heard("state_open") and not sent_since(cluster, "n1", since)
+            await node.wait_until_stopped()
+            await cluster.wait_for_served(10)  # the others go on, and hear nothing of it
+            assert not node.find_logs("state_open") and not sent_since(cluster, "n1", since)
             cluster.power_off("n1")
-            await node.ended()
+            await node.wait_for_exit()
             node.stop_at()
             await cluster.power_on("n1")
-            assert (await node.said("state_open"))["boot"] == 2
+            assert (await node.wait_for_log("state_open"))["boot"] == 2
             await all_reach(cluster, names=["n1"])
             assert sent_since(cluster, "n1", since) and await boot_known_of(cluster, "n0", 1) == 2
 
@@ -63,10 +63,10 @@
                 await cluster.power_on("n1")
                 await trio.sleep(moments.uniform(0, LONGEST_START_S))
                 cluster.power_off("n1")
-                await node.ended()
-                announced = [line["boot"] for line in node.heard("state_open")]
+                await node.wait_for_exit()
+                announced = [line["boot"] for line in node.find_logs("state_open")]
                 heard_by_peers = [await boot_known_of(cluster, peer, 1) for peer in ("n0", "n2")]
                 await cluster.power_on("n1")
-                assert (await node.said("state_open"))["boot"] > max(announced + heard_by_peers)
+                assert (await node.wait_for_log("state_open"))["boot"] > max(announced + heard_by_peers)
 
     trio.run(main)
--- a/tests/test_failure_record.py
+++ b/tests/test_failure_record.py
@@ -14,7 +14,7 @@
     async def main():
         async with open_cluster(directors=1, caches=1, seed=11) as cluster:
             await cluster.start()
-            await cluster.nodes["n0"].said("ready")
+            await cluster.nodes["n0"].wait_for_log("ready")
             raise ValueError("as planted")
 
     with pytest.raises(ExceptionGroup) as raised:
--- a/tests/test_fault_players.py
+++ b/tests/test_fault_players.py
@@ -89,12 +89,12 @@
     async def main():
         async with open_cluster(directors=2, caches=3, rate=20) as cluster:
             await cluster.start()
-            await cluster.admitted()
+            await cluster.wait_until_admitted()
             await cluster.play(TIMELINE)
             noted = {(who, more) for _, what, who, more in cluster.record.rows if what == "fault"}
             assert [fault for fault in BEGAN_AND_ENDED if fault not in noted] == []
-            assert cluster.nodes["n1"].lives == 2
-            await cluster.admitted()
-            await cluster.served_more(10)
+            assert cluster.nodes["n1"].start_count == 2
+            await cluster.wait_until_admitted()
+            await cluster.wait_for_served(10)
 
     trio.run(main)
--- a/tests/test_late_signals_processes.py
+++ b/tests/test_late_signals_processes.py
@@ -16,12 +16,12 @@
     async def main():
         async with open_cluster(directors=1, caches=1) as cluster:
             await cluster.start()
-            await cluster.admitted()
+            await cluster.wait_until_admitted()
             node = cluster.nodes["n0"]
             node.signal(signal.SIGTERM)
             while node.running:
                 node.process.send_signal(number)
                 await trio.sleep(EVERY_S)
-            assert await node.ended() == 0
+            assert await node.wait_for_exit() == 0
 
     trio.run(main)
--- a/tests/test_leases_processes.py
+++ b/tests/test_leases_processes.py
@@ -39,14 +39,14 @@
 @asynccontextmanager
 async def fleet(directors=4, rate=0.0, operators=OWNERSHIP, **more):
     async with open_cluster(directors, caches=3, rate=rate, operators=operators, **more) as cluster:
-        cluster.change = allow_probes
+        cluster.change_settings = allow_probes
         await cluster.start()
         for name in cluster.names:
-            await cluster.nodes[name].said("ready")
+            await cluster.nodes[name].wait_for_log("ready")
         await owner_of(cluster, "orders")
         yield cluster
         cluster.front.running.cancel()
-        cluster.verdict()
+        cluster.check_invariants()
         assert_no_old_owner(cluster)
 
 
@@ -65,7 +65,7 @@
                 continue
             with trio.move_on_after(1.0):
                 try:
-                    found = await cluster.ask(name, "/owners")
+                    found = await cluster.admin_request(name, "/owners")
                 except (OSError, trio.BrokenResourceError):
                     continue
                 if any(r["ours"] and r["scope"] == scope for r in found["owners"]):
@@ -84,13 +84,13 @@
 
 async def all_know(cluster, member, states, names=None):
     for name in names or cluster.names:
-        await cluster.until_told(name, "/members", lambda found: state_of(found, member) in states)
+        await cluster.wait_for_answer(name, "/members", lambda found: state_of(found, member) in states)
 
 
 async def another_writes(cluster, old):
     """Waits for a line with a token above all that `old` was tried with."""
     highest = max(t.token for t in cluster.ledger.tries) if cluster.ledger.tries else 0
-    await cluster.until(
+    await cluster.wait_until(
         lambda: any(t.word == "ok" and t.token > highest for t in cluster.ledger.tries), f"a line by another than {old}"
     )
 
@@ -102,24 +102,24 @@
 def test_an_owner_stopped_amid_its_work_wakes_up_late_and_does_no_harm(where):
     async def main():
         async with fleet() as cluster:
-            await cluster.until(lambda: any(t.word == "ok" for t in cluster.ledger.tries), "a line")
+            await cluster.wait_until(lambda: any(t.word == "ok" for t in cluster.ledger.tries), "a line")
             old = await bounded(owner_of, cluster, "report")
             node = cluster.nodes[old]
             node.stop_at(where)
             if where == IN_SYNC:
                 with trio.move_on_after(1.0):  # something to be synced
-                    await cluster.ask(old, "/orders", "POST", {"member": "c1", "order": "drain", "by": "kim"})
-            await node.stopped()
+                    await cluster.admin_request(old, "/orders", "POST", {"member": "c1", "order": "drain", "by": "kim"})
+            await node.wait_until_stopped()
             await another_writes(cluster, old)
             new = await bounded(owner_of, cluster, "report", (old,))
             node.stop_at()
-            cluster.thaw(old)
-            await node.said("lease_lost", scope="report")
+            cluster.resume(old)
+            await node.wait_for_log("lease_lost", scope="report")
             if where == BEFORE_SEND:
                 # Its line was checked before the stop and went out after it: the ledger refused it.
-                await cluster.until(lambda: any(t.word == "old" for t in cluster.ledger.tries), "an old token")
+                await cluster.wait_until(lambda: any(t.word == "old" for t in cluster.ledger.tries), "an old token")
             before = len(cluster.ledger.tries)
-            await cluster.until(lambda: len(cluster.ledger.tries) >= before + 2, "lines go on")
+            await cluster.wait_until(lambda: len(cluster.ledger.tries) >= before + 2, "lines go on")
             assert new != old
 
     trio.run(main)
@@ -133,7 +133,7 @@
             await all_know(cluster, "c0", ("down",))
             # Each of its own, four directors would each ask; owners do once. Whose shard it is may move amid it.
             before, n = cluster.boxes["c1"].checks, cluster.boxes["p0"].checks
-            await cluster.until(lambda: cluster.boxes["p0"].checks >= n + 4, "checks of p0")
+            await cluster.wait_until(lambda: cluster.boxes["p0"].checks >= n + 4, "checks of p0")
             assert cluster.boxes["c1"].checks - before <= 2 * 4 + 4
             first = await bounded(owner_of, cluster, "orders")
             cluster.power_off(first)
@@ -144,7 +144,7 @@
             await all_know(cluster, "c2", ("down",), left)
             # A drain of the membership wins whatever an owner says.
             cluster.boxes["c1"].draining = True
-            cluster.coordinator.tell_members("c1")
+            cluster.coordinator.publish_members("c1")
             await all_know(cluster, "c1", ("draining",), left)
             await cluster.power_on(first)
 
@@ -157,21 +157,21 @@
             writer = await bounded(owner_of, cluster, "orders")
             other = next(name for name in cluster.names if name != writer)
             order = {"member": "c1", "order": "maintain", "by": "kim", "fleet": True}
-            assert (await cluster.ask(other, "/orders", "POST", order))["status"] == 200
+            assert (await cluster.admin_request(other, "/orders", "POST", order))["status"] == 200
             cluster.power_off(writer)
             await all_know(cluster, "c1", ("maintenance",), [n for n in cluster.names if n != writer])
-            await cluster.nodes[writer].ended()
+            await cluster.nodes[writer].wait_for_exit()
             for left in cluster.nodes[writer].state.iterdir():
                 left.unlink()
             await cluster.power_on(writer)
             await all_know(cluster, "c1", ("maintenance",))
-            tokens = {r["scope"]: r["token"] for r in (await cluster.ask(other, "/owners"))["owners"]}
+            tokens = {r["scope"]: r["token"] for r in (await cluster.admin_request(other, "/owners"))["owners"]}
             cluster.power_off()
             await cluster.power_on()
             await bounded(owner_of, cluster, "orders")
             await all_know(cluster, "c1", ("maintenance",))
             new = await bounded(owner_of, cluster, "orders")
-            found = await cluster.ask(new, "/owners")
+            found = await cluster.admin_request(new, "/owners")
             for row in found["owners"]:
                 if row["ours"]:
                     assert row["token"] > tokens[row["scope"]], "tokens grow over a loss of all power"
@@ -190,15 +190,17 @@
                 few, many = turn
                 cluster.split(few, many)
                 for name in few:
-                    await cluster.until_told(name, "/owners", lambda found: not any(r["ours"] for r in found["owners"]))
+                    await cluster.wait_for_answer(
+                        name, "/owners", lambda found: not any(r["ours"] for r in found["owners"])
+                    )
                 owner = await bounded(owner_of, cluster, "orders", few)
                 assert owner in many
-                refused = await cluster.ask(
+                refused = await cluster.admin_request(
                     few[0], "/orders", "POST", {"member": "c0", "order": "drain", "by": "kim", "fleet": True}
                 )
                 assert refused["status"] == 503 and ("owns" in refused["fault"] or "can't be told" in refused["fault"])
                 cluster.split(few, many, cut=False)
-            assert (await cluster.ask("n0", "/owners"))["status"] == 200
+            assert (await cluster.admin_request("n0", "/owners"))["status"] == 200
 
     trio.run(main)
 
@@ -208,23 +210,26 @@
         async with fleet(directors=5) as cluster:
             owner = await bounded(owner_of, cluster, "orders")
             cluster.nodes[owner].signal(signal.SIGTERM)
-            lost = await cluster.nodes[owner].said("lease_lost", scope="orders")
+            lost = await cluster.nodes[owner].wait_for_log("lease_lost", scope="orders")
             assert lost["why"].startswith("handed to")
             heir = "n" + lost["why"].split()[-1]
-            await cluster.nodes[heir].said("lease_acquired", scope="orders")
-            assert await cluster.nodes[owner].ended() == 0
+            await cluster.nodes[heir].wait_for_log("lease_acquired", scope="orders")
+            assert await cluster.nodes[owner].wait_for_exit() == 0
             await cluster.power_on(owner)
-            await cluster.nodes[owner].said("ready")
+            await cluster.nodes[owner].wait_for_log("ready")
             for name in cluster.names[:3]:
                 node = cluster.nodes[name]
                 node.settings_file.write_text(cluster.settings_text(name).replace("0 1 2", "2 3 4"))
                 node.signal(signal.SIGHUP)
-                await node.said("lease_voters_changed")
-            await cluster.until_told("n0", "/owners", lambda found: found["voters_differ"] == [3, 4])
+                await node.wait_for_log("lease_voters_changed")
+            await cluster.wait_for_answer("n0", "/owners", lambda found: found["voters_differ"] == [3, 4])
             holders = [
                 name
                 for name in cluster.names
-                if any(r["ours"] and r["scope"] == "orders" for r in (await cluster.ask(name, "/owners"))["owners"])
+                if any(
+                    r["ours"] and r["scope"] == "orders"
+                    for r in (await cluster.admin_request(name, "/owners"))["owners"]
+                )
             ]
             assert len(holders) <= 1
             for name in cluster.names[3:]:
@@ -232,7 +237,7 @@
                 node.settings_file.write_text(cluster.settings_text(name).replace("0 1 2", "2 3 4"))
                 node.signal(signal.SIGHUP)
             for name in cluster.names:
-                await cluster.until_told(name, "/owners", lambda found: found["voters_before"] is None)
+                await cluster.wait_for_answer(name, "/owners", lambda found: found["voters_before"] is None)
             cluster.power_off("n0", "n1")
             assert await bounded(owner_of, cluster, "orders") in ("n2", "n3", "n4")
 
@@ -248,11 +253,11 @@
     async def main():
         operators = OWNERSHIP.replace("report-ledger {ledger}", f"report-file   {path}")
         async with fleet(directors=3, operators=operators) as cluster:
-            await cluster.until(lambda: len(lines()) >= 2, "two lines")
+            await cluster.wait_until(lambda: len(lines()) >= 2, "two lines")
             old = await bounded(owner_of, cluster, "report")
             first = lines()[-1]["token"]
             cluster.power_off(old)
-            await cluster.until(lambda: lines()[-1]["token"] > first, "a line of the next owner")
+            await cluster.wait_until(lambda: lines()[-1]["token"] > first, "a line of the next owner")
             tokens = [line["token"] for line in lines()]
             assert tokens == sorted(tokens) and len({line["number"] for line in lines()}) == len(lines())
             await cluster.power_on(old)
--- a/tests/test_operations_faults.py
+++ b/tests/test_operations_faults.py
@@ -14,16 +14,16 @@
 
 def tell_out(cluster, name, out):
     """From here on the order binds the director: the checker judges it as it judges a drain."""
-    cluster.record.see(MembershipSent(now_us(), "n0", name, MemberStatus.DRAINING if out else MemberStatus.SERVING))
+    cluster.record.feed(MembershipSent(now_us(), "n0", name, MemberStatus.DRAINING if out else MemberStatus.SERVING))
 
 
 async def order(cluster, way, name, door=None):
-    newest = cluster.places["n0"]["operator"]
-    cluster.places["n0"]["operator"] = door or newest
+    newest = cluster.addresses["n0"]["operator"]
+    cluster.addresses["n0"]["operator"] = door or newest
     try:
-        status, text = await cluster.call("n0", "PUT", f"/maintenance/{way}?member={name}")
+        status, text = await cluster.operator_request("n0", "PUT", f"/maintenance/{way}?member={name}")
     finally:
-        cluster.places["n0"]["operator"] = newest
+        cluster.addresses["n0"]["operator"] = newest
     assert status == 200, text
     tell_out(cluster, name, way == "enter")
 
@@ -31,7 +31,7 @@
 async def until_used_again(cluster, name):
     """The caches' own copies of what they sent: one of that cache is newer than now."""
     since = now_us()
-    await cluster.until(
+    await cluster.wait_until(
         lambda: any(c.member == name and c.asked_us > since for c in cluster.world.copies), f"{name} is used again"
     )
 
@@ -39,29 +39,29 @@
 def test_a_ban_holds_before_during_and_after_an_upgrade_whoever_was_told():
     async def main():
         async with open_cluster(directors=1, caches=4, rate=40) as cluster:
-            await cluster.serve_with_doors()
-            await cluster.served_more(20)
+            await cluster.start_with_operator_endpoints()
+            await cluster.wait_for_served(20)
             await order(cluster, "enter", "c0")  # before
-            old_door = cluster.places["n0"]["operator"]
+            old_door = cluster.addresses["n0"]["operator"]
             old = await cluster.upgrade("n0")
-            await cluster.until_yes("n0")
+            await cluster.wait_until_accepting("n0")
             await order(cluster, "enter", "c1", old_door)  # during, at the old one's door
             await order(cluster, "enter", "c2")  # and at the new one's
-            await cluster.served_more(30)
+            await cluster.wait_for_served(30)
             await order(cluster, "exit", "c1")  # undone at the other
-            assert await cluster.retire(old) == 0
-            await cluster.served_more(30)
-            figures = await cluster.figures("n0")
+            assert await cluster.stop_predecessor(old) == 0
+            await cluster.wait_for_served(30)
+            figures = await cluster.read_operator_metrics("n0")
             assert figures["svc.caches_excluded"] == 2 and figures["svc.caches_known"] == 4
             await order(cluster, "exit", "c0")
             await until_used_again(cluster, "c0")
-            cluster.verdict()
+            cluster.check_invariants()
             old = await cluster.upgrade("n0")  # c2 is still out
-            await cluster.until_yes("n0")
-            assert await cluster.retire(old) == 0
-            await cluster.served_more(30)
-            assert (await cluster.figures("n0"))["svc.caches_excluded"] == 1
-            cluster.verdict()
+            await cluster.wait_until_accepting("n0")
+            assert await cluster.stop_predecessor(old) == 0
+            await cluster.wait_for_served(30)
+            assert (await cluster.read_operator_metrics("n0"))["svc.caches_excluded"] == 1
+            cluster.check_invariants()
 
     trio.run(main)
 
@@ -69,17 +69,17 @@
 def test_with_no_room_in_tmpdir_an_order_still_binds_and_reaches_the_process_beside():
     async def main():
         async with open_cluster(directors=1, caches=3, rate=40) as cluster:
-            await cluster.serve_with_doors()
+            await cluster.start_with_operator_endpoints()
             resource.prlimit(cluster.nodes["n0"].process.pid, resource.RLIMIT_FSIZE, (0, 0))
             old = await cluster.upgrade("n0")
-            await cluster.until_yes("n0")
-            old_door = cluster.places["n0"]["operator"]
+            await cluster.wait_until_accepting("n0")
+            old_door = cluster.addresses["n0"]["operator"]
             await order(cluster, "enter", "c0")
-            await old.said("exclusions_unwritten")
-            assert await cluster.retire(old) == 0
-            await cluster.served_more(30)
-            assert (await cluster.figures("n0"))["svc.caches_excluded"] == 1 and old_door
-            cluster.verdict()
+            await old.wait_for_log("exclusions_unwritten")
+            assert await cluster.stop_predecessor(old) == 0
+            await cluster.wait_for_served(30)
+            assert (await cluster.read_operator_metrics("n0"))["svc.caches_excluded"] == 1 and old_door
+            cluster.check_invariants()
 
     trio.run(main)
 
@@ -87,14 +87,14 @@
 def test_a_spoilt_file_of_the_process_before_is_said_and_the_start_goes_on():
     async def main():
         async with open_cluster(directors=1, caches=3, rate=40) as cluster:
-            await cluster.serve_with_doors()
+            await cluster.start_with_operator_endpoints()
             (cluster.nodes["n0"].temporary / "rookbend.n0.kept").write_bytes(b"\0" * 100)
             old = await cluster.upgrade("n0")
-            await cluster.until_yes("n0")
-            assert cluster.nodes["n0"].heard("exclusions_unusable")
-            assert await cluster.retire(old) == 0
-            await cluster.served_more(20)
-            cluster.verdict()
+            await cluster.wait_until_accepting("n0")
+            assert cluster.nodes["n0"].find_logs("exclusions_unusable")
+            assert await cluster.stop_predecessor(old) == 0
+            await cluster.wait_for_served(20)
+            cluster.check_invariants()
 
     trio.run(main)
 
@@ -102,20 +102,20 @@
 def test_a_next_process_that_stands_still_before_its_yes_takes_nothing_away():
     async def main():
         async with open_cluster(directors=1, rate=40) as cluster:
-            await cluster.serve_with_doors()
-            door = cluster.places["n0"]["operator"]
+            await cluster.start_with_operator_endpoints()
+            door = cluster.addresses["n0"]["operator"]
             old = await cluster.upgrade("n0")
             new = cluster.nodes["n0"]
-            while not old.heard("upgrade_asked"):
+            while not old.find_logs("upgrade_asked"):
                 await old.changed.wait()
             new.signal(signal.SIGSTOP)  # it has our listeners; it may have begun to serve or not
-            if not old.heard("upgrade_shared"):
-                await cluster.served_more(30)
+            if not old.find_logs("upgrade_shared"):
+                await cluster.wait_for_served(30)
             new.kill()
-            await new.ended()
+            await new.wait_for_exit()
             cluster.undo_upgrade("n0", old, door)
-            await cluster.served_more(20)
-            cluster.verdict()
+            await cluster.wait_for_served(20)
+            cluster.check_invariants()
 
     trio.run(main)
 
@@ -123,18 +123,18 @@
 def test_an_old_process_that_freezes_while_both_serve_costs_only_what_it_held():
     async def main():
         async with open_cluster(directors=1, rate=40) as cluster:
-            await cluster.serve_with_doors()
+            await cluster.start_with_operator_endpoints()
             old = await cluster.upgrade("n0")
-            await cluster.until_yes("n0")
-            await cluster.served_more(20)
+            await cluster.wait_until_accepting("n0")
+            await cluster.wait_for_served(20)
             old.signal(signal.SIGSTOP)
-            cluster.front.give_up("n0")  # what is open at a process that stands can't come in time
-            await cluster.served_more(20)
+            cluster.front.drop_connections("n0")  # what is open at a process that stands can't come in time
+            await cluster.wait_for_served(20)
             old.kill()
-            await old.ended()
-            await cluster.nodes["n0"].said("upgrade_alone_again")
-            await cluster.served_more(20)
-            cluster.verdict()
+            await old.wait_for_exit()
+            await cluster.nodes["n0"].wait_for_log("upgrade_alone_again")
+            await cluster.wait_for_served(20)
+            cluster.check_invariants()
 
     trio.run(main)
 
@@ -142,11 +142,11 @@
 def test_two_upgrades_within_ten_seconds_and_a_reload_in_the_middle():
     async def main():
         async with open_cluster(directors=1, rate=40) as cluster:
-            await cluster.serve_with_doors()
+            await cluster.start_with_operator_endpoints()
             began = trio.current_time()
             first = await cluster.upgrade("n0")
-            await cluster.until_yes("n0")
-            cluster.change = lambda s: {**s, "limits": {**s["limits"], "maxAttempts": 3}}
+            await cluster.wait_until_accepting("n0")
+            cluster.change_settings = lambda s: {**s, "limits": {**s["limits"], "maxAttempts": 3}}
             second = cluster.nodes["n0"]
             for node in (first, second):
                 config = cluster.config("n0")
@@ -155,16 +155,16 @@
                 )
                 node.signal(signal.SIGHUP)
             for node in (first, second):
-                assert "max_attempts" in (await node.said("reloaded"))["changed"]
+                assert "max_attempts" in (await node.wait_for_log("reloaded"))["changed"]
             first.signal(signal.SIGTERM)  # not waited for: the next upgrade begins while it ends
             await cluster.upgrade("n0")
-            await cluster.until_yes("n0")
-            assert await cluster.retire(second) == 0
-            assert await first.ended() == 0
+            await cluster.wait_until_accepting("n0")
+            assert await cluster.stop_predecessor(second) == 0
+            assert await first.wait_for_exit() == 0
             assert trio.current_time() - began < 10 or cluster.front.late_s > 0.5
-            await cluster.served_more(30)
+            await cluster.wait_for_served(30)
             assert not [w for w in cluster.front.wishes if "lost" in w.verdicts], cluster.report()
-            cluster.verdict()
+            cluster.check_invariants()
 
     trio.run(main)
 
@@ -172,8 +172,8 @@
 def test_the_door_answers_within_a_second_while_hundreds_of_half_calls_stand_there():
     async def main():
         async with open_cluster(directors=1, rate=40) as cluster:
-            await cluster.serve_with_doors()
-            address = split_address(cluster.places["n0"]["operator"])
+            await cluster.start_with_operator_endpoints()
+            address = split_address(cluster.addresses["n0"]["operator"])
             held = []
             for i in range(300):
                 stream = await trio.open_tcp_stream(*address)
@@ -182,12 +182,12 @@
                 held.append(stream)
                 if i % 30 == 29:
                     began = trio.current_time()
-                    assert (await cluster.call("n0", "GET", "/status"))[0] == 200
+                    assert (await cluster.operator_request("n0", "GET", "/status"))[0] == 200
                     # Guards nothing by time but the promise itself, with room for a busy machine.
                     assert trio.current_time() - began < 1.0 + cluster.front.late_s
-            await cluster.served_more(20)
+            await cluster.wait_for_served(20)
             for stream in held:
                 await stream.aclose()
-            cluster.verdict()
+            cluster.check_invariants()
 
     trio.run(main)
--- a/tests/test_process_cluster.py
+++ b/tests/test_process_cluster.py
@@ -19,15 +19,15 @@
     async def main():
         async with open_cluster(directors=3, rate=60) as cluster:
             await cluster.start()
-            await cluster.admitted()
-            await cluster.until(lambda: len(cluster.world.ran) > 5, "writes ran")
+            await cluster.wait_until_admitted()
+            await cluster.wait_until(lambda: len(cluster.world.ran) > 5, "writes ran")
             await cluster.play("[failure dark]\n kind power\n part n0 n1 n2 c0 c1 c2 c3 p0\n at 0s\n for 200ms\n")
             for node in cluster.nodes.values():
-                await node.said("ready")
-            assert all(node.lives == 2 for node in cluster.nodes.values())
+                await node.wait_for_log("ready")
+            assert all(node.start_count == 2 for node in cluster.nodes.values())
             ran = len(cluster.world.ran)
-            await cluster.until(lambda: len(cluster.world.ran) > ran + 5, "writes ran again")
-            cluster.verdict()
+            await cluster.wait_until(lambda: len(cluster.world.ran) > ran + 5, "writes ran again")
+            cluster.check_invariants()
             once = [rids for rids in cluster.world.ran.values() if len(rids) != len(set(rids))]
             assert not once, f"run twice under one id: {once}"
 
@@ -38,21 +38,21 @@
     async def main():
         async with open_cluster(directors=2, caches=2) as cluster:
             await cluster.start()
-            await cluster.admitted()
+            await cluster.wait_until_admitted()
             cluster.cut("coordinator", "n0")
             cluster.freeze("n1")
             cluster.boxes["c0"].draining = True
-            cluster.coordinator.tell_members("c0")
-            lost = await cluster.nodes["n0"].said("coordinator_lost")
+            cluster.coordinator.publish_members("c0")
+            lost = await cluster.nodes["n0"].wait_for_log("coordinator_lost")
             assert lost["reason"] == "the stream is silent"
-            assert not cluster.nodes["n1"].heard("coordinator_lost")
+            assert not cluster.nodes["n1"].find_logs("coordinator_lost")
             cluster.heal("coordinator", "n0")
             calls = cluster.coordinator.calls["n0"]
-            await cluster.until(lambda: cluster.coordinator.calls["n0"] > calls, "n0 calls again")
-            cluster.thaw("n1")
+            await cluster.wait_until(lambda: cluster.coordinator.calls["n0"] > calls, "n0 calls again")
+            cluster.resume("n1")
             for name in cluster.names:
-                assert (await cluster.ask(name, "/metrics"))["status"] == 200
-            cluster.verdict()
+                assert (await cluster.admin_request(name, "/metrics"))["status"] == 200
+            cluster.check_invariants()
 
     trio.run(main)
 
@@ -120,7 +120,7 @@
         async def main():
             async with open_cluster(directors=2, caches=1) as cluster:
                 await cluster.start()
-                await cluster.admitted()
+                await cluster.wait_until_admitted()
                 print(*(n.process.pid for n in cluster.nodes.values()), flush=True)
                 await trio.sleep_forever()
         trio.run(main)
--- a/tests/test_recovery_disks_processes.py
+++ b/tests/test_recovery_disks_processes.py
@@ -12,28 +12,32 @@
         async with fleet(rate=0) as cluster:
             await all_reach(cluster)
             order = {"member": "c1", "order": "drain", "by": "kim"}
-            assert (await cluster.ask("n0", "/orders", "POST", order))["status"] == 200
+            assert (await cluster.admin_request("n0", "/orders", "POST", order))["status"] == 200
             await same_orders(cluster, "n0")
             for lose_disk in (False, True):
                 cluster.power_off("n0")
-                await cluster.nodes["n0"].ended()
+                await cluster.nodes["n0"].wait_for_exit()
                 if lose_disk:
                     disk.copy(cluster.nodes["n0"].state, cluster.folder / "lost")
                     for left in cluster.nodes["n0"].state.iterdir():
                         left.unlink()
                 await cluster.power_on("n0")
                 await all_reach(cluster, names=["n0"])
-                await cluster.until_told("n0", "/members", lambda found: order_on(found, "c1") == "drain")
-            raised = await cluster.nodes["n0"].said("boot_raised")
+                await cluster.wait_for_answer("n0", "/members", lambda found: order_on(found, "c1") == "drain")
+            raised = await cluster.nodes["n0"].wait_for_log("boot_raised")
             assert raised["boot"] == 3, "above the number that the peers knew"
             cluster.nodes["n0"].set_disk("full")
-            found = await cluster.ask("n0", "/orders", "POST", {"member": "c2", "order": "drain", "by": "kim"})
+            found = await cluster.admin_request(
+                "n0", "/orders", "POST", {"member": "c2", "order": "drain", "by": "kim"}
+            )
             assert found["status"] == 503 and "not durable: disk full" in found["fault"]
-            assert order_on(await cluster.ask("n0", "/members"), "c2") == "ready"
-            assert (await cluster.nodes["n0"].said("state_degraded"))["reason"] == "disk full"
+            assert order_on(await cluster.admin_request("n0", "/members"), "c2") == "ready"
+            assert (await cluster.nodes["n0"].wait_for_log("state_degraded"))["reason"] == "disk full"
             cluster.nodes["n0"].set_disk()
-            await cluster.nodes["n0"].said("state_well")
-            assert (await cluster.ask("n0", "/orders", "POST", {"member": "c2", "order": "drain"}))["status"] == 200
+            await cluster.nodes["n0"].wait_for_log("state_well")
+            assert (await cluster.admin_request("n0", "/orders", "POST", {"member": "c2", "order": "drain"}))[
+                "status"
+            ] == 200
 
     trio.run(main)
 
@@ -44,30 +48,30 @@
         async with fleet(rate=0, directors=4) as cluster:
             await all_reach(cluster)
             node = cluster.nodes["n1"]
-            await cluster.ask("n1", "/orders", "POST", {"member": "c1", "order": "drain", "by": "kim"})
+            await cluster.admin_request("n1", "/orders", "POST", {"member": "c1", "order": "drain", "by": "kim"})
             cluster.power_off("n1")
-            await node.ended()
+            await node.wait_for_exit()
             disk.lose(node.state)
             disk.copy(node.state, cluster.folder / "backup")
             for word in ("ready", "maintain"):
                 cluster.power_off("n1")
                 await cluster.power_on("n1")
                 await all_reach(cluster, names=["n1"])
-                await cluster.ask("n1", "/orders", "POST", {"member": "c1", "order": word, "by": "kim"})
+                await cluster.admin_request("n1", "/orders", "POST", {"member": "c1", "order": word, "by": "kim"})
             await same_orders(cluster, "n1")
             boot = told(cluster, "n1", "state_open")[0]["boot"]
             cluster.power_off("n1")
-            await node.ended()
+            await node.wait_for_exit()
             disk.copy(cluster.folder / "backup", node.state)
             await cluster.power_on("n1")
-            assert told(cluster, "n1", "state_open") or await node.said("state_open")
+            assert told(cluster, "n1", "state_open") or await node.wait_for_log("state_open")
             assert told(cluster, "n1", "state_open")[0]["boot"] < boot
-            assert (await node.said("boot_raised"))["boot"] == boot + 1
+            assert (await node.wait_for_log("boot_raised"))["boot"] == boot + 1
             await all_reach(cluster, names=["n1"])
             # Its newest order comes back from the others, not the backup's.
-            await cluster.until_told("n1", "/members", lambda found: order_on(found, "c1") == "maintain")
+            await cluster.wait_for_answer("n1", "/members", lambda found: order_on(found, "c1") == "maintain")
             for name in ("n0", "n2", "n3"):
-                await cluster.until_told(
+                await cluster.wait_for_answer(
                     name,
                     "/fleet",
                     lambda found: (found["directors"][1]["boot"] == boot + 1 and not found["directors"][1]["doubted"]),
--- a/tests/test_recovery_names_processes.py
+++ b/tests/test_recovery_names_processes.py
@@ -25,11 +25,11 @@
 def test_a_lookup_for_a_write_gets_the_same_name_after_the_loss_and_never_runs_again():
     async def main():
         async with open_cluster(directors=1, caches=2, operators=RECOVERY + DNS) as cluster:
-            cluster.change = short_writes
+            cluster.change_settings = short_writes
             await cluster.start()
-            await cluster.admitted()
+            await cluster.wait_until_admitted()
             await all_reach(cluster)
-            server, number = split_address(cluster.places["n0"]["dns"]), 1000
+            server, number = split_address(cluster.addresses["n0"]["dns"]), 1000
 
             async def again(number):
                 return await look_up(
@@ -48,7 +48,7 @@
             cluster.origin.make = replace(cluster.origin.make, first_s=0.25)  # the next is under way at the loss
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(submit, cluster.record, "n0", server, 7, 300_000)
-                await cluster.until(lambda: f"{7:016x}" in cluster.world.ran, "it runs")
+                await cluster.wait_until(lambda: f"{7:016x}" in cluster.world.ran, "it runs")
                 cluster.power_off("n0")
                 nursery.cancel_scope.cancel()
             await cluster.power_on("n0")
@@ -59,6 +59,6 @@
                 pass
             assert (await again(7))[0] == "SERVFAIL", "whether it ran can't be told"
             assert [len(rids) for rids in cluster.world.ran.values()] == [1] * len(cluster.world.ran), "ran once each"
-            cluster.verdict()
+            cluster.check_invariants()
 
     trio.run(main)
--- a/tests/test_recovery_processes.py
+++ b/tests/test_recovery_processes.py
@@ -13,21 +13,21 @@
 def test_all_lose_power_amid_writes_three_times_and_return_in_other_orders():
     async def main():
         async with fleet() as cluster:
-            await cluster.until(lambda: len(cluster.world.ran) > 3, "writes ran")
+            await cluster.wait_until(lambda: len(cluster.world.ran) > 3, "writes ran")
             boxes = [n for n, b in cluster.boxes.items() if b.role != "origin"]
             for turn, order in enumerate((("n2", "n0", "n1", *boxes), (*boxes, "n1", "n2", "n0"), ())):
                 cluster.power_off()
                 await cluster.power_on(*order)
                 if turn == 0:  # again, in the midst of it
-                    await cluster.nodes["n0"].said("recovery_stage", stage="writes")
+                    await cluster.nodes["n0"].wait_for_log("recovery_stage", stage="writes")
                     for name in cluster.names:  # a start that ends before this is not counted
-                        await cluster.nodes[name].said("state_open")
+                        await cluster.nodes[name].wait_for_log("state_open")
                 else:
                     await all_reach(cluster, "reads")
             await all_reach(cluster)
             assert [told(cluster, n, "state_open")[0]["boot"] for n in cluster.names] == [4, 4, 4]
             assert all(told(cluster, n, "recovery_happened", happened="whole") for n in cluster.names)
-            await cluster.served_more(30)
+            await cluster.wait_for_served(30)
             assert all(len(rids) == len(set(rids)) for rids in cluster.world.ran.values()), "no id ran twice"
 
     trio.run(main)
@@ -38,16 +38,18 @@
     async def main():
         async with fleet(directors=4) as cluster:
             await all_reach(cluster)
-            await cluster.until(lambda: now_us() - cluster.record.began_us > 6_000_000, "a fleet that is up for long")
+            await cluster.wait_until(
+                lambda: now_us() - cluster.record.began_us > 6_000_000, "a fleet that is up for long"
+            )
             cluster.power_off("n1")
             await cluster.power_on("n1")
-            stage_line = await cluster.nodes["n1"].said("recovery_stage", stage="serving")
+            stage_line = await cluster.nodes["n1"].wait_for_log("recovery_stage", stage="serving")
             assert stage_line["happened"] == "alone" and stage_line["after_ms"] < 1000
             cluster.freeze("n2")
-            await cluster.served_more(60)
-            cluster.thaw("n2")
+            await cluster.wait_for_served(60)
+            cluster.resume("n2")
             stages = len(told(cluster, "n2", "recovery_stage"))
-            found = await cluster.ask("n2", "/recovery")
+            found = await cluster.admin_request("n2", "/recovery")
             assert found["stage"] == "serving" and len(told(cluster, "n2", "recovery_stage")) == stages
             assert not any(told(cluster, n, "peer_doubted") for n in cluster.names)
 
@@ -59,19 +61,19 @@
         async with fleet(rate=40) as cluster:
             older = {n: cluster.coordinator.known(n, 0) for n in cluster.names}
             cluster.boxes["c0"].draining = True
-            cluster.coordinator.tell_members("c0")
+            cluster.coordinator.publish_members("c0")
             for name in cluster.names:
-                await cluster.until_told(name, "/recovery", lambda found: "c0" in found["drains"])
-            await cluster.served_more(30)  # what was on its way to c0 has ended, what was put is synced
+                await cluster.wait_for_answer(name, "/recovery", lambda found: "c0" in found["drains"])
+            await cluster.wait_for_served(30)  # what was on its way to c0 has ended, what was put is synced
             cluster.power_off(*cluster.names)
-            cluster.coordinator.go()
+            cluster.coordinator.disconnect()
             asked = cluster.boxes["c0"].asked
             for name in cluster.names:
                 await cluster.power_on(name, known=older[name])
             await all_reach(cluster, "fills")
-            await cluster.served_more(60)
+            await cluster.wait_for_served(60)
             assert cluster.boxes["c0"].asked == asked, "an old permission opened a drained box"
-            cluster.coordinator.back()
+            cluster.coordinator.reconnect()
 
     trio.run(main)
 
@@ -80,24 +82,26 @@
 def test_a_purge_before_the_loss_and_one_while_dark_void_older_copies(dark):
     async def main():
         async with fleet(rate=80) as cluster:
-            await cluster.served_more(150)
+            await cluster.wait_for_served(150)
             hot = max(cluster.front.names[:3], key=lambda k: sum(w.key == k for w in cluster.front.wishes))
             empty = {"index": 0, "updates": []}
             if not dark:
                 made = cluster.coordinator.purge(key=hot)
                 for name in cluster.names:
-                    await cluster.until(lambda n=name: cluster.coordinator.told[n] >= cluster.coordinator.index, "told")
-                await cluster.served_more(30)
+                    await cluster.wait_until(
+                        lambda n=name: cluster.coordinator.told[n] >= cluster.coordinator.index, "told"
+                    )
+                await cluster.wait_for_served(30)
             cluster.power_off(*cluster.names)  # the caches keep their copies
             if dark:
                 made = cluster.coordinator.purge(key=hot)
             for node in cluster.nodes.values():
-                await node.ended()
+                await node.wait_for_exit()
             since = now_us()
             for name in cluster.names:
                 await cluster.power_on(name, known=empty)
             await all_reach(cluster, "fills")
-            await cluster.until(
+            await cluster.wait_until(
                 lambda: sum(w.key == hot and w.done_us > 0 for w in cluster.front.wishes if w.first_us > since) >= 5,
                 "it was served again",
             )
@@ -114,21 +118,21 @@
         async with fleet(rate=0) as cluster:
             await all_reach(cluster)
             cluster.power_off(*cluster.names)
-            cluster.coordinator.go()
+            cluster.coordinator.disconnect()
             for name in cluster.names:
                 await cluster.power_on(name, known={"index": 0, "updates": []})
             for name in cluster.names:
-                await cluster.nodes[name].said("ready")
-                found = await cluster.until_told(name, "/recovery", lambda found: found["happened"] != "unsure")
+                await cluster.nodes[name].wait_for_log("ready")
+                found = await cluster.wait_for_answer(name, "/recovery", lambda found: found["happened"] != "unsure")
                 assert found["stage"] == "listening" and found["gap"] == "open"
                 assert found["waits_for"] == "a list that names the origin"
             assert not any(
                 t.admitted and cluster.record.times("admitted", t.name)[-1] > cluster.record.times("fault", "power")[-1]
                 for t in cluster.front.targets.values()
             ), "ready without a list"
-            cluster.coordinator.back()
+            cluster.coordinator.reconnect()
             await all_reach(cluster, "writes")
-            await cluster.admitted()
+            await cluster.wait_until_admitted()
 
     trio.run(main)
 
@@ -142,7 +146,7 @@
             await cluster.power_on()
             await all_reach(cluster, "writes")
             for name in cluster.names:
-                found = await cluster.ask(name, "/recovery")
+                found = await cluster.admin_request(name, "/recovery")
                 assert found["happened"] != "alone" and (found["our_rate"] is None or found["our_rate"] <= 400 / 2)
             cluster.split(("n0", "n1"), ("n2", "n3"), cut=False)
             for a in cluster.names:
@@ -151,7 +155,7 @@
                         cluster.ways.get(a, b).set(loss=0.3, double=0.5, reorder=0.5)
             await all_reach(cluster)
             for name in cluster.names:
-                await cluster.until_told(name, "/fleet", lambda found: found["up"] == 4)
+                await cluster.wait_for_answer(name, "/fleet", lambda found: found["up"] == 4)
             assert not any(told(cluster, n, "peer_doubted") for n in cluster.names)
 
     trio.run(main)
@@ -171,9 +175,11 @@
             key = cluster.front.names[0]
             made = cluster.coordinator.purge(key=key)
             for name in cluster.names:
-                await cluster.until(lambda n=name: cluster.coordinator.told[n] >= cluster.coordinator.index, "told")
+                await cluster.wait_until(
+                    lambda n=name: cluster.coordinator.told[n] >= cluster.coordinator.index, "told"
+                )
             since = now_us() + 700_000  # the grace of the rule, and its slack
-            await cluster.until(
+            await cluster.wait_until(
                 lambda: sum(w.key == key and w.done_us > since for w in cluster.front.wishes) >= 10, "it was served on"
             )
             old = [row for row in cluster.world.copies if row.key == key and row.asked_us > since and row.t0_us < made]
@@ -189,13 +195,13 @@
             cluster.power_off()
             boxes = [n for n, b in cluster.boxes.items() if b.role != "origin"]
             await cluster.power_on(*boxes, "n0")
-            line = await cluster.nodes["n0"].said("recovery_stage", stage="writes")
+            line = await cluster.nodes["n0"].wait_for_log("recovery_stage", stage="writes")
             assert line["after_ms"] >= 1500 and line["without"] == "writes without 50% of the fleet, 20% there"
-            assert (await cluster.nodes["n0"].said("recovery_happened"))["happened"] == "cut-off"
-            found = await cluster.ask("n0", "/recovery")
+            assert (await cluster.nodes["n0"].wait_for_log("recovery_happened"))["happened"] == "cut-off"
+            found = await cluster.admin_request("n0", "/recovery")
             assert found["our_rate"] <= 400 / 5, "its part of all, not of those it hears"
             cluster.nodes["n0"].signal(signal.SIGTERM)
-            assert await cluster.nodes["n0"].ended() == 0
+            assert await cluster.nodes["n0"].wait_for_exit() == 0
 
     trio.run(main)
 
@@ -209,11 +215,11 @@
             cluster.vanish("n2")
             cluster.vanish("c1")
             await all_reach(cluster, names=("n0", "n1"))
-            await cluster.served_more(30)
+            await cluster.wait_for_served(30)
             cluster.vanish("n2", gone=False)
             cluster.vanish("c1", gone=False)
             await all_reach(cluster, names=("n2",))
             for name in cluster.names:
-                await cluster.until_told(name, "/fleet", lambda found: found["up"] == 3)
+                await cluster.wait_for_answer(name, "/fleet", lambda found: found["up"] == 3)
 
     trio.run(main)
