--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -65,11 +65,11 @@
                 )
         pids = [node.process.pid for node in cluster.nodes.values()]
         await trio.sleep(1.0)
-        before, cpu = sum(b.checks for b in cluster.boxes.values()), sum(map(cpu_s, pids))
+        before, cpu = sum(b.checks for b in cluster.stand_ins.values()), sum(map(cpu_s, pids))
         await trio.sleep(seconds)
-        made = sum(b.checks for b in cluster.boxes.values()) - before
+        made = sum(b.checks for b in cluster.stand_ins.values()) - before
         cpu = sum(map(cpu_s, pids)) - cpu
-        cluster.boxes["c1"].ill = True
+        cluster.stand_ins["c1"].unhealthy = True
         began, last = time.monotonic(), 0.0
         for name in cluster.names:
             await cluster.nodes[name].wait_for_log("member_state", member="c1", state="down")
@@ -89,7 +89,7 @@
                 await cluster.nodes[name].wait_for_log("member_state", member="c2", state="maintenance")
             all_have = time.monotonic() - began
         return {
-            "checks": made / seconds / len(cluster.boxes),
+            "checks": made / seconds / len(cluster.stand_ins),
             "cpu": cpu / seconds,
             "known": last,
             "stands": stands,
--- a/benchmarks/mixed_versions.py
+++ b/benchmarks/mixed_versions.py
@@ -147,7 +147,7 @@
             )
             await until_member_state(cluster, "n0", "c1", "draining")
         await cluster.wait_for_served(ANSWERS_BETWEEN_STEPS)
-        verdicts = [verdict for request in cluster.front.wishes for verdict in request.verdicts]
+        verdicts = [verdict for request in cluster.front.requests for verdict in request.verdicts]
         require("lost" not in verdicts, f"{verdicts.count('lost')} requests were lost in upgrades")
         cluster.check_invariants()
         return {"upgrades": steps, "requests": len(verdicts), "lost": verdicts.count("lost")}
--- a/benchmarks/operations.py
+++ b/benchmarks/operations.py
@@ -77,7 +77,7 @@
             took.append(time.monotonic() - began)
             await cluster.wait_for_served(10)
             assert await cluster.stop_predecessor(old) == 0
-        verdicts = [v for w in cluster.front.wishes for v in w.verdicts]
+        verdicts = [v for w in cluster.front.requests for v in w.verdicts]
         cluster.check_invariants()
         return {
             "asked": len(verdicts),
@@ -97,10 +97,10 @@
         while time.monotonic() < ends:
             await trio.sleep(0.2)
             seen_before = cluster.record.counts["answer", "served"]
-            open_before = sum(len(line.open) for t in cluster.front.targets.values() for line in t.lines)
+            open_before = sum(len(conn.open) for t in cluster.front.targets.values() for conn in t.connections)
             found = await cluster.read_operator_metrics("n0")
             seen = cluster.record.counts["answer", "served"]
-            opened = sum(len(line.open) for t in cluster.front.targets.values() for line in t.lines)
+            opened = sum(len(conn.open) for t in cluster.front.targets.values() for conn in t.connections)
             served = sum(v for k, v in found.items() if k.endswith(".served"))
             off = max(0, seen_before - served, served - seen)
             worst["served"] = max(worst["served"], off / max(1, seen))
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -32,7 +32,7 @@
 from rookbend.net.watch import ReconnectBackoff
 from rookbend.testing.cluster import open_cluster
 from rookbend.testing.cluster.record import now_us
-from rookbend.testing.cluster.shared_state import ORIGIN, Make
+from rookbend.testing.cluster.shared_state import ORIGIN, MemberProfile
 from rookbend.testing.recovery_simulation import SECOND, FleetSim, World
 
 BEFORE = "4cb82cc"
@@ -44,7 +44,7 @@
     "peers": RECOVERY,
     "disk": "[state]\n folder {state}\n fleet f1\n" + RECOVERY,
 }
-WEAK = Make(**{**{n: getattr(ORIGIN, n) for n in ORIGIN.__slots__}, "capacity": 3.0})
+WEAK = MemberProfile(**{**{n: getattr(ORIGIN, n) for n in ORIGIN.__slots__}, "capacity": 3.0})
 RATE = 80.0
 
 
@@ -62,7 +62,7 @@
         await cluster.wait_until_admitted()
         await trio.sleep(2.0)
         cluster.power_off()
-        cluster.origin.most, falls = 0.0, cluster.origin.falls
+        cluster.origin.peak_load_ratio, falls = 0.0, cluster.origin.overload_count
         refused = cluster.record.counts["answer", "refused"]
         back = now_us()
         await cluster.power_on()
@@ -75,8 +75,8 @@
         "to_50": held(shares, 0.5),
         "to_95": held(shares, 0.95),
         "worth": statistics.mean(shares),
-        "most": cluster.origin.most,
-        "falls": cluster.origin.falls - falls,
+        "most": cluster.origin.peak_load_ratio,
+        "falls": cluster.origin.overload_count - falls,
         "datagrams": datagrams,
         "refused": cluster.record.counts["answer", "refused"] - refused,
         "breaches": breaches,
--- a/benchmarks/recovery_sweep.py
+++ b/benchmarks/recovery_sweep.py
@@ -100,7 +100,7 @@
     cluster.power_off()
     for node in cluster.nodes.values():
         await node.wait_for_exit()
-        disk.tear(node.state, rng.random())
+        disk.apply_torn_writes(node.state, rng.random())
     await cluster.power_on()
     assert not any(node.find_logs("state_damaged") for node in cluster.nodes.values()), "a torn write is no damage"
 
@@ -109,20 +109,20 @@
     one, other = rng.sample(cluster.names, 2)
     cluster.power_off(one)
     await cluster.nodes[one].wait_for_exit()
-    disk.lose(cluster.nodes[one].state)
+    disk.discard_unsynced(cluster.nodes[one].state)
     ours = cluster.folder / "ours"
-    disk.copy(cluster.nodes[one].state, ours)
-    disk.copy(cluster.nodes[other].state, cluster.nodes[one].state)
+    disk.copy_folder(cluster.nodes[one].state, ours)
+    disk.copy_folder(cluster.nodes[other].state, cluster.nodes[one].state)
     await cluster.start(one)
     assert await cluster.nodes[one].wait_for_exit() == 2, "it took another's folder"
     said = [line.get("text", "") for line in cluster.nodes[one].lines[-1]]
     assert any(f"is of director '{other}'" in text for text in said), said
-    disk.copy(ours, cluster.nodes[one].state)
+    disk.copy_folder(ours, cluster.nodes[one].state)
     await cluster.power_on(one)
 
 
 async def weak(cluster: ProcessCluster, rng: random.Random) -> None:
-    cluster.origin.make = replace(ORIGIN, capacity=2.0, multiple=2.0)
+    cluster.origin.profile = replace(ORIGIN, capacity=2.0, multiple=2.0)
     cluster.power_off()
     await cluster.power_on()
 
@@ -143,7 +143,7 @@
     for a in cluster.names:
         for b in cluster.names:
             if a != b:
-                cluster.ways.get(a, b).set(loss=0.3, double=0.4, reorder=0.4)
+                cluster.links.get(a, b).set(loss=0.3, duplicate=0.4, reorder=0.4)
     cluster.power_off()
     await cluster.power_on()
     for _ in range(3):
@@ -195,7 +195,7 @@
             if kind == "cut":
                 cluster.cut(target, name)
         await trio.sleep(span_s)
-        cluster.ways.heal()
+        cluster.links.heal()
     elif kind in ("clock", "rate"):
         step, rate = rng.choice((-600.0, 600.0)), rng.choice((0.98, 1.02))
         node.set_clock(*((step,) if kind == "clock" else (0.0, rate)))
@@ -247,12 +247,14 @@
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(order, number)
                 await harm(cluster, rng)
-        cluster.ways.heal()
+        cluster.links.heal()
         for node in cluster.nodes.values():
             node.set_clock()
         await cluster.start()
-        lines = len(cluster.ledger.tries)
-        await cluster.wait_until(lambda: sum(t.word == "ok" for t in cluster.ledger.tries[lines:]) >= 3, "lines go on")
+        lines = len(cluster.ledger.appends)
+        await cluster.wait_until(
+            lambda: sum(t.result == "ok" for t in cluster.ledger.appends[lines:]) >= 3, "lines go on"
+        )
         counts = {}
         for name in cluster.names:
             found = await cluster.wait_for_answer(
@@ -264,10 +266,10 @@
             counts[name] = found["orders"]["in_effect"]
         cluster.front.running.cancel()
         cluster.check_invariants()
-        taken = [t for t in cluster.ledger.tries if t.word == "ok"]
+        taken = [t for t in cluster.ledger.appends if t.result == "ok"]
         assert [t.token for t in taken] == sorted(t.token for t in taken), "an old owner's line was taken"
         assert len({t.number for t in taken}) == len(taken), "a line was taken twice"
-        old = sum(t.word == "old" for t in cluster.ledger.tries)
+        old = sum(t.result == "old" for t in cluster.ledger.appends)
         print(
             f"owners {seed}: {len(taken)} lines taken, {old} of old owners refused, " f"{len(stood)} orders stood",
             flush=True,
@@ -296,12 +298,12 @@
     async with open_cluster(directors, 3, 1, seed, OPERATORS, RATE) as cluster:
         await cluster.start()
         await cluster.wait_until_admitted()
-        await cluster.wait_until(lambda: len(cluster.world.ran) > 3, "writes ran")
+        await cluster.wait_until(lambda: len(cluster.shared.executions) > 3, "writes ran")
         await CASES[case](cluster, random.Random(f"{seed} {case}"))
         await all_serve(cluster)
         cluster.front.running.cancel()
         cluster.check_invariants()
-        twice = [rids for rids in cluster.world.ran.values() if len(rids) != len(set(rids))]
+        twice = [rids for rids in cluster.shared.executions.values() if len(rids) != len(set(rids))]
         assert not twice, f"an id ran twice: {twice}"
 
 
--- a/rookbend/testing/cluster/admin_client.py
+++ b/rookbend/testing/cluster/admin_client.py
@@ -10,10 +10,10 @@
 import trio
 
 from rookbend.protocol.coordinator_stream import split_address
-from rookbend.testing.cluster.process import HANG_S, HungProcessError
+from rookbend.testing.cluster.process import HANG_TIMEOUT_S, HungProcessError
 
 
-async def http(address: str, path: str, method: str = "GET", body: dict | None = None) -> tuple[int, bytes]:
+async def http_request(address: str, path: str, method: str = "GET", body: dict | None = None) -> tuple[int, bytes]:
     """One call on a connection of its own: status and body; (0, ...) where it ended without an answer."""
     conn = h11.Connection(h11.CLIENT)
     data = msgspec.json.encode(body) if body is not None else b""
@@ -39,12 +39,12 @@
                 return status, found
 
 
-class Asking:
+class AdminRequests:
     """The part of `Scene` that asks."""
 
     async def admin_request(self, name: str, path: str, method: str = "GET", body: dict | None = None) -> dict:
         """One question to the director's operators' listener; the decoded answer, with its `status`."""
-        status, found = await http(self.addresses[name]["admin"], path, method, body)
+        status, found = await http_request(self.addresses[name]["admin"], path, method, body)
         try:
             decoded = msgspec.json.decode(found)
         except msgspec.DecodeError:
@@ -55,7 +55,7 @@
 
     async def operator_request(self, name: str, method: str, path: str) -> tuple[int, str]:
         """One call at the newest door of a director: status and text."""
-        status, found = await http(self.addresses[name]["operator"], path, method)
+        status, found = await http_request(self.addresses[name]["operator"], path, method)
         return status, found.decode()
 
     async def read_operator_metrics(self, name: str) -> dict[str, int]:
@@ -66,7 +66,7 @@
     async def wait_for_answer(self, name: str, path: str, holds: Callable[[dict], bool]) -> dict:
         """Asks a director's listener again and again until the answer is as wanted. Raises `HungProcessError`."""
         found = None
-        with trio.move_on_after(HANG_S):
+        with trio.move_on_after(HANG_TIMEOUT_S):
             while True:
                 try:
                     found = await self.admin_request(name, path)
--- a/rookbend/testing/cluster/clients.py
+++ b/rookbend/testing/cluster/clients.py
@@ -14,20 +14,20 @@
 from rookbend.testing.cluster.record import Record, now_us
 from rookbend.testing.cluster.relay import reset
 from rookbend.testing.cluster.shared_state import digest, group_of
-from rookbend.testing.cluster.traffic_classes import KINDS, Kind
-from rookbend.testing.cluster.workload import Line, LostRequest, OpenRequest, Target, Wish
+from rookbend.testing.cluster.traffic_classes import TRAFFIC_CLASSES, TrafficClass
+from rookbend.testing.cluster.workload import ClientRequest, FrontConnection, LostRequest, OpenRequest, Target
 from rookbend.testing.invariant_events import ClientClosed, RequestSent, ResponseReceived
 from rookbend.testing.open_loop_client import encode_frame
 from rookbend.testing.weighted_score import RequestOutcome, earned_weight
 
-GONE = OSError, trio.BrokenResourceError, trio.ClosedResourceError
+CONNECTION_ERRORS = OSError, trio.BrokenResourceError, trio.ClosedResourceError
 VERDICTS = {0: "served", 14: "refused", 2: "failed"}
 CONNECTIONS = 4  # of the front to one director
-STREAMS = 32  # open requests on one, the protocol's bound
-CLOSING = 3  # the frame that says: no new request on this connection
-TRIES = 3
-LEAST_BACKOFF_S = 0.05
-PAUSE_S = 0.05  # between two calls of the front to a director that is not there
+MAX_STREAMS = 32  # open requests on one, the protocol's bound
+CLOSING_FRAME = 3  # the frame that says: no new request on this connection
+MAX_TRIES = 3
+MIN_BACKOFF_S = 0.05
+ADMISSION_RETRY_S = 0.05  # between two calls of the front to a director that is not there
 
 
 class Front:
@@ -38,16 +38,16 @@
         rate: float,
         objects: int = 400,
         notice_s: float = 2.0,
-        kinds: tuple[Kind, ...] = KINDS,
+        traffic_classes: tuple[TrafficClass, ...] = TRAFFIC_CLASSES,
     ):
-        self.record, self.rate, self.kinds, self.notice_s = record, rate, kinds, notice_s
+        self.record, self.rate, self.traffic_classes, self.notice_s = record, rate, traffic_classes, notice_s
         self.random = random.Random(f"{seed} clients")
-        self.names = [f"{self.random.getrandbits(64):016x}" for _ in range(objects)]
+        self.object_names = [f"{self.random.getrandbits(64):016x}" for _ in range(objects)]
         weights = [1 / (n + 1) for n in range(objects)]
         total = sum(weights)
         self.weights = [w / total for w in weights]
         self.targets: dict[str, Target] = {}
-        self.wishes: list[Wish] = []
+        self.requests: list[ClientRequest] = []
         self.late_s = 0.0  # the most that a request was sent late: the lab's own lateness
         self.lost: list[LostRequest] = []
         self.honors_closing = True  # whether a connection takes no new request once the director has announced its end
@@ -59,15 +59,15 @@
 
     def add(self, name: str, address: tuple[str, int], nursery: trio.Nursery) -> None:
         target = self.targets[name] = Target(name, address)
-        nursery.start_soon(self._admit, target)
+        nursery.start_soon(self._admit_when_ready, target)
 
-    def _tell(self) -> None:
+    def _notify(self) -> None:
         self.changed.set()
         self.changed = trio.Event()
 
     # Admission
 
-    async def _admit(self, target: Target) -> None:
+    async def _admit_when_ready(self, target: Target) -> None:
         """Asks a director until it says ready; then holds connections to it until they break."""
         while True:
             try:
@@ -79,71 +79,71 @@
                         raise trio.BrokenResourceError("not ready")
                 target.admitted = True
                 self.record.note("admitted", target.name)
-                self._tell()
+                self._notify()
                 async with trio.open_nursery() as target.nursery:
                     for _ in range(CONNECTIONS):
-                        target.nursery.start_soon(self._hold, target)
-            except* GONE:
+                        target.nursery.start_soon(self._run_connection, target)
+            except* CONNECTION_ERRORS:
                 pass
             if target.admitted:
                 # The front goes on choosing it until it notices.
                 self.record.note("lost", target.name)
                 await trio.sleep(self.notice_s)
                 target.admitted = False
-            await trio.sleep(PAUSE_S)
+            await trio.sleep(ADMISSION_RETRY_S)
 
     def drop_connections(self, name: str) -> None:
         """What is open at that director is lost: its machine has vanished, nothing of it comes any more."""
-        for line in list(self.targets[name].lines):
-            reset(line.stream)
+        for conn in list(self.targets[name].connections):
+            reset(conn.stream)
 
-    async def _hold(self, target: Target) -> None:
+    async def _run_connection(self, target: Target) -> None:
         stream = await trio.open_tcp_stream(*target.address)
-        line = Line(stream)
-        target.lines.append(line)
+        conn = FrontConnection(stream)
+        target.connections.append(conn)
         try:
             async with stream, trio.open_nursery() as nursery:
-                nursery.start_soon(self._write, line)
-                await self._read(target, line)
+                nursery.start_soon(self._write, conn)
+                await self._read(target, conn)
                 nursery.cancel_scope.cancel()
-        except* GONE:
+        except* CONNECTION_ERRORS:
             pass
         finally:
-            target.lines.remove(line)
-            for rid, wish, sent_us in line.open.values():
+            target.connections.remove(conn)
+            for rid, req, sent_us in conn.open.values():
                 self.lost.append(LostRequest(target.name, sent_us, now_us()))
                 # The process, or the way to it, has gone: that it left them unanswered is no breach.
                 self.record.feed(ClientClosed(now_us(), rid))
-                wish.verdicts.append("lost")
-                self._again(wish, 0.1)
-            line.open.clear()
-            self._tell()
+                req.verdicts.append("lost")
+                self._schedule_retry(req, 0.1)
+            conn.open.clear()
+            self._notify()
 
-    async def _write(self, line: Line) -> None:
+    async def _write(self, conn: FrontConnection) -> None:
         while True:
-            while line.queue:
-                await line.stream.send_all(line.queue.popleft())
-            line.wanted = trio.Event()
-            await line.wanted.wait()
+            while conn.queue:
+                await conn.stream.send_all(conn.queue.popleft())
+            conn.wanted = trio.Event()
+            await conn.wanted.wait()
 
-    async def _read(self, target: Target, line: Line) -> None:
+    async def _read(self, target: Target, conn: FrontConnection) -> None:
         data = b""
-        async for more in line.stream:
+        async for more in conn.stream:
             data += more
             while len(data) >= 4 and len(data) >= 4 + (size := int.from_bytes(data[:4], "big")):
-                if data[4] == CLOSING and self.honors_closing and not line.closing:
-                    line.closing = True  # the next request goes out on a new connection
-                    target.nursery.start_soon(self._hold, target)
-                self._take(line, data[4 : 4 + size])
+                if data[4] == CLOSING_FRAME and self.honors_closing and not conn.closing:
+                    conn.closing = True  # the next request goes out on a new connection
+                    target.nursery.start_soon(self._run_connection, target)
+                self._handle_answer(conn, data[4 : 4 + size])
                 data = data[4 + size :]
-            if line.closing and not line.open:
+            if conn.closing and not conn.open:
                 return
 
-    def _take(self, line: Line, data: bytes) -> None:
+    def _handle_answer(self, conn: FrontConnection, data: bytes) -> None:
         if data[0] != 8:
             return  # 3: no new request here; the connection ends by itself
         stream, verdict = int.from_bytes(data[1:5], "big"), VERDICTS.get(data[5], "failed")
-        rid, wish, _ = line.open.pop(stream, ("", None, 0))
+        rid, req, _ = conn.open.pop(stream, ("", None, 0))
         fields, at = {}, 7
         for _ in range(data[6]):
             n = at + 1 + data[at]
@@ -153,90 +153,90 @@
         body = data[at:]
         self.record.feed(ResponseReceived(now_us(), rid or f"stream {stream}", verdict, digest(body) if body else ""))
         self.record.note("answer", verdict)
-        if wish is None:
+        if req is None:
             return
-        wish.verdicts.append(verdict)
+        req.verdicts.append(verdict)
         if verdict == "served":
-            wish.done_us = now_us()
+            req.served_us = now_us()
         elif verdict == "refused":
-            self._again(wish, int(fields.get("backoff", 0)) / 1000)
-        self._tell()
+            self._schedule_retry(req, int(fields.get("backoff", 0)) / 1000)
+        self._notify()
 
     # Wishes
 
-    def _again(self, wish: Wish, after_s: float) -> None:
-        if wish.tries < TRIES and self._retries is not None and not self.running.cancel_called:
-            self._retries.start_soon(self._retry, wish, max(after_s, LEAST_BACKOFF_S))
+    def _schedule_retry(self, req: ClientRequest, after_s: float) -> None:
+        if req.tries < MAX_TRIES and self._retries is not None and not self.running.cancel_called:
+            self._retries.start_soon(self._retry, req, max(after_s, MIN_BACKOFF_S))
 
-    async def _retry(self, wish: Wish, after_s: float) -> None:
+    async def _retry(self, req: ClientRequest, after_s: float) -> None:
         await trio.sleep(after_s)
-        self._send(wish)
+        self._send(req)
 
-    def _send(self, wish: Wish) -> None:
-        kind = self.kinds[wish.kind]
-        wish.tries += 1
+    def _send(self, req: ClientRequest) -> None:
+        kind = self.traffic_classes[req.class_index]
+        req.tries += 1
         admitted = [t for t in self.targets.values() if t.admitted]
         if not admitted:
             self.unsent += 1
-            return self._again(wish, 0.5)
+            return self._schedule_retry(req, 0.5)
         target = self.random.choice(admitted)
-        lines = [line for line in target.lines if len(line.open) < STREAMS and not line.closing]
-        if not lines:
-            wish.verdicts.append("unsent")  # dead and not noticed, or full
-            return self._again(wish, 0.5)
-        line = min(lines, key=lambda held: len(held.open))
+        usable = [conn for conn in target.connections if len(conn.open) < MAX_STREAMS and not conn.closing]
+        if not usable:
+            req.verdicts.append("unsent")  # dead and not noticed, or full
+            return self._schedule_retry(req, 0.5)
+        conn = min(usable, key=lambda held: len(held.open))
         self._rid += 1
-        line.last += 1
+        conn.last += 1
         rid = f"{self.random.getrandbits(32):08x}{self._rid:08x}"
         fields = {
-            "method": kind.worth.name,
+            "method": kind.objective.name,
             "rid": rid,
             "budget": str(kind.deadline_us // 1000),
-            "obj": wish.key,
-            "chunk": str(wish.part),
-            "tag": str(group_of(wish.key)),
+            "obj": req.key,
+            "chunk": str(req.part),
+            "tag": str(group_of(req.key)),
         }
-        if wish.tries > 1:
+        if req.tries > 1:
             fields["again"] = "1"
         now = now_us()
-        line.open[line.last] = OpenRequest(rid, wish, now)
+        conn.open[conn.last] = OpenRequest(rid, req, now)
         self.record.feed(
             RequestSent(
-                now, rid, target.name, kind.write, now + kind.deadline_us, (wish.key, wish.part), group_of(wish.key)
+                now, rid, target.name, kind.write, now + kind.deadline_us, (req.key, req.part), group_of(req.key)
             )
         )
-        line.write(encode_frame(7, line.last, fields, b"form" if kind.write else b""))
+        conn.write(encode_frame(7, conn.last, fields, b"form" if kind.write else b""))
 
     async def run(self) -> None:
         """Sends wishes at the rate until `running` is cancelled."""
         due = trio.current_time()
-        shares = [k.share for k in self.kinds]
+        shares = [k.share for k in self.traffic_classes]
         with self.running:
             async with trio.open_nursery() as self._retries:
-                await self._arrive(due, shares)
+                await self._send_arrivals(due, shares)
 
-    async def _arrive(self, due: float, shares: list[float]) -> None:
+    async def _send_arrivals(self, due: float, shares: list[float]) -> None:
         while True:
             due += self.random.expovariate(self.rate)
             await trio.sleep_until(due)
             self.late_s = max(self.late_s, trio.current_time() - due)
-            kind = self.random.choices(range(len(self.kinds)), shares)[0]
-            if self.kinds[kind].write:
+            kind = self.random.choices(range(len(self.traffic_classes)), shares)[0]
+            if self.traffic_classes[kind].write:
                 key = f"{self.random.getrandbits(64):016x}"  # every submission is one of its own
             else:
-                key = self.random.choices(self.names, self.weights)[0]
-            part = self.random.randrange(self.kinds[kind].parts)
-            wish = Wish(kind, key, part, now_us())
-            self.wishes.append(wish)
-            self._send(wish)
+                key = self.random.choices(self.object_names, self.weights)[0]
+            part = self.random.randrange(self.traffic_classes[kind].parts)
+            req = ClientRequest(kind, key, part, now_us())
+            self.requests.append(req)
+            self._send(req)
 
     # What came of them
 
     def outcomes(self, since_us: int = 0, until_us: int = 1 << 62) -> list[RequestOutcome]:
         return [
-            RequestOutcome(w.first_us, w.kind, w.done_us or None)
-            for w in self.wishes
-            if since_us <= w.first_us < until_us
+            RequestOutcome(w.arrival_us, w.class_index, w.served_us or None)
+            for w in self.requests
+            if since_us <= w.arrival_us < until_us
         ]
 
     def by_second(self, began_us: int, until_us: int = 1 << 62) -> dict[int, tuple[float, float]]:
@@ -245,6 +245,6 @@
         for e in self.outcomes(began_us, until_us):
             second = (e.sent_us - began_us) // 1_000_000
             got, asked = out.get(second, (0.0, 0.0))
-            worth = self.kinds[e.traffic_class].worth
-            out[second] = got + earned_weight(worth, e), asked + worth.priority_weight
+            objective = self.traffic_classes[e.traffic_class].objective
+            out[second] = got + earned_weight(objective, e), asked + objective.priority_weight
         return out
--- a/rookbend/testing/cluster/cluster_runner.py
+++ b/rookbend/testing/cluster/cluster_runner.py
@@ -11,7 +11,7 @@
 
 from rookbend.testing.cluster import failure_record
 from rookbend.testing.cluster.process_cluster import ProcessCluster
-from rookbend.testing.cluster.shared_state import Make
+from rookbend.testing.cluster.shared_state import MemberProfile
 
 
 @asynccontextmanager
@@ -22,7 +22,7 @@
     seed: int = 7,
     operators: str | Callable[[str], str] = "",
     rate: float = 0.0,
-    makes: dict[str, Make] | None = None,
+    profiles: dict[str, MemberProfile] | None = None,
     checkout: Path | None = None,
     folder: Path | None = None,
     notice_s: float = 1.0,
@@ -44,7 +44,7 @@
                     seed,
                     operators,
                     rate,
-                    makes or {},
+                    profiles or {},
                     checkout,
                     notice_s,
                 )
--- a/rookbend/testing/cluster/coordinator.py
+++ b/rookbend/testing/cluster/coordinator.py
@@ -11,26 +11,26 @@
 
 import trio
 
-from rookbend.testing.cluster.members import Box
+from rookbend.testing.cluster.members import StandInMember
 from rookbend.testing.cluster.record import now_us
 from rookbend.testing.cluster.relay import reset
-from rookbend.testing.cluster.shared_state import ROLES, World
+from rookbend.testing.cluster.shared_state import ROLES, SharedState
 from rookbend.testing.invariant_events import MembershipSent, MemberStatus, PurgeSent
 
 PHASES = {"SERVING": MemberStatus.SERVING, "DRAINING": MemberStatus.DRAINING, "DELETED": MemberStatus.GONE}
 
 
 class Coordinator:
-    def __init__(self, world: World, address_of: Callable[[str, str], str]):
+    def __init__(self, shared: SharedState, address_of: Callable[[str, str], str]):
         """`address_of(director, member)` is where that director reaches that member."""
-        self.world, self.record, self.address_of = world, world.record, address_of
+        self.shared, self.record, self.address_of = shared, shared.record, address_of
         self.index, self.revision = 1, 1  # the first event is the whole list
         self.events: list[tuple[int, dict]] = []  # the worded event, without addresses
         self.phases: dict[str, str] = {}
         self.purges: list[tuple[int, dict]] = []
         self.away = False
         self.calls: dict[str, int] = {}
-        self.told: dict[str, int] = {}  # the last event that each director's stream has carried
+        self.last_sent_index: dict[str, int] = {}  # the last event that each director's stream has carried
         self._changed = trio.Event()
         self._streams: dict[str, trio.SocketStream] = {}
 
@@ -52,55 +52,55 @@
         self.revision += 1
         lines = []
         for name in names:
-            box = self.world.members[name]
-            self.phases[name] = box.phase
-            lines.append(self._line(box))
+            member = self.shared.members[name]
+            self.phases[name] = member.phase
+            lines.append(self._member_entry(member))
         self._add({"endpoints": {"revision": self.revision, "complete": False, "members": lines}})
 
     def purge(self, *, key: str = "", group: int = -1) -> int:
         """Voids an object or a group, now; the Unix microsecond of it."""
         made = now_us() // 1000 * 1000
         if key:
-            self.world.purged_objects[key] = made
+            self.shared.purged_objects[key] = made
             event = {"evict": {"ref": key, "unix_ms": made // 1000}}
         else:
-            self.world.purged_groups[group] = made
+            self.shared.purged_groups[group] = made
             event = {"evict": {"shard": group, "unix_ms": made // 1000}}
         self._add(event)
         self.purges.append((made, event))
         return made
 
-    def _line(self, box: Box) -> dict:
+    def _member_entry(self, member: StandInMember) -> dict:
         return {
-            "id": box.name,
-            "locality": box.zone,
-            "flavor": ROLES[box.role],
-            "phase": self.phases[box.name],
-            "size": box.make.capacity,
-            "up_since_ms": box.up_since_us // 1000,
+            "id": member.name,
+            "locality": member.zone,
+            "flavor": ROLES[member.role],
+            "phase": self.phases[member.name],
+            "size": member.profile.capacity,
+            "up_since_ms": member.up_since_us // 1000,
         }
 
-    def _for(self, director: str, event: dict) -> dict:
+    def _with_addresses(self, director: str, event: dict) -> dict:
         if "endpoints" not in event:
             return event
         told = event["endpoints"]
         members = [{**m, "host_port": self.address_of(director, m["id"])} for m in told["members"]]
         return {"endpoints": {**told, "members": members}}
 
-    def known(self, director: str, purge_life_us: int) -> dict:
+    def known_at_start(self, director: str, purge_life_us: int) -> dict:
         """What the configuration of a director that starts now holds: the list, and the last purges."""
-        for box in self.world.members.values():
-            self.phases.setdefault(box.name, box.phase)
-        lines = [self._line(b) for b in self.world.members.values()]
+        for member in self.shared.members.values():
+            self.phases.setdefault(member.name, member.phase)
+        lines = [self._member_entry(b) for b in self.shared.members.values()]
         whole = {"endpoints": {"revision": self.revision, "complete": True, "members": lines}}
         recent = [event for at, event in self.purges if at > now_us() - purge_life_us]
-        self.told[director] = self.index
+        self.last_sent_index[director] = self.index
         self.record_delivery(director, whole)
         for event in recent:
             self.record_delivery(director, event)
         return {
             "index": self.index,
-            "updates": [{"index": 0, **self._for(director, event)} for event in (whole, *recent)],
+            "updates": [{"index": 0, **self._with_addresses(director, event)} for event in (whole, *recent)],
         }
 
     def record_delivery(self, director: str, event: dict) -> None:
@@ -126,7 +126,7 @@
         self.record.note("fault", "coordinator", "back")
 
     async def _write(self, stream, director: str, index: int, event: dict) -> None:
-        data = json.dumps({"index": index, **self._for(director, event)})
+        data = json.dumps({"index": index, **self._with_addresses(director, event)})
         await stream.send_all(f"id: {index}\ndata: {data}\n\n".encode())
         self.record_delivery(director, event)
 
@@ -144,17 +144,17 @@
             self._streams[director] = stream
             if not last:
                 # To one that knows nothing, the first event is the whole list.
-                lines = [self._line(b) for b in self.world.members.values()]
+                lines = [self._member_entry(b) for b in self.shared.members.values()]
                 whole = {"endpoints": {"revision": self.revision, "complete": True, "members": lines}}
                 await self._write(stream, director, 1, whole)
                 for _, event in self.purges:
                     await self._write(stream, director, 1, event)
-                last = self.told[director] = self.index
+                last = self.last_sent_index[director] = self.index
             while True:
                 due = [(i, e) for i, e in self.events if i > last]
                 for index, event in due:
                     await self._write(stream, director, index, event)
-                    last = self.told[director] = index
+                    last = self.last_sent_index[director] = index
                 changed = self._changed
                 if not due:
                     with trio.move_on_after(1.0):
--- a/rookbend/testing/cluster/director_config.py
+++ b/rookbend/testing/cluster/director_config.py
@@ -5,7 +5,7 @@
 import copy
 
 from rookbend.testing.cluster.shared_state import CACHE, PARENT
-from rookbend.testing.cluster.traffic_classes import KINDS, lanes
+from rookbend.testing.cluster.traffic_classes import TRAFFIC_CLASSES, class_settings
 from rookbend.testing.measurement_settings import SETTINGS
 
 OPERATORS = """
@@ -24,10 +24,10 @@
 def settings_for(directors: int, caches: int, me: int) -> dict:
     """The platform's settings as an instance of such a fleet is told them."""
     s = copy.deepcopy(SETTINGS)
-    s["lanes"] = lanes()
+    s["lanes"] = class_settings()
     s["familyInfo"].update(
-        goesThrough=[k.write for k in KINDS],
-        inPieces=[k.parts > 1 for k in KINDS],
+        goesThrough=[k.write for k in TRAFFIC_CLASSES],
+        inPieces=[k.parts > 1 for k in TRAFFIC_CLASSES],
         seatsByZone=[0, directors],
         purgeTakesUs=PURGE_LIFE_US,
         upperColdFrom=PARENT.cold_capacity_ratio,
--- a/rookbend/testing/cluster/disk.py
+++ b/rookbend/testing/cluster/disk.py
@@ -9,32 +9,32 @@
 import struct
 from pathlib import Path
 
-RECORD = struct.Struct("=qi")
-BESIDE = ".unsynced"
+WRITE_HEADER = struct.Struct("=qi")
+UNSYNCED_SUFFIX = ".unsynced"
 
 
-def lose(folder: Path) -> int:
+def discard_unsynced(folder: Path) -> int:
     """What was not synced is gone; how many bytes that were."""
     gone = 0
-    for left in folder.glob(f"*{BESIDE}"):
+    for left in folder.glob(f"*{UNSYNCED_SUFFIX}"):
         gone += left.stat().st_size
         left.unlink()
     return gone
 
 
-def tear(folder: Path, part: float) -> int:
+def apply_torn_writes(folder: Path, part: float) -> int:
     """A part of what was not synced reached the disk, in the order of writing, the last write of it half; how
     many bytes did. (A disk may reorder more: SQLite's checksums don't care which.)"""
     reached = 0
-    for left in folder.glob(f"*{BESIDE}"):
+    for left in folder.glob(f"*{UNSYNCED_SUFFIX}"):
         data, at, records = left.read_bytes(), 0, []
-        while at + RECORD.size <= len(data):
-            offset, length = RECORD.unpack_from(data, at)
-            at += RECORD.size
+        while at + WRITE_HEADER.size <= len(data):
+            offset, length = WRITE_HEADER.unpack_from(data, at)
+            at += WRITE_HEADER.size
             records.append((offset, None if length < 0 else data[at : at + length]))
             at += max(length, 0)
         kept = records[: max(1, int(len(records) * part))]
-        with open(left.with_name(left.name.removesuffix(BESIDE)), "r+b") as file:
+        with open(left.with_name(left.name.removesuffix(UNSYNCED_SUFFIX)), "r+b") as file:
             for number, (offset, piece) in enumerate(kept):
                 if piece is None:
                     file.truncate(offset)
@@ -48,14 +48,14 @@
     return reached
 
 
-def copy(folder: Path, to: Path) -> None:
+def copy_folder(folder: Path, to: Path) -> None:
     """A backup, or what puts one back."""
     if to.exists():
         shutil.rmtree(to)
-    shutil.copytree(folder, to, ignore=shutil.ignore_patterns(f"*{BESIDE}"))
+    shutil.copytree(folder, to, ignore=shutil.ignore_patterns(f"*{UNSYNCED_SUFFIX}"))
 
 
-def spoil(folder: Path) -> None:
+def corrupt_database(folder: Path) -> None:
     """The file is damaged in its middle."""
     path = folder / "state.db"
     data = bytearray(path.read_bytes())
--- a/rookbend/testing/cluster/dns_names.py
+++ b/rookbend/testing/cluster/dns_names.py
@@ -12,13 +12,13 @@
 import dns.rrset
 import trio
 
-from rookbend.testing.cluster.process import HANG_S, HungProcessError
+from rookbend.testing.cluster.process import HANG_TIMEOUT_S, HungProcessError
 from rookbend.testing.cluster.record import Record, now_us
 from rookbend.testing.cluster.shared_state import group_of
 from rookbend.testing.cluster.traffic_classes import WRITES
 from rookbend.testing.invariant_events import ClientClosed, RequestSent, ResponseReceived
 
-ASK_AGAIN_S = 1.0
+RETRY_INTERVAL_S = 1.0
 
 
 class Resolver:
@@ -27,7 +27,7 @@
 
     def __init__(self, director: str, address_of: Callable[[str, str], str]):
         self.director, self.address_of = director, address_of
-        self.asked = 0
+        self.query_count = 0
 
     async def listen(self, nursery: trio.Nursery, host: str) -> str:
         sock = trio.socket.socket(trio.socket.AF_INET, trio.socket.SOCK_DGRAM)
@@ -41,7 +41,7 @@
                 wire, source = await sock.recvfrom(2048)
             except OSError:
                 continue  # an earlier reply reached nobody
-            self.asked += 1
+            self.query_count += 1
             query = dns.message.from_wire(wire)
             reply = dns.message.make_response(query)
             asked = query.question[0]
@@ -58,25 +58,25 @@
 
 def read_reply(reply: dns.message.Message) -> tuple[str, str, str]:
     """(code, the box named, its address); empty where none is."""
-    box = address = ""
+    member_name = address = ""
     for rrset in reply.answer:
         if rrset.rdtype == dns.rdatatype.CNAME:
-            box = rrset[0].target.to_text(omit_final_dot=True)
+            member_name = rrset[0].target.to_text(omit_final_dot=True)
         elif rrset.rdtype == dns.rdatatype.A:
             address = rrset[0].address
-    return dns.rcode.to_text(reply.rcode()), box, address
+    return dns.rcode.to_text(reply.rcode()), member_name, address
 
 
 async def look_up(server: tuple[str, int], name: str) -> tuple[str, str, str]:
     """What a stub resolver gets, which asks again each second. Raises `HungProcessError`."""
     query = dns.message.make_query(name, dns.rdatatype.A)
     query.flags |= dns.flags.RD
-    with trio.move_on_after(HANG_S), trio.socket.socket(trio.socket.AF_INET, trio.socket.SOCK_DGRAM) as sock:
+    with trio.move_on_after(HANG_TIMEOUT_S), trio.socket.socket(trio.socket.AF_INET, trio.socket.SOCK_DGRAM) as sock:
         await sock.connect(server)
         while True:
             try:
                 await sock.send(query.to_wire())
-                with trio.move_on_after(ASK_AGAIN_S):
+                with trio.move_on_after(RETRY_INTERVAL_S):
                     reply = dns.message.from_wire(await sock.recv(4096))
                     if reply.id == query.id:
                         return read_reply(reply)
--- a/rookbend/testing/cluster/faults.py
+++ b/rookbend/testing/cluster/faults.py
@@ -16,27 +16,27 @@
 
     def power_off(self, *names: str) -> None:
         """These lose their power in one instant; all directors, caches and parents where none is named."""
-        chosen = names or [*self.names, *(b.name for b in self.boxes.values() if b.role != "origin")]
+        chosen = names or [*self.names, *(b.name for b in self.stand_ins.values() if b.role != "origin")]
         self.record.note("fault", "power", "off " + " ".join(chosen))
         self.powered_off.update(dict.fromkeys(chosen))
         for name in chosen:
             if name in self.nodes:
                 self.nodes[name].kill()
         for name in chosen:
-            if name in self.boxes and not self.boxes[name].down:
-                self.boxes[name].die()
+            if name in self.stand_ins and not self.stand_ins[name].down:
+                self.stand_ins[name].crash()
 
     async def power_on(self, *names: str, known: dict | None = None) -> None:
         """They return in this order, all that are without power if none is named: boxes cold and empty,
         directors as they start."""
         for name in names or sorted(self.powered_off, key=lambda n: n in self.nodes):
             self.powered_off.pop(name, None)
-            if name in self.boxes:
-                self.boxes[name].come_back()
+            if name in self.stand_ins:
+                self.stand_ins[name].restart()
                 self.coordinator.publish_members(name)
             else:
                 await self.nodes[name].wait_for_exit()
-                disk.lose(self.nodes[name].state)
+                disk.discard_unsynced(self.nodes[name].state)
                 await self.start(name, known=known)
 
     def freeze(self, name: str) -> None:
@@ -52,20 +52,20 @@
         """The machine is cut off from all others, or there again: nothing crosses, nothing is reset, no new
         connection comes up."""
         self.record.note("fault", name, "vanished" if gone else "there again")
-        for other in (*self.names, *self.boxes, "coordinator", "clients"):
+        for other in (*self.names, *self.stand_ins, "coordinator", "clients"):
             for pair in ((name, other), (other, name)):
-                self.ways.get(*pair).set(silent=gone, deaf=gone)
+                self.links.get(*pair).set(silent=gone, unreachable=gone)
         if gone and name in self.names:
             self.front.drop_connections(name)
 
     def cut(self, source: str, target: str) -> None:
         """Nothing of what the one says reaches the other."""
         self.record.note("fault", f"{source}>{target}", "cut")
-        self.ways.get(source, target).set(silent=True)
+        self.links.get(source, target).set(silent=True)
 
     def heal(self, source: str, target: str) -> None:
         self.record.note("fault", f"{source}>{target}", "healed")
-        self.ways.get(source, target).heal()
+        self.links.get(source, target).heal()
 
     def split(self, ours: Iterable[str], theirs: Iterable[str], cut: bool = True) -> None:
         """Directors of the one side and the other do not hear each other."""
@@ -77,17 +77,17 @@
     async def play(self, text: str, file: str = "day") -> None:
         """The failures of a text, from now on; `seed` and lines go into the report of a failed run."""
         self.fault_schedule = fault_timeline_format.parse_faults(text, file)
-        others = *self.names, *self.boxes, "coordinator", "clients"
+        others = *self.names, *self.stand_ins, "coordinator", "clients"
         pairs = [f"{a}>{b}" for a in self.names for b in others if a != b]
-        world = {
-            fault_timeline.TargetType.MEMBER: list(self.boxes),
+        targets = {
+            fault_timeline.TargetType.MEMBER: list(self.stand_ins),
             fault_timeline.TargetType.DIRECTOR: self.names,
             fault_timeline.TargetType.PAIR: pairs,
-            fault_timeline.TargetType.MACHINE: [*self.names, *self.boxes],
+            fault_timeline.TargetType.MACHINE: [*self.names, *self.stand_ins],
             fault_timeline.TargetType.COORDINATOR: ["coordinator"],
         }
         begun = trio.current_time()
-        steps = fault_timeline.plan_steps(self.fault_schedule, world)
+        steps = fault_timeline.plan_steps(self.fault_schedule, targets)
         at = 0
         while at < len(steps):
             due = steps[at].at_us
@@ -102,14 +102,14 @@
 
     async def _step(self, step: fault_timeline.Step) -> None:
         """Begins or ends one fault."""
-        play = self._players().get(step.fault.kind)
+        play = self._fault_handlers().get(step.fault.kind)
         if play is None:
             raise ValueError(f"the stage does not play {step.fault.kind}")
         done = play(step)
         if done is not None:
             await done
 
-    def _players(self) -> dict[str, Callable[[fault_timeline.Step], Awaitable[None] | None]]:
+    def _fault_handlers(self) -> dict[str, Callable[[fault_timeline.Step], Awaitable[None] | None]]:
         """What plays each kind of fault."""
         return {
             "power": self._play_power,
@@ -134,7 +134,7 @@
 
     def _play_loss(self, step: fault_timeline.Step) -> None:
         for other in self.names:
-            self.ways.get(step.target, other).set(loss=step.fault.share if step.begins else 0.0)
+            self.links.get(step.target, other).set(loss=step.fault.share if step.begins else 0.0)
 
     def _play_stop(self, step: fault_timeline.Step) -> Awaitable[None] | None:
         if not step.begins:
--- a/rookbend/testing/cluster/members.py
+++ b/rookbend/testing/cluster/members.py
@@ -17,33 +17,33 @@
 import trio
 
 from rookbend.testing.cache_store import CacheStore, Copy
-from rookbend.testing.cluster.member_wire import Wire
+from rookbend.testing.cluster.member_wire import MemberProtocol
 from rookbend.testing.cluster.record import now_us
 from rookbend.testing.cluster.relay import reset
-from rookbend.testing.cluster.shared_state import Got, Make, World
+from rookbend.testing.cluster.shared_state import FetchResult, MemberProfile, SharedState
 from rookbend.testing.invariant_events import FillReceived, MemberStarted
 from rookbend.testing.slow_start_budget import SlowStart
 
 
-class Box(Wire):
-    def __init__(self, name: str, role: str, host: str, zone: str, world: World, make: Make):
+class StandInMember(MemberProtocol):
+    def __init__(self, name: str, role: str, host: str, zone: str, shared: SharedState, profile: MemberProfile):
         self.name, self.role, self.host, self.zone = name, role, host, zone
-        self.world, self.record, self.make = world, world.record, make
-        self.store = CacheStore(make.memory)
-        self.slow_start = SlowStart(make.capacity, make.cold_capacity_ratio, make.warm_up_us, make.multiple)
+        self.shared, self.record, self.profile = shared, shared.record, profile
+        self.store = CacheStore(profile.memory)
+        self.slow_start = SlowStart(profile.capacity, profile.cold_capacity_ratio, profile.warm_up_us, profile.multiple)
         self.up_since_us = 0  # 0: it has run for long, and is warm
-        self.port, self.down, self.falls = 0, False, 0
+        self.port, self.down, self.overload_count = 0, False, 0
         self.draining = False
-        self.worked = self.hits = self.asked = self.checks = 0
-        self.ill = False  # it answers, and says that it is not well
+        self.admitted_count = self.hits = self.request_count = self.checks = 0
+        self.unhealthy = False  # it answers, and says that it is not well
         self.health: tuple[str, int] | None = None
         self._log: deque[tuple[int, float]] = deque()
         self._total, self._free_us = 0.0, 0
         self._streams: set[trio.SocketStream] = set()
         self._nursery: trio.Nursery | None = None
         self._fetching: dict[tuple[str, int], trio.Event] = {}
-        self.most = 0.0  # the fullest window, as a share of what pushes it over
-        world.members[name] = self
+        self.peak_load_ratio = 0.0  # the fullest window, as a share of what pushes it over
+        shared.members[name] = self
 
     @property
     def address(self) -> tuple[str, int]:
@@ -62,16 +62,16 @@
         nursery.start_soon(trio.serve_listeners, self._serve, listeners)
         return self.port
 
-    def die(self) -> None:
+    def crash(self) -> None:
         """Its process ends: connections are reset, what it held is lost."""
         self.down = True
-        self.store = CacheStore(self.make.memory)
+        self.store = CacheStore(self.profile.memory)
         for stream in list(self._streams):
             reset(stream)
         self._streams.clear()
         self.record.note("end", self.name)
 
-    def come_back(self) -> None:
+    def restart(self) -> None:
         """It starts again, empty and cold."""
         self.down, self.up_since_us = False, now_us()
         self._log.clear()
@@ -80,120 +80,120 @@
             self.record.feed(MemberStarted(now_us(), self.name, self.slow_start))
         self.record.note("start", self.name)
 
-    def _fall(self) -> None:
-        self.falls += 1
+    def _fail_overloaded(self) -> None:
+        self.overload_count += 1
         self.record.note("fall", self.name)
-        self.die()
-        self._nursery.start_soon(self._rise)
+        self.crash()
+        self._nursery.start_soon(self._restart_after_failure)
 
-    async def _rise(self) -> None:
-        await trio.sleep(self.make.down_s)
+    async def _restart_after_failure(self) -> None:
+        await trio.sleep(self.profile.down_s)
         if self.down:
-            self.come_back()
+            self.restart()
 
     # Work
 
     def capacity(self, at: int) -> float:
-        return self.slow_start.capacity_at(at - self.up_since_us) if self.up_since_us else self.make.capacity
+        return self.slow_start.capacity_at(at - self.up_since_us) if self.up_since_us else self.profile.capacity
 
     def admit(self, work: float) -> float | None:
         """Takes work; the seconds until it is done, or None where it is refused or the member falls."""
-        now, make = now_us(), self.make
+        now, profile = now_us(), self.profile
         if self.down:
             return None
         self._log.append((now, work))
         self._total += work
-        while self._log[0][0] <= now - make.window_us:
+        while self._log[0][0] <= now - profile.window_us:
             self._total -= self._log.popleft()[1]
-        able = make.multiple * self.capacity(now - make.window_us) * make.window_us / 1e6
-        self.most = max(self.most, self._total / able)
+        able = profile.multiple * self.capacity(now - profile.window_us) * profile.window_us / 1e6
+        self.peak_load_ratio = max(self.peak_load_ratio, self._total / able)
         if self._total > able and (self.role == "origin" or self.is_cold(now)):
-            self._fall()
+            self._fail_overloaded()
             return None
         free = max(self._free_us, now)
-        if (free - now) / 1e6 > make.queue_s:
+        if (free - now) / 1e6 > profile.queue_s:
             return None
         self._free_us = free + int(work / self.capacity(now) * 1e6)
-        self.worked += 1
+        self.admitted_count += 1
         return (free - now) / 1e6 + work
 
     def is_cold(self, now: int) -> bool:
-        return bool(self.up_since_us) and now - self.up_since_us < self.make.warm_up_us
+        return bool(self.up_since_us) and now - self.up_since_us < self.profile.warm_up_us
 
-    def work_of(self, key: str, part: int) -> float:
-        return self.make.first_s + self.world.size_of(key, part) / self.make.pace
+    def work_seconds(self, key: str, part: int) -> float:
+        return self.profile.first_byte_s + self.shared.size_of(key, part) / self.profile.bytes_per_s
 
     # What it holds
 
-    def valid(self, key: str, group: int, copy: Copy | None, oldest_us: int) -> Copy | None:
+    def usable_copy(self, key: str, group: int, copy: Copy | None, oldest_us: int) -> Copy | None:
         """The copy, where no purge that this member has heard of voids it and it is young enough."""
         if copy is None or copy.t0_us < oldest_us:
             return None
-        world, now = self.world, now_us()
-        for made in (world.purged_objects.get(key, 0), world.purged_groups.get(group, 0)):
+        shared, now = self.shared, now_us()
+        for made in (shared.purged_objects.get(key, 0), shared.purged_groups.get(group, 0)):
             if made and copy.t0_us < made:
-                heard = random.Random(f"{world.seed} {self.name} {made}").uniform(0, world.purge_takes_s)
+                heard = random.Random(f"{shared.seed} {self.name} {made}").uniform(0, shared.max_purge_delay_s)
                 if now >= made + heard * 1e6:
                     return None
         return copy
 
     async def get(
-        self, key: str, part: int, group: int, oldest_us: int, source: Box | None, keep: int, join: bool
-    ) -> Got:
+        self, key: str, part: int, group: int, oldest_us: int, source: StandInMember | None, keep: int, join: bool
+    ) -> FetchResult:
         """A copy of its own, or one filled from the source. May be cancelled."""
         now = now_us()
         if self.role == "origin":
-            return await self._made(key, part, group)
-        held = self.valid(key, group, self.store.get((key, part), keep), oldest_us)
-        takes = self.admit(self.work_of(key, part))
+            return await self._generate(key, part, group)
+        held = self.usable_copy(key, group, self.store.get((key, part), keep), oldest_us)
+        takes = self.admit(self.work_seconds(key, part))
         if takes is None:
-            return Got("refused", "crowded")
+            return FetchResult("refused", "crowded")
         if held is not None:
             self.hits += 1
             await trio.sleep(takes)
-            return Got("ok", "mem", held)
+            return FetchResult("ok", "mem", held)
         if source is None:
-            return Got("nothing")
+            return FetchResult("nothing")
         if join and (event := self._fetching.get((key, part))) is not None:
             await event.wait()
-            held = self.valid(key, group, self.store.peek((key, part)), oldest_us)
+            held = self.usable_copy(key, group, self.store.peek((key, part)), oldest_us)
             if held is not None:
-                return Got("ok", "shared", held)
+                return FetchResult("ok", "shared", held)
         event = self._fetching[key, part] = trio.Event()
         try:
-            got = await source.filled(key, part, group, oldest_us)
+            result = await source.fill(key, part, group, oldest_us)
         finally:
             event.set()
             if self._fetching.get((key, part)) is event:
                 del self._fetching[key, part]
-        if got.copy is None:
-            note = {"refused": "denied", "nothing": "absent"}.get(got.word, "unreached")
-            return Got("error", "behind" if got.note == "behind" else note)
+        if result.copy is None:
+            note = {"refused": "denied", "nothing": "absent"}.get(result.outcome, "unreached")
+            return FetchResult("error", "behind" if result.note == "behind" else note)
         if keep or self.role == "parent":
-            self.store.put((key, part), Copy(got.copy.size, got.copy.t0_us, group, keep or 1))
+            self.store.put((key, part), Copy(result.copy.size, result.copy.t0_us, group, keep or 1))
         await trio.sleep(takes)
-        note = "origin" if source.role == "origin" or got.note in ("origin", "parent") else "parent"
-        return Got("ok", note, got.copy, (now_us() - now) / 1e6)
+        note = "origin" if source.role == "origin" or result.note in ("origin", "parent") else "parent"
+        return FetchResult("ok", note, result.copy, (now_us() - now) / 1e6)
 
-    async def filled(self, key: str, part: int, group: int, oldest_us: int) -> Got:
+    async def fill(self, key: str, part: int, group: int, oldest_us: int) -> FetchResult:
         """What a fill from here brings. A parent fetches what it lacks from the origin."""
         if self.down:
-            return Got("error", "unreached")
+            return FetchResult("error", "unreached")
         if self.role != "origin":
-            self.record.feed(FillReceived(now_us(), self.name, self.work_of(key, part)))
-        origin = next(b for b in self.world.members.values() if b.role == "origin")
-        got = await self.get(key, part, group, oldest_us, origin, 0, True)
-        if got.copy is None and self.role == "parent" and got.note in ("denied", "unreached"):
-            return Got("error", "behind")
-        return got
-
-    async def _made(self, key: str, part: int, group: int) -> Got:
+            self.record.feed(FillReceived(now_us(), self.name, self.work_seconds(key, part)))
+        origin = next(b for b in self.shared.members.values() if b.role == "origin")
+        result = await self.get(key, part, group, oldest_us, origin, 0, True)
+        if result.copy is None and self.role == "parent" and result.note in ("denied", "unreached"):
+            return FetchResult("error", "behind")
+        return result
+
+    async def _generate(self, key: str, part: int, group: int) -> FetchResult:
         """The origin makes the copy: it holds everything, and few can ask at once."""
-        takes = self.admit(self.work_of(key, part))
+        takes = self.admit(self.work_seconds(key, part))
         if takes is None:
-            return Got("refused")
+            return FetchResult("refused")
         t0 = now_us()
         await trio.sleep(takes)
         if self.down:
-            return Got("error")
-        return Got("ok", "", Copy(self.world.size_of(key, part), t0 // 1000 * 1000, group))
+            return FetchResult("error")
+        return FetchResult("ok", "", Copy(self.shared.size_of(key, part), t0 // 1000 * 1000, group))
--- a/rookbend/testing/cluster/process.py
+++ b/rookbend/testing/cluster/process.py
@@ -30,7 +30,7 @@
 PR_SET_PDEATHSIG = 1
 CLOCK = struct.Struct("=dd")  # seconds ahead, rate less one
 BEFORE_SEND, AFTER_SEND, IN_SYNC = 1, 2, 3
-HANG_S = 60.0  # no wait of the stage ends by it but one that would never end
+HANG_TIMEOUT_S = 60.0  # no wait of the stage ends by it but one that would never end
 LIBC = ctypes.CDLL(None)
 
 
@@ -42,7 +42,7 @@
     LIBC.prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
-def fields_of(line: str) -> dict:
+def parse_log_line(line: str) -> dict:
     """A JSON log line; one that is none (a traceback) is the event `raw`."""
     try:
         found = json.loads(line)
@@ -90,7 +90,7 @@
 
     async def wait_until_stopped(self) -> None:
         """Waits until it stands still."""
-        with trio.move_on_after(HANG_S):
+        with trio.move_on_after(HANG_TIMEOUT_S):
             while self.running:
                 with open(f"/proc/{self.process.pid}/stat", encoding="ascii") as f:
                     if f.read().rpartition(")")[2].split()[0] == "T":
@@ -144,13 +144,13 @@
                     log.write(more)
                     log.flush()
                     *whole, data = (data + more).split(b"\n")
-                    lines += [fields_of(line.decode("utf-8", "replace")) for line in whole]
-                    self._tell()
-        await self._gone(process)
+                    lines += [parse_log_line(line.decode("utf-8", "replace")) for line in whole]
+                    self._notify()
+        await self._wait_for_process(process)
         self.record.note("end", self.name, f"exit {process.returncode}")
-        self._tell()
+        self._notify()
 
-    def _tell(self) -> None:
+    def _notify(self) -> None:
         self.changed.set()
         self.changed = trio.Event()
 
@@ -164,7 +164,7 @@
 
     async def wait_for_log(self, event: str, **fields) -> dict:
         """Waits for a log line of this life. Raises `HungProcessError` where the process ends without it."""
-        with trio.move_on_after(HANG_S):
+        with trio.move_on_after(HANG_TIMEOUT_S):
             while not (found := self.find_logs(event, **fields)):
                 if not self.running:
                     break
@@ -176,13 +176,13 @@
 
     async def wait_for_exit(self) -> int:
         """Waits for its end; the exit code, negative for a signal."""
-        with trio.move_on_after(HANG_S):
-            await self._gone(self.process)
+        with trio.move_on_after(HANG_TIMEOUT_S):
+            await self._wait_for_process(self.process)
             return self.process.returncode
         raise HungProcessError(f"{self.name} does not end")
 
     @staticmethod
-    async def _gone(process: subprocess.Popen) -> None:
+    async def _wait_for_process(process: subprocess.Popen) -> None:
         if process.poll() is None:
             watched = os.pidfd_open(process.pid)
             try:
--- a/rookbend/testing/cluster/process_cluster.py
+++ b/rookbend/testing/cluster/process_cluster.py
@@ -23,25 +23,25 @@
 from rookbend.protocol.coordinator_stream import split_address
 from rookbend.testing import fault_timeline, fault_timeline_format
 from rookbend.testing.cluster.address_block import AddressBlock
-from rookbend.testing.cluster.admin_client import Asking
+from rookbend.testing.cluster.admin_client import AdminRequests
 from rookbend.testing.cluster.clients import Front
 from rookbend.testing.cluster.coordinator import Coordinator
 from rookbend.testing.cluster.director_config import HEALTH_PORT, OPERATORS, PURGE_LIFE_US, settings_for
 from rookbend.testing.cluster.dns_names import Resolver
 from rookbend.testing.cluster.faults import Faults
-from rookbend.testing.cluster.members import Box
-from rookbend.testing.cluster.process import HANG_S, HungProcessError, Node
+from rookbend.testing.cluster.members import StandInMember
+from rookbend.testing.cluster.process import HANG_TIMEOUT_S, HungProcessError, Node
 from rookbend.testing.cluster.record import Record
-from rookbend.testing.cluster.relay import TcpRelay, UdpRelay, Ways
+from rookbend.testing.cluster.relay import Links, TcpRelay, UdpRelay
 from rookbend.testing.cluster.report_ledger import Ledger
-from rookbend.testing.cluster.shared_state import CACHE, ORIGIN, PARENT, Make, World
+from rookbend.testing.cluster.shared_state import CACHE, ORIGIN, PARENT, MemberProfile, SharedState
 from rookbend.testing.cluster.upgrades import Upgrades
 from rookbend.testing.director_process import find_free_port
 from rookbend.testing.invariant_checker import InvariantLimits
 from rookbend.testing.weighted_score import earned_weight
 
 
-class ProcessCluster(Faults, Asking, Upgrades):
+class ProcessCluster(Faults, AdminRequests, Upgrades):
     def __init__(
         self,
         nursery: trio.Nursery,
@@ -52,26 +52,30 @@
         seed: int,
         operators: str | Callable[[str], str],
         rate: float,
-        makes: dict[str, Make],
+        profiles: dict[str, MemberProfile],
         checkout: Path | None,
         notice_s: float,
     ):
         self.nursery, self.folder, self.seed, self.operators = nursery, folder, seed, operators
         self.address_block = AddressBlock()
-        self.net = self.address_block.prefix
+        self.address_prefix = self.address_block.prefix
         self.record = Record(InvariantLimits(slack_us=150_000, purge_retention_us=2 * PURGE_LIFE_US))
-        self.world, self.ways = World(self.record, seed), Ways()
+        self.shared, self.links = SharedState(self.record, seed), Links()
         self.names = [f"n{i}" for i in range(directors)]
-        makes = {"cache": CACHE, "parent": PARENT, "origin": ORIGIN, **makes}
+        profiles = {"cache": CACHE, "parent": PARENT, "origin": ORIGIN, **profiles}
         for i in range(caches):
-            Box(f"c{i}", "cache", f"{self.net}.100.{i + 1}", "edge", self.world, makes["cache"])
+            StandInMember(
+                f"c{i}", "cache", f"{self.address_prefix}.100.{i + 1}", "edge", self.shared, profiles["cache"]
+            )
         for i in range(parents):
-            Box(f"p{i}", "parent", f"{self.net}.101.{i + 1}", "hub", self.world, makes["parent"])
-        Box("records", "origin", f"{self.net}.102.1", "hub", self.world, makes["origin"])
-        self.boxes = self.world.members
-        self.caches = [b for b in self.boxes.values() if b.role == "cache"]
-        self.origin = self.boxes["records"]
-        self.coordinator = Coordinator(self.world, self._address_of)
+            StandInMember(
+                f"p{i}", "parent", f"{self.address_prefix}.101.{i + 1}", "hub", self.shared, profiles["parent"]
+            )
+        StandInMember("records", "origin", f"{self.address_prefix}.102.1", "hub", self.shared, profiles["origin"])
+        self.stand_ins = self.shared.members
+        self.caches = [b for b in self.stand_ins.values() if b.role == "cache"]
+        self.origin = self.stand_ins["records"]
+        self.coordinator = Coordinator(self.shared, self._address_of)
         more = {} if checkout is None else {"checkout": checkout}
         self.nodes = {n: Node(n, folder / n, self.record, **more) for n in self.names}
         self.ledger = Ledger(self.record)
@@ -86,28 +90,32 @@
         self.powered_off: dict[str, None] = {}  # what has lost its power, in that order
 
     def _host(self, name: str, what: int) -> str:
-        return f"{self.net}.{1 + self.names.index(name)}.{what}"
+        return f"{self.address_prefix}.{1 + self.names.index(name)}.{what}"
 
     def _address_of(self, director: str, member: str) -> str:
         return "{}:{}".format(*self.relays[director, member].address)
 
     async def open(self) -> None:
-        for box in self.boxes.values():
-            await box.listen(self.nursery)
-            await box.listen_health(self.nursery)
-        await self.ledger.listen(self.nursery, f"{self.net}.103.1")
+        for stand_in in self.stand_ins.values():
+            await stand_in.listen(self.nursery)
+            await stand_in.listen_health(self.nursery)
+        await self.ledger.listen(self.nursery, f"{self.address_prefix}.103.1")
         for name in self.names:
-            for i, box in enumerate(self.boxes.values()):
-                relay = TcpRelay(self.ways, self.record, name, box.name, lambda box=box: box.address)
+            for i, stand_in in enumerate(self.stand_ins.values()):
+                relay = TcpRelay(
+                    self.links, self.record, name, stand_in.name, lambda stand_in=stand_in: stand_in.address
+                )
                 await relay.listen(self.nursery, self._host(name, 10 + i))
-                self.relays[name, box.name] = relay
-                health = TcpRelay(self.ways, self.record, name, box.name, lambda box=box: box.health)
+                self.relays[name, stand_in.name] = relay
+                health = TcpRelay(
+                    self.links, self.record, name, stand_in.name, lambda stand_in=stand_in: stand_in.health
+                )
                 await health.listen(self.nursery, self._host(name, 10 + i), HEALTH_PORT)
-            relay = TcpRelay(self.ways, self.record, name, "ledger", lambda: self.ledger.address)
+            relay = TcpRelay(self.links, self.record, name, "ledger", lambda: self.ledger.address)
             await relay.listen(self.nursery, self._host(name, 8))
             self.relays[name, "ledger"] = relay
             called = await self.coordinator.listen(self.nursery, name, self._host(name, 9))
-            relay = TcpRelay(self.ways, self.record, name, "coordinator", lambda called=called: called)
+            relay = TcpRelay(self.links, self.record, name, "coordinator", lambda called=called: called)
             await relay.listen(self.nursery, self._host(name, 8))
             self.relays[name, "coordinator"] = relay
             self.addresses[name] = {
@@ -119,12 +127,12 @@
                 "resolver": await Resolver(name, self._address_of).listen(self.nursery, self._host(name, 6)),
             }
         heard = {n: split_address(self.addresses[n]["peers"]) for n in self.names}
-        self.peers = await UdpRelay(self.ways, self.record, heard, self.seed).listen(
+        self.peers = await UdpRelay(self.links, self.record, heard, self.seed).listen(
             self.nursery, lambda name: self._host(name, 4)
         )
         for name in self.names:
             listens = split_address(self.addresses[name]["listen"])
-            relay = TcpRelay(self.ways, self.record, "clients", name, lambda listens=listens: listens)
+            relay = TcpRelay(self.links, self.record, "clients", name, lambda listens=listens: listens)
             await relay.listen(self.nursery, self._host(name, 7))
             self.front.add(name, relay.address, self.nursery)
 
@@ -143,7 +151,7 @@
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
             "peer_listen": place["peers"],
             "peers": [self.peers[n] for n in self.names],
-            "known": known if known is not None else self.coordinator.known(name, PURGE_LIFE_US),
+            "known": known if known is not None else self.coordinator.known_at_start(name, PURGE_LIFE_US),
         }
 
     def settings_text(self, name: str) -> str:
@@ -174,7 +182,7 @@
 
     async def wait_until(self, holds: Callable[[], bool], what: str) -> None:
         """Waits for something that answers, admissions and log lines change. Raises `HungProcessError`."""
-        with trio.move_on_after(HANG_S):
+        with trio.move_on_after(HANG_TIMEOUT_S):
             while not holds():
                 # Answers come all the time while clients run; the beat is for a fleet at rest.
                 with trio.move_on_after(0.05):
@@ -209,11 +217,15 @@
         faults = [line for line in logged if line.get("event") == COMPONENT_FAULT]
         assert not faults, "\n".join(str(fault.get("traceback")) for fault in faults[:3])
 
-    def worth(self, since_us: int = 0, until_us: int = 1 << 62) -> float:
+    def earned_share(self, since_us: int = 0, until_us: int = 1 << 62) -> float:
         """The share of the worth asked for in that time that was earned."""
         ended = self.front.outcomes(since_us, until_us)
-        asked = sum(self.front.kinds[e.traffic_class].worth.priority_weight for e in ended)
-        return sum(earned_weight(self.front.kinds[e.traffic_class].worth, e) for e in ended) / asked if asked else 1.0
+        asked = sum(self.front.traffic_classes[e.traffic_class].objective.priority_weight for e in ended)
+        return (
+            sum(earned_weight(self.front.traffic_classes[e.traffic_class].objective, e) for e in ended) / asked
+            if asked
+            else 1.0
+        )
 
     def all_nodes(self) -> list[Node]:
         """The newest process of each director, and those before it."""
--- a/rookbend/testing/cluster/record.py
+++ b/rookbend/testing/cluster/record.py
@@ -12,7 +12,7 @@
 from rookbend.testing.invariant_checker import InvariantChecker, InvariantLimits, Violation
 from rookbend.testing.invariant_events import WireEvent
 
-KEPT = 200_000
+MAX_ROWS = 200_000
 
 
 def now_us() -> int:
@@ -23,7 +23,7 @@
 class Record:
     def __init__(self, limits: InvariantLimits | None = None):
         self.checker = InvariantChecker(limits)
-        self.rows: deque[tuple[int, str, str, str]] = deque(maxlen=KEPT)  # (at, what, who, more)
+        self.rows: deque[tuple[int, str, str, str]] = deque(maxlen=MAX_ROWS)  # (at, what, who, more)
         self.counts: Counter[tuple[str, str]] = Counter()  # (what, who)
         self.began_us = now_us()
 
--- a/rookbend/testing/cluster/relay.py
+++ b/rookbend/testing/cluster/relay.py
@@ -30,54 +30,54 @@
 LINGER = struct.pack("ii", 1, 0)
 CHUNK = 65536
 BACKLOG = 128
-FILLERS = 3  # one more than a queue of length nought takes
-FILL_S = 0.05
+BACKLOG_FILLERS = 3  # one more than a queue of length nought takes
+BACKLOG_FILL_TIMEOUT_S = 0.05
 REORDER_US = 30_000  # a datagram that is overtaken waits so long
 
 
 @dataclass
-class Way:
+class Link:
     name: str
     silent: bool = False
     reset: bool = False
-    deaf: bool = False
+    unreachable: bool = False
     delay_us: int = 0
     loss: float = 0.0
-    double: float = 0.0
+    duplicate: float = 0.0
     reorder: float = 0.0
     changed: trio.Event = field(default_factory=trio.Event)
 
     def set(self, **faults) -> None:
         for name, value in faults.items():
-            if name not in ("silent", "reset", "deaf", "delay_us", "loss", "double", "reorder"):
+            if name not in ("silent", "reset", "unreachable", "delay_us", "loss", "duplicate", "reorder"):
                 raise ValueError(f"no fault of a way: {name}")
             setattr(self, name, value)
         self.changed.set()
         self.changed = trio.Event()
 
     def heal(self) -> None:
-        self.set(silent=False, reset=False, deaf=False, delay_us=0, loss=0.0, double=0.0, reorder=0.0)
+        self.set(silent=False, reset=False, unreachable=False, delay_us=0, loss=0.0, duplicate=0.0, reorder=0.0)
 
-    async def passes(self) -> None:
+    async def wait_while_silent(self) -> None:
         while self.silent:
             await self.changed.wait()
 
 
-class Ways:
+class Links:
     """All directed pairs, made as they are first asked for."""
 
     def __init__(self):
-        self.all: dict[tuple[str, str], Way] = {}
+        self.all: dict[tuple[str, str], Link] = {}
 
-    def get(self, source: str, target: str) -> Way:
-        way = self.all.get((source, target))
-        if way is None:
-            way = self.all[source, target] = Way(f"{source}>{target}")
-        return way
+    def get(self, source: str, target: str) -> Link:
+        link = self.all.get((source, target))
+        if link is None:
+            link = self.all[source, target] = Link(f"{source}>{target}")
+        return link
 
     def heal(self) -> None:
-        for way in self.all.values():
-            way.heal()
+        for link in self.all.values():
+            link.heal()
 
 
 def reset(stream: trio.SocketStream) -> None:
@@ -90,12 +90,14 @@
 class TcpRelay:
     """One directed pair: what `source` opens at the relay's address is carried on to `target`'s."""
 
-    def __init__(self, ways: Ways, record: Record, source: str, target: str, where: Callable[[], tuple[str, int]]):
-        self.out, self.back = ways.get(source, target), ways.get(target, source)
-        self.record, self.where = record, where
+    def __init__(
+        self, links: Links, record: Record, source: str, target: str, target_address: Callable[[], tuple[str, int]]
+    ):
+        self.forward, self.backward = links.get(source, target), links.get(target, source)
+        self.record, self.target_address = record, target_address
         self.name = f"{source}>{target}"
         self.address: tuple[str, int] | None = None
-        self.fillers: set[int] = set()  # ports of our own calls
+        self.filler_ports: set[int] = set()  # ports of our own calls
 
     async def listen(self, nursery: trio.Nursery, host: str, port: int = 0) -> int:
         sock = trio.socket.socket(trio.socket.AF_INET, trio.socket.SOCK_STREAM)
@@ -115,32 +117,32 @@
 
     async def _accept_all(self, sock, nursery: trio.Nursery) -> None:
         while True:
-            if self.out.deaf:
-                await self._be_deaf(sock)
-            heard, changed = trio.CancelScope(), self.out.changed
+            if self.forward.unreachable:
+                await self._leave_unanswered(sock)
+            accepting, changed = trio.CancelScope(), self.forward.changed
             async with trio.open_nursery() as waiting:
-                waiting.start_soon(self._first, changed, heard)
-                with heard:
+                waiting.start_soon(self._cancel_on, changed, accepting)
+                with accepting:
                     near, (_, port, *_) = await sock.accept()
-                    if port in self.fillers:
-                        self.fillers.discard(port)
+                    if port in self.filler_ports:
+                        self.filler_ports.discard(port)
                         near.close()
                     else:
                         nursery.start_soon(self._serve, trio.SocketStream(near))
                 waiting.cancel_scope.cancel()
 
-    async def _be_deaf(self, sock) -> None:
+    async def _leave_unanswered(self, sock) -> None:
         sock.listen(0)
         fillers = []
-        for _ in range(FILLERS):
+        for _ in range(BACKLOG_FILLERS):
             filler = trio.socket.socket(trio.socket.AF_INET, trio.socket.SOCK_STREAM)
             fillers.append(filler)
             await filler.bind((self.address[0], 0))
-            self.fillers.add(filler.getsockname()[1])
-            with trio.move_on_after(FILL_S):
+            self.filler_ports.add(filler.getsockname()[1])
+            with trio.move_on_after(BACKLOG_FILL_TIMEOUT_S):
                 await filler.connect(self.address)
-        while self.out.deaf:
-            await self.out.changed.wait()
+        while self.forward.unreachable:
+            await self.forward.changed.wait()
         for filler in fillers:
             filler.close()
         sock.listen(BACKLOG)
@@ -149,13 +151,13 @@
         self.record.note("call", self.name)
         far = None
         try:
-            if self.out.reset or self.back.reset:
+            if self.forward.reset or self.backward.reset:
                 return
-            await self.out.passes()
-            far = await trio.open_tcp_stream(*self.where())
+            await self.forward.wait_while_silent()
+            far = await trio.open_tcp_stream(*self.target_address())
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._pump, near, far, self.out, nursery.cancel_scope)
-                nursery.start_soon(self._pump, far, near, self.back, nursery.cancel_scope)
+                nursery.start_soon(self._pump, near, far, self.forward, nursery.cancel_scope)
+                nursery.start_soon(self._pump, far, near, self.backward, nursery.cancel_scope)
                 nursery.start_soon(self._watch, nursery.cancel_scope)
         except* (OSError, trio.BrokenResourceError, trio.ClosedResourceError):
             pass  # nobody is there: the connection ends at once, as a refused one would
@@ -164,28 +166,28 @@
                 if stream is not None:
                     reset(stream)
 
-    async def _pump(self, source, target, way: Way, scope: trio.CancelScope) -> None:
+    async def _pump(self, source, target, link: Link, scope: trio.CancelScope) -> None:
         try:
             while data := await source.receive_some(CHUNK):
-                await way.passes()
-                if way.delay_us:
-                    await trio.sleep(way.delay_us / 1e6)
+                await link.wait_while_silent()
+                if link.delay_us:
+                    await trio.sleep(link.delay_us / 1e6)
                 await target.send_all(data)
-            await way.passes()
+            await link.wait_while_silent()
             await target.send_eof()
         except (trio.BrokenResourceError, trio.ClosedResourceError):
-            await way.passes()  # a reset does not cross a cut wire either
+            await link.wait_while_silent()  # a reset does not cross a cut wire either
             scope.cancel()
 
     async def _watch(self, scope: trio.CancelScope) -> None:
-        while not (self.out.reset or self.back.reset):
+        while not (self.forward.reset or self.backward.reset):
             async with trio.open_nursery() as nursery:
-                for way in (self.out, self.back):
-                    nursery.start_soon(self._first, way.changed, nursery.cancel_scope)
+                for link in (self.forward, self.backward):
+                    nursery.start_soon(self._cancel_on, link.changed, nursery.cancel_scope)
         scope.cancel()
 
     @staticmethod
-    async def _first(event: trio.Event, scope: trio.CancelScope) -> None:
+    async def _cancel_on(event: trio.Event, scope: trio.CancelScope) -> None:
         await event.wait()
         scope.cancel()
 
@@ -193,20 +195,20 @@
 class UdpRelay:
     """All datagrams between directors. `places` are theirs: name, and where each listens for peers."""
 
-    def __init__(self, ways: Ways, record: Record, places: dict[str, tuple[str, int]], seed: int):
-        self.ways, self.record, self.places = ways, record, places
-        self.names = {place: name for name, place in places.items()}
+    def __init__(self, links: Links, record: Record, peer_addresses: dict[str, tuple[str, int]], seed: int):
+        self.links, self.record, self.peer_addresses = links, record, peer_addresses
+        self.names = {place: name for name, place in peer_addresses.items()}
         self.random = random.Random(f"{seed} datagrams")
         self.socks: dict[str, trio.socket.SocketType] = {}
-        self.waiting = 0  # delayed, not sent on yet
+        self.delayed = 0  # delayed, not sent on yet
 
     async def listen(self, nursery: trio.Nursery, host_of: Callable[[str], str]) -> dict[str, str]:
         """The address by which each director is known to the others."""
-        for name in self.places:
+        for name in self.peer_addresses:
             sock = trio.socket.socket(trio.socket.AF_INET, trio.socket.SOCK_DGRAM)
             await sock.bind((host_of(name), 0))
             self.socks[name] = sock
-        for name in self.places:
+        for name in self.peer_addresses:
             nursery.start_soon(self._carry, name, nursery)
         return {name: "{}:{}".format(*sock.getsockname()[:2]) for name, sock in self.socks.items()}
 
@@ -221,23 +223,23 @@
             if source is None:
                 continue
             self.record.note("datagram", source, target)
-            way = self.ways.get(source, target)
-            if way.silent or way.reset or rng.random() < way.loss:
+            link = self.links.get(source, target)
+            if link.silent or link.reset or rng.random() < link.loss:
                 continue
-            late = way.delay_us + (REORDER_US if rng.random() < way.reorder else 0)
-            for _ in range(2 if rng.random() < way.double else 1):
+            late = link.delay_us + (REORDER_US if rng.random() < link.reorder else 0)
+            for _ in range(2 if rng.random() < link.duplicate else 1):
                 if late:
-                    self.waiting += 1
-                    nursery.start_soon(self._later, late, source, target, data)
+                    self.delayed += 1
+                    nursery.start_soon(self._send_delayed, late, source, target, data)
                 else:
                     await self._send(source, target, data)
 
-    async def _later(self, late_us: int, source: str, target: str, data: bytes) -> None:
+    async def _send_delayed(self, late_us: int, source: str, target: str, data: bytes) -> None:
         await trio.sleep(late_us / 1e6)
-        self.waiting -= 1
+        self.delayed -= 1
         await self._send(source, target, data)
 
     async def _send(self, source: str, target: str, data: bytes) -> None:
         # nobody listens there: lost, as on any network
         with contextlib.suppress(OSError):
-            await self.socks[source].sendto(data, self.places[target])
+            await self.socks[source].sendto(data, self.peer_addresses[target])
--- a/rookbend/testing/cluster/report_ledger.py
+++ b/rookbend/testing/cluster/report_ledger.py
@@ -14,17 +14,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Try:
+class AppendAttempt:
     at_us: int
     token: int
     number: int
-    word: str  # ok, have, old
+    result: str  # ok, have, old
 
 
 class Ledger:
     def __init__(self, record: Record):
         self.record, self.receiver = record, FencingGuard()
-        self.tries: list[Try] = []
+        self.appends: list[AppendAttempt] = []
         self.lines: dict[int, str] = {}
         self.address: tuple[str, int] | None = None
 
@@ -47,12 +47,12 @@
 
     def _append(self, token: int, number: int, line: str) -> bytes:
         if not self.receiver.accept(SCOPE, token):
-            word, answer = "old", f"old {self.receiver.highest[SCOPE]}\n"
+            result, answer = "old", f"old {self.receiver.highest[SCOPE]}\n"
         elif number in self.lines:
-            word = answer = "have"
+            result = answer = "have"
         else:
             self.lines[number] = line
-            word = answer = "ok"
-        self.tries.append(Try(now_us(), token, number, word))
-        self.record.note("ledger", word, f"token {token} number {number}")
+            result = answer = "ok"
+        self.appends.append(AppendAttempt(now_us(), token, number, result))
+        self.record.note("ledger", result, f"token {token} number {number}")
         return f"{answer.rstrip()}\n".encode()
--- a/rookbend/testing/cluster/shared_state.py
+++ b/rookbend/testing/cluster/shared_state.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Make:
+class MemberProfile:
     """How a member is made. Seconds, bytes, transfers."""
 
     capacity: float = 12.0
@@ -25,39 +25,46 @@
     window_us: int = 1_500_000
     queue_s: float = 1.0
     down_s: float = 4.0
-    pace: float = 1_000_000.0  # bytes a second of one transfer
-    first_s: float = 0.0  # before the first byte
+    bytes_per_s: float = 1_000_000.0  # bytes a second of one transfer
+    first_byte_s: float = 0.0  # before the first byte
 
 
-CACHE = Make()
-PARENT = Make(capacity=20.0, memory=16 << 20, cold_capacity_ratio=0.1, warm_up_us=20_000_000, multiple=2.0)
+CACHE = MemberProfile()
+PARENT = MemberProfile(capacity=20.0, memory=16 << 20, cold_capacity_ratio=0.1, warm_up_us=20_000_000, multiple=2.0)
 # Few workers, each call of them takes long: capacity is workers, `first_s` the call.
-ORIGIN = Make(
-    capacity=6.0, memory=0, cold_capacity_ratio=1.0, warm_up_us=1, multiple=2.5, queue_s=1.0, down_s=4.0, first_s=0.04
+ORIGIN = MemberProfile(
+    capacity=6.0,
+    memory=0,
+    cold_capacity_ratio=1.0,
+    warm_up_us=1,
+    multiple=2.5,
+    queue_s=1.0,
+    down_s=4.0,
+    first_byte_s=0.04,
 )
 
 
 @dataclass(frozen=True, slots=True)
-class Got:
+class FetchResult:
     """A copy, or why there is none: `word` is an answer's, `note` its note."""
 
-    word: str
+    outcome: str
     note: str = ""
     copy: Copy | None = None
     waited_s: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
-class Sent:
+class SentCopy:
     """A copy that a member has sent; `asked_us` is when the first byte of the request came."""
 
-    asked_us: int
+    received_us: int
     key: str
     t0_us: int
     member: str
 
 
-class World:
+class SharedState:
     """What all members share: the record, who they are, when each thing was last purged, executions."""
 
     def __init__(self, record: Record, seed: int):
@@ -65,9 +72,9 @@
         self.members: dict[str, object] = {}  # a `boxes.Box` each
         self.purged_objects: dict[str, int] = {}
         self.purged_groups: dict[int, int] = {}
-        self.copies: deque[Sent] = deque(maxlen=100_000)
-        self.ran: dict[str, list[str]] = {}  # submission: the ids under which the origin ran it
-        self.purge_takes_s = 5.0  # members drop older copies by themselves, each in its own time
+        self.sent_copies: deque[SentCopy] = deque(maxlen=100_000)
+        self.executions: dict[str, list[str]] = {}  # submission: the ids under which the origin ran it
+        self.max_purge_delay_s = 5.0  # members drop older copies by themselves, each in its own time
 
     def size_of(self, key: str, part: int) -> int:
         """Log-normal about 3 kB, the same for each asking."""
--- a/rookbend/testing/cluster/shim/faultydisk.py
+++ b/rookbend/testing/cluster/shim/faultydisk.py
@@ -14,7 +14,7 @@
 
 import apsw
 
-RECORD = struct.Struct("=qi")  # offset, length; -1: a truncation to the offset
+WRITE_HEADER = struct.Struct("=qi")  # offset, length; -1: a truncation to the offset
 FLAGS = apsw.SQLITE_OPEN_MAIN_DB | apsw.SQLITE_OPEN_WAL | apsw.SQLITE_OPEN_MAIN_JOURNAL
 _stops = b"\0"
 if os.path.exists(os.path.join(os.environ["ROOKBEND_STAGE"], "stops")):
@@ -23,7 +23,7 @@
 _word = os.path.join(os.environ["ROOKBEND_STAGE"], "disk")
 
 
-def _refused():
+def _raise_disk_fault():
     try:
         with open(_word, encoding="ascii") as file:
             word = file.read().strip()
@@ -35,7 +35,7 @@
         raise apsw.ReadOnlyError("the stage says the disk is read-only")
 
 
-class Forgetful(apsw.VFSFile):
+class UnsyncedLossFile(apsw.VFSFile):
     def __init__(self, name, flags):
         super().__init__("unix", name, flags)
         self.path = name.filename() if isinstance(name, apsw.URIFilename) else name
@@ -48,15 +48,15 @@
         return bytes(self.image[offset : offset + amount])
 
     def xWrite(self, data, offset):
-        _refused()
-        self.beside.write(RECORD.pack(offset, len(data)) + bytes(data))
+        _raise_disk_fault()
+        self.beside.write(WRITE_HEADER.pack(offset, len(data)) + bytes(data))
         if len(self.image) < offset:
             self.image.extend(bytes(offset - len(self.image)))
         self.image[offset : offset + len(data)] = data
         self.unsynced.append((offset, bytes(data)))
 
     def xTruncate(self, size):
-        self.beside.write(RECORD.pack(size, -1))
+        self.beside.write(WRITE_HEADER.pack(size, -1))
         del self.image[size:]
         self.unsynced.append((size, None))
 
@@ -65,7 +65,7 @@
 
     def xSync(self, flags):
         if self.unsynced:
-            _refused()
+            _raise_disk_fault()
             if _stops[0] == 3:
                 os.kill(os.getpid(), signal.SIGSTOP)
         for offset, data in self.unsynced:
@@ -89,7 +89,7 @@
 
     def xOpen(self, name, flags):
         if name is not None and flags[0] & FLAGS:
-            return Forgetful(name, flags)
+            return UnsyncedLossFile(name, flags)
         return super().xOpen(name, flags)
 
     def xDelete(self, filename, syncdir):
--- a/rookbend/testing/cluster/soak.py
+++ b/rookbend/testing/cluster/soak.py
@@ -20,17 +20,17 @@
 from rookbend.testing.cluster.process import Node
 from rookbend.testing.cluster.process_cluster import ProcessCluster
 from rookbend.testing.cluster.record import now_us
-from rookbend.testing.cluster.traffic_classes import KINDS
+from rookbend.testing.cluster.traffic_classes import TRAFFIC_CLASSES
 from rookbend.testing.cluster.workload import LostRequest
 
 DIRECTORS = 3
 RATE = 60.0
-CROWD = 150  # connections that say nothing
-CROWD_S = 3.0
+IDLE_CONNECTIONS = 150  # connections that say nothing
+IDLE_CONNECTION_S = 3.0
 LATE_REQUEST_US = 700_000  # after SIGTERM; what comes later may be lost
-CROSSING_US = 50_000  # a request may cross the close of a connection without an open request
+CLOSE_RACE_US = 50_000  # a request may cross the close of a connection without an open request
 LEAST_DEADLINE_US = 3_000_000  # what the longest deadline counts as where it is shorter
-LONGEST_DEADLINE_US = max(LEAST_DEADLINE_US, *(kind.deadline_us for kind in KINDS))
+LONGEST_DEADLINE_US = max(LEAST_DEADLINE_US, *(kind.deadline_us for kind in TRAFFIC_CLASSES))
 KILL_AFTER_S = (LONGEST_DEADLINE_US + LATE_REQUEST_US) / 1e6
 READY_WITHIN_S = 10.0
 LONGEST_PAUSE_S = 1.5
@@ -77,7 +77,7 @@
         await self.cluster.start_with_operator_endpoints()
         await self.cluster.wait_for_served(50)
         if self.result.crowd:
-            self.cluster.nursery.start_soon(self._crowd)
+            self.cluster.nursery.start_soon(self._open_idle_connections)
         end_s = trio.current_time() + self.seconds
         while trio.current_time() < end_s:
             event = self.random.choice(self._events)
@@ -87,7 +87,7 @@
             await event(director)
             await trio.sleep(self.random.uniform(0, LONGEST_PAUSE_S))
         await self.cluster.wait_for_served(50)
-        self._judge()
+        self._evaluate()
         return self.result
 
     # Directors
@@ -96,7 +96,7 @@
         self.stopped_us[node.name].append(now_us())
         node.signal(signal.SIGTERM)
 
-    async def _until_ended(self, node: Node) -> None:
+    async def _wait_for_exit(self, node: Node) -> None:
         """SIGKILL comes at the page's earliest."""
         with trio.move_on_after(KILL_AFTER_S):
             if code := await node.wait_for_exit():
@@ -122,7 +122,7 @@
         for number in then:
             await trio.sleep(within_s)
             node.signal(number)
-        await self._until_ended(node)
+        await self._wait_for_exit(node)
         await self._start_again(name)
 
     async def _restart_with_second_signal(self, name: str) -> None:
@@ -173,7 +173,7 @@
             old.signal(signal.SIGHUP)
         await self.cluster.wait_until_accepting(name)
         self._stop(old)
-        await self._until_ended(old)
+        await self._wait_for_exit(old)
 
     async def _reload_within_upgrade(self, name: str) -> None:
         await self._upgrade(name, reload=True)
@@ -181,7 +181,7 @@
     # What is round them
 
     async def _member_restart(self, _name: str) -> None:
-        member = self.random.choice([box.name for box in self.cluster.caches])
+        member = self.random.choice([cache.name for cache in self.cluster.caches])
         self.cluster.power_off(member)
         await trio.sleep(self.random.uniform(0.1, 1.0))
         await self.cluster.power_on(member)
@@ -191,19 +191,19 @@
         await trio.sleep(self.random.uniform(0.5, 3.0))
         self.cluster.coordinator.reconnect()
 
-    async def _crowd(self) -> None:
+    async def _open_idle_connections(self) -> None:
         """Clients that connect to one director at once and send nothing."""
         address = split_address(self.cluster.addresses[self.random.choice(self.cluster.names)]["listen"])
         await trio.sleep(self.random.uniform(0, self.seconds / 2))
         async with trio.open_nursery() as nursery:
-            for _ in range(CROWD):
-                nursery.start_soon(self._hold_silent, address)
+            for _ in range(IDLE_CONNECTIONS):
+                nursery.start_soon(self._hold_idle_connection, address)
 
     @staticmethod
-    async def _hold_silent(address: tuple[str, int]) -> None:
+    async def _hold_idle_connection(address: tuple[str, int]) -> None:
         try:
             async with await trio.open_tcp_stream(*address) as stream:
-                with trio.move_on_after(CROWD_S):
+                with trio.move_on_after(IDLE_CONNECTION_S):
                     await stream.receive_some()
         except (OSError, trio.BrokenResourceError):
             pass  # the director is restarting, or has closed it
@@ -211,18 +211,18 @@
     # Judgement
 
     def _may_be_lost(self, request: LostRequest) -> bool:
-        if request.lost_us - request.sent_us <= CROSSING_US:
+        if request.lost_us - request.sent_us <= CLOSE_RACE_US:
             return True
         # At the end of its grace a director closes the connections without an open request.
         return any(
-            LATE_REQUEST_US - CROSSING_US <= request.sent_us - stopped_us <= KILL_AFTER_S * 1e6
+            LATE_REQUEST_US - CLOSE_RACE_US <= request.sent_us - stopped_us <= KILL_AFTER_S * 1e6
             for stopped_us in self.stopped_us[request.director]
         )
 
-    def _judge(self) -> None:
+    def _evaluate(self) -> None:
         front, result = self.cluster.front, self.result
-        result.requests = len(front.wishes)
-        result.served = sum(wish.done_us > 0 for wish in front.wishes)
+        result.requests = len(front.requests)
+        result.served = sum(request.served_us > 0 for request in front.requests)
         result.lost = len(front.lost)
         result.failures += [
             f"lost at {request.director}: sent {(request.sent_us - self.cluster.record.began_us) / 1e6:.3f} s, "
--- a/rookbend/testing/cluster/traffic_classes.py
+++ b/rookbend/testing/cluster/traffic_classes.py
@@ -8,36 +8,36 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
+class TrafficClass:
     """A class of requests: its worth, its deadline, its share of the arrivals; the parts of its objects."""
 
-    worth: ClassObjective
+    objective: ClassObjective
     deadline_us: int
     share: float
     write: bool = False
     parts: int = 1
 
 
-KINDS = (
-    Kind(ClassObjective("form", 8.0, 1_000_000, 0.0, 0.5), 3_000_000, 0.08, True),
-    Kind(ClassObjective("image", 1.0, 600_000, 2.0, 0.4), 2_000_000, 0.62),
-    Kind(ClassObjective("video", 2.0, 900_000, 2.0, 0.4), 4_000_000, 0.30, parts=4),
+TRAFFIC_CLASSES = (
+    TrafficClass(ClassObjective("form", 8.0, 1_000_000, 0.0, 0.5), 3_000_000, 0.08, True),
+    TrafficClass(ClassObjective("image", 1.0, 600_000, 2.0, 0.4), 2_000_000, 0.62),
+    TrafficClass(ClassObjective("video", 2.0, 900_000, 2.0, 0.4), 4_000_000, 0.30, parts=4),
 )
 
-WRITES = frozenset(kind.worth.name for kind in KINDS if kind.write)
+WRITES = frozenset(kind.objective.name for kind in TRAFFIC_CLASSES if kind.write)
 
 
-def lanes() -> list[dict]:
+def class_settings() -> list[dict]:
     """The classes as the platform's settings tell them."""
     return [
         {
-            "name": k.worth.name,
-            "aimUs": k.worth.latency_objective_us,
-            "aimStretch": k.worth.latency_objective_stretch,
+            "name": k.objective.name,
+            "aimUs": k.objective.latency_objective_us,
+            "aimStretch": k.objective.latency_objective_stretch,
             "hardLimitUs": k.deadline_us,
             "effect": "single_shot" if k.write else "free",
-            "gain": k.worth.priority_weight,
-            "lateWorth": k.worth.late_priority_weight,
+            "gain": k.objective.priority_weight,
+            "lateWorth": k.objective.late_priority_weight,
         }
-        for k in KINDS
+        for k in TRAFFIC_CLASSES
     ]
--- a/rookbend/testing/cluster/upgrades.py
+++ b/rookbend/testing/cluster/upgrades.py
@@ -7,7 +7,7 @@
 
 import trio
 
-from rookbend.testing.cluster.process import HANG_S, HungProcessError, Node
+from rookbend.testing.cluster.process import HANG_TIMEOUT_S, HungProcessError, Node
 from rookbend.testing.director_process import find_free_port
 
 
@@ -37,7 +37,7 @@
 
     async def wait_until_accepting(self, name: str) -> None:
         """Waits until the newest door of a director says that it takes clients."""
-        with trio.move_on_after(HANG_S):
+        with trio.move_on_after(HANG_TIMEOUT_S):
             while self.nodes[name].running:
                 try:
                     if (await self.operator_request(name, "GET", "/status"))[0] == 200:
--- a/rookbend/testing/cluster/workload.py
+++ b/rookbend/testing/cluster/workload.py
@@ -10,23 +10,23 @@
 
 
 @dataclass(slots=True)
-class Wish:
+class ClientRequest:
     """What a client wants, over all its tries."""
 
-    kind: int
+    class_index: int
     key: str
     part: int
-    first_us: int
+    arrival_us: int
     tries: int = 0
     verdicts: list[str] = field(default_factory=list)
-    done_us: int = 0
+    served_us: int = 0
 
 
 class OpenRequest(NamedTuple):
     """A request that was sent and has no answer yet."""
 
     rid: str
-    wish: Wish
+    request: ClientRequest
     sent_us: int
 
 
@@ -38,7 +38,7 @@
     lost_us: int
 
 
-class Line:
+class FrontConnection:
     """One connection of the front to a director."""
 
     def __init__(self, stream: trio.SocketStream):
@@ -59,5 +59,5 @@
 
     def __init__(self, name: str, address: tuple[str, int]):
         self.name, self.address = name, address
-        self.admitted, self.lines = False, []
+        self.admitted, self.connections = False, []
         self.nursery: trio.Nursery | None = None  # of its connections, while it is admitted
--- a/rookbend/testing/demo.py
+++ b/rookbend/testing/demo.py
@@ -94,14 +94,14 @@
             out.append(
                 [name, "director", state, f"life {node.start_count}" + (f", {stages[-1]['stage']}" if stages else "")]
             )
-        for box in cluster.boxes.values():
-            cold = box.role != "origin" and box.is_cold(now_us())
+        for member in cluster.stand_ins.values():
+            cold = member.role != "origin" and member.is_cold(now_us())
             out.append(
                 [
-                    box.name,
-                    box.role,
-                    "dead" if box.down else "cold" if cold else "warm",
-                    f"{box.asked} asked, {box.worked} worked, {box.falls} falls",
+                    member.name,
+                    member.role,
+                    "dead" if member.down else "cold" if cold else "warm",
+                    f"{member.request_count} asked, {member.admitted_count} worked, {member.overload_count} falls",
                 ]
             )
         return out
@@ -124,12 +124,12 @@
         return {
             "directors": self.plan.directors,
             "seed": self.plan.seed,
-            "requests": len(cluster.front.wishes),
+            "requests": len(cluster.front.requests),
             "return": admitted,
             "worth": worth,
             "lost_at": round((self.lost_us - self.began_us) / 1e6, 1),
             "back_at": round((self.back_us - self.began_us) / 1e6, 1),
-            "falls": {b.name: b.falls for b in cluster.boxes.values() if b.falls},
+            "falls": {b.name: b.overload_count for b in cluster.stand_ins.values() if b.overload_count},
             "seen": cluster.record.checker.observed_events,
             "rules": cluster.record.checker.violations_by_rule(),
             "breaches": [f"{b.rule}: {b.subject} {b.text}" for b in breaches[:20]],
--- a/tests/recovery_clusters.py
+++ b/tests/recovery_clusters.py
@@ -26,20 +26,20 @@
         cluster.check_invariants()
 
 
-async def all_reach(cluster, what="serving", names=None):
+async def wait_until_all_reach(cluster, what="serving", names=None):
     for name in names or cluster.names:
         await cluster.nodes[name].wait_for_log("recovery_stage", stage=what)
 
 
-def told(cluster, name, event, **fields):
+def logged(cluster, name, event, **fields):
     return cluster.nodes[name].find_logs(event, **fields)
 
 
-def order_on(found, member):
+def order_of_member(found, member):
     return next(row["order"] for row in found["members"] if row["member"] == member)
 
 
-async def same_orders(cluster, owner_name):
+async def wait_until_orders_replicated(cluster, owner_name):
     """Waits until every director holds the orders of all: what a peer can give back."""
     owner = (await cluster.admin_request(owner_name, "/recovery"))["digests"]["order"]
     for name in cluster.names:
--- a/tests/test_boot_numbers_processes.py
+++ b/tests/test_boot_numbers_processes.py
@@ -7,7 +7,7 @@
 
 from rookbend.testing.cluster.process import IN_SYNC
 from rookbend.testing.cluster.record import now_us
-from tests.recovery_clusters import all_reach, fleet
+from tests.recovery_clusters import fleet, wait_until_all_reach
 
 LONGEST_START_S = 1.0
 
@@ -45,7 +45,7 @@
             node.stop_at()
             await cluster.power_on("n1")
             assert (await node.wait_for_log("state_open"))["boot"] == 2
-            await all_reach(cluster, names=["n1"])
+            await wait_until_all_reach(cluster, names=["n1"])
             assert sent_since(cluster, "n1", since) and await boot_known_of(cluster, "n0", 1) == 2
 
     trio.run(main)
--- a/tests/test_leases_processes.py
+++ b/tests/test_leases_processes.py
@@ -52,7 +52,7 @@
 
 def assert_no_old_owner(cluster):
     """No line was taken with a token older than one taken before, and none twice."""
-    taken = [t for t in cluster.ledger.tries if t.word == "ok"]
+    taken = [t for t in cluster.ledger.appends if t.result == "ok"]
     assert [t.token for t in taken] == sorted(t.token for t in taken)
     assert len({t.number for t in taken}) == len(taken)
 
@@ -89,9 +89,10 @@
 
 async def another_writes(cluster, old):
     """Waits for a line with a token above all that `old` was tried with."""
-    highest = max(t.token for t in cluster.ledger.tries) if cluster.ledger.tries else 0
+    highest = max(t.token for t in cluster.ledger.appends) if cluster.ledger.appends else 0
     await cluster.wait_until(
-        lambda: any(t.word == "ok" and t.token > highest for t in cluster.ledger.tries), f"a line by another than {old}"
+        lambda: any(t.result == "ok" and t.token > highest for t in cluster.ledger.appends),
+        f"a line by another than {old}",
     )
 
 
@@ -102,7 +103,7 @@
 def test_an_owner_stopped_amid_its_work_wakes_up_late_and_does_no_harm(where):
     async def main():
         async with fleet() as cluster:
-            await cluster.wait_until(lambda: any(t.word == "ok" for t in cluster.ledger.tries), "a line")
+            await cluster.wait_until(lambda: any(t.result == "ok" for t in cluster.ledger.appends), "a line")
             old = await bounded(owner_of, cluster, "report")
             node = cluster.nodes[old]
             node.stop_at(where)
@@ -117,9 +118,9 @@
             await node.wait_for_log("lease_lost", scope="report")
             if where == BEFORE_SEND:
                 # Its line was checked before the stop and went out after it: the ledger refused it.
-                await cluster.wait_until(lambda: any(t.word == "old" for t in cluster.ledger.tries), "an old token")
-            before = len(cluster.ledger.tries)
-            await cluster.wait_until(lambda: len(cluster.ledger.tries) >= before + 2, "lines go on")
+                await cluster.wait_until(lambda: any(t.result == "old" for t in cluster.ledger.appends), "an old token")
+            before = len(cluster.ledger.appends)
+            await cluster.wait_until(lambda: len(cluster.ledger.appends) >= before + 2, "lines go on")
             assert new != old
 
     trio.run(main)
@@ -129,21 +130,21 @@
     async def main():
         async with fleet() as cluster:
             await all_know(cluster, "c0", ("ready", "degraded"))
-            cluster.boxes["c0"].ill = True
+            cluster.stand_ins["c0"].unhealthy = True
             await all_know(cluster, "c0", ("down",))
             # Each of its own, four directors would each ask; owners do once. Whose shard it is may move amid it.
-            before, n = cluster.boxes["c1"].checks, cluster.boxes["p0"].checks
-            await cluster.wait_until(lambda: cluster.boxes["p0"].checks >= n + 4, "checks of p0")
-            assert cluster.boxes["c1"].checks - before <= 2 * 4 + 4
+            before, n = cluster.stand_ins["c1"].checks, cluster.stand_ins["p0"].checks
+            await cluster.wait_until(lambda: cluster.stand_ins["p0"].checks >= n + 4, "checks of p0")
+            assert cluster.stand_ins["c1"].checks - before <= 2 * 4 + 4
             first = await bounded(owner_of, cluster, "orders")
             cluster.power_off(first)
             left = [name for name in cluster.names if name != first]
-            cluster.boxes["c0"].ill = False
+            cluster.stand_ins["c0"].unhealthy = False
             await all_know(cluster, "c0", ("ready", "degraded"), left)
-            cluster.boxes["c2"].ill = True
+            cluster.stand_ins["c2"].unhealthy = True
             await all_know(cluster, "c2", ("down",), left)
             # A drain of the membership wins whatever an owner says.
-            cluster.boxes["c1"].draining = True
+            cluster.stand_ins["c1"].draining = True
             cluster.coordinator.publish_members("c1")
             await all_know(cluster, "c1", ("draining",), left)
             await cluster.power_on(first)
--- a/tests/test_operations_faults.py
+++ b/tests/test_operations_faults.py
@@ -17,22 +17,23 @@
     cluster.record.feed(MembershipSent(now_us(), "n0", name, MemberStatus.DRAINING if out else MemberStatus.SERVING))
 
 
-async def order(cluster, way, name, door=None):
+async def order(cluster, action, name, door=None):
     newest = cluster.addresses["n0"]["operator"]
     cluster.addresses["n0"]["operator"] = door or newest
     try:
-        status, text = await cluster.operator_request("n0", "PUT", f"/maintenance/{way}?member={name}")
+        status, text = await cluster.operator_request("n0", "PUT", f"/maintenance/{action}?member={name}")
     finally:
         cluster.addresses["n0"]["operator"] = newest
     assert status == 200, text
-    tell_out(cluster, name, way == "enter")
+    tell_out(cluster, name, action == "enter")
 
 
 async def until_used_again(cluster, name):
     """The caches' own copies of what they sent: one of that cache is newer than now."""
     since = now_us()
     await cluster.wait_until(
-        lambda: any(c.member == name and c.asked_us > since for c in cluster.world.copies), f"{name} is used again"
+        lambda: any(c.member == name and c.received_us > since for c in cluster.shared.sent_copies),
+        f"{name} is used again",
     )
 
 
@@ -163,7 +164,7 @@
             assert await first.wait_for_exit() == 0
             assert trio.current_time() - began < 10 or cluster.front.late_s > 0.5
             await cluster.wait_for_served(30)
-            assert not [w for w in cluster.front.wishes if "lost" in w.verdicts], cluster.report()
+            assert not [w for w in cluster.front.requests if "lost" in w.verdicts], cluster.report()
             cluster.check_invariants()
 
     trio.run(main)
--- a/tests/test_operations_processes.py
+++ b/tests/test_operations_processes.py
@@ -8,7 +8,7 @@
 
 
 def lost(cluster):
-    return [w for w in cluster.front.wishes if "lost" in w.verdicts]
+    return [w for w in cluster.front.requests if "lost" in w.verdicts]
 
 
 def test_upgrades_under_load_lose_nothing_and_break_no_rule():
--- a/tests/test_process_cluster.py
+++ b/tests/test_process_cluster.py
@@ -11,7 +11,7 @@
 from rookbend.testing.cluster import open_cluster
 from rookbend.testing.cluster.process import SHIM, Node
 from rookbend.testing.cluster.record import Record
-from rookbend.testing.cluster.relay import UdpRelay, Ways
+from rookbend.testing.cluster.relay import Links, UdpRelay
 from rookbend.testing.fault_timeline_format import format_faults, parse_faults
 
 
@@ -20,15 +20,15 @@
         async with open_cluster(directors=3, rate=60) as cluster:
             await cluster.start()
             await cluster.wait_until_admitted()
-            await cluster.wait_until(lambda: len(cluster.world.ran) > 5, "writes ran")
+            await cluster.wait_until(lambda: len(cluster.shared.executions) > 5, "writes ran")
             await cluster.play("[failure dark]\n kind power\n part n0 n1 n2 c0 c1 c2 c3 p0\n at 0s\n for 200ms\n")
             for node in cluster.nodes.values():
                 await node.wait_for_log("ready")
             assert all(node.start_count == 2 for node in cluster.nodes.values())
-            ran = len(cluster.world.ran)
-            await cluster.wait_until(lambda: len(cluster.world.ran) > ran + 5, "writes ran again")
+            ran = len(cluster.shared.executions)
+            await cluster.wait_until(lambda: len(cluster.shared.executions) > ran + 5, "writes ran again")
             cluster.check_invariants()
-            once = [rids for rids in cluster.world.ran.values() if len(rids) != len(set(rids))]
+            once = [rids for rids in cluster.shared.executions.values() if len(rids) != len(set(rids))]
             assert not once, f"run twice under one id: {once}"
 
     trio.run(main)
@@ -41,7 +41,7 @@
             await cluster.wait_until_admitted()
             cluster.cut("coordinator", "n0")
             cluster.freeze("n1")
-            cluster.boxes["c0"].draining = True
+            cluster.stand_ins["c0"].draining = True
             cluster.coordinator.publish_members("c0")
             lost = await cluster.nodes["n0"].wait_for_log("coordinator_lost")
             assert lost["reason"] == "the stream is silent"
@@ -59,22 +59,22 @@
 
 def test_datagrams_are_lost_doubled_and_reordered_as_the_seed_says():
     async def main():
-        record, ways = Record(), Ways()
+        record, links = Record(), Links()
         socks = {}
         for name in ("a", "b"):
             socks[name] = sock = trio.socket.socket(trio.socket.AF_INET, trio.socket.SOCK_DGRAM)
             await sock.bind(("127.0.0.1", 0))
-        relay = UdpRelay(ways, record, {n: s.getsockname()[:2] for n, s in socks.items()}, 7)
+        relay = UdpRelay(links, record, {n: s.getsockname()[:2] for n, s in socks.items()}, 7)
         async with trio.open_nursery() as nursery:
             known = await relay.listen(nursery, lambda name: "127.0.0.1")
             host, _, port = known["b"].rpartition(":")
-            ways.get("a", "b").set(loss=0.3, double=0.5, reorder=0.3)
+            links.get("a", "b").set(loss=0.3, duplicate=0.5, reorder=0.3)
             for i in range(200):
                 await socks["a"].sendto(bytes([i]), (host, int(port)))
                 await trio.sleep(0.0005)
-            while record.counts["datagram", "a"] < 200 or relay.waiting:
+            while record.counts["datagram", "a"] < 200 or relay.delayed:
                 await trio.sleep(0)
-            ways.get("a", "b").heal()
+            links.get("a", "b").heal()
             await socks["a"].sendto(b"end", (host, int(port)))
             got = []
             while not got or got[-1] != b"end":
--- a/tests/test_recovery_disks_processes.py
+++ b/tests/test_recovery_disks_processes.py
@@ -4,26 +4,26 @@
 import trio
 
 from rookbend.testing.cluster import disk
-from tests.recovery_clusters import all_reach, fleet, order_on, same_orders, told
+from tests.recovery_clusters import fleet, logged, order_of_member, wait_until_all_reach, wait_until_orders_replicated
 
 
 def test_an_order_outlives_its_director_and_even_its_disk_and_is_refused_where_the_disk_is_full():
     async def main():
         async with fleet(rate=0) as cluster:
-            await all_reach(cluster)
+            await wait_until_all_reach(cluster)
             order = {"member": "c1", "order": "drain", "by": "kim"}
             assert (await cluster.admin_request("n0", "/orders", "POST", order))["status"] == 200
-            await same_orders(cluster, "n0")
+            await wait_until_orders_replicated(cluster, "n0")
             for lose_disk in (False, True):
                 cluster.power_off("n0")
                 await cluster.nodes["n0"].wait_for_exit()
                 if lose_disk:
-                    disk.copy(cluster.nodes["n0"].state, cluster.folder / "lost")
+                    disk.copy_folder(cluster.nodes["n0"].state, cluster.folder / "lost")
                     for left in cluster.nodes["n0"].state.iterdir():
                         left.unlink()
                 await cluster.power_on("n0")
-                await all_reach(cluster, names=["n0"])
-                await cluster.wait_for_answer("n0", "/members", lambda found: order_on(found, "c1") == "drain")
+                await wait_until_all_reach(cluster, names=["n0"])
+                await cluster.wait_for_answer("n0", "/members", lambda found: order_of_member(found, "c1") == "drain")
             raised = await cluster.nodes["n0"].wait_for_log("boot_raised")
             assert raised["boot"] == 3, "above the number that the peers knew"
             cluster.nodes["n0"].set_disk("full")
@@ -31,7 +31,7 @@
                 "n0", "/orders", "POST", {"member": "c2", "order": "drain", "by": "kim"}
             )
             assert found["status"] == 503 and "not durable: disk full" in found["fault"]
-            assert order_on(await cluster.admin_request("n0", "/members"), "c2") == "ready"
+            assert order_of_member(await cluster.admin_request("n0", "/members"), "c2") == "ready"
             assert (await cluster.nodes["n0"].wait_for_log("state_degraded"))["reason"] == "disk full"
             cluster.nodes["n0"].set_disk()
             await cluster.nodes["n0"].wait_for_log("state_well")
@@ -46,30 +46,30 @@
 def test_last_weeks_disk_moves_nothing_back_and_its_owner_takes_a_higher_number():
     async def main():
         async with fleet(rate=0, directors=4) as cluster:
-            await all_reach(cluster)
+            await wait_until_all_reach(cluster)
             node = cluster.nodes["n1"]
             await cluster.admin_request("n1", "/orders", "POST", {"member": "c1", "order": "drain", "by": "kim"})
             cluster.power_off("n1")
             await node.wait_for_exit()
-            disk.lose(node.state)
-            disk.copy(node.state, cluster.folder / "backup")
+            disk.discard_unsynced(node.state)
+            disk.copy_folder(node.state, cluster.folder / "backup")
             for word in ("ready", "maintain"):
                 cluster.power_off("n1")
                 await cluster.power_on("n1")
-                await all_reach(cluster, names=["n1"])
+                await wait_until_all_reach(cluster, names=["n1"])
                 await cluster.admin_request("n1", "/orders", "POST", {"member": "c1", "order": word, "by": "kim"})
-            await same_orders(cluster, "n1")
-            boot = told(cluster, "n1", "state_open")[0]["boot"]
+            await wait_until_orders_replicated(cluster, "n1")
+            boot = logged(cluster, "n1", "state_open")[0]["boot"]
             cluster.power_off("n1")
             await node.wait_for_exit()
-            disk.copy(cluster.folder / "backup", node.state)
+            disk.copy_folder(cluster.folder / "backup", node.state)
             await cluster.power_on("n1")
-            assert told(cluster, "n1", "state_open") or await node.wait_for_log("state_open")
-            assert told(cluster, "n1", "state_open")[0]["boot"] < boot
+            assert logged(cluster, "n1", "state_open") or await node.wait_for_log("state_open")
+            assert logged(cluster, "n1", "state_open")[0]["boot"] < boot
             assert (await node.wait_for_log("boot_raised"))["boot"] == boot + 1
-            await all_reach(cluster, names=["n1"])
+            await wait_until_all_reach(cluster, names=["n1"])
             # Its newest order comes back from the others, not the backup's.
-            await cluster.wait_for_answer("n1", "/members", lambda found: order_on(found, "c1") == "maintain")
+            await cluster.wait_for_answer("n1", "/members", lambda found: order_of_member(found, "c1") == "maintain")
             for name in ("n0", "n2", "n3"):
                 await cluster.wait_for_answer(
                     name,
--- a/tests/test_recovery_names_processes.py
+++ b/tests/test_recovery_names_processes.py
@@ -7,7 +7,7 @@
 from rookbend.protocol.coordinator_stream import split_address
 from rookbend.testing.cluster import open_cluster
 from rookbend.testing.cluster.dns_names import look_up, submit
-from tests.recovery_clusters import RECOVERY, all_reach
+from tests.recovery_clusters import RECOVERY, wait_until_all_reach
 
 DNS = """
 [dns]
@@ -28,7 +28,7 @@
             cluster.change_settings = short_writes
             await cluster.start()
             await cluster.wait_until_admitted()
-            await all_reach(cluster)
+            await wait_until_all_reach(cluster)
             server, number = split_address(cluster.addresses["n0"]["dns"]), 1000
 
             async def again(number):
@@ -45,20 +45,24 @@
                 pass
             served = number
             assert before[1] == "records.example.org" and before[2]
-            cluster.origin.make = replace(cluster.origin.make, first_s=0.25)  # the next is under way at the loss
+            cluster.origin.profile = replace(
+                cluster.origin.profile, first_byte_s=0.25
+            )  # the next is under way at the loss
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(submit, cluster.record, "n0", server, 7, 300_000)
-                await cluster.wait_until(lambda: f"{7:016x}" in cluster.world.ran, "it runs")
+                await cluster.wait_until(lambda: f"{7:016x}" in cluster.shared.executions, "it runs")
                 cluster.power_off("n0")
                 nursery.cancel_scope.cancel()
             await cluster.power_on("n0")
-            await all_reach(cluster)
+            await wait_until_all_reach(cluster)
             assert await again(served) == before, "what was given out is given out again"
-            cluster.origin.make = replace(cluster.origin.make, first_s=0.04)
+            cluster.origin.profile = replace(cluster.origin.profile, first_byte_s=0.04)
             while (await new())[0] != "NOERROR":  # writes are taken again, and that one still is not
                 pass
             assert (await again(7))[0] == "SERVFAIL", "whether it ran can't be told"
-            assert [len(rids) for rids in cluster.world.ran.values()] == [1] * len(cluster.world.ran), "ran once each"
+            assert [len(rids) for rids in cluster.shared.executions.values()] == [1] * len(
+                cluster.shared.executions
+            ), "ran once each"
             cluster.check_invariants()
 
     trio.run(main)
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -208,7 +208,7 @@
 
 
 @pytest.mark.parametrize(
-    "spoil", [faults.spoil, lambda folder: (folder / "state.db").write_bytes(b"no database" * 500)]
+    "spoil", [faults.corrupt_database, lambda folder: (folder / "state.db").write_bytes(b"no database" * 500)]
 )
 def test_a_damaged_file_is_moved_aside_and_the_start_continues(tmp_path, spoil):
     persist(tmp_path, a=b"1")
--- a/tests/test_state_power_loss.py
+++ b/tests/test_state_power_loss.py
@@ -43,7 +43,10 @@
     return folder, reported
 
 
-@pytest.mark.parametrize("loss", [faults.lose, lambda f: faults.tear(f, 0.3), lambda f: faults.tear(f, 1.0)])
+@pytest.mark.parametrize(
+    "loss",
+    [faults.discard_unsynced, lambda f: faults.apply_torn_writes(f, 0.3), lambda f: faults.apply_torn_writes(f, 1.0)],
+)
 def test_rows_reported_as_durable_survive_a_power_loss_and_a_torn_write(tmp_path, loss):
     folder, reported = killed_after(tmp_path, 60, "synced")
     loss(folder)
@@ -53,6 +56,6 @@
 
 def test_the_faulty_disk_loses_unsynced_rows(tmp_path):
     folder, reported = killed_after(tmp_path, 60, "unsynced")
-    assert faults.lose(folder) > 0
+    assert faults.discard_unsynced(folder) > 0
     rows, _ = read(folder)
     assert set(reported) - set(rows), "the test above could not fail with a disk that loses nothing"
--- a/tests/test_state_processes.py
+++ b/tests/test_state_processes.py
@@ -17,13 +17,13 @@
             cluster.power_off("n0", "n1")
             for node in cluster.nodes.values():
                 await node.wait_for_exit()
-            faults.copy(cluster.nodes["n0"].state, cluster.nodes["n1"].state)
+            faults.copy_folder(cluster.nodes["n0"].state, cluster.nodes["n1"].state)
             await cluster.start()
             assert await cluster.nodes["n1"].wait_for_exit() == 2
             raw = cluster.nodes["n1"].find_logs("raw")
             assert len(raw) == 1 and "is of director 'n0', not 'n1'" in raw[0]["text"]
             assert (await cluster.nodes["n0"].wait_for_log("state_open"))["boot"] == 2
-            faults.spoil(cluster.nodes["n1"].state)
+            faults.corrupt_database(cluster.nodes["n1"].state)
             await cluster.start("n1")
             assert "damaged-1" in (await cluster.nodes["n1"].wait_for_log("state_damaged"))["moved"]
             await cluster.wait_until_admitted()
