--- a/rookbend/testing/cluster/disk.py
+++ b/rookbend/testing/cluster/disk.py
@@ -16,9 +16,9 @@
 def discard_unsynced(folder: Path) -> int:
     """What was not synced is gone; how many bytes that were."""
     gone = 0
-    for left in folder.glob(f"*{UNSYNCED_SUFFIX}"):
-        gone += left.stat().st_size
-        left.unlink()
+    for unsynced_file in folder.glob(f"*{UNSYNCED_SUFFIX}"):
+        gone += unsynced_file.stat().st_size
+        unsynced_file.unlink()
     return gone
 
 
@@ -26,15 +26,15 @@
     """A part of what was not synced reached the disk, in the order of writing, the last write of it half; how
     many bytes did. (A disk may reorder more: SQLite's checksums don't care which.)"""
     reached = 0
-    for left in folder.glob(f"*{UNSYNCED_SUFFIX}"):
-        data, at, records = left.read_bytes(), 0, []
+    for unsynced_file in folder.glob(f"*{UNSYNCED_SUFFIX}"):
+        data, at, records = unsynced_file.read_bytes(), 0, []
         while at + WRITE_HEADER.size <= len(data):
             offset, length = WRITE_HEADER.unpack_from(data, at)
             at += WRITE_HEADER.size
             records.append((offset, None if length < 0 else data[at : at + length]))
             at += max(length, 0)
         kept = records[: max(1, int(len(records) * part))]
-        with open(left.with_name(left.name.removesuffix(UNSYNCED_SUFFIX)), "r+b") as file:
+        with open(unsynced_file.with_name(unsynced_file.name.removesuffix(UNSYNCED_SUFFIX)), "r+b") as file:
             for number, (offset, piece) in enumerate(kept):
                 if piece is None:
                     file.truncate(offset)
@@ -44,7 +44,7 @@
                 file.seek(offset)
                 file.write(piece)
                 reached += len(piece)
-        left.unlink()
+        unsynced_file.unlink()
     return reached
 
 
@@ -61,5 +61,5 @@
     data = bytearray(path.read_bytes())
     data[:100] = b"\xff" * 100
     path.write_bytes(data)
-    for beside in ("-wal", "-shm"):
-        (folder / f"state.db{beside}").unlink(missing_ok=True)
+    for journal in ("-wal", "-shm"):
+        (folder / f"state.db{journal}").unlink(missing_ok=True)
--- a/rookbend/testing/cluster/faults.py
+++ b/rookbend/testing/cluster/faults.py
@@ -67,10 +67,10 @@
         self.record.note("fault", f"{source}>{target}", "healed")
         self.links.get(source, target).heal()
 
-    def split(self, ours: Iterable[str], theirs: Iterable[str], cut: bool = True) -> None:
+    def split(self, first: Iterable[str], second: Iterable[str], cut: bool = True) -> None:
         """Directors of the one side and the other do not hear each other."""
-        for a in ours:
-            for b in theirs:
+        for a in first:
+            for b in second:
                 for pair in ((a, b), (b, a)):
                     (self.cut if cut else self.heal)(*pair)
 
--- a/rookbend/testing/cluster/process.py
+++ b/rookbend/testing/cluster/process.py
@@ -72,7 +72,7 @@
             self._clock = mmap.mmap(f.fileno(), CLOCK.size)
         (folder / "stops").write_bytes(b"\0")
         with open(folder / "stops", "r+b") as f:
-            self._stops = mmap.mmap(f.fileno(), 1)
+            self._stop_point = mmap.mmap(f.fileno(), 1)
 
     @property
     def running(self) -> bool:
@@ -86,7 +86,7 @@
     def stop_at(self, where: int = 0) -> None:
         """From now on the process stops itself (SIGSTOP) right before or after the bytes of a line to the
         ledger go out, or in the sync of its disk: `BEFORE_SEND`, `AFTER_SEND`, `IN_SYNC`; 0: nowhere."""
-        self._stops[0] = where
+        self._stop_point[0] = where
 
     async def wait_until_stopped(self) -> None:
         """Waits until it stands still."""
@@ -103,10 +103,10 @@
         """The folder that `{state}` names in the operators' settings of a scene."""
         return self.folder / "state"
 
-    def set_disk(self, word: str = "") -> None:
+    def set_disk(self, fault: str = "") -> None:
         """From now on its disk is `full` or `read-only`, or well again."""
-        (self.folder / "disk").write_text(word)
-        self.record.note("fault", self.name, f"disk {word or 'well'}")
+        (self.folder / "disk").write_text(fault)
+        self.record.note("fault", self.name, f"disk {fault or 'well'}")
 
     def start(self, nursery: trio.Nursery, config: dict, operators: str) -> None:
         assert not self.running, f"{self.name} runs already"
@@ -136,11 +136,11 @@
 
     async def _read(self, process: subprocess.Popen, lines: list[dict]) -> None:
         data = b""
-        said = trio.lowlevel.FdStream(os.dup(process.stderr.fileno()))
+        pipe = trio.lowlevel.FdStream(os.dup(process.stderr.fileno()))
         process.stderr.close()
-        async with said:
+        async with pipe:
             with open(self.folder / "log", "ab") as log:
-                async for more in said:
+                async for more in pipe:
                     log.write(more)
                     log.flush()
                     *whole, data = (data + more).split(b"\n")
--- a/rookbend/testing/cluster/process_cluster.py
+++ b/rookbend/testing/cluster/process_cluster.py
@@ -114,8 +114,8 @@
             relay = TcpRelay(self.links, self.record, name, "ledger", lambda: self.ledger.address)
             await relay.listen(self.nursery, self._host(name, 8))
             self.relays[name, "ledger"] = relay
-            called = await self.coordinator.listen(self.nursery, name, self._host(name, 9))
-            relay = TcpRelay(self.links, self.record, name, "coordinator", lambda called=called: called)
+            target = await self.coordinator.listen(self.nursery, name, self._host(name, 9))
+            relay = TcpRelay(self.links, self.record, name, "coordinator", lambda target=target: target)
             await relay.listen(self.nursery, self._host(name, 8))
             self.relays[name, "coordinator"] = relay
             self.addresses[name] = {
@@ -126,8 +126,8 @@
                 "dns": f"{self._host(name, 5)}:{find_free_port(self._host(name, 5))}",
                 "resolver": await Resolver(name, self._address_of).listen(self.nursery, self._host(name, 6)),
             }
-        heard = {n: split_address(self.addresses[n]["peers"]) for n in self.names}
-        self.peers = await UdpRelay(self.links, self.record, heard, self.seed).listen(
+        peer_listeners = {n: split_address(self.addresses[n]["peers"]) for n in self.names}
+        self.peers = await UdpRelay(self.links, self.record, peer_listeners, self.seed).listen(
             self.nursery, lambda name: self._host(name, 4)
         )
         for name in self.names:
@@ -170,8 +170,8 @@
         await trio.lowlevel.checkpoint()
         for name in names or [n for n in self.names if not self.nodes[n].running]:
             # A start finds $TMPDIR empty; only an upgrade finds it as it was left.
-            for left in self.nodes[name].temporary.iterdir():
-                left.unlink()
+            for leftover in self.nodes[name].temporary.iterdir():
+                leftover.unlink()
             self.nodes[name].start(self.nursery, self.config(name, known), self.settings_text(name))
 
     async def wait_until_admitted(self, *names: str) -> None:
--- a/rookbend/testing/cluster/record.py
+++ b/rookbend/testing/cluster/record.py
@@ -30,19 +30,19 @@
     def feed(self, event: WireEvent) -> None:
         self.checker.observe(event)
 
-    def note(self, what: str, who: str, more: str = "") -> None:
-        self.rows.append((now_us(), what, who, more))
-        self.counts[what, who] += 1
+    def note(self, row_type: str, subject: str, detail: str = "") -> None:
+        self.rows.append((now_us(), row_type, subject, detail))
+        self.counts[row_type, subject] += 1
 
-    def count(self, what: str) -> int:
-        return sum(n for (kind, _), n in self.counts.items() if kind == what)
+    def count(self, row_type: str) -> int:
+        return sum(n for (kind, _), n in self.counts.items() if kind == row_type)
 
-    def times(self, what: str, who: str | None = None) -> list[int]:
-        return [at for at, kind, name, _ in self.rows if kind == what and who in (None, name)]
+    def times(self, row_type: str, subject: str | None = None) -> list[int]:
+        return [at for at, kind, name, _ in self.rows if kind == row_type and subject in (None, name)]
 
-    def peak(self, what: str, window_us: int) -> int:
+    def peak(self, row_type: str, window_us: int) -> int:
         """The most rows of a kind within any window of that length."""
-        times, most, low = self.times(what), 0, 0
+        times, most, low = self.times(row_type), 0, 0
         for high, at in enumerate(times):
             while times[low] <= at - window_us:
                 low += 1
@@ -55,9 +55,9 @@
 
     def timeline(self) -> str:
         """Starts, ends and faults in order, for a failed run: seconds since the stage began."""
-        told = ("start", "end", "fault", "fall", "admitted", "lost", "asked")
+        shown = ("start", "end", "fault", "fall", "admitted", "lost", "asked")
         return "\n".join(
-            f"{(at - self.began_us) / 1e6:8.3f} {what:9} {who} {more}".rstrip()
-            for at, what, who, more in self.rows
-            if what in told
+            f"{(at - self.began_us) / 1e6:8.3f} {row_type:9} {subject} {detail}".rstrip()
+            for at, row_type, subject, detail in self.rows
+            if row_type in shown
         )
--- a/rookbend/testing/cluster/shim/faultydisk.py
+++ b/rookbend/testing/cluster/shim/faultydisk.py
@@ -16,22 +16,22 @@
 
 WRITE_HEADER = struct.Struct("=qi")  # offset, length; -1: a truncation to the offset
 FLAGS = apsw.SQLITE_OPEN_MAIN_DB | apsw.SQLITE_OPEN_WAL | apsw.SQLITE_OPEN_MAIN_JOURNAL
-_stops = b"\0"
+_stop_point = b"\0"
 if os.path.exists(os.path.join(os.environ["ROOKBEND_STAGE"], "stops")):
     with open(os.path.join(os.environ["ROOKBEND_STAGE"], "stops"), "rb") as _file:
-        _stops = mmap.mmap(_file.fileno(), 1, prot=mmap.PROT_READ)
-_word = os.path.join(os.environ["ROOKBEND_STAGE"], "disk")
+        _stop_point = mmap.mmap(_file.fileno(), 1, prot=mmap.PROT_READ)
+_fault_file = os.path.join(os.environ["ROOKBEND_STAGE"], "disk")
 
 
 def _raise_disk_fault():
     try:
-        with open(_word, encoding="ascii") as file:
-            word = file.read().strip()
+        with open(_fault_file, encoding="ascii") as file:
+            fault = file.read().strip()
     except OSError:
         return
-    if word == "full":
+    if fault == "full":
         raise apsw.FullError("the stage says the disk is full")
-    if word == "read-only":
+    if fault == "read-only":
         raise apsw.ReadOnlyError("the stage says the disk is read-only")
 
 
@@ -42,21 +42,21 @@
         with open(self.path, "rb") as file:
             self.image = bytearray(file.read())
         self.unsynced = []
-        self.beside = open(self.path + ".unsynced", "wb", buffering=0)  # noqa: SIM115 - open as long as we
+        self.unsynced_log = open(self.path + ".unsynced", "wb", buffering=0)  # noqa: SIM115 - open as long as we
 
     def xRead(self, amount, offset):
         return bytes(self.image[offset : offset + amount])
 
     def xWrite(self, data, offset):
         _raise_disk_fault()
-        self.beside.write(WRITE_HEADER.pack(offset, len(data)) + bytes(data))
+        self.unsynced_log.write(WRITE_HEADER.pack(offset, len(data)) + bytes(data))
         if len(self.image) < offset:
             self.image.extend(bytes(offset - len(self.image)))
         self.image[offset : offset + len(data)] = data
         self.unsynced.append((offset, bytes(data)))
 
     def xTruncate(self, size):
-        self.beside.write(WRITE_HEADER.pack(size, -1))
+        self.unsynced_log.write(WRITE_HEADER.pack(size, -1))
         del self.image[size:]
         self.unsynced.append((size, None))
 
@@ -66,7 +66,7 @@
     def xSync(self, flags):
         if self.unsynced:
             _raise_disk_fault()
-            if _stops[0] == 3:
+            if _stop_point[0] == 3:
                 os.kill(os.getpid(), signal.SIGSTOP)
         for offset, data in self.unsynced:
             if data is None:
@@ -75,11 +75,11 @@
                 super().xWrite(data, offset)
         self.unsynced.clear()
         super().xSync(flags)
-        self.beside.seek(0)
-        self.beside.truncate()
+        self.unsynced_log.seek(0)
+        self.unsynced_log.truncate()
 
     def xClose(self):
-        self.beside.close()
+        self.unsynced_log.close()
         super().xClose()
 
 
--- a/rookbend/testing/cluster/shim/sitecustomize.py
+++ b/rookbend/testing/cluster/shim/sitecustomize.py
@@ -12,13 +12,13 @@
 _folder = os.environ.get("ROOKBEND_STAGE")
 if _folder and os.path.exists(os.path.join(_folder, "clock")):
     with open(os.path.join(_folder, "clock"), "rb") as _file:
-        _held = mmap.mmap(_file.fileno(), 16, prot=mmap.PROT_READ)
-    _unpack, _true = struct.Struct("=dd").unpack_from, time.time
-    _since = [_true(), 0.0, 0.0]  # true time, seconds ahead there, the setting that was in force
+        _clock_setting = mmap.mmap(_file.fileno(), 16, prot=mmap.PROT_READ)
+    _unpack, _system_time = struct.Struct("=dd").unpack_from, time.time
+    _since = [_system_time(), 0.0, 0.0]  # true time, seconds ahead there, the setting that was in force
 
     def _now():
-        true = _true()
-        ahead, rate = _unpack(_held)
+        true = _system_time()
+        ahead, rate = _unpack(_clock_setting)
         if (ahead, rate) != (_since[1], _since[2]):
             _since[:] = true, ahead, rate
         return true + ahead + (true - _since[0]) * rate
@@ -30,15 +30,15 @@
     import socket
 
     with open(os.path.join(_folder, "stops"), "rb") as _file:
-        _stops = mmap.mmap(_file.fileno(), 1, prot=mmap.PROT_READ)
+        _stop_point = mmap.mmap(_file.fileno(), 1, prot=mmap.PROT_READ)
     _send = socket.socket.send
 
     def _send_or_stop(self, data, *more):
-        mine = _stops[0] and bytes(data[:7]) == b"append "
-        if mine and _stops[0] == 1:
+        mine = _stop_point[0] and bytes(data[:7]) == b"append "
+        if mine and _stop_point[0] == 1:
             os.kill(os.getpid(), signal.SIGSTOP)
         sent = _send(self, data, *more)
-        if mine and _stops[0] == 2:
+        if mine and _stop_point[0] == 2:
             os.kill(os.getpid(), signal.SIGSTOP)
         return sent
 
--- a/rookbend/testing/cluster/upgrades.py
+++ b/rookbend/testing/cluster/upgrades.py
@@ -52,8 +52,8 @@
         old.signal(signal.SIGTERM)
         return await old.wait_for_exit()
 
-    def undo_upgrade(self, name: str, old: Node, door: str) -> None:
+    def undo_upgrade(self, name: str, old: Node, address: str) -> None:
         """The next process has ended: the one before is the director again."""
         self.predecessors[name].remove(old)
         self.nodes[name] = old
-        self.addresses[name]["operator"] = door
+        self.addresses[name]["operator"] = address
--- a/tests/test_leases_processes.py
+++ b/tests/test_leases_processes.py
@@ -73,7 +73,7 @@
         await trio.sleep(0.02)
 
 
-async def bounded(what, *args):
+async def with_timeout(what, *args):
     with trio.fail_after(60):
         return await what(*args)
 
@@ -82,12 +82,12 @@
     return next(row["state"] for row in found["members"] if row["member"] == member)
 
 
-async def all_know(cluster, member, states, names=None):
+async def wait_until_all_know(cluster, member, states, names=None):
     for name in names or cluster.names:
         await cluster.wait_for_answer(name, "/members", lambda found: state_of(found, member) in states)
 
 
-async def another_writes(cluster, old):
+async def wait_for_next_token(cluster, old):
     """Waits for a line with a token above all that `old` was tried with."""
     highest = max(t.token for t in cluster.ledger.appends) if cluster.ledger.appends else 0
     await cluster.wait_until(
@@ -104,15 +104,15 @@
     async def main():
         async with fleet() as cluster:
             await cluster.wait_until(lambda: any(t.result == "ok" for t in cluster.ledger.appends), "a line")
-            old = await bounded(owner_of, cluster, "report")
+            old = await with_timeout(owner_of, cluster, "report")
             node = cluster.nodes[old]
             node.stop_at(where)
             if where == IN_SYNC:
                 with trio.move_on_after(1.0):  # something to be synced
                     await cluster.admin_request(old, "/orders", "POST", {"member": "c1", "order": "drain", "by": "kim"})
             await node.wait_until_stopped()
-            await another_writes(cluster, old)
-            new = await bounded(owner_of, cluster, "report", (old,))
+            await wait_for_next_token(cluster, old)
+            new = await with_timeout(owner_of, cluster, "report", (old,))
             node.stop_at()
             cluster.resume(old)
             await node.wait_for_log("lease_lost", scope="report")
@@ -129,24 +129,24 @@
 def test_members_are_checked_by_one_owner_and_all_know_though_owners_die_or_are_cut_off():
     async def main():
         async with fleet() as cluster:
-            await all_know(cluster, "c0", ("ready", "degraded"))
+            await wait_until_all_know(cluster, "c0", ("ready", "degraded"))
             cluster.stand_ins["c0"].unhealthy = True
-            await all_know(cluster, "c0", ("down",))
+            await wait_until_all_know(cluster, "c0", ("down",))
             # Each of its own, four directors would each ask; owners do once. Whose shard it is may move amid it.
             before, n = cluster.stand_ins["c1"].checks, cluster.stand_ins["p0"].checks
             await cluster.wait_until(lambda: cluster.stand_ins["p0"].checks >= n + 4, "checks of p0")
             assert cluster.stand_ins["c1"].checks - before <= 2 * 4 + 4
-            first = await bounded(owner_of, cluster, "orders")
+            first = await with_timeout(owner_of, cluster, "orders")
             cluster.power_off(first)
-            left = [name for name in cluster.names if name != first]
+            remaining = [name for name in cluster.names if name != first]
             cluster.stand_ins["c0"].unhealthy = False
-            await all_know(cluster, "c0", ("ready", "degraded"), left)
+            await wait_until_all_know(cluster, "c0", ("ready", "degraded"), remaining)
             cluster.stand_ins["c2"].unhealthy = True
-            await all_know(cluster, "c2", ("down",), left)
+            await wait_until_all_know(cluster, "c2", ("down",), remaining)
             # A drain of the membership wins whatever an owner says.
             cluster.stand_ins["c1"].draining = True
             cluster.coordinator.publish_members("c1")
-            await all_know(cluster, "c1", ("draining",), left)
+            await wait_until_all_know(cluster, "c1", ("draining",), remaining)
             await cluster.power_on(first)
 
     trio.run(main)
@@ -155,23 +155,23 @@
 def test_an_order_for_the_fleet_stands_through_the_loss_of_its_writer_of_a_disk_and_of_all_power():
     async def main():
         async with fleet() as cluster:
-            writer = await bounded(owner_of, cluster, "orders")
+            writer = await with_timeout(owner_of, cluster, "orders")
             other = next(name for name in cluster.names if name != writer)
             order = {"member": "c1", "order": "maintain", "by": "kim", "fleet": True}
             assert (await cluster.admin_request(other, "/orders", "POST", order))["status"] == 200
             cluster.power_off(writer)
-            await all_know(cluster, "c1", ("maintenance",), [n for n in cluster.names if n != writer])
+            await wait_until_all_know(cluster, "c1", ("maintenance",), [n for n in cluster.names if n != writer])
             await cluster.nodes[writer].wait_for_exit()
-            for left in cluster.nodes[writer].state.iterdir():
-                left.unlink()
+            for file in cluster.nodes[writer].state.iterdir():
+                file.unlink()
             await cluster.power_on(writer)
-            await all_know(cluster, "c1", ("maintenance",))
+            await wait_until_all_know(cluster, "c1", ("maintenance",))
             tokens = {r["scope"]: r["token"] for r in (await cluster.admin_request(other, "/owners"))["owners"]}
             cluster.power_off()
             await cluster.power_on()
-            await bounded(owner_of, cluster, "orders")
-            await all_know(cluster, "c1", ("maintenance",))
-            new = await bounded(owner_of, cluster, "orders")
+            await with_timeout(owner_of, cluster, "orders")
+            await wait_until_all_know(cluster, "c1", ("maintenance",))
+            new = await with_timeout(owner_of, cluster, "orders")
             found = await cluster.admin_request(new, "/owners")
             for row in found["owners"]:
                 if row["ours"]:
@@ -194,7 +194,7 @@
                     await cluster.wait_for_answer(
                         name, "/owners", lambda found: not any(r["ours"] for r in found["owners"])
                     )
-                owner = await bounded(owner_of, cluster, "orders", few)
+                owner = await with_timeout(owner_of, cluster, "orders", few)
                 assert owner in many
                 refused = await cluster.admin_request(
                     few[0], "/orders", "POST", {"member": "c0", "order": "drain", "by": "kim", "fleet": True}
@@ -209,7 +209,7 @@
 def test_sigterm_hands_over_and_a_reload_of_half_the_voters_makes_no_second_owner():
     async def main():
         async with fleet(directors=5) as cluster:
-            owner = await bounded(owner_of, cluster, "orders")
+            owner = await with_timeout(owner_of, cluster, "orders")
             cluster.nodes[owner].signal(signal.SIGTERM)
             lost = await cluster.nodes[owner].wait_for_log("lease_lost", scope="orders")
             assert lost["why"].startswith("handed to")
@@ -240,7 +240,7 @@
             for name in cluster.names:
                 await cluster.wait_for_answer(name, "/owners", lambda found: found["voters_before"] is None)
             cluster.power_off("n0", "n1")
-            assert await bounded(owner_of, cluster, "orders") in ("n2", "n3", "n4")
+            assert await with_timeout(owner_of, cluster, "orders") in ("n2", "n3", "n4")
 
     trio.run(main)
 
@@ -255,7 +255,7 @@
         operators = OWNERSHIP.replace("report-ledger {ledger}", f"report-file   {path}")
         async with fleet(directors=3, operators=operators) as cluster:
             await cluster.wait_until(lambda: len(lines()) >= 2, "two lines")
-            old = await bounded(owner_of, cluster, "report")
+            old = await with_timeout(owner_of, cluster, "report")
             first = lines()[-1]["token"]
             cluster.power_off(old)
             await cluster.wait_until(lambda: lines()[-1]["token"] > first, "a line of the next owner")
--- a/tests/test_operations_faults.py
+++ b/tests/test_operations_faults.py
@@ -12,23 +12,23 @@
 from rookbend.testing.invariant_events import MembershipSent, MemberStatus
 
 
-def tell_out(cluster, name, out):
+def record_order(cluster, name, out):
     """From here on the order binds the director: the checker judges it as it judges a drain."""
     cluster.record.feed(MembershipSent(now_us(), "n0", name, MemberStatus.DRAINING if out else MemberStatus.SERVING))
 
 
-async def order(cluster, action, name, door=None):
+async def set_maintenance(cluster, action, name, endpoint=None):
     newest = cluster.addresses["n0"]["operator"]
-    cluster.addresses["n0"]["operator"] = door or newest
+    cluster.addresses["n0"]["operator"] = endpoint or newest
     try:
         status, text = await cluster.operator_request("n0", "PUT", f"/maintenance/{action}?member={name}")
     finally:
         cluster.addresses["n0"]["operator"] = newest
     assert status == 200, text
-    tell_out(cluster, name, action == "enter")
+    record_order(cluster, name, action == "enter")
 
 
-async def until_used_again(cluster, name):
+async def wait_until_used_again(cluster, name):
     """The caches' own copies of what they sent: one of that cache is newer than now."""
     since = now_us()
     await cluster.wait_until(
@@ -42,20 +42,20 @@
         async with open_cluster(directors=1, caches=4, rate=40) as cluster:
             await cluster.start_with_operator_endpoints()
             await cluster.wait_for_served(20)
-            await order(cluster, "enter", "c0")  # before
-            old_door = cluster.addresses["n0"]["operator"]
+            await set_maintenance(cluster, "enter", "c0")  # before
+            old_endpoint = cluster.addresses["n0"]["operator"]
             old = await cluster.upgrade("n0")
             await cluster.wait_until_accepting("n0")
-            await order(cluster, "enter", "c1", old_door)  # during, at the old one's door
-            await order(cluster, "enter", "c2")  # and at the new one's
+            await set_maintenance(cluster, "enter", "c1", old_endpoint)  # during, at the old one's door
+            await set_maintenance(cluster, "enter", "c2")  # and at the new one's
             await cluster.wait_for_served(30)
-            await order(cluster, "exit", "c1")  # undone at the other
+            await set_maintenance(cluster, "exit", "c1")  # undone at the other
             assert await cluster.stop_predecessor(old) == 0
             await cluster.wait_for_served(30)
             figures = await cluster.read_operator_metrics("n0")
             assert figures["svc.caches_excluded"] == 2 and figures["svc.caches_known"] == 4
-            await order(cluster, "exit", "c0")
-            await until_used_again(cluster, "c0")
+            await set_maintenance(cluster, "exit", "c0")
+            await wait_until_used_again(cluster, "c0")
             cluster.check_invariants()
             old = await cluster.upgrade("n0")  # c2 is still out
             await cluster.wait_until_accepting("n0")
@@ -74,12 +74,12 @@
             resource.prlimit(cluster.nodes["n0"].process.pid, resource.RLIMIT_FSIZE, (0, 0))
             old = await cluster.upgrade("n0")
             await cluster.wait_until_accepting("n0")
-            old_door = cluster.addresses["n0"]["operator"]
-            await order(cluster, "enter", "c0")
+            old_endpoint = cluster.addresses["n0"]["operator"]
+            await set_maintenance(cluster, "enter", "c0")
             await old.wait_for_log("exclusions_unwritten")
             assert await cluster.stop_predecessor(old) == 0
             await cluster.wait_for_served(30)
-            assert (await cluster.read_operator_metrics("n0"))["svc.caches_excluded"] == 1 and old_door
+            assert (await cluster.read_operator_metrics("n0"))["svc.caches_excluded"] == 1 and old_endpoint
             cluster.check_invariants()
 
     trio.run(main)
@@ -104,7 +104,7 @@
     async def main():
         async with open_cluster(directors=1, rate=40) as cluster:
             await cluster.start_with_operator_endpoints()
-            door = cluster.addresses["n0"]["operator"]
+            endpoint = cluster.addresses["n0"]["operator"]
             old = await cluster.upgrade("n0")
             new = cluster.nodes["n0"]
             while not old.find_logs("upgrade_asked"):
@@ -114,7 +114,7 @@
                 await cluster.wait_for_served(30)
             new.kill()
             await new.wait_for_exit()
-            cluster.undo_upgrade("n0", old, door)
+            cluster.undo_upgrade("n0", old, endpoint)
             await cluster.wait_for_served(20)
             cluster.check_invariants()
 
--- a/tests/test_operations_processes.py
+++ b/tests/test_operations_processes.py
@@ -38,7 +38,7 @@
         async with open_cluster(directors=1, rate=40) as cluster:
             await cluster.start_with_operator_endpoints()
             for yes in (False, True):
-                door = cluster.addresses["n0"]["operator"]
+                endpoint = cluster.addresses["n0"]["operator"]
                 old = await cluster.upgrade("n0")
                 new = cluster.nodes["n0"]
                 if yes:
@@ -47,7 +47,7 @@
                     await new.wait_for_log("upgrade_inherited")
                 new.kill()
                 await new.wait_for_exit()
-                cluster.undo_upgrade("n0", old, door)
+                cluster.undo_upgrade("n0", old, endpoint)
                 await cluster.wait_for_served(20)
                 assert (await cluster.operator_request("n0", "GET", "/status"))[0] == 200
             old = await cluster.upgrade("n0")  # and the next one finds it as before
--- a/tests/test_process_cluster.py
+++ b/tests/test_process_cluster.py
@@ -143,13 +143,13 @@
 
 
 def test_the_new_failures_are_read_written_and_refused_like_the_others():
-    day = parse_faults(
+    schedule = parse_faults(
         "[failure a]\n kind clock\n part n0\n at 1s\n by 10m\n back yes\n"
         "[failure b]\n kind cut-between\n part n0>n1\n at 2s\n for 1s\n",
         "day",
     )
-    assert parse_faults(format_faults(day), "again") == tuple(
+    assert parse_faults(format_faults(schedule), "again") == tuple(
         type(f)(**{**{n: getattr(f, n) for n in f.__struct_fields__}, "place": g.place})
-        for f, g in zip(day, parse_faults(format_faults(day), "again"), strict=True)
+        for f, g in zip(schedule, parse_faults(format_faults(schedule), "again"), strict=True)
     )
-    assert day[0].back and day[1].target_type == "pair"
+    assert schedule[0].back and schedule[1].target_type == "pair"
--- a/tests/test_recovery_disks_processes.py
+++ b/tests/test_recovery_disks_processes.py
@@ -19,8 +19,8 @@
                 await cluster.nodes["n0"].wait_for_exit()
                 if lose_disk:
                     disk.copy_folder(cluster.nodes["n0"].state, cluster.folder / "lost")
-                    for left in cluster.nodes["n0"].state.iterdir():
-                        left.unlink()
+                    for file in cluster.nodes["n0"].state.iterdir():
+                        file.unlink()
                 await cluster.power_on("n0")
                 await wait_until_all_reach(cluster, names=["n0"])
                 await cluster.wait_for_answer("n0", "/members", lambda found: order_of_member(found, "c1") == "drain")
