--- a/rookbend/testing/cluster/__init__.py
+++ b/rookbend/testing/cluster/__init__.py
@@ -1,28 +1,28 @@
-"""A cluster of real processes: directors as the program runs them, stand-ins of all they talk to, relays between them,
-faults, and a record of what crossed. See `process_cluster`.
+"""A test cluster of real processes: directors run as in production, stand-ins for every system they talk to, relays
+between them that inject faults, and a record of the traffic that the invariant checker judges. See `process_cluster`.
 
-    process          a director's process, its log lines, its clock
-    relay            TCP and UDP between any two, with faults for each direction
+    process          a director's process, its log lines and its clock
+    relay            TCP and UDP relays between any two processes, with faults for each direction
     traffic_classes  the classes of requests
-    shared_state     what all members share, and how each is made
-    members          caches, parents, the origin: memory, warm-up, limits, overload
-    member_wire      the platform's lines as members speak them
+    shared_state     the state that all members share, and the profile of each role
+    members          caches, parents and the origin: memory, warm-up, limits, overload
+    member_wire      the members' side of the platform's line protocol
     coordinator      the membership stream and the purges
     dns_names        a resolver, and a client of the directors' DNS fronts
     clients          open-loop clients, and the front that admits directors
-    workload         what clients request, and their connections
-    record           what was seen, on one clock, fed to the invariant checker
+    workload         the clients' requests and the front's connections
+    record           observed events on one clock, passed to the invariant checker
     director_config  the configuration and settings of directors
-    faults           power losses, partitions, processes that stand still
-    disk             what a power loss leaves of a director's folder
-    admin_client     calls at a director's listeners
+    faults           power losses, partitions, frozen processes
+    disk             the effects of a power loss on a director's state folder
+    admin_client     requests to a director's listeners
     upgrades         a second process of one director
-    report_ledger    the ledger of the fleet's report
-    address_block    the addresses that a scenario uses
-    process_cluster  all of it together
-    cluster_runner   opens and ends a scenario
-    failure_record   what a failed one leaves behind
-    soak             seeded events under load, judged
+    report_ledger    the ledger that receives the fleet's report
+    address_block    the loopback addresses that a cluster uses
+    process_cluster  the cluster that combines these parts
+    cluster_runner   opens and closes a cluster
+    failure_record   the files kept of a failed cluster
+    soak             seeded events under load, with checks
 """
 
 from rookbend.testing.cluster.cluster_runner import open_cluster
--- a/rookbend/testing/cluster/admin_client.py
+++ b/rookbend/testing/cluster/admin_client.py
@@ -1,5 +1,4 @@
-"""Questions to a director's listeners: the operators' own (`[admin]`) and the platform's door for
-operators."""
+"""Requests to a director's two listeners for operators: the `[admin]` listener and the platform's operator endpoint."""
 
 from __future__ import annotations
 
@@ -14,7 +13,7 @@
 
 
 async def http_request(address: str, path: str, method: str = "GET", body: dict | None = None) -> tuple[int, bytes]:
-    """One call on a connection of its own: status and body; (0, ...) where it ended without an answer."""
+    """Sends one request on its own connection. Returns status and body; status 0 if no answer came."""
     conn = h11.Connection(h11.CLIENT)
     data = msgspec.json.encode(body) if body is not None else b""
     headers = [("Host", "127.0.0.1"), ("Connection", "close"), ("Content-Length", str(len(data)))]
@@ -40,10 +39,10 @@
 
 
 class AdminRequests:
-    """The part of `Scene` that asks."""
+    """The part of `ProcessCluster` that sends requests to directors' listeners."""
 
     async def admin_request(self, name: str, path: str, method: str = "GET", body: dict | None = None) -> dict:
-        """One question to the director's operators' listener; the decoded answer, with its `status`."""
+        """Sends one request to the director's `[admin]` listener. Returns the decoded answer with its `status`."""
         status, found = await http_request(self.addresses[name]["admin"], path, method, body)
         try:
             decoded = msgspec.json.decode(found)
@@ -54,17 +53,17 @@
         return {**decoded, "status": status}
 
     async def operator_request(self, name: str, method: str, path: str) -> tuple[int, str]:
-        """One call at the newest door of a director: status and text."""
+        """Sends one request to the operator endpoint of a director's newest process. Returns status and text."""
         status, found = await http_request(self.addresses[name]["operator"], path, method)
         return status, found.decode()
 
     async def read_operator_metrics(self, name: str) -> dict[str, int]:
-        """The figures at that door, by name."""
+        """Returns the metrics of the operator endpoint by name."""
         _, text = await self.operator_request(name, "GET", "/status/metrics")
         return {line.partition(":")[0]: int(line.partition(":")[2].partition("|")[0]) for line in text.splitlines()}
 
     async def wait_for_answer(self, name: str, path: str, holds: Callable[[dict], bool]) -> dict:
-        """Asks a director's listener again and again until the answer is as wanted. Raises `HungProcessError`."""
+        """Repeats a request until the answer satisfies `holds`. Raises `HungProcessError` on a time-out."""
         found = None
         with trio.move_on_after(HANG_TIMEOUT_S):
             while True:
@@ -73,6 +72,8 @@
                     if holds(found):
                         return found
                 except (OSError, trio.BrokenResourceError):
-                    pass  # it has only begun, or just ended
+                    pass  # the director is starting or has ended
                 await trio.sleep(0.02)
-        raise HungProcessError(f"{name} never answered {path} as wanted; last:\n{found}\n{self.report()}")
+        raise HungProcessError(
+            f"{name} never gave the expected answer to {path}; last answer:\n{found}\n{self.report()}"
+        )
--- a/rookbend/testing/cluster/clients.py
+++ b/rookbend/testing/cluster/clients.py
@@ -1,8 +1,8 @@
-"""Clients behind a front that admits only ready directors and notices a death seconds late.
+"""Clients behind a front that admits only ready directors and notices the end of one only after seconds.
 
-Arrivals are open-loop: each request is sent when it is due, whatever became of those before. Objects are
-wanted by a Zipf law. A client that is refused comes again after the time it was told, one whose connection
-breaks asks another director; a retry has a new id, as the protocol has it, and belongs to its first try.
+Arrivals are open-loop: each request is sent when it is due, independent of earlier ones. Objects follow a Zipf
+distribution. A refused client retries after the back-off in the answer; after a broken connection it retries at
+any admitted director. A retry has a new request id, as the protocol requires, and counts towards the first try.
 """
 
 from __future__ import annotations
@@ -22,12 +22,12 @@
 
 CONNECTION_ERRORS = OSError, trio.BrokenResourceError, trio.ClosedResourceError
 VERDICTS = {0: "served", 14: "refused", 2: "failed"}
-CONNECTIONS = 4  # of the front to one director
-MAX_STREAMS = 32  # open requests on one, the protocol's bound
-CLOSING_FRAME = 3  # the frame that says: no new request on this connection
+CONNECTIONS = 4  # from the front to one director
+MAX_STREAMS = 32  # open requests on one connection, the protocol's limit
+CLOSING_FRAME = 3  # type of the frame that announces: no new requests on this connection
 MAX_TRIES = 3
 MIN_BACKOFF_S = 0.05
-ADMISSION_RETRY_S = 0.05  # between two calls of the front to a director that is not there
+ADMISSION_RETRY_S = 0.05  # pause between two probes of a director that is not ready
 
 
 class Front:
@@ -48,11 +48,11 @@
         self.weights = [w / total for w in weights]
         self.targets: dict[str, Target] = {}
         self.requests: list[ClientRequest] = []
-        self.late_s = 0.0  # the most that a request was sent late: the lab's own lateness
+        self.late_s = 0.0  # the longest delay of a request behind its due time, caused by a busy machine
         self.lost: list[LostRequest] = []
-        self.honors_closing = True  # whether a connection takes no new request once the director has announced its end
-        self.unsent = 0  # wishes for which no director was admitted
-        self.changed = trio.Event()  # something was answered, admitted or lost
+        self.honors_closing = True  # send no new request on a connection after its closing frame
+        self.unsent = 0  # tries without an admitted director
+        self.changed = trio.Event()  # set at each answer, admission and lost connection
         self._rid = 0
         self._retries: trio.Nursery | None = None
         self.running = trio.CancelScope()
@@ -68,7 +68,7 @@
     # Admission
 
     async def _admit_when_ready(self, target: Target) -> None:
-        """Asks a director until it says ready; then holds connections to it until they break."""
+        """Probes a director until it is ready, then keeps connections to it until they break."""
         while True:
             try:
                 stream = await trio.open_tcp_stream(*target.address)
@@ -86,14 +86,14 @@
             except* CONNECTION_ERRORS:
                 pass
             if target.admitted:
-                # The front goes on choosing it until it notices.
+                # The front keeps choosing the director until it notices the loss.
                 self.record.note("lost", target.name)
                 await trio.sleep(self.notice_s)
                 target.admitted = False
             await trio.sleep(ADMISSION_RETRY_S)
 
     def drop_connections(self, name: str) -> None:
-        """What is open at that director is lost: its machine has vanished, nothing of it comes any more."""
+        """Resets all connections to a director whose machine has vanished; their open requests are lost."""
         for conn in list(self.targets[name].connections):
             reset(conn.stream)
 
@@ -112,7 +112,7 @@
             target.connections.remove(conn)
             for rid, req, sent_us in conn.open.values():
                 self.lost.append(LostRequest(target.name, sent_us, now_us()))
-                # The process, or the way to it, has gone: that it left them unanswered is no breach.
+                # The process or the link to it is gone, so an unanswered request violates no invariant.
                 self.record.feed(ClientClosed(now_us(), rid))
                 req.verdicts.append("lost")
                 self._schedule_retry(req, 0.1)
@@ -132,7 +132,7 @@
             data += more
             while len(data) >= 4 and len(data) >= 4 + (size := int.from_bytes(data[:4], "big")):
                 if data[4] == CLOSING_FRAME and self.honors_closing and not conn.closing:
-                    conn.closing = True  # the next request goes out on a new connection
+                    conn.closing = True  # the next request uses a new connection
                     target.nursery.start_soon(self._run_connection, target)
                 self._handle_answer(conn, data[4 : 4 + size])
                 data = data[4 + size :]
@@ -141,7 +141,7 @@
 
     def _handle_answer(self, conn: FrontConnection, data: bytes) -> None:
         if data[0] != 8:
-            return  # 3: no new request here; the connection ends by itself
+            return  # 3, the closing frame: handled by `_read`
         stream, verdict = int.from_bytes(data[1:5], "big"), VERDICTS.get(data[5], "failed")
         rid, req, _ = conn.open.pop(stream, ("", None, 0))
         fields, at = {}, 7
@@ -162,7 +162,7 @@
             self._schedule_retry(req, int(fields.get("backoff", 0)) / 1000)
         self._notify()
 
-    # Wishes
+    # Requests
 
     def _schedule_retry(self, req: ClientRequest, after_s: float) -> None:
         if req.tries < MAX_TRIES and self._retries is not None and not self.running.cancel_called:
@@ -182,7 +182,7 @@
         target = self.random.choice(admitted)
         usable = [conn for conn in target.connections if len(conn.open) < MAX_STREAMS and not conn.closing]
         if not usable:
-            req.verdicts.append("unsent")  # dead and not noticed, or full
+            req.verdicts.append("unsent")  # the director is gone and not noticed yet, or its connections are full
             return self._schedule_retry(req, 0.5)
         conn = min(usable, key=lambda held: len(held.open))
         self._rid += 1
@@ -208,7 +208,7 @@
         conn.write(encode_frame(7, conn.last, fields, b"form" if kind.write else b""))
 
     async def run(self) -> None:
-        """Sends wishes at the rate until `running` is cancelled."""
+        """Sends requests at the configured rate until `running` is cancelled."""
         due = trio.current_time()
         shares = [k.share for k in self.traffic_classes]
         with self.running:
@@ -222,7 +222,7 @@
             self.late_s = max(self.late_s, trio.current_time() - due)
             kind = self.random.choices(range(len(self.traffic_classes)), shares)[0]
             if self.traffic_classes[kind].write:
-                key = f"{self.random.getrandbits(64):016x}"  # every submission is one of its own
+                key = f"{self.random.getrandbits(64):016x}"  # every write has its own object
             else:
                 key = self.random.choices(self.object_names, self.weights)[0]
             part = self.random.randrange(self.traffic_classes[kind].parts)
@@ -230,7 +230,7 @@
             self.requests.append(req)
             self._send(req)
 
-    # What came of them
+    # Results
 
     def outcomes(self, since_us: int = 0, until_us: int = 1 << 62) -> list[RequestOutcome]:
         return [
@@ -240,7 +240,7 @@
         ]
 
     def by_second(self, began_us: int, until_us: int = 1 << 62) -> dict[int, tuple[float, float]]:
-        """Worth earned and asked for, by the second in which it was first asked."""
+        """Returns weight earned and weight requested, by the second of the request's arrival."""
         out: dict[int, tuple[float, float]] = {}
         for e in self.outcomes(began_us, until_us):
             second = (e.sent_us - began_us) // 1_000_000
--- a/rookbend/testing/cluster/coordinator.py
+++ b/rookbend/testing/cluster/coordinator.py
@@ -1,7 +1,7 @@
-"""The coordinator's stand-in: numbered events, a stream a director, and what it says at a director's start.
+"""A stand-in coordinator: numbered events, one stream for each director, and the list in a director's configuration.
 
-Each director calls at a listener of its own, by its relay, since the addresses in the list are that
-director's relays. While it is away, streams have ended and calls are reset.
+Each director connects through its relay to its own listener, since the member addresses in the list are those of
+that director's relays. While the coordinator is away, its streams are closed and new connections are reset.
 """
 
 from __future__ import annotations
@@ -22,15 +22,15 @@
 
 class Coordinator:
     def __init__(self, shared: SharedState, address_of: Callable[[str, str], str]):
-        """`address_of(director, member)` is where that director reaches that member."""
+        """`address_of(director, member)` returns the address at which that director reaches that member."""
         self.shared, self.record, self.address_of = shared, shared.record, address_of
-        self.index, self.revision = 1, 1  # the first event is the whole list
-        self.events: list[tuple[int, dict]] = []  # the worded event, without addresses
+        self.index, self.revision = 1, 1  # the first event is the complete list
+        self.events: list[tuple[int, dict]] = []  # events without addresses
         self.phases: dict[str, str] = {}
         self.purges: list[tuple[int, dict]] = []
         self.away = False
         self.calls: dict[str, int] = {}
-        self.last_sent_index: dict[str, int] = {}  # the last event that each director's stream has carried
+        self.last_sent_index: dict[str, int] = {}  # by director: the last event sent on its stream
         self._changed = trio.Event()
         self._streams: dict[str, trio.SocketStream] = {}
 
@@ -39,7 +39,7 @@
         nursery.start_soon(trio.serve_listeners, lambda s: self._serve(director, s), listeners)
         return listeners[0].socket.getsockname()[:2]
 
-    # What it has to tell
+    # Events
 
     def _add(self, event: dict) -> None:
         self.index += 1
@@ -48,7 +48,7 @@
         self._changed = trio.Event()
 
     def publish_members(self, *names: str) -> None:
-        """What has changed of these."""
+        """Publishes the current phase and start of these members."""
         self.revision += 1
         lines = []
         for name in names:
@@ -58,7 +58,7 @@
         self._add({"endpoints": {"revision": self.revision, "complete": False, "members": lines}})
 
     def purge(self, *, key: str = "", group: int = -1) -> int:
-        """Voids an object or a group, now; the Unix microsecond of it."""
+        """Purges an object or a group. Returns the time of the purge in Unix microseconds."""
         made = now_us() // 1000 * 1000
         if key:
             self.shared.purged_objects[key] = made
@@ -88,7 +88,7 @@
         return {"endpoints": {**told, "members": members}}
 
     def known_at_start(self, director: str, purge_life_us: int) -> dict:
-        """What the configuration of a director that starts now holds: the list, and the last purges."""
+        """Returns the list and the recent purges for the configuration of a director that starts now."""
         for member in self.shared.members.values():
             self.phases.setdefault(member.name, member.phase)
         lines = [self._member_entry(b) for b in self.shared.members.values()]
@@ -104,7 +104,7 @@
         }
 
     def record_delivery(self, director: str, event: dict) -> None:
-        """From here on the event binds that director."""
+        """Records that the director has received the event and has to obey it from now on."""
         at = now_us()
         for m in event.get("endpoints", {}).get("members", ()):
             self.record.feed(MembershipSent(at, director, m["id"], PHASES[m["phase"]]))
@@ -114,7 +114,7 @@
     # Streams
 
     def disconnect(self) -> None:
-        """It vanishes: streams are reset, calls are too until it is `back`."""
+        """Resets all streams, and all new connections until `reconnect`."""
         self.away = True
         self.record.note("fault", "coordinator", "away")
         for stream in list(self._streams.values()):
@@ -143,7 +143,7 @@
             await stream.send_all(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n:\n")
             self._streams[director] = stream
             if not last:
-                # To one that knows nothing, the first event is the whole list.
+                # For a director without an earlier event, the first event is the complete list.
                 lines = [self._member_entry(b) for b in self.shared.members.values()]
                 whole = {"endpoints": {"revision": self.revision, "complete": True, "members": lines}}
                 await self._write(stream, director, 1, whole)
--- a/rookbend/testing/cluster/director_config.py
+++ b/rookbend/testing/cluster/director_config.py
@@ -1,4 +1,4 @@
-"""What the directors of a scene are told: the platform's settings, and the operators' own."""
+"""The configuration of a cluster's directors: the platform's settings and the operators' settings file."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 {more}
 """
 PURGE_LIFE_US = 6_000_000
-HEALTH_PORT = 9777  # of every member, at the address by which a director knows it
+HEALTH_PORT = 9777  # health port of every member, at the address by which a director knows it
 
 
 def settings_for(directors: int, caches: int, me: int) -> dict:
-    """The platform's settings as an instance of such a fleet is told them."""
+    """Returns the platform's settings for director number `me` of a fleet of that size."""
     s = copy.deepcopy(SETTINGS)
     s["lanes"] = class_settings()
     s["familyInfo"].update(
@@ -45,6 +45,6 @@
 
 
 def allow_probes(settings: dict) -> dict:
-    """A `Scene.change`: the platform permits checks."""
+    """A `ProcessCluster.change_settings` by which the platform permits health checks."""
     settings["limits"]["probes"] = True
     return settings
--- a/rookbend/testing/cluster/disk.py
+++ b/rookbend/testing/cluster/disk.py
@@ -1,6 +1,6 @@
-"""What a power loss and worse do to a director's folder; its process does not run meanwhile.
+"""The effects of power losses and damage on a director's state folder, applied while its process does not run.
 
-While it runs, `shim/faultydisk.py` keeps what is not synced out of the real files.
+While the process runs, `shim/faultydisk.py` keeps unsynced writes out of the real files.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 def discard_unsynced(folder: Path) -> int:
-    """What was not synced is gone; how many bytes that were."""
+    """Discards unsynced writes. Returns their size in bytes, record headers included."""
     gone = 0
     for unsynced_file in folder.glob(f"*{UNSYNCED_SUFFIX}"):
         gone += unsynced_file.stat().st_size
@@ -23,8 +23,8 @@
 
 
 def apply_torn_writes(folder: Path, part: float) -> int:
-    """A part of what was not synced reached the disk, in the order of writing, the last write of it half; how
-    many bytes did. (A disk may reorder more: SQLite's checksums don't care which.)"""
+    """Applies the first `part` of the unsynced writes in their order, and only half of the last one. Returns the bytes
+    written. A real disk may reorder writes too, but SQLite's checksums detect both alike."""
     reached = 0
     for unsynced_file in folder.glob(f"*{UNSYNCED_SUFFIX}"):
         data, at, records = unsynced_file.read_bytes(), 0, []
@@ -49,14 +49,14 @@
 
 
 def copy_folder(folder: Path, to: Path) -> None:
-    """A backup, or what puts one back."""
+    """Copies a state folder without unsynced writes, to take or to restore a backup."""
     if to.exists():
         shutil.rmtree(to)
     shutil.copytree(folder, to, ignore=shutil.ignore_patterns(f"*{UNSYNCED_SUFFIX}"))
 
 
 def corrupt_database(folder: Path) -> None:
-    """The file is damaged in its middle."""
+    """Overwrites the first 100 bytes of the database and removes its -wal and -shm files."""
     path = folder / "state.db"
     data = bytearray(path.read_bytes())
     data[:100] = b"\xff" * 100
--- a/rookbend/testing/cluster/dns_names.py
+++ b/rookbend/testing/cluster/dns_names.py
@@ -1,4 +1,4 @@
-"""A stand-in resolver for the directors' DNS fronts, and a client of these. dnspython does the messages."""
+"""A stand-in resolver for the directors' DNS fronts, and a client of these fronts. Messages use dnspython."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
 
 
 class Resolver:
-    """Answers `MEMBER.SUFFIX` with the address that the asking director knows the member by.
-    `address_of(director, member)` gives it as HOST:PORT."""
+    """Answers `MEMBER.SUFFIX` with the address at which the querying director reaches the member.
+    `address_of(director, member)` returns that address as HOST:PORT."""
 
     def __init__(self, director: str, address_of: Callable[[str, str], str]):
         self.director, self.address_of = director, address_of
@@ -40,7 +40,7 @@
             try:
                 wire, source = await sock.recvfrom(2048)
             except OSError:
-                continue  # an earlier reply reached nobody
+                continue  # an ICMP error: an earlier reply was not delivered
             self.query_count += 1
             query = dns.message.from_wire(wire)
             reply = dns.message.make_response(query)
@@ -51,13 +51,13 @@
                     reply.answer.append(dns.rrset.from_text(asked.name, 0, "IN", "A", host))
             except KeyError:
                 reply.set_rcode(dns.rcode.NXDOMAIN)
-            # its asker has died
+            # The querying director may have ended.
             with contextlib.suppress(OSError):
                 await sock.sendto(reply.to_wire(), source)
 
 
 def read_reply(reply: dns.message.Message) -> tuple[str, str, str]:
-    """(code, the box named, its address); empty where none is."""
+    """Returns (response code, member name, member address); name and address are empty if absent."""
     member_name = address = ""
     for rrset in reply.answer:
         if rrset.rdtype == dns.rdatatype.CNAME:
@@ -68,7 +68,7 @@
 
 
 async def look_up(server: tuple[str, int], name: str) -> tuple[str, str, str]:
-    """What a stub resolver gets, which asks again each second. Raises `HungProcessError`."""
+    """Looks a name up like a stub resolver that repeats its query every second. Raises `HungProcessError`."""
     query = dns.message.make_query(name, dns.rdatatype.A)
     query.flags |= dns.flags.RD
     with trio.move_on_after(HANG_TIMEOUT_S), trio.socket.socket(trio.socket.AF_INET, trio.socket.SOCK_DGRAM) as sock:
@@ -81,8 +81,8 @@
                     if reply.id == query.id:
                         return read_reply(reply)
             except OSError:
-                await trio.sleep(0.05)  # nobody listens there yet
-    raise HungProcessError(f"no reply on {name}")
+                await trio.sleep(0.05)  # the director does not listen yet
+    raise HungProcessError(f"no DNS reply for {name}")
 
 
 async def submit(
@@ -93,14 +93,14 @@
     deadline_us: int,
     zone: str = "route.example.org",
 ) -> tuple[str, str, str]:
-    """A write by name, of an object and an id of that number; the rules' checker hears of both ends."""
+    """Looks up the name of a write whose object and request id are `number`, and records request and response."""
     rid = key = f"{number:016x}"
     group = group_of(key)
     record.feed(RequestSent(now_us(), rid, director, True, now_us() + deadline_us, (key, 0), group))
     try:
         found = await look_up(server, f"r{rid}.p0.{key}.g{group}.{min(WRITES)}.{zone}")
     except trio.Cancelled:
-        record.feed(ClientClosed(now_us(), rid))  # its asker gives up
+        record.feed(ClientClosed(now_us(), rid))  # the client gives up
         raise
     verdict = {"NOERROR": "served", "REFUSED": "refused"}.get(found[0], "failed")
     record.feed(ResponseReceived(now_us(), rid, verdict, ""))
--- a/rookbend/testing/cluster/failure_record.py
+++ b/rookbend/testing/cluster/failure_record.py
@@ -1,8 +1,8 @@
-"""What a failed scene leaves behind, so that a failure that does not come again can still be traced.
+"""Keeps the files of a failed cluster, so that a failure that cannot be reproduced can still be traced.
 
-A folder a failure, in what the environment variable `ROOKBEND_FAILURES` names or else in `rookbend-failures` of the
-system's temporary folder: `error.txt`, `report.txt` (the seed, the faults, starts and ends, the last log lines), and
-of each director its log and its configuration.
+Each failure has its own folder, in the folder that the environment variable `ROOKBEND_FAILURES` names or else in
+`rookbend-failures` of the system's temporary folder: `error.txt`, `report.txt` (the seed, the faults, starts and ends,
+the last log lines), and the log and configuration of each director.
 """
 
 from __future__ import annotations
@@ -21,23 +21,23 @@
 
 
 class Reporter(Protocol):
-    """A scene, as far as it is kept."""
+    """The attributes of a cluster that are kept."""
 
     folder: Path
     names: list[str]
 
     def report(self) -> str:
-        """What repeats the run, and what happened in it."""
+        """Returns what is needed to repeat the run, and its events."""
 
 
 def failures_folder() -> Path:
-    """Where failures are kept."""
+    """Returns the folder in which failures are kept."""
     named = os.environ.get(ENVIRONMENT_VARIABLE)
     return Path(named) if named else Path(tempfile.gettempdir()) / DEFAULT_FOLDER
 
 
 def keep(error: Exception, cluster: Reporter) -> Path:
-    """Copies a scene's error, report, logs and configurations; returns the folder. Raises OSError."""
+    """Copies a cluster's error, report, logs and configurations. Returns the folder. Raises OSError."""
     kept = failures_folder() / f"{time.time_ns()}-{os.getpid()}"
     kept.mkdir(parents=True)
     (kept / "error.txt").write_text("".join(traceback.format_exception(error)))
@@ -51,7 +51,7 @@
 
 
 def annotate(error: Exception, cluster: Reporter) -> None:
-    """Keeps the scene and notes in the error where it is, and what its report says."""
+    """Keeps the cluster's files, and adds their folder and the report to the error as a note."""
     try:
         place = f"record, logs and settings: {keep(error, cluster)}"
     except OSError as fault:
--- a/rookbend/testing/cluster/faults.py
+++ b/rookbend/testing/cluster/faults.py
@@ -1,4 +1,4 @@
-"""Faults of a scene: power, cuts, machines that vanish or stand still, and a day of them as a text."""
+"""Faults in a cluster: power losses, network cuts, vanished or frozen machines, and timelines of faults."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class Faults:
-    """The part of `Scene` that does harm."""
+    """The part of `ProcessCluster` that injects faults."""
 
     def power_off(self, *names: str) -> None:
-        """These lose their power in one instant; all directors, caches and parents where none is named."""
+        """Kills the named processes at once; without names, all directors, caches and parents."""
         chosen = names or [*self.names, *(b.name for b in self.stand_ins.values() if b.role != "origin")]
         self.record.note("fault", "power", "off " + " ".join(chosen))
         self.powered_off.update(dict.fromkeys(chosen))
@@ -27,8 +27,8 @@
                 self.stand_ins[name].crash()
 
     async def power_on(self, *names: str, known: dict | None = None) -> None:
-        """They return in this order, all that are without power if none is named: boxes cold and empty,
-        directors as they start."""
+        """Restarts the named processes in this order; without names, all that have lost power. Members return cold and
+        empty. Directors lose their unsynced writes; `known` replaces the list in their configuration."""
         for name in names or sorted(self.powered_off, key=lambda n: n in self.nodes):
             self.powered_off.pop(name, None)
             if name in self.stand_ins:
@@ -40,8 +40,8 @@
                 await self.start(name, known=known)
 
     def freeze(self, name: str) -> None:
-        """It stands still. What is open at it is given up by its clients: no answer of a process that stands
-        can come in time."""
+        """Stops the process by SIGSTOP. Its clients give up their open requests, since a stopped process cannot answer
+        in time."""
         self.nodes[name].signal(signal.SIGSTOP)
         self.front.drop_connections(name)
 
@@ -49,8 +49,8 @@
         self.nodes[name].signal(signal.SIGCONT)
 
     def vanish(self, name: str, gone: bool = True) -> None:
-        """The machine is cut off from all others, or there again: nothing crosses, nothing is reset, no new
-        connection comes up."""
+        """Cuts the machine off from all others, or reconnects it. While it is cut off nothing is delivered, no
+        connection is reset and no new connection is established."""
         self.record.note("fault", name, "vanished" if gone else "there again")
         for other in (*self.names, *self.stand_ins, "coordinator", "clients"):
             for pair in ((name, other), (other, name)):
@@ -59,7 +59,7 @@
             self.front.drop_connections(name)
 
     def cut(self, source: str, target: str) -> None:
-        """Nothing of what the one says reaches the other."""
+        """Holds back everything that `source` sends to `target`."""
         self.record.note("fault", f"{source}>{target}", "cut")
         self.links.get(source, target).set(silent=True)
 
@@ -68,14 +68,14 @@
         self.links.get(source, target).heal()
 
     def split(self, first: Iterable[str], second: Iterable[str], cut: bool = True) -> None:
-        """Directors of the one side and the other do not hear each other."""
+        """Cuts all links between the directors of two sides, or heals them."""
         for a in first:
             for b in second:
                 for pair in ((a, b), (b, a)):
                     (self.cut if cut else self.heal)(*pair)
 
     async def play(self, text: str, file: str = "day") -> None:
-        """The failures of a text, from now on; `seed` and lines go into the report of a failed run."""
+        """Plays a fault timeline, starting now. The timeline appears in the report of a failed run."""
         self.fault_schedule = fault_timeline_format.parse_faults(text, file)
         others = *self.names, *self.stand_ins, "coordinator", "clients"
         pairs = [f"{a}>{b}" for a in self.names for b in others if a != b]
@@ -96,21 +96,21 @@
             while at < len(steps) and steps[at].at_us == due:
                 together.append(steps[at])
                 at += 1
-            # All that loses power in one instant loses it before anybody else moves.
+            # Power losses at the same instant come before all other steps.
             for step in sorted(together, key=lambda s: s.fault.kind != "power"):
                 await self._step(step)
 
     async def _step(self, step: fault_timeline.Step) -> None:
-        """Begins or ends one fault."""
+        """Begins or ends one fault. Raises ValueError for a kind that the cluster cannot inject."""
         play = self._fault_handlers().get(step.fault.kind)
         if play is None:
-            raise ValueError(f"the stage does not play {step.fault.kind}")
+            raise ValueError(f"the cluster cannot inject a fault of kind {step.fault.kind}")
         done = play(step)
         if done is not None:
             await done
 
     def _fault_handlers(self) -> dict[str, Callable[[fault_timeline.Step], Awaitable[None] | None]]:
-        """What plays each kind of fault."""
+        """Returns the function that begins and ends each kind of fault."""
         return {
             "power": self._play_power,
             "kill": self._play_power,
