--- a/rookbend/testing/cluster/member_wire.py
+++ b/rookbend/testing/cluster/member_wire.py
@@ -1,4 +1,4 @@
-"""The wire of the stage's members: the platform's lines, and the page for directors' checks."""
+"""The members' side of the wire: the platform's line protocol, and the HTTP endpoint for directors' health checks."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True)
 class ActiveCommand:
-    """A command that is being worked on."""
+    """A command in progress."""
 
     received_us: int
     scope: trio.CancelScope = field(default_factory=trio.CancelScope)
@@ -24,14 +24,14 @@
 
 
 class DirectorConnection:
-    """A director's connection: one answer at a time is written to it."""
+    """A director's connection; the lock keeps answers from interleaving."""
 
     def __init__(self, stream: trio.SocketStream):
         self.stream, self.writing, self.commands = stream, trio.Lock(), {}
 
 
 class MemberProtocol:
-    """The part of `Box` that speaks."""
+    """The part of `StandInMember` that serves its connections."""
 
     async def _serve(self, stream: trio.SocketStream) -> None:
         if self.down:
@@ -60,7 +60,7 @@
                         fields = dict(pair.split("=", 1) for pair in words[2].split(","))
                         nursery.start_soon(self._execute, connection, command, words[1], fields, first)
                         first = now_us()
-                nursery.cancel_scope.cancel()  # closing the connection gives up all that is open on it
+                nursery.cancel_scope.cancel()  # closing the connection cancels all its commands
         except* (trio.BrokenResourceError, trio.ClosedResourceError):
             pass
         finally:
@@ -98,11 +98,11 @@
             pass
         finally:
             connection.commands.pop(rid, None)
-            if not command.answered:  # given up, or its connection has gone: it may have run
+            if not command.answered:  # cancelled, or its connection is lost: the command may have run
                 self.record.feed(AttemptAnswered(now_us(), rid, self.name, True))
 
     async def _write(self, rid: str, key: str) -> FetchResult:
-        """A write runs at the origin, whatever becomes of its answer."""
+        """Runs a write at the origin, also if its answer is lost later."""
         origin = next(b for b in self.shared.members.values() if b.role == "origin")
         takes = origin.admit(origin.profile.first_byte_s)
         if takes is None:
@@ -142,7 +142,7 @@
             await connection.stream.send_all(head.encode() + body + b"\r\n")
 
     async def listen_health(self, nursery: trio.Nursery) -> None:
-        """`GET /health` for the directors' checks; each is counted."""
+        """Serves `GET /health` for the directors' checks and counts them."""
         listeners = await trio.open_tcp_listeners(0, host=self.host)
         self.health = listeners[0].socket.getsockname()[:2]
         nursery.start_soon(trio.serve_listeners, self._serve_health, listeners)
@@ -160,4 +160,4 @@
                 status = "503 Service Unavailable" if self.unhealthy else "200 OK"
                 await stream.send_all(f"HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n".encode())
         except (trio.BrokenResourceError, trio.ClosedResourceError):
-            pass  # the one who asked has died
+            pass  # the checking director has ended
--- a/rookbend/testing/cluster/members.py
+++ b/rookbend/testing/cluster/members.py
@@ -1,12 +1,11 @@
-"""Stand-ins of the members: caches and parents with a memory, cold and warm, full and fallen; the origin with
-few workers, which stops for seconds when it is pushed over. They speak the caches' side of the platform's
-lines.
-
-Work is seconds of sending. A member does `capacity` of it a second once it is warm, from a share of that
-after a start (`SlowStart`). Asked within a window for more than `multiple` times what it could do, it
-falls: its connections are reset, and it takes none for `down_s`; a cache then returns cold and empty. What it
-can't begin within `queue_s` it refuses. Objects are drawn from their names, so each copy of one version is
-the same bytes everywhere, and a copy says in its bytes when it left the origin.
+"""Stand-in members: caches and parents with a memory that can be cold, warm or full, and an origin with few workers,
+which fails for seconds under overload. They speak the caches' side of the platform's line protocol.
+
+Work is measured in seconds of sending. A warm member does `capacity` seconds of work per second, and a share of that
+after a start (`SlowStart`). If the work requested within a window exceeds `multiple` times the capacity at its start,
+the origin or a cold member fails: it resets its connections and accepts none for `down_s`; a cache then returns cold
+and empty. A member refuses work that it cannot begin within `queue_s`. The content of an object is derived from its
+name, so all copies of one version have the same bytes, and these bytes name the time at which it left the origin.
 """
 
 from __future__ import annotations
@@ -31,18 +30,18 @@
         self.shared, self.record, self.profile = shared, shared.record, profile
         self.store = CacheStore(profile.memory)
         self.slow_start = SlowStart(profile.capacity, profile.cold_capacity_ratio, profile.warm_up_us, profile.multiple)
-        self.up_since_us = 0  # 0: it has run for long, and is warm
+        self.up_since_us = 0  # Unix microseconds; 0: it has run for long and is warm
         self.port, self.down, self.overload_count = 0, False, 0
         self.draining = False
         self.admitted_count = self.hits = self.request_count = self.checks = 0
-        self.unhealthy = False  # it answers, and says that it is not well
+        self.unhealthy = False  # whether it answers health checks with 503
         self.health: tuple[str, int] | None = None
         self._log: deque[tuple[int, float]] = deque()
         self._total, self._free_us = 0.0, 0
         self._streams: set[trio.SocketStream] = set()
         self._nursery: trio.Nursery | None = None
         self._fetching: dict[tuple[str, int], trio.Event] = {}
-        self.peak_load_ratio = 0.0  # the fullest window, as a share of what pushes it over
+        self.peak_load_ratio = 0.0  # the highest load of a window as a share of the load that overloads the member
         shared.members[name] = self
 
     @property
@@ -63,7 +62,7 @@
         return self.port
 
     def crash(self) -> None:
-        """Its process ends: connections are reset, what it held is lost."""
+        """Ends the member: resets its connections and loses its copies."""
         self.down = True
         self.store = CacheStore(self.profile.memory)
         for stream in list(self._streams):
@@ -72,7 +71,7 @@
         self.record.note("end", self.name)
 
     def restart(self) -> None:
-        """It starts again, empty and cold."""
+        """Starts the member again, empty and cold."""
         self.down, self.up_since_us = False, now_us()
         self._log.clear()
         self._total, self._free_us = 0.0, 0
@@ -97,7 +96,7 @@
         return self.slow_start.capacity_at(at - self.up_since_us) if self.up_since_us else self.profile.capacity
 
     def admit(self, work: float) -> float | None:
-        """Takes work; the seconds until it is done, or None where it is refused or the member falls."""
+        """Accepts work and returns the seconds until it is done, or None if it is refused or overloads the member."""
         now, profile = now_us(), self.profile
         if self.down:
             return None
@@ -123,10 +122,10 @@
     def work_seconds(self, key: str, part: int) -> float:
         return self.profile.first_byte_s + self.shared.size_of(key, part) / self.profile.bytes_per_s
 
-    # What it holds
+    # Copies
 
     def usable_copy(self, key: str, group: int, copy: Copy | None, oldest_us: int) -> Copy | None:
-        """The copy, where no purge that this member has heard of voids it and it is young enough."""
+        """Returns the copy if it is recent enough and no purge that this member has applied voids it."""
         if copy is None or copy.t0_us < oldest_us:
             return None
         shared, now = self.shared, now_us()
@@ -140,7 +139,7 @@
     async def get(
         self, key: str, part: int, group: int, oldest_us: int, source: StandInMember | None, keep: int, join: bool
     ) -> FetchResult:
-        """A copy of its own, or one filled from the source. May be cancelled."""
+        """Returns a copy from memory, or one filled from the source. May be cancelled."""
         now = now_us()
         if self.role == "origin":
             return await self._generate(key, part, group)
@@ -176,7 +175,7 @@
         return FetchResult("ok", note, result.copy, (now_us() - now) / 1e6)
 
     async def fill(self, key: str, part: int, group: int, oldest_us: int) -> FetchResult:
-        """What a fill from here brings. A parent fetches what it lacks from the origin."""
+        """Returns a copy for a fill by another member. A parent fetches missing copies from the origin."""
         if self.down:
             return FetchResult("error", "unreached")
         if self.role != "origin":
@@ -188,7 +187,7 @@
         return result
 
     async def _generate(self, key: str, part: int, group: int) -> FetchResult:
-        """The origin makes the copy: it holds everything, and few can ask at once."""
+        """Generates the copy at the origin, which has every object but few workers."""
         takes = self.admit(self.work_seconds(key, part))
         if takes is None:
             return FetchResult("refused")
--- a/rookbend/testing/cluster/process.py
+++ b/rookbend/testing/cluster/process.py
@@ -1,12 +1,12 @@
-"""A director as a process of its own: started, killed, stopped, continued; what it says on standard error.
+"""A director as a process of its own: it can be started, killed, stopped and continued, and its log is collected.
 
-It is started as `run` in deploy/balancer.toml starts it, `python -m rookbend`, with its own configuration,
-settings and folders. Nothing of the stage is in the process but a module that Python loads at its start
-(`shim/`), which puts the Unix clock that the program reads under the stage's control.
+The process is started with the command of `run` in deploy/balancer.toml, `python -m rookbend`, with its own
+configuration, settings and folders. The only test code in it is the modules in `shim/`, which Python loads at its
+start: they put the Unix clock that the program reads, and faults of its disk, under the test's control.
 
-A process never outlives its stage: the kernel is asked to kill it when the thread that started it dies
-(prctl(2), PR_SET_PDEATHSIG). So it is started by the main thread: trio starts processes in threads that end
-after ten idle seconds, and took every director with them.
+A process never outlives its cluster: the kernel kills it when the thread that started it ends (prctl(2),
+PR_SET_PDEATHSIG). The main thread has to start it: trio starts processes in threads that end after ten idle seconds,
+and every director ended with its thread.
 """
 
 from __future__ import annotations
@@ -30,12 +30,12 @@
 PR_SET_PDEATHSIG = 1
 CLOCK = struct.Struct("=dd")  # seconds ahead, rate less one
 BEFORE_SEND, AFTER_SEND, IN_SYNC = 1, 2, 3
-HANG_TIMEOUT_S = 60.0  # no wait of the stage ends by it but one that would never end
+HANG_TIMEOUT_S = 60.0  # long enough that only waits that would never end reach it
 LIBC = ctypes.CDLL(None)
 
 
 class HungProcessError(AssertionError):
-    """What was waited for never came."""
+    """An expected event did not happen within `HANG_TIMEOUT_S`, or can no longer happen."""
 
 
 def die_with_parent() -> None:
@@ -43,7 +43,7 @@
 
 
 def parse_log_line(line: str) -> dict:
-    """A JSON log line; one that is none (a traceback) is the event `raw`."""
+    """Parses a JSON log line. Any other line, such as one of a traceback, becomes the event `raw`."""
     try:
         found = json.loads(line)
         return found if isinstance(found, dict) else {"event": "raw", "text": line}
@@ -52,13 +52,13 @@
 
 
 class Node:
-    """`lives` counts its starts. Log lines are kept by life."""
+    """A director's process. `start_count` counts its starts; `lines` has the log lines of each."""
 
     def __init__(
         self, name: str, folder: Path, record: Record, checkout: Path = CHECKOUT, temporary: Path | None = None
     ):
         self.name, self.folder, self.record, self.checkout = name, folder, record, checkout
-        self.temporary = temporary or folder / "tmp"  # its $TMPDIR, as it was left
+        self.temporary = temporary or folder / "tmp"  # $TMPDIR, which keeps its files between starts
         self.config_file, self.settings_file = folder / "config.json", folder / "rookbend.conf"
         self.process: subprocess.Popen | None = None
         self.start_count = 0
@@ -79,17 +79,17 @@
         return self.process is not None and self.process.poll() is None
 
     def set_clock(self, ahead_s: float = 0.0, rate: float = 1.0) -> None:
-        """From now on its Unix clock shows the true time and so much more, and runs at that rate."""
+        """Sets the process's Unix clock ahead of the true time by `ahead_s` seconds, and its rate."""
         self._clock[:] = CLOCK.pack(ahead_s, rate - 1.0)
         self.record.note("fault", self.name, f"clock {ahead_s:+g}s rate {rate:g}")
 
     def stop_at(self, where: int = 0) -> None:
-        """From now on the process stops itself (SIGSTOP) right before or after the bytes of a line to the
-        ledger go out, or in the sync of its disk: `BEFORE_SEND`, `AFTER_SEND`, `IN_SYNC`; 0: nowhere."""
+        """Makes the process stop itself (SIGSTOP) just before or after it sends a line to the ledger, or while it
+        syncs its disk: `BEFORE_SEND`, `AFTER_SEND`, `IN_SYNC`; 0: nowhere."""
         self._stop_point[0] = where
 
     async def wait_until_stopped(self) -> None:
-        """Waits until it stands still."""
+        """Waits until the process is stopped (state T)."""
         with trio.move_on_after(HANG_TIMEOUT_S):
             while self.running:
                 with open(f"/proc/{self.process.pid}/stat", encoding="ascii") as f:
@@ -100,16 +100,16 @@
 
     @property
     def state(self) -> Path:
-        """The folder that `{state}` names in the operators' settings of a scene."""
+        """The folder that `{state}` stands for in the operators' settings of a cluster."""
         return self.folder / "state"
 
     def set_disk(self, fault: str = "") -> None:
-        """From now on its disk is `full` or `read-only`, or well again."""
+        """Makes the process's disk `full` or `read-only`; with an empty `fault`, writes succeed again."""
         (self.folder / "disk").write_text(fault)
         self.record.note("fault", self.name, f"disk {fault or 'well'}")
 
     def start(self, nursery: trio.Nursery, config: dict, operators: str) -> None:
-        assert not self.running, f"{self.name} runs already"
+        assert not self.running, f"{self.name} is already running"
         self.config_file.write_text(json.dumps(config))
         self.settings_file.write_text(operators)
         env = {
@@ -155,7 +155,7 @@
         self.changed = trio.Event()
 
     def find_logs(self, event: str, **fields) -> list[dict]:
-        """Lines of this life with that event and those fields."""
+        """Returns the log lines since the last start that have this event and these fields."""
         return [
             line
             for line in (self.lines[-1] if self.lines else ())
@@ -163,7 +163,7 @@
         ]
 
     async def wait_for_log(self, event: str, **fields) -> dict:
-        """Waits for a log line of this life. Raises `HungProcessError` where the process ends without it."""
+        """Waits for a log line since the last start. Raises `HungProcessError` on a time-out or if the process ends."""
         with trio.move_on_after(HANG_TIMEOUT_S):
             while not (found := self.find_logs(event, **fields)):
                 if not self.running:
@@ -172,14 +172,14 @@
             else:
                 return found[0]
         last = "\n".join(map(str, self.lines[-1][-20:])) if self.lines else ""
-        raise HungProcessError(f"{self.name} did not say {event} {fields or ''}; its last lines:\n{last}")
+        raise HungProcessError(f"{self.name} did not log {event} {fields or ''}; its last lines:\n{last}")
 
     async def wait_for_exit(self) -> int:
-        """Waits for its end; the exit code, negative for a signal."""
+        """Waits for the end of the process. Returns its exit code, negative for a signal."""
         with trio.move_on_after(HANG_TIMEOUT_S):
             await self._wait_for_process(self.process)
             return self.process.returncode
-        raise HungProcessError(f"{self.name} does not end")
+        raise HungProcessError(f"{self.name} did not end")
 
     @staticmethod
     async def _wait_for_process(process: subprocess.Popen) -> None:
--- a/rookbend/testing/cluster/record.py
+++ b/rookbend/testing/cluster/record.py
@@ -1,7 +1,7 @@
-"""What crossed the relays, every start and end, on one clock: the stage's record.
+"""The cluster's record: traffic across the relays, starts, ends and faults, on one clock.
 
-The rules' checker is fed as things are seen; what measurements and tests ask besides is kept as rows. No
-director's word goes in here. Rows are bounded (`KEPT`); counts are not rows and lose nothing.
+The invariant checker receives each event when it is observed; rows hold what measurements and tests need besides.
+Nothing that a director reports about itself is recorded. At most `MAX_ROWS` rows are kept; counts are complete.
 """
 
 from __future__ import annotations
@@ -16,15 +16,17 @@
 
 
 def now_us() -> int:
-    """Unix microseconds of the stage, whose clock no fault touches."""
+    """Returns the test process's Unix time in microseconds; clock faults do not affect it."""
     return time.time_ns() // 1000
 
 
 class Record:
     def __init__(self, limits: InvariantLimits | None = None):
         self.checker = InvariantChecker(limits)
-        self.rows: deque[tuple[int, str, str, str]] = deque(maxlen=MAX_ROWS)  # (at, what, who, more)
-        self.counts: Counter[tuple[str, str]] = Counter()  # (what, who)
+        self.rows: deque[tuple[int, str, str, str]] = deque(
+            maxlen=MAX_ROWS
+        )  # (Unix microseconds, type, subject, detail)
+        self.counts: Counter[tuple[str, str]] = Counter()  # by (type, subject)
         self.began_us = now_us()
 
     def feed(self, event: WireEvent) -> None:
@@ -41,7 +43,7 @@
         return [at for at, kind, name, _ in self.rows if kind == row_type and subject in (None, name)]
 
     def peak(self, row_type: str, window_us: int) -> int:
-        """The most rows of a kind within any window of that length."""
+        """Returns the highest number of rows of a type within any window of that length."""
         times, most, low = self.times(row_type), 0, 0
         for high, at in enumerate(times):
             while times[low] <= at - window_us:
@@ -54,7 +56,7 @@
         return self.checker.violations
 
     def timeline(self) -> str:
-        """Starts, ends and faults in order, for a failed run: seconds since the stage began."""
+        """Returns starts, ends and faults in order, in seconds since the record began; for the report of a failed run."""
         shown = ("start", "end", "fault", "fall", "admitted", "lost", "asked")
         return "\n".join(
             f"{(at - self.began_us) / 1e6:8.3f} {row_type:9} {subject} {detail}".rstrip()
--- a/rookbend/testing/cluster/relay.py
+++ b/rookbend/testing/cluster/relay.py
@@ -1,18 +1,18 @@
-"""Relays between the processes: TCP, one listener a directed pair; UDP, one socket a director.
+"""Relays between the processes: one TCP listener for each directed pair, and one UDP socket for each director.
 
-Every director is given addresses of its own for all it talks to, so a relay knows who speaks to whom by where
-it is spoken to. A `Way` is one direction of a pair; faults are set on it and take hold at once, on open
-connections too:
+Each director has its own addresses for everything that it connects to, so the address that is called tells a relay
+the source and the target. A `Link` is one direction of a pair. Faults are set on it and also apply to open
+connections at once:
 
-    silent      nothing passes; bytes wait, as they do on a cut wire, and pass when it heals. New connections
-                come up and are silent
-    reset       open connections are reset, new ones at once
-    deaf        like a machine that has vanished: no new connection comes up at all
-    delay_us    each chunk or datagram waits so long
-    loss, double, reorder       shares of the datagrams
+    silent       nothing passes; bytes wait, as on a cut cable, and pass when the link heals. New connections are
+                 established and stay silent
+    reset        open connections are reset, and new ones as soon as they are accepted
+    unreachable  as for a vanished machine: no new connection is established
+    delay_us     delay of each chunk or datagram, in microseconds
+    loss, duplicate, reorder     shares of the datagrams
 
-A director's datagram to the peer `j` comes to the socket that is bound at j's address; it leaves from the
-sender's, since the program knows its peers by their source addresses.
+A datagram to peer `j` arrives at the socket bound at j's address. It is forwarded from the sender's socket, since
+directors identify their peers by source address.
 """
 
 from __future__ import annotations
@@ -30,9 +30,9 @@
 LINGER = struct.pack("ii", 1, 0)
 CHUNK = 65536
 BACKLOG = 128
-BACKLOG_FILLERS = 3  # one more than a queue of length nought takes
+BACKLOG_FILLERS = 3  # one more than a backlog of 0 accepts
 BACKLOG_FILL_TIMEOUT_S = 0.05
-REORDER_US = 30_000  # a datagram that is overtaken waits so long
+REORDER_US = 30_000  # delay of a datagram that later ones overtake
 
 
 @dataclass
@@ -50,7 +50,7 @@
     def set(self, **faults) -> None:
         for name, value in faults.items():
             if name not in ("silent", "reset", "unreachable", "delay_us", "loss", "duplicate", "reorder"):
-                raise ValueError(f"no fault of a way: {name}")
+                raise ValueError(f"unknown fault of a link: {name}")
             setattr(self, name, value)
         self.changed.set()
         self.changed = trio.Event()
@@ -64,7 +64,7 @@
 
 
 class Links:
-    """All directed pairs, made as they are first asked for."""
+    """The links of all directed pairs, created on first use."""
 
     def __init__(self):
         self.all: dict[tuple[str, str], Link] = {}
@@ -81,14 +81,14 @@
 
 
 def reset(stream: trio.SocketStream) -> None:
-    """Ends a connection by RST, as the death of its process would."""
+    """Closes a connection by RST, as the kernel does when a process is killed."""
     with contextlib.suppress(OSError, trio.ClosedResourceError):
         stream.setsockopt(trio.socket.SOL_SOCKET, trio.socket.SO_LINGER, LINGER)
     stream.socket.close()
 
 
 class TcpRelay:
-    """One directed pair: what `source` opens at the relay's address is carried on to `target`'s."""
+    """One directed pair: connections from `source` to the relay's address are relayed to the target's address."""
 
     def __init__(
         self, links: Links, record: Record, source: str, target: str, target_address: Callable[[], tuple[str, int]]
@@ -97,7 +97,7 @@
         self.record, self.target_address = record, target_address
         self.name = f"{source}>{target}"
         self.address: tuple[str, int] | None = None
-        self.filler_ports: set[int] = set()  # ports of our own calls
+        self.filler_ports: set[int] = set()  # local ports of the connections that fill the backlog
 
     async def listen(self, nursery: trio.Nursery, host: str, port: int = 0) -> int:
         sock = trio.socket.socket(trio.socket.AF_INET, trio.socket.SOCK_STREAM)
@@ -109,9 +109,9 @@
         return self.address[1]
 
     async def _accept(self, sock, nursery: trio.Nursery) -> None:
-        """While the way is deaf the queue of the listener is full of our own calls, so the kernel leaves the
-        calls of others unanswered, as a machine does that is not there; they are repeated by the caller's
-        own kernel until they come up or it gives up."""
+        """While the link is unreachable, the relay's own connections fill the listener's backlog, so the kernel leaves
+        other SYNs unanswered, like an absent machine. The caller's kernel repeats them until they succeed or it
+        gives up."""
         with sock:
             await self._accept_all(sock, nursery)
 
@@ -160,7 +160,7 @@
                 nursery.start_soon(self._pump, far, near, self.backward, nursery.cancel_scope)
                 nursery.start_soon(self._watch, nursery.cancel_scope)
         except* (OSError, trio.BrokenResourceError, trio.ClosedResourceError):
-            pass  # nobody is there: the connection ends at once, as a refused one would
+            pass  # the target does not listen: the connection ends at once, like a refused one
         finally:
             for stream in (near, far):
                 if stream is not None:
@@ -176,7 +176,7 @@
             await link.wait_while_silent()
             await target.send_eof()
         except (trio.BrokenResourceError, trio.ClosedResourceError):
-            await link.wait_while_silent()  # a reset does not cross a cut wire either
+            await link.wait_while_silent()  # a reset does not cross a silent link either
             scope.cancel()
 
     async def _watch(self, scope: trio.CancelScope) -> None:
@@ -193,17 +193,17 @@
 
 
 class UdpRelay:
-    """All datagrams between directors. `places` are theirs: name, and where each listens for peers."""
+    """Relays all datagrams between directors. `peer_addresses` maps each director to its address for peers."""
 
     def __init__(self, links: Links, record: Record, peer_addresses: dict[str, tuple[str, int]], seed: int):
         self.links, self.record, self.peer_addresses = links, record, peer_addresses
         self.names = {place: name for name, place in peer_addresses.items()}
         self.random = random.Random(f"{seed} datagrams")
         self.socks: dict[str, trio.socket.SocketType] = {}
-        self.delayed = 0  # delayed, not sent on yet
+        self.delayed = 0  # number of datagrams that wait to be forwarded
 
     async def listen(self, nursery: trio.Nursery, host_of: Callable[[str], str]) -> dict[str, str]:
-        """The address by which each director is known to the others."""
+        """Opens the sockets. Returns the address by which other directors know each director."""
         for name in self.peer_addresses:
             sock = trio.socket.socket(trio.socket.AF_INET, trio.socket.SOCK_DGRAM)
             await sock.bind((host_of(name), 0))
@@ -218,7 +218,7 @@
             try:
                 data, address = await sock.recvfrom(2048)
             except OSError:
-                continue  # an earlier one reached nobody
+                continue  # an ICMP error: an earlier datagram was not delivered
             source = self.names.get(address[:2])
             if source is None:
                 continue
@@ -240,6 +240,6 @@
         await self._send(source, target, data)
 
     async def _send(self, source: str, target: str, data: bytes) -> None:
-        # nobody listens there: lost, as on any network
+        # Without a listener the datagram is lost, as on any network.
         with contextlib.suppress(OSError):
             await self.socks[source].sendto(data, self.peer_addresses[target])
--- a/rookbend/testing/cluster/report_ledger.py
+++ b/rookbend/testing/cluster/report_ledger.py
@@ -1,5 +1,5 @@
-"""A stand-in ledger: it takes the fleet report's lines, `append TOKEN NUMBER LINE`, and refuses an older
-token than the highest it has seen. Every try is kept as it came, so a test can count those of old owners."""
+"""A stand-in ledger. It accepts lines of the fleet's report, `append TOKEN NUMBER LINE`, and refuses a token older
+than the highest it has seen. All attempts are kept in order, so that tests can count those of earlier owners."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     at_us: int
     token: int
     number: int
-    result: str  # ok, have, old
+    result: str  # "ok", "have" (a line of this number exists) or "old" (an old token)
 
 
 class Ledger:
@@ -43,7 +43,7 @@
                     data = data[end + 1 :]
                     await stream.send_all(self._append(int(token), int(number), line))
         except (trio.BrokenResourceError, trio.ClosedResourceError):
-            pass  # its director has died
+            pass  # the director has ended
 
     def _append(self, token: int, number: int, line: str) -> bytes:
         if not self.receiver.accept(SCOPE, token):
