--- a/rookbend/testing/cluster/cluster_runner.py
+++ b/rookbend/testing/cluster/cluster_runner.py
@@ -1,4 +1,4 @@
-"""Opens a scene, ends it and all that it started, and keeps what a failed one leaves behind."""
+"""Opens a cluster, ends it with all its processes, and keeps the files of a failed one."""
 
 from __future__ import annotations
 
@@ -27,10 +27,10 @@
     folder: Path | None = None,
     notice_s: float = 1.0,
 ) -> AsyncIterator[ProcessCluster]:
-    """An open scene, whose directors are not started yet. With a `rate` clients ask so often a second, all
-    together, from the first admission on. `operators` is the settings' text of all, or by name; in it
-    `{state}` is a folder that outlives the process, `{dns}` where its DNS front may listen, `{resolver}` a
-    stand-in that knows the members as that director does, `{ledger}` where it reaches the stand-in ledger."""
+    """Opens a cluster without starting its directors. `rate` is the clients' total of requests per second, sent from
+    the first admission on. `operators` is text for the operators' settings of all directors, or a function from
+    director to text. In it `{state}` is a folder that outlives the process, `{dns}` the address for its DNS front,
+    `{resolver}` a stand-in resolver with that director's member addresses, `{ledger}` the stand-in ledger's address."""
     with tempfile.TemporaryDirectory(prefix="rookbend-stage-") as made:
         cluster: ProcessCluster | None = None
         try:
--- a/rookbend/testing/cluster/process_cluster.py
+++ b/rookbend/testing/cluster/process_cluster.py
@@ -1,12 +1,12 @@
-"""A fleet on one machine: directors as processes, everything else here, relays between all of them.
+"""A cluster on one machine: directors as processes, all other systems in this process, and relays between them.
 
-    async with stage(directors=3, seed=7) as scene:
-        await scene.start()
-        await scene.admitted()
-        scene.power_off()
-        await scene.power_on()
-        await scene.nodes["n1"].said("ready")
-        scene.verdict()
+    async with open_cluster(directors=3, seed=7) as cluster:
+        await cluster.start()
+        await cluster.wait_until_admitted()
+        cluster.power_off()
+        await cluster.power_on()
+        await cluster.nodes["n1"].wait_for_log("ready")
+        cluster.check_invariants()
 
 Directors are n0, n1, ...; caches c0, c1, ...; parents p0, ...; the origin is `records`.
 """
@@ -85,9 +85,9 @@
         self.addresses: dict[str, dict[str, str]] = {}
         self.peers: dict[str, str] = {}
         self.fault_schedule: tuple[fault_timeline.Fault, ...] = ()
-        self.change_settings: Callable[[dict], dict] = lambda settings: settings  # of what directors are told
-        self.operator_endpoints = False  # whether directors are told where their operators' door is
-        self.powered_off: dict[str, None] = {}  # what has lost its power, in that order
+        self.change_settings: Callable[[dict], dict] = lambda settings: settings  # applied to the directors' settings
+        self.operator_endpoints = False  # whether directors serve their operator endpoint
+        self.powered_off: dict[str, None] = {}  # names without power, in the order in which they lost it
 
     def _host(self, name: str, what: int) -> str:
         return f"{self.address_prefix}.{1 + self.names.index(name)}.{what}"
@@ -166,39 +166,40 @@
         return OPERATORS.format(admin=self.addresses[name]["admin"], more=more)
 
     async def start(self, *names: str, known: dict | None = None) -> None:
-        """Starts directors, all that do not run if none is named; returns when the processes exist."""
+        """Starts the named directors, or all that do not run. Returns once the processes exist."""
         await trio.lowlevel.checkpoint()
         for name in names or [n for n in self.names if not self.nodes[n].running]:
-            # A start finds $TMPDIR empty; only an upgrade finds it as it was left.
+            # A start finds an empty $TMPDIR; only an upgrade keeps its files.
             for leftover in self.nodes[name].temporary.iterdir():
                 leftover.unlink()
             self.nodes[name].start(self.nursery, self.config(name, known), self.settings_text(name))
 
     async def wait_until_admitted(self, *names: str) -> None:
-        """Waits until the front has admitted them."""
+        """Waits until the front has admitted the named directors, or all."""
         await self.wait_until(
             lambda: all(self.front.targets[n].admitted for n in names or self.names), f"{names or self.names} admitted"
         )
 
     async def wait_until(self, holds: Callable[[], bool], what: str) -> None:
-        """Waits for something that answers, admissions and log lines change. Raises `HungProcessError`."""
+        """Waits until `holds` returns true, checked at each change at the front and every 50 ms. Raises
+        `HungProcessError` on a time-out; `what` names the condition."""
         with trio.move_on_after(HANG_TIMEOUT_S):
             while not holds():
-                # Answers come all the time while clients run; the beat is for a fleet at rest.
+                # With clients, answers trigger checks all the time; the time-out serves an idle cluster.
                 with trio.move_on_after(0.05):
                     await self.front.changed.wait()
             return
-        raise HungProcessError(f"never: {what}\n{self.report()}")
+        raise HungProcessError(f"time-out while waiting for: {what}\n{self.report()}")
 
     async def wait_for_served(self, count: int) -> None:
-        """Waits for so many more answers that serve."""
+        """Waits until clients have received `count` more served answers."""
         wanted = self.record.counts["answer", "served"] + count
         await self.wait_until(lambda: self.record.counts["answer", "served"] >= wanted, f"{count} more served")
 
-    # The end
+    # Results
 
     def report(self) -> str:
-        """What repeats the run, and what happened in it."""
+        """Returns what is needed to repeat the run, and its events."""
         lines = [f"seed {self.seed}", fault_timeline_format.format_faults(self.fault_schedule), self.record.timeline()]
         for name, node in self.nodes.items():
             if node.lines:
@@ -207,18 +208,18 @@
         return "\n".join(lines)
 
     def check_invariants(self) -> None:
-        """Raises AssertionError with the breaches and the report where a rule was broken."""
+        """Raises AssertionError with the violations and the report if an invariant was violated."""
         found = self.record.find_violations()
         assert not found, "\n".join([*(f"{b.rule}: {b.subject} {b.text}" for b in found[:10]), self.report()])
 
     def assert_no_component_fault(self) -> None:
-        """Raises AssertionError where a director has logged a fault that it contained."""
+        """Raises AssertionError if a director has logged a contained component fault."""
         logged = [line for node in self.all_nodes() for life in node.lines for line in life]
         faults = [line for line in logged if line.get("event") == COMPONENT_FAULT]
         assert not faults, "\n".join(str(fault.get("traceback")) for fault in faults[:3])
 
     def earned_share(self, since_us: int = 0, until_us: int = 1 << 62) -> float:
-        """The share of the worth asked for in that time that was earned."""
+        """Returns the weight earned as a share of the weight requested in that time."""
         ended = self.front.outcomes(since_us, until_us)
         asked = sum(self.front.traffic_classes[e.traffic_class].objective.priority_weight for e in ended)
         return (
@@ -228,11 +229,11 @@
         )
 
     def all_nodes(self) -> list[Node]:
-        """The newest process of each director, and those before it."""
+        """Returns the newest process of each director and all its predecessors."""
         return [*self.nodes.values(), *(old for olds in self.predecessors.values() for old in olds)]
 
     async def stop(self) -> None:
-        """Ends exactly the processes that the scene has started."""
+        """Kills the processes that this cluster has started, and no others."""
         every = self.all_nodes()
         for node in every:
             if node.running:
--- a/rookbend/testing/cluster/record.py
+++ b/rookbend/testing/cluster/record.py
@@ -56,7 +56,7 @@
         return self.checker.violations
 
     def timeline(self) -> str:
-        """Returns starts, ends and faults in order, in seconds since the record began; for the report of a failed run."""
+        """Returns starts, ends and faults in order, in seconds since the record began, for a failed run's report."""
         shown = ("start", "end", "fault", "fall", "admitted", "lost", "asked")
         return "\n".join(
             f"{(at - self.began_us) / 1e6:8.3f} {row_type:9} {subject} {detail}".rstrip()
--- a/rookbend/testing/cluster/shared_state.py
+++ b/rookbend/testing/cluster/shared_state.py
@@ -1,4 +1,4 @@
-"""What all members of the stage share, and how each is made."""
+"""The state that all members of a cluster share, and the profile of each role."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberProfile:
-    """How a member is made. Seconds, bytes, transfers."""
+    """The capacity and limits of a member: `capacity` in seconds of work per second, `memory` in bytes."""
 
     capacity: float = 12.0
     memory: int = 4 << 20
@@ -25,13 +25,13 @@
     window_us: int = 1_500_000
     queue_s: float = 1.0
     down_s: float = 4.0
-    bytes_per_s: float = 1_000_000.0  # bytes a second of one transfer
-    first_byte_s: float = 0.0  # before the first byte
+    bytes_per_s: float = 1_000_000.0  # of one transfer
+    first_byte_s: float = 0.0  # time before the first byte
 
 
 CACHE = MemberProfile()
 PARENT = MemberProfile(capacity=20.0, memory=16 << 20, cold_capacity_ratio=0.1, warm_up_us=20_000_000, multiple=2.0)
-# Few workers, each call of them takes long: capacity is workers, `first_s` the call.
+# The origin has few workers and slow calls: `capacity` is its workers, `first_byte_s` the duration of a call.
 ORIGIN = MemberProfile(
     capacity=6.0,
     memory=0,
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchResult:
-    """A copy, or why there is none: `word` is an answer's, `note` its note."""
+    """A copy, or the reason for its absence: `outcome` and `note` are sent in the answer."""
 
     outcome: str
     note: str = ""
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SentCopy:
-    """A copy that a member has sent; `asked_us` is when the first byte of the request came."""
+    """A copy that a member has sent; `received_us` is the arrival of the request's first byte."""
 
     received_us: int
     key: str
@@ -65,19 +65,21 @@
 
 
 class SharedState:
-    """What all members share: the record, who they are, when each thing was last purged, executions."""
+    """The state that all members share: the record, the members, the last purges, the copies sent, the executions."""
 
     def __init__(self, record: Record, seed: int):
         self.record, self.seed = record, seed
-        self.members: dict[str, object] = {}  # a `boxes.Box` each
+        self.members: dict[str, object] = {}  # each a `members.StandInMember`
         self.purged_objects: dict[str, int] = {}
         self.purged_groups: dict[int, int] = {}
         self.sent_copies: deque[SentCopy] = deque(maxlen=100_000)
-        self.executions: dict[str, list[str]] = {}  # submission: the ids under which the origin ran it
-        self.max_purge_delay_s = 5.0  # members drop older copies by themselves, each in its own time
+        self.executions: dict[
+            str, list[str]
+        ] = {}  # by object of a write: the request ids under which the origin ran it
+        self.max_purge_delay_s = 5.0  # each member drops purged copies by itself, after its own delay of at most this
 
     def size_of(self, key: str, part: int) -> int:
-        """Log-normal about 3 kB, the same for each asking."""
+        """Returns a size in bytes, log-normal with a median of about 3 kB, derived from the name."""
         return min(60_000, int(random.Random(f"{self.seed} {key} {part}").lognormvariate(8.0, 0.6)))
 
     def bytes_of(self, key: str, part: int, t0_us: int) -> bytes:
@@ -90,5 +92,5 @@
 
 
 def group_of(key: str) -> int:
-    """Objects belong to groups by their names: the last two hex digits."""
+    """Returns the group of an object: the last two hex digits of its name."""
     return int(key[-2:], 16)
--- a/rookbend/testing/cluster/shim/faultydisk.py
+++ b/rookbend/testing/cluster/shim/faultydisk.py
@@ -1,9 +1,9 @@
-"""A disk that forgets: an apsw VFS under SQLite, for processes of the stage. Loaded by `sitecustomize`.
+"""A disk that loses unsynced writes: an apsw VFS below SQLite, for a cluster's directors. Loaded by `sitecustomize`.
 
-What is written lives in this process's memory, and in a file beside it (`.unsynced`), until it is synced;
-only then it reaches the real file. A process that is killed therefore loses just what it had not synced, as a
-machine does that loses its power. The stage may then apply a part of `.unsynced`, the last write torn
-(`disk.tear`). The word in the stage's file `disk` makes writes fail: `full`, `read-only`.
+Writes stay in this process's memory and in a file beside the real one (`.unsynced`) until they are synced; only then
+do they reach the real file. A process that is killed therefore loses exactly its unsynced writes, like a machine that
+loses its power. The test can then apply a part of `.unsynced` with the last write torn (`disk.apply_torn_writes`).
+The text of the file `disk` in the folder `ROOKBEND_STAGE` makes writes fail: `full` or `read-only`.
 """
 
 import contextlib
@@ -30,9 +30,9 @@
     except OSError:
         return
     if fault == "full":
-        raise apsw.FullError("the stage says the disk is full")
+        raise apsw.FullError("the test has set the disk to full")
     if fault == "read-only":
-        raise apsw.ReadOnlyError("the stage says the disk is read-only")
+        raise apsw.ReadOnlyError("the test has set the disk to read-only")
 
 
 class UnsyncedLossFile(apsw.VFSFile):
@@ -42,7 +42,7 @@
         with open(self.path, "rb") as file:
             self.image = bytearray(file.read())
         self.unsynced = []
-        self.unsynced_log = open(self.path + ".unsynced", "wb", buffering=0)  # noqa: SIM115 - open as long as we
+        self.unsynced_log = open(self.path + ".unsynced", "wb", buffering=0)  # noqa: SIM115 - closed in xClose
 
     def xRead(self, amount, offset):
         return bytes(self.image[offset : offset + amount])
--- a/rookbend/testing/cluster/shim/sitecustomize.py
+++ b/rookbend/testing/cluster/shim/sitecustomize.py
@@ -1,7 +1,8 @@
-"""Loaded by Python itself at the start of a process of the stage: its Unix clock is the stage's to set.
+"""Loaded by Python at the start of a cluster's director: lets the test set its Unix clock and stop it at chosen points.
 
-`ROOKBEND_STAGE` names the folder; `clock` in it holds two doubles, seconds ahead and rate less one, which the
-stage changes while the process runs. The program is not changed: it reads `time.time`, as ever.
+`ROOKBEND_STAGE` names a folder. `clock` in it holds two doubles, seconds ahead and rate minus one; `stops` holds one
+byte, the point at which the process stops itself (`process.BEFORE_SEND` and so on). The test changes both while the
+process runs. The program itself is unchanged and reads `time.time` as usual.
 """
 
 import mmap
@@ -14,7 +15,7 @@
     with open(os.path.join(_folder, "clock"), "rb") as _file:
         _clock_setting = mmap.mmap(_file.fileno(), 16, prot=mmap.PROT_READ)
     _unpack, _system_time = struct.Struct("=dd").unpack_from, time.time
-    _since = [_system_time(), 0.0, 0.0]  # true time, seconds ahead there, the setting that was in force
+    _since = [_system_time(), 0.0, 0.0]  # true time of the last change of the setting, seconds ahead and rate set then
 
     def _now():
         true = _system_time()
@@ -45,4 +46,4 @@
     socket.socket.send = _send_or_stop
 
 if _folder and os.environ.get("ROOKBEND_STAGE_DISK"):
-    import faultydisk  # noqa: F401 - it registers itself
+    import faultydisk  # noqa: F401 - registers its VFS on import
--- a/rookbend/testing/cluster/soak.py
+++ b/rookbend/testing/cluster/soak.py
@@ -1,8 +1,9 @@
-"""A seeded soak: a fleet under load while directors restart, reload, are upgraded, members return, lists fall silent.
+"""A seeded soak test: a cluster under load while directors restart, reload and are upgraded, members restart and the
+coordinator falls silent.
 
-The seed draws the events and their moments. Judged are the rules' checker, contained faults, exit codes, the time to
-readiness, and each request that was lost. The platform's page lets a director lose what comes more than 0.7 s after
-SIGTERM, and a request that crosses the close of an idle connection within 50 ms: its client sends it again.
+The seed determines the events and their times. The test checks invariants, contained faults, exit codes, the time to
+readiness, and each lost request. The platform's page allows a director to lose requests that arrive more than 0.7 s
+after SIGTERM, and a request that crosses the close of an idle connection within 50 ms: its client sends it again.
 """
 
 from __future__ import annotations
@@ -25,11 +26,11 @@
 
 DIRECTORS = 3
 RATE = 60.0
-IDLE_CONNECTIONS = 150  # connections that say nothing
+IDLE_CONNECTIONS = 150  # idle connections to one director
 IDLE_CONNECTION_S = 3.0
-LATE_REQUEST_US = 700_000  # after SIGTERM; what comes later may be lost
-CLOSE_RACE_US = 50_000  # a request may cross the close of a connection without an open request
-LEAST_DEADLINE_US = 3_000_000  # what the longest deadline counts as where it is shorter
+LATE_REQUEST_US = 700_000  # after SIGTERM; later requests may be lost
+CLOSE_RACE_US = 50_000  # a request sent this shortly before the close of an idle connection may be lost
+LEAST_DEADLINE_US = 3_000_000  # lower limit of the longest deadline
 LONGEST_DEADLINE_US = max(LEAST_DEADLINE_US, *(kind.deadline_us for kind in TRAFFIC_CLASSES))
 KILL_AFTER_S = (LONGEST_DEADLINE_US + LATE_REQUEST_US) / 1e6
 READY_WITHIN_S = 10.0
@@ -38,7 +39,7 @@
 
 @dataclass
 class SoakResult:
-    """What one seed came to; `failures` in words, none where all held."""
+    """The result of one seed; `failures` is empty if all checks passed."""
 
     seed: int
     events: list[str] = field(default_factory=list)
@@ -51,7 +52,7 @@
 
 
 class Soak:
-    """One seed; `seconds` is how long new events begin."""
+    """The run of one seed; new events begin for `seconds`."""
 
     def __init__(self, cluster: ProcessCluster, seed: int, seconds: float):
         self.cluster = cluster
@@ -73,7 +74,7 @@
         ]
 
     async def run(self) -> SoakResult:
-        """Plays the events one after the other, and judges."""
+        """Plays the events one after the other and evaluates the run."""
         await self.cluster.start_with_operator_endpoints()
         await self.cluster.wait_for_served(50)
         if self.result.crowd:
@@ -97,7 +98,7 @@
         node.signal(signal.SIGTERM)
 
     async def _wait_for_exit(self, node: Node) -> None:
-        """SIGKILL comes at the page's earliest."""
+        """Waits for an exit, and kills the process at the earliest time that the platform's page allows."""
         with trio.move_on_after(KILL_AFTER_S):
             if code := await node.wait_for_exit():
                 self.result.failures.append(f"{node.name} ended with {code}")
@@ -178,7 +179,7 @@
     async def _reload_within_upgrade(self, name: str) -> None:
         await self._upgrade(name, reload=True)
 
-    # What is round them
+    # Members, coordinator, clients
 
     async def _member_restart(self, _name: str) -> None:
         member = self.random.choice([cache.name for cache in self.cluster.caches])
@@ -192,7 +193,7 @@
         self.cluster.coordinator.reconnect()
 
     async def _open_idle_connections(self) -> None:
-        """Clients that connect to one director at once and send nothing."""
+        """Opens many connections to one director at once and sends nothing on them."""
         address = split_address(self.cluster.addresses[self.random.choice(self.cluster.names)]["listen"])
         await trio.sleep(self.random.uniform(0, self.seconds / 2))
         async with trio.open_nursery() as nursery:
@@ -206,14 +207,14 @@
                 with trio.move_on_after(IDLE_CONNECTION_S):
                     await stream.receive_some()
         except (OSError, trio.BrokenResourceError):
-            pass  # the director is restarting, or has closed it
+            pass  # the director is restarting, or has closed the connection
 
-    # Judgement
+    # Evaluation
 
     def _may_be_lost(self, request: LostRequest) -> bool:
         if request.lost_us - request.sent_us <= CLOSE_RACE_US:
             return True
-        # At the end of its grace a director closes the connections without an open request.
+        # At the end of its grace period a director closes the connections without an open request.
         return any(
             LATE_REQUEST_US - CLOSE_RACE_US <= request.sent_us - stopped_us <= KILL_AFTER_S * 1e6
             for stopped_us in self.stopped_us[request.director]
@@ -234,9 +235,9 @@
 
 
 async def soak(seed: int, seconds: float) -> SoakResult:
-    """Plays one seed. Raises AssertionError where a director has contained a fault, or a wait hung."""
+    """Runs one seed. Raises AssertionError if a check failed, a director contained a fault or a wait timed out."""
     async with open_cluster(DIRECTORS, 3, 1, seed, rate=RATE) as cluster:
-        cluster.front.honors_closing = seed % 2 == 0  # the others use open connections to the end
+        cluster.front.honors_closing = seed % 2 == 0  # the other seeds send on open connections to the end
         result = await Soak(cluster, seed, seconds).run()
         cluster.front.running.cancel()
         if result.failures:
--- a/rookbend/testing/cluster/traffic_classes.py
+++ b/rookbend/testing/cluster/traffic_classes.py
@@ -1,4 +1,4 @@
-"""The classes of the stage: the one place that names them. All parts of it go by their flags."""
+"""The cluster's traffic classes. Only this module names them; other modules use their attributes."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TrafficClass:
-    """A class of requests: its worth, its deadline, its share of the arrivals; the parts of its objects."""
+    """A class of requests: its objective, its deadline, its share of arrivals, and the parts of its objects."""
 
     objective: ClassObjective
     deadline_us: int
@@ -28,7 +28,7 @@
 
 
 def class_settings() -> list[dict]:
-    """The classes as the platform's settings tell them."""
+    """Returns the classes in the format of the platform's settings."""
     return [
         {
             "name": k.objective.name,
--- a/rookbend/testing/cluster/upgrades.py
+++ b/rookbend/testing/cluster/upgrades.py
@@ -1,5 +1,5 @@
-"""Upgrades on the stage: a second process of one director, with everything but its door's address the
-same."""
+"""Upgrades: a second process of one director, whose configuration differs only in the address of its operator
+endpoint."""
 
 from __future__ import annotations
 
@@ -12,18 +12,19 @@
 
 
 class Upgrades:
-    """The part of `Scene` that upgrades. `nodes[name]` is the newest process, `elders` those before."""
+    """The part of `ProcessCluster` for upgrades. `nodes[name]` is the newest process, `predecessors` has the earlier
+    ones."""
 
     predecessors: dict[str, list[Node]]
 
     async def start_with_operator_endpoints(self) -> None:
-        """Starts all directors, each with an operators' door; returns once the front admits them."""
+        """Starts all directors with their operator endpoints. Returns once the front has admitted them."""
         self.operator_endpoints = True
         await self.start()
         await self.wait_until_admitted()
 
     async def upgrade(self, name: str) -> Node:
-        """Starts the next process beside the one that serves; returns the one before."""
+        """Starts a new process beside the one that serves. Returns the old process."""
         await trio.lowlevel.checkpoint()
         old = self.nodes[name]
         new = Node(name, old.folder / "next", self.record, old.checkout, temporary=old.temporary)
@@ -36,7 +37,8 @@
         return old
 
     async def wait_until_accepting(self, name: str) -> None:
-        """Waits until the newest door of a director says that it takes clients."""
+        """Waits until a director's newest process answers `/status` with 200: it accepts clients. Raises
+        `HungProcessError`."""
         with trio.move_on_after(HANG_TIMEOUT_S):
             while self.nodes[name].running:
                 try:
@@ -45,15 +47,15 @@
                 except (OSError, trio.BrokenResourceError):
                     pass
                 await trio.sleep(0.01)
-        raise HungProcessError(f"{name} never said yes\n{self.report()}")
+        raise HungProcessError(f"{name} never answered 200 to /status\n{self.report()}")
 
     async def stop_predecessor(self, old: Node) -> int:
-        """SIGTERM to the process before, and its end."""
+        """Sends SIGTERM to the old process. Returns its exit code."""
         old.signal(signal.SIGTERM)
         return await old.wait_for_exit()
 
     def undo_upgrade(self, name: str, old: Node, address: str) -> None:
-        """The next process has ended: the one before is the director again."""
+        """Makes the old process the newest one again, after the new one has ended."""
         self.predecessors[name].remove(old)
         self.nodes[name] = old
         self.addresses[name]["operator"] = address
--- a/rookbend/testing/cluster/workload.py
+++ b/rookbend/testing/cluster/workload.py
@@ -1,4 +1,4 @@
-"""What clients of the stage want, and the connections on which their front asks for it."""
+"""The requests of the cluster's clients, and the connections on which the front sends them."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True)
 class ClientRequest:
-    """What a client wants, over all its tries."""
+    """A client's request over all its tries."""
 
     class_index: int
     key: str
@@ -23,7 +23,7 @@
 
 
 class OpenRequest(NamedTuple):
-    """A request that was sent and has no answer yet."""
+    """A request that was sent and is not answered yet."""
 
     rid: str
     request: ClientRequest
@@ -31,7 +31,7 @@
 
 
 class LostRequest(NamedTuple):
-    """A request whose connection ended before its answer came."""
+    """A request whose connection ended before its answer arrived."""
 
     director: str
     sent_us: int
@@ -45,7 +45,7 @@
         self.stream = stream
         self.open: dict[int, OpenRequest] = {}  # by stream number
         self.last = 0
-        self.closing = False  # the director takes nothing new on it
+        self.closing = False  # the director accepts no new request on it
         self.queue: deque[bytes] = deque()
         self.wanted = trio.Event()
 
@@ -55,9 +55,9 @@
 
 
 class Target:
-    """A director as the front sees it."""
+    """The front's view of a director."""
 
     def __init__(self, name: str, address: tuple[str, int]):
         self.name, self.address = name, address
         self.admitted, self.connections = False, []
-        self.nursery: trio.Nursery | None = None  # of its connections, while it is admitted
+        self.nursery: trio.Nursery | None = None  # runs its connections while it is admitted
