--- a/rookbend/testing/cluster/clients.py
+++ b/rookbend/testing/cluster/clients.py
@@ -220,13 +220,13 @@
             due += self.random.expovariate(self.rate)
             await trio.sleep_until(due)
             self.late_s = max(self.late_s, trio.current_time() - due)
-            kind = self.random.choices(range(len(self.traffic_classes)), shares)[0]
-            if self.traffic_classes[kind].write:
+            class_index = self.random.choices(range(len(self.traffic_classes)), shares)[0]
+            if self.traffic_classes[class_index].write:
                 key = f"{self.random.getrandbits(64):016x}"  # every write has its own object
             else:
                 key = self.random.choices(self.object_names, self.weights)[0]
-            part = self.random.randrange(self.traffic_classes[kind].parts)
-            req = ClientRequest(kind, key, part, now_us())
+            part = self.random.randrange(self.traffic_classes[class_index].parts)
+            req = ClientRequest(class_index, key, part, now_us())
             self.requests.append(req)
             self._send(req)
 
@@ -244,7 +244,7 @@
         out: dict[int, tuple[float, float]] = {}
         for e in self.outcomes(began_us, until_us):
             second = (e.sent_us - began_us) // 1_000_000
-            got, asked = out.get(second, (0.0, 0.0))
+            earned, requested = out.get(second, (0.0, 0.0))
             objective = self.traffic_classes[e.traffic_class].objective
-            out[second] = got + earned_weight(objective, e), asked + objective.priority_weight
+            out[second] = earned + earned_weight(objective, e), requested + objective.priority_weight
         return out
--- a/rookbend/testing/cluster/coordinator.py
+++ b/rookbend/testing/cluster/coordinator.py
@@ -83,9 +83,9 @@
     def _with_addresses(self, director: str, event: dict) -> dict:
         if "endpoints" not in event:
             return event
-        told = event["endpoints"]
-        members = [{**m, "host_port": self.address_of(director, m["id"])} for m in told["members"]]
-        return {"endpoints": {**told, "members": members}}
+        endpoints = event["endpoints"]
+        members = [{**m, "host_port": self.address_of(director, m["id"])} for m in endpoints["members"]]
+        return {"endpoints": {**endpoints, "members": members}}
 
     def known_at_start(self, director: str, purge_life_us: int) -> dict:
         """Returns the list and the recent purges for the configuration of a director that starts now."""
--- a/rookbend/testing/cluster/member_wire.py
+++ b/rookbend/testing/cluster/member_wire.py
@@ -39,11 +39,11 @@
         self._streams.add(stream)
         connection = DirectorConnection(stream)
         commands = connection.commands
-        data, first = b"", 0
+        data, first_byte_us = b"", 0
         try:
             async with trio.open_nursery() as nursery:
                 async for more in stream:
-                    first = now_us() if not data else first
+                    first_byte_us = now_us() if not data else first_byte_us
                     data += more
                     while (end := data.find(b"\r\n")) >= 0:
                         words = data[:end].decode("ascii").split(" ")
@@ -56,10 +56,10 @@
                         if len(data) < used:
                             break
                         data = data[used:]
-                        command = commands[words[1]] = ActiveCommand(first)
+                        command = commands[words[1]] = ActiveCommand(first_byte_us)
                         fields = dict(pair.split("=", 1) for pair in words[2].split(","))
-                        nursery.start_soon(self._execute, connection, command, words[1], fields, first)
-                        first = now_us()
+                        nursery.start_soon(self._execute, connection, command, words[1], fields, first_byte_us)
+                        first_byte_us = now_us()
                 nursery.cancel_scope.cancel()  # closing the connection cancels all its commands
         except* (trio.BrokenResourceError, trio.ClosedResourceError):
             pass
@@ -67,14 +67,16 @@
             self._streams.discard(stream)
 
     async def _execute(
-        self, connection: DirectorConnection, command: ActiveCommand, rid: str, fields: dict, first: int
+        self, connection: DirectorConnection, command: ActiveCommand, rid: str, fields: dict, first_byte_us: int
     ) -> None:
         key, part = fields["k"], int(fields.get("p", 0))
         source = self.shared.members.get(fields.get("next", ""))
         write = fields["c"] in WRITES
         self.request_count += 1
         self.record.feed(
-            AttemptReceived(now_us(), rid, self.name, first, fields.get("next", ""), self.work_seconds(key, part))
+            AttemptReceived(
+                now_us(), rid, self.name, first_byte_us, fields.get("next", ""), self.work_seconds(key, part)
+            )
         )
         group = group_of(key)
         try:
@@ -104,11 +106,11 @@
     async def _write(self, rid: str, key: str) -> FetchResult:
         """Runs a write at the origin, also if its answer is lost later."""
         origin = next(b for b in self.shared.members.values() if b.role == "origin")
-        takes = origin.admit(origin.profile.first_byte_s)
-        if takes is None:
+        duration_s = origin.admit(origin.profile.first_byte_s)
+        if duration_s is None:
             return FetchResult("refused")
         self.shared.executions.setdefault(key, []).append(rid)
-        await trio.sleep(takes)
+        await trio.sleep(duration_s)
         return FetchResult("ok", "origin", Copy(0, now_us()))
 
     async def _answer(
--- a/rookbend/testing/cluster/members.py
+++ b/rookbend/testing/cluster/members.py
@@ -104,9 +104,9 @@
         self._total += work
         while self._log[0][0] <= now - profile.window_us:
             self._total -= self._log.popleft()[1]
-        able = profile.multiple * self.capacity(now - profile.window_us) * profile.window_us / 1e6
-        self.peak_load_ratio = max(self.peak_load_ratio, self._total / able)
-        if self._total > able and (self.role == "origin" or self.is_cold(now)):
+        overload_work_s = profile.multiple * self.capacity(now - profile.window_us) * profile.window_us / 1e6
+        self.peak_load_ratio = max(self.peak_load_ratio, self._total / overload_work_s)
+        if self._total > overload_work_s and (self.role == "origin" or self.is_cold(now)):
             self._fail_overloaded()
             return None
         free = max(self._free_us, now)
@@ -129,10 +129,10 @@
         if copy is None or copy.t0_us < oldest_us:
             return None
         shared, now = self.shared, now_us()
-        for made in (shared.purged_objects.get(key, 0), shared.purged_groups.get(group, 0)):
-            if made and copy.t0_us < made:
-                heard = random.Random(f"{shared.seed} {self.name} {made}").uniform(0, shared.max_purge_delay_s)
-                if now >= made + heard * 1e6:
+        for purged_us in (shared.purged_objects.get(key, 0), shared.purged_groups.get(group, 0)):
+            if purged_us and copy.t0_us < purged_us:
+                delay_s = random.Random(f"{shared.seed} {self.name} {purged_us}").uniform(0, shared.max_purge_delay_s)
+                if now >= purged_us + delay_s * 1e6:
                     return None
         return copy
 
@@ -144,12 +144,12 @@
         if self.role == "origin":
             return await self._generate(key, part, group)
         held = self.usable_copy(key, group, self.store.get((key, part), keep), oldest_us)
-        takes = self.admit(self.work_seconds(key, part))
-        if takes is None:
+        duration_s = self.admit(self.work_seconds(key, part))
+        if duration_s is None:
             return FetchResult("refused", "crowded")
         if held is not None:
             self.hits += 1
-            await trio.sleep(takes)
+            await trio.sleep(duration_s)
             return FetchResult("ok", "mem", held)
         if source is None:
             return FetchResult("nothing")
@@ -170,7 +170,7 @@
             return FetchResult("error", "behind" if result.note == "behind" else note)
         if keep or self.role == "parent":
             self.store.put((key, part), Copy(result.copy.size, result.copy.t0_us, group, keep or 1))
-        await trio.sleep(takes)
+        await trio.sleep(duration_s)
         note = "origin" if source.role == "origin" or result.note in ("origin", "parent") else "parent"
         return FetchResult("ok", note, result.copy, (now_us() - now) / 1e6)
 
@@ -188,11 +188,11 @@
 
     async def _generate(self, key: str, part: int, group: int) -> FetchResult:
         """Generates the copy at the origin, which has every object but few workers."""
-        takes = self.admit(self.work_seconds(key, part))
-        if takes is None:
+        duration_s = self.admit(self.work_seconds(key, part))
+        if duration_s is None:
             return FetchResult("refused")
         t0 = now_us()
-        await trio.sleep(takes)
+        await trio.sleep(duration_s)
         if self.down:
             return FetchResult("error")
         return FetchResult("ok", "", Copy(self.shared.size_of(key, part), t0 // 1000 * 1000, group))
