--- a/rookbend/testing/cluster/soak.py
+++ b/rookbend/testing/cluster/soak.py
@@ -109,7 +109,9 @@
 
     async def _start_again(self, name: str) -> None:
         began_s = trio.current_time()
-        await self.cluster.wait_until(lambda: not self.cluster.front.targets[name].admitted, f"{name} is missed")
+        await self.cluster.wait_until(
+            lambda: not self.cluster.front.targets[name].admitted, f"the front no longer admits {name}"
+        )
         await self.cluster.start(name)
         await self.cluster.wait_until_admitted(name)
         took_s = trio.current_time() - began_s
--- a/tests/recovery_clusters.py
+++ b/tests/recovery_clusters.py
@@ -1,4 +1,4 @@
-"""Fleets of processes with recovery, for the tests of several files."""
+"""Test clusters with recovery enabled, for several test files."""
 
 from contextlib import asynccontextmanager
 
@@ -17,7 +17,7 @@
 
 @asynccontextmanager
 async def fleet(directors=3, rate=60.0, operators=RECOVERY, **more):
-    """A fleet that serves; the rules are judged at its end whatever the test looked at."""
+    """Opens a cluster that serves requests, and checks all invariants at the end of the test."""
     async with open_cluster(directors=directors, caches=3, rate=rate, operators=operators, **more) as cluster:
         await cluster.start()
         await cluster.wait_until_admitted()
@@ -40,7 +40,7 @@
 
 
 async def wait_until_orders_replicated(cluster, owner_name):
-    """Waits until every director holds the orders of all: what a peer can give back."""
+    """Waits until every director holds all orders of the owner, so that any peer can return them."""
     owner = (await cluster.admin_request(owner_name, "/recovery"))["digests"]["order"]
     for name in cluster.names:
         await cluster.wait_for_answer(name, "/recovery", lambda found: found["digests"]["order"] == owner)
--- a/tests/test_address_block.py
+++ b/tests/test_address_block.py
@@ -1,4 +1,4 @@
-"""Scenes of several processes on one machine use addresses of their own."""
+"""Clusters on one machine use separate addresses."""
 
 import socket
 
@@ -8,8 +8,8 @@
 from rookbend.testing.cluster.address_block import AddressBlock, NoFreeAddressBlockError
 
 
-def test_two_scenes_whose_processes_ids_lead_to_one_block_do_not_meet(monkeypatch):
-    # Guards against "Address already in use" where two tests of several processes run at once.
+def test_two_clusters_whose_process_ids_select_one_block_get_different_blocks(monkeypatch):
+    # Guards against "Address already in use" when two tests with clusters run at the same time.
     monkeypatch.setattr(address_block.os, "getpid", lambda: 4242)
     first, second = AddressBlock(), AddressBlock()
     assert first.prefix != second.prefix
@@ -21,7 +21,7 @@
     third.release()
 
 
-def test_where_no_block_is_left_the_scene_says_so(monkeypatch):
+def test_without_a_free_block_an_error_is_raised(monkeypatch):
     monkeypatch.setattr(address_block, "CLAIM_NAME", f"\0rookbend-test-{id(monkeypatch)}-")
     monkeypatch.setattr(address_block, "BLOCKS", 2)
     taken = [AddressBlock(), AddressBlock()]
@@ -31,7 +31,7 @@
         block.release()
 
 
-def test_every_block_is_of_the_loopback_range():
+def test_every_block_is_in_the_loopback_range():
     assert all(
         socket.inet_aton(f"127.{address_block.FIRST_BLOCK + number}.0.1")[0] == 127
         for number in range(address_block.BLOCKS)
--- a/tests/test_boot_numbers_processes.py
+++ b/tests/test_boot_numbers_processes.py
@@ -1,4 +1,4 @@
-"""Boot numbers through starts that are cut off: what has left a director carries a number that is on its disk."""
+"""Boot numbers across interrupted starts: a director sends a boot number only once it is on its disk."""
 
 import random
 
@@ -13,7 +13,7 @@
 
 
 def sent_since(cluster, name, since_us):
-    """Datagrams and TCP connections that a director began since then."""
+    """Returns the datagrams that a director sent and the TCP connections that it opened since then."""
     return [
         row
         for row in cluster.record.rows
@@ -26,8 +26,8 @@
     return (await cluster.admin_request(asked, "/fleet"))["directors"][number]["boot"]
 
 
-def test_a_start_cut_off_in_the_sync_of_its_boot_number_has_sent_nothing_and_is_not_counted():
-    # Guards against a boot number that leaves a director before it is durable: two starts would share it.
+def test_a_start_interrupted_in_the_sync_of_its_boot_number_has_sent_nothing_and_is_not_counted():
+    # Guards against a boot number that is sent before it is durable: two starts would share it.
     async def main():
         async with fleet(rate=20) as cluster:
             node = cluster.nodes["n1"]
@@ -38,7 +38,7 @@
             since = now_us()
             await cluster.power_on("n1")
             await node.wait_until_stopped()
-            await cluster.wait_for_served(10)  # the others go on, and hear nothing of it
+            await cluster.wait_for_served(10)  # the other directors serve meanwhile
             assert not node.find_logs("state_open") and not sent_since(cluster, "n1", since)
             cluster.power_off("n1")
             await node.wait_for_exit()
@@ -52,8 +52,8 @@
 
 
 @pytest.mark.parametrize("seed, cuts", [(1, 8), pytest.param(2, 60, marks=pytest.mark.long)])
-def test_a_start_cut_off_at_any_moment_leaves_no_number_behind_that_a_later_start_takes(seed, cuts):
-    # Guards against a director that returns with a number that its peers have heard from an earlier start.
+def test_a_start_interrupted_at_any_time_leaves_no_boot_number_that_a_later_start_reuses(seed, cuts):
+    # Guards against a director that restarts with a boot number that its peers know from an earlier start.
     async def main():
         moments = random.Random(seed)
         async with fleet(rate=20, seed=seed) as cluster:
--- a/tests/test_failure_record.py
+++ b/tests/test_failure_record.py
@@ -1,4 +1,4 @@
-"""What a failed test of several processes leaves behind."""
+"""The files kept of a failed test cluster."""
 
 import pytest
 import trio
@@ -7,8 +7,8 @@
 from rookbend.testing.cluster.failure_record import ENVIRONMENT_VARIABLE
 
 
-def test_a_failed_scene_leaves_report_logs_and_settings_and_names_the_folder(tmp_path, monkeypatch):
-    # Guards against failures that come once and whose output is lost.
+def test_a_failed_cluster_keeps_report_logs_and_settings_and_names_their_folder(tmp_path, monkeypatch):
+    # Guards against losing the output of a failure that cannot be reproduced.
     monkeypatch.setenv(ENVIRONMENT_VARIABLE, str(tmp_path / "failures"))
 
     async def main():
--- a/tests/test_fault_players.py
+++ b/tests/test_fault_players.py
@@ -1,4 +1,4 @@
-"""Every kind of fault that a timeline may name is played on processes, begins and ends, and leaves a fleet that serves."""
+"""Each kind of fault in a timeline begins and ends on real processes, and the fleet serves afterwards."""
 
 import trio
 
--- a/tests/test_late_signals_processes.py
+++ b/tests/test_late_signals_processes.py
@@ -1,4 +1,4 @@
-"""Signals that reach a director while it ends: its exit code stays 0."""
+"""Signals that arrive while a director shuts down do not change its exit code 0."""
 
 import signal
 
@@ -11,8 +11,8 @@
 
 
 @pytest.mark.parametrize("number", [signal.SIGHUP, signal.SIGUSR1, signal.SIGTERM, signal.SIGINT])
-def test_a_signal_at_any_moment_of_the_end_changes_no_exit_code(number):
-    # Guards against a SIGHUP after the drain, which ended the process by that signal.
+def test_a_signal_at_any_time_during_shutdown_does_not_change_the_exit_code(number):
+    # Guards against a SIGHUP after the drain that kills the process.
     async def main():
         async with open_cluster(directors=1, caches=1) as cluster:
             await cluster.start()
--- a/tests/test_leases_processes.py
+++ b/tests/test_leases_processes.py
@@ -1,5 +1,5 @@
-"""One owner at a time with several processes of the program and faults between them. Verdicts are on what the
-stand-ins received; nothing waits for a time but to end a hang."""
+"""Several directors as processes have one owner at a time despite faults between them. Assertions are on what the
+stand-ins received; time-outs only end a test that hangs."""
 
 import json
 import signal
@@ -51,14 +51,14 @@
 
 
 def assert_no_old_owner(cluster):
-    """No line was taken with a token older than one taken before, and none twice."""
+    """No accepted line has a token older than an earlier one, and no line number was accepted twice."""
     taken = [t for t in cluster.ledger.appends if t.result == "ok"]
     assert [t.token for t in taken] == sorted(t.token for t in taken)
     assert len({t.number for t in taken}) == len(taken)
 
 
 async def owner_of(cluster, scope, but=()):
-    """The director that says that it owns the scope; waits until one does."""
+    """Waits until a director reports that it owns the scope, and returns its name."""
     while True:
         for name in cluster.names:
             if name in but or not cluster.nodes[name].running:
@@ -88,7 +88,7 @@
 
 
 async def wait_for_next_token(cluster, old):
-    """Waits for a line with a token above all that `old` was tried with."""
+    """Waits for an accepted line with a token above all tokens seen so far, those of `old` included."""
     highest = max(t.token for t in cluster.ledger.appends) if cluster.ledger.appends else 0
     await cluster.wait_until(
         lambda: any(t.result == "ok" and t.token > highest for t in cluster.ledger.appends),
@@ -100,7 +100,7 @@
     "where",
     [BEFORE_SEND, pytest.param(AFTER_SEND, marks=pytest.mark.long), pytest.param(IN_SYNC, marks=pytest.mark.long)],
 )
-def test_an_owner_stopped_amid_its_work_wakes_up_late_and_does_no_harm(where):
+def test_an_owner_stopped_during_its_work_resumes_late_and_changes_nothing(where):
     async def main():
         async with fleet() as cluster:
             await cluster.wait_until(lambda: any(t.result == "ok" for t in cluster.ledger.appends), "a line")
@@ -108,7 +108,7 @@
             node = cluster.nodes[old]
             node.stop_at(where)
             if where == IN_SYNC:
-                with trio.move_on_after(1.0):  # something to be synced
+                with trio.move_on_after(1.0):  # causes a sync of the disk
                     await cluster.admin_request(old, "/orders", "POST", {"member": "c1", "order": "drain", "by": "kim"})
             await node.wait_until_stopped()
             await wait_for_next_token(cluster, old)
@@ -117,7 +117,7 @@
             cluster.resume(old)
             await node.wait_for_log("lease_lost", scope="report")
             if where == BEFORE_SEND:
-                # Its line was checked before the stop and went out after it: the ledger refused it.
+                # The line was checked before the stop and sent after it, so the ledger has to refuse it.
                 await cluster.wait_until(lambda: any(t.result == "old" for t in cluster.ledger.appends), "an old token")
             before = len(cluster.ledger.appends)
             await cluster.wait_until(lambda: len(cluster.ledger.appends) >= before + 2, "lines go on")
@@ -126,13 +126,13 @@
     trio.run(main)
 
 
-def test_members_are_checked_by_one_owner_and_all_know_though_owners_die_or_are_cut_off():
+def test_one_owner_checks_each_member_and_all_directors_learn_the_result_after_an_owner_is_lost():
     async def main():
         async with fleet() as cluster:
             await wait_until_all_know(cluster, "c0", ("ready", "degraded"))
             cluster.stand_ins["c0"].unhealthy = True
             await wait_until_all_know(cluster, "c0", ("down",))
-            # Each of its own, four directors would each ask; owners do once. Whose shard it is may move amid it.
+            # Four independent directors would each check a member; with owners only one does. A shard may move meanwhile.
             before, n = cluster.stand_ins["c1"].checks, cluster.stand_ins["p0"].checks
             await cluster.wait_until(lambda: cluster.stand_ins["p0"].checks >= n + 4, "checks of p0")
             assert cluster.stand_ins["c1"].checks - before <= 2 * 4 + 4
@@ -143,7 +143,7 @@
             await wait_until_all_know(cluster, "c0", ("ready", "degraded"), remaining)
             cluster.stand_ins["c2"].unhealthy = True
             await wait_until_all_know(cluster, "c2", ("down",), remaining)
-            # A drain of the membership wins whatever an owner says.
+            # A drain in the membership overrides what an owner reports.
             cluster.stand_ins["c1"].draining = True
             cluster.coordinator.publish_members("c1")
             await wait_until_all_know(cluster, "c1", ("draining",), remaining)
@@ -152,7 +152,7 @@
     trio.run(main)
 
 
-def test_an_order_for_the_fleet_stands_through_the_loss_of_its_writer_of_a_disk_and_of_all_power():
+def test_a_fleet_order_survives_the_loss_of_its_writer_of_a_disk_and_of_all_power():
     async def main():
         async with fleet() as cluster:
             writer = await with_timeout(owner_of, cluster, "orders")
@@ -175,14 +175,14 @@
             found = await cluster.admin_request(new, "/owners")
             for row in found["owners"]:
                 if row["ours"]:
-                    assert row["token"] > tokens[row["scope"]], "tokens grow over a loss of all power"
+                    assert row["token"] > tokens[row["scope"]], "tokens grow across a loss of all power"
             assert found["orders"]["in_effect"] >= 1
 
     trio.run(main)
 
 
 @pytest.mark.long
-def test_voters_split_two_and_three_and_the_side_without_a_majority_owns_nothing():
+def test_with_voters_split_two_and_three_the_side_without_a_majority_owns_nothing():
     async def main():
         operators = OWNERSHIP.replace("voters        0 1 2", "voters        0 1 2 3 4")
         async with fleet(directors=5, operators=operators) as cluster:
@@ -206,7 +206,7 @@
     trio.run(main)
 
 
-def test_sigterm_hands_over_and_a_reload_of_half_the_voters_makes_no_second_owner():
+def test_sigterm_hands_over_and_a_reload_of_some_voters_makes_no_second_owner():
     async def main():
         async with fleet(directors=5) as cluster:
             owner = await with_timeout(owner_of, cluster, "orders")
@@ -245,7 +245,7 @@
     trio.run(main)
 
 
-def test_the_report_goes_on_in_a_file_under_the_next_owners_token(tmp_path):
+def test_the_report_continues_in_a_file_with_the_next_owners_token(tmp_path):
     path = tmp_path / "report"
 
     def lines():
--- a/tests/test_operations_faults.py
+++ b/tests/test_operations_faults.py
@@ -1,4 +1,4 @@
-"""Upgrades, bans and reloads with faults between the processes, judged by the stage's record."""
+"""Upgrades, maintenance orders and reloads with faults of the processes, checked against the cluster's record."""
 
 import json
 import resource
@@ -13,7 +13,7 @@
 
 
 def record_order(cluster, name, out):
-    """From here on the order binds the director: the checker judges it as it judges a drain."""
+    """Records that the order is in force now; the invariant checker treats it like a drain."""
     cluster.record.feed(MembershipSent(now_us(), "n0", name, MemberStatus.DRAINING if out else MemberStatus.SERVING))
 
 
@@ -29,7 +29,7 @@
 
 
 async def wait_until_used_again(cluster, name):
-    """The caches' own copies of what they sent: one of that cache is newer than now."""
+    """Waits until the cache has answered a request that arrived after this call."""
     since = now_us()
     await cluster.wait_until(
         lambda: any(c.member == name and c.received_us > since for c in cluster.shared.sent_copies),
@@ -37,19 +37,19 @@
     )
 
 
-def test_a_ban_holds_before_during_and_after_an_upgrade_whoever_was_told():
+def test_maintenance_stays_in_force_before_during_and_after_an_upgrade_at_either_process():
     async def main():
         async with open_cluster(directors=1, caches=4, rate=40) as cluster:
             await cluster.start_with_operator_endpoints()
             await cluster.wait_for_served(20)
-            await set_maintenance(cluster, "enter", "c0")  # before
+            await set_maintenance(cluster, "enter", "c0")  # before the upgrade
             old_endpoint = cluster.addresses["n0"]["operator"]
             old = await cluster.upgrade("n0")
             await cluster.wait_until_accepting("n0")
-            await set_maintenance(cluster, "enter", "c1", old_endpoint)  # during, at the old one's door
-            await set_maintenance(cluster, "enter", "c2")  # and at the new one's
+            await set_maintenance(cluster, "enter", "c1", old_endpoint)  # during the upgrade, at the old process
+            await set_maintenance(cluster, "enter", "c2")  # and at the new process
             await cluster.wait_for_served(30)
-            await set_maintenance(cluster, "exit", "c1")  # undone at the other
+            await set_maintenance(cluster, "exit", "c1")  # cancelled at the process that did not get the order
             assert await cluster.stop_predecessor(old) == 0
             await cluster.wait_for_served(30)
             figures = await cluster.read_operator_metrics("n0")
@@ -57,7 +57,7 @@
             await set_maintenance(cluster, "exit", "c0")
             await wait_until_used_again(cluster, "c0")
             cluster.check_invariants()
-            old = await cluster.upgrade("n0")  # c2 is still out
+            old = await cluster.upgrade("n0")  # c2 is still in maintenance
             await cluster.wait_until_accepting("n0")
             assert await cluster.stop_predecessor(old) == 0
             await cluster.wait_for_served(30)
@@ -67,7 +67,7 @@
     trio.run(main)
 
 
-def test_with_no_room_in_tmpdir_an_order_still_binds_and_reaches_the_process_beside():
+def test_with_no_space_in_tmpdir_an_order_is_still_obeyed_and_reaches_the_other_process():
     async def main():
         async with open_cluster(directors=1, caches=3, rate=40) as cluster:
             await cluster.start_with_operator_endpoints()
@@ -85,7 +85,7 @@
     trio.run(main)
 
 
-def test_a_spoilt_file_of_the_process_before_is_said_and_the_start_goes_on():
+def test_a_damaged_exclusions_file_is_logged_and_the_start_continues():
     async def main():
         async with open_cluster(directors=1, caches=3, rate=40) as cluster:
             await cluster.start_with_operator_endpoints()
@@ -100,7 +100,7 @@
     trio.run(main)
 
 
-def test_a_next_process_that_stands_still_before_its_yes_takes_nothing_away():
+def test_a_new_process_stopped_before_it_is_ready_costs_no_service():
     async def main():
         async with open_cluster(directors=1, rate=40) as cluster:
             await cluster.start_with_operator_endpoints()
@@ -109,7 +109,7 @@
             new = cluster.nodes["n0"]
             while not old.find_logs("upgrade_asked"):
                 await old.changed.wait()
-            new.signal(signal.SIGSTOP)  # it has our listeners; it may have begun to serve or not
+            new.signal(signal.SIGSTOP)  # the new process has the listeners, and may serve already
             if not old.find_logs("upgrade_shared"):
                 await cluster.wait_for_served(30)
             new.kill()
@@ -121,7 +121,7 @@
     trio.run(main)
 
 
-def test_an_old_process_that_freezes_while_both_serve_costs_only_what_it_held():
+def test_an_old_process_that_freezes_while_both_serve_loses_only_its_open_requests():
     async def main():
         async with open_cluster(directors=1, rate=40) as cluster:
             await cluster.start_with_operator_endpoints()
@@ -129,7 +129,7 @@
             await cluster.wait_until_accepting("n0")
             await cluster.wait_for_served(20)
             old.signal(signal.SIGSTOP)
-            cluster.front.drop_connections("n0")  # what is open at a process that stands can't come in time
+            cluster.front.drop_connections("n0")  # a stopped process cannot answer its open requests in time
             await cluster.wait_for_served(20)
             old.kill()
             await old.wait_for_exit()
@@ -140,7 +140,7 @@
     trio.run(main)
 
 
-def test_two_upgrades_within_ten_seconds_and_a_reload_in_the_middle():
+def test_two_upgrades_within_ten_seconds_with_a_reload_between_them_lose_no_request():
     async def main():
         async with open_cluster(directors=1, rate=40) as cluster:
             await cluster.start_with_operator_endpoints()
@@ -157,7 +157,7 @@
                 node.signal(signal.SIGHUP)
             for node in (first, second):
                 assert "max_attempts" in (await node.wait_for_log("reloaded"))["changed"]
-            first.signal(signal.SIGTERM)  # not waited for: the next upgrade begins while it ends
+            first.signal(signal.SIGTERM)  # the next upgrade begins while this process ends
             await cluster.upgrade("n0")
             await cluster.wait_until_accepting("n0")
             assert await cluster.stop_predecessor(second) == 0
@@ -170,7 +170,7 @@
     trio.run(main)
 
 
-def test_the_door_answers_within_a_second_while_hundreds_of_half_calls_stand_there():
+def test_the_operator_endpoint_answers_within_a_second_with_hundreds_of_incomplete_requests_open():
     async def main():
         async with open_cluster(directors=1, rate=40) as cluster:
             await cluster.start_with_operator_endpoints()
@@ -184,7 +184,7 @@
                 if i % 30 == 29:
                     began = trio.current_time()
                     assert (await cluster.operator_request("n0", "GET", "/status"))[0] == 200
-                    # Guards nothing by time but the promise itself, with room for a busy machine.
+                    # The endpoint has to answer within 1 s; the measured lateness allows for a busy machine.
                     assert trio.current_time() - began < 1.0 + cluster.front.late_s
             await cluster.wait_for_served(20)
             for stream in held:
--- a/tests/test_operations_processes.py
+++ b/tests/test_operations_processes.py
@@ -1,4 +1,4 @@
-"""Two processes of one director: nothing is lost at the door, whichever of the two ends, and however."""
+"""Two processes of one director during an upgrade: no request is lost, whichever process ends and however it ends."""
 
 import signal
 
@@ -11,7 +11,7 @@
     return [w for w in cluster.front.requests if "lost" in w.verdicts]
 
 
-def test_upgrades_under_load_lose_nothing_and_break_no_rule():
+def test_upgrades_under_load_lose_no_request_and_violate_no_invariant():
     async def main():
         async with open_cluster(directors=1, rate=40) as cluster:
             await cluster.start_with_operator_endpoints()
@@ -20,7 +20,7 @@
                 await cluster.wait_for_served(20)
                 old = await cluster.upgrade("n0")
                 await cluster.wait_until_accepting("n0")
-                # A machine too busy for the old one to answer within seconds has the new one start by itself.
+                # On a very busy machine the old process may not answer in time; the new one then starts without it.
                 inherited &= bool(cluster.nodes["n0"].find_logs("upgrade_inherited"))
                 await cluster.wait_for_served(20)
                 assert await cluster.stop_predecessor(old) == 0
@@ -33,15 +33,15 @@
     trio.run(main)
 
 
-def test_a_next_process_that_dies_before_or_after_its_yes_leaves_the_old_one_in_full_service():
+def test_a_new_process_that_dies_before_or_after_it_is_ready_leaves_the_old_one_serving():
     async def main():
         async with open_cluster(directors=1, rate=40) as cluster:
             await cluster.start_with_operator_endpoints()
-            for yes in (False, True):
+            for ready in (False, True):
                 endpoint = cluster.addresses["n0"]["operator"]
                 old = await cluster.upgrade("n0")
                 new = cluster.nodes["n0"]
-                if yes:
+                if ready:
                     await cluster.wait_until_accepting("n0")
                 else:
                     await new.wait_for_log("upgrade_inherited")
@@ -50,7 +50,7 @@
                 cluster.undo_upgrade("n0", old, endpoint)
                 await cluster.wait_for_served(20)
                 assert (await cluster.operator_request("n0", "GET", "/status"))[0] == 200
-            old = await cluster.upgrade("n0")  # and the next one finds it as before
+            old = await cluster.upgrade("n0")  # the next upgrade works as usual
             await cluster.wait_until_accepting("n0")
             assert await cluster.stop_predecessor(old) == 0
             await cluster.wait_for_served(20)
@@ -59,7 +59,7 @@
     trio.run(main)
 
 
-def test_an_old_process_that_stands_still_is_replaced_all_the_same():
+def test_a_stopped_old_process_is_still_replaced():
     async def main():
         async with open_cluster(directors=1, rate=0) as cluster:
             await cluster.start_with_operator_endpoints()
@@ -67,7 +67,7 @@
             old = await cluster.upgrade("n0")
             await cluster.wait_until_accepting("n0")
             assert cluster.nodes["n0"].find_logs("upgrade_alone")[0]["reason"] == "it stands still"
-            # It wakes up, finds that it was asked, and must not take back what the new one stands for.
+            # The old process resumes, reads the upgrade request and must not take back what the new process now owns.
             old.signal(signal.SIGCONT)
             await old.wait_for_log("upgrade_ended")
             assert await cluster.stop_predecessor(old) == 0
@@ -80,7 +80,7 @@
     trio.run(main)
 
 
-def test_two_directors_at_one_address_by_mistake_are_still_found():
+def test_a_second_director_configured_with_the_same_address_exits_with_1():
     async def main():
         async with open_cluster(directors=2, rate=0) as cluster:
             cluster.operator_endpoints = True
--- a/tests/test_process_cluster.py
+++ b/tests/test_process_cluster.py
@@ -1,4 +1,4 @@
-"""The stage of real processes: faults take hold, the record sees them, nothing is left behind."""
+"""The test cluster of real processes: faults take effect and are recorded, and no process is left behind."""
 
 import os
 import subprocess
@@ -15,7 +15,7 @@
 from rookbend.testing.fault_timeline_format import format_faults, parse_faults
 
 
-def test_a_power_loss_of_all_in_the_middle_of_writes_breaks_no_rule():
+def test_a_power_loss_of_all_processes_during_writes_violates_no_invariant():
     async def main():
         async with open_cluster(directors=3, rate=60) as cluster:
             await cluster.start()
@@ -29,12 +29,12 @@
             await cluster.wait_until(lambda: len(cluster.shared.executions) > ran + 5, "writes ran again")
             cluster.check_invariants()
             once = [rids for rids in cluster.shared.executions.values() if len(rids) != len(set(rids))]
-            assert not once, f"run twice under one id: {once}"
+            assert not once, f"writes that ran twice under one request id: {once}"
 
     trio.run(main)
 
 
-def test_a_cut_wire_carries_nothing_until_it_heals_and_a_frozen_director_goes_on():
+def test_a_cut_link_delivers_nothing_until_it_heals_and_a_frozen_director_resumes():
     async def main():
         async with open_cluster(directors=2, caches=2) as cluster:
             await cluster.start()
@@ -57,7 +57,7 @@
     trio.run(main)
 
 
-def test_datagrams_are_lost_doubled_and_reordered_as_the_seed_says():
+def test_datagrams_are_lost_duplicated_and_reordered():
     async def main():
         record, links = Record(), Links()
         socks = {}
@@ -79,7 +79,7 @@
             got = []
             while not got or got[-1] != b"end":
                 data, address = await socks["b"].recvfrom(100)
-                assert "{}:{}".format(*address) == known["a"], "it comes from the sender's address"
+                assert "{}:{}".format(*address) == known["a"], "the datagram comes from the sender's address"
                 got.append(data)
             nursery.cancel_scope.cancel()
         numbers = [data[0] for data in got[:-1]]
@@ -89,7 +89,7 @@
     trio.run(main)
 
 
-def test_a_process_has_the_unix_clock_that_the_stage_sets(tmp_path):
+def test_a_process_has_the_unix_clock_that_the_cluster_sets(tmp_path):
     node = Node("n0", tmp_path, Record())
     env = {**os.environ, "ROOKBEND_STAGE": str(tmp_path), "PYTHONPATH": str(SHIM)}
     asked = "import sys, time\nfor line in sys.stdin: print(time.time(), flush=True)"
@@ -110,8 +110,8 @@
         child.stdin.close()
 
 
-def test_no_director_outlives_a_stage_that_is_killed(tmp_path):
-    # A module and not -c: the stage's processes are children of the one that is killed.
+def test_no_director_outlives_a_cluster_process_that_is_killed(tmp_path):
+    # A script file rather than -c; the directors are children of the process that is killed.
     script = tmp_path / "run.py"
     script.write_text(
         textwrap.dedent("""
@@ -142,7 +142,7 @@
     assert len(pids) == 2
 
 
-def test_the_new_failures_are_read_written_and_refused_like_the_others():
+def test_clock_and_cut_between_faults_are_parsed_and_formatted_like_the_others():
     schedule = parse_faults(
         "[failure a]\n kind clock\n part n0\n at 1s\n by 10m\n back yes\n"
         "[failure b]\n kind cut-between\n part n0>n1\n at 2s\n for 1s\n",
--- a/tests/test_recovery_disks_processes.py
+++ b/tests/test_recovery_disks_processes.py
@@ -1,4 +1,4 @@
-"""Orders and boot numbers through lost, full and old disks, with several processes of the program."""
+"""Orders and boot numbers with lost, full and outdated disks, with several directors as processes."""
 
 import pytest
 import trio
@@ -7,7 +7,7 @@
 from tests.recovery_clusters import fleet, logged, order_of_member, wait_until_all_reach, wait_until_orders_replicated
 
 
-def test_an_order_outlives_its_director_and_even_its_disk_and_is_refused_where_the_disk_is_full():
+def test_an_order_survives_a_restart_and_a_lost_disk_and_is_refused_when_the_disk_is_full():
     async def main():
         async with fleet(rate=0) as cluster:
             await wait_until_all_reach(cluster)
@@ -25,7 +25,7 @@
                 await wait_until_all_reach(cluster, names=["n0"])
                 await cluster.wait_for_answer("n0", "/members", lambda found: order_of_member(found, "c1") == "drain")
             raised = await cluster.nodes["n0"].wait_for_log("boot_raised")
-            assert raised["boot"] == 3, "above the number that the peers knew"
+            assert raised["boot"] == 3, "the boot number is above the one that the peers knew"
             cluster.nodes["n0"].set_disk("full")
             found = await cluster.admin_request(
                 "n0", "/orders", "POST", {"member": "c2", "order": "drain", "by": "kim"}
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.long
-def test_last_weeks_disk_moves_nothing_back_and_its_owner_takes_a_higher_number():
+def test_a_restored_backup_reverts_no_order_and_its_director_takes_a_higher_boot_number():
     async def main():
         async with fleet(rate=0, directors=4) as cluster:
             await wait_until_all_reach(cluster)
@@ -68,7 +68,7 @@
             assert logged(cluster, "n1", "state_open")[0]["boot"] < boot
             assert (await node.wait_for_log("boot_raised"))["boot"] == boot + 1
             await wait_until_all_reach(cluster, names=["n1"])
-            # Its newest order comes back from the others, not the backup's.
+            # The newest order comes back from the peers instead of the one in the backup.
             await cluster.wait_for_answer("n1", "/members", lambda found: order_of_member(found, "c1") == "maintain")
             for name in ("n0", "n2", "n3"):
                 await cluster.wait_for_answer(
--- a/tests/test_recovery_names_processes.py
+++ b/tests/test_recovery_names_processes.py
@@ -1,4 +1,4 @@
-"""Names for writes through a power loss, with a process of the program."""
+"""Names given out for writes before and after a power loss, with a director as a process."""
 
 from dataclasses import replace
 
@@ -17,12 +17,12 @@
 
 
 def short_writes(settings):
-    """A write is in doubt for four deadlines after a start: 1.2 s."""
+    """Shortens the deadline: a write is in doubt for four deadlines after a start, here 1.2 s."""
     settings["lanes"][0].update(aimUs=200_000, hardLimitUs=300_000)
     return settings
 
 
-def test_a_lookup_for_a_write_gets_the_same_name_after_the_loss_and_never_runs_again():
+def test_a_lookup_for_a_write_gets_the_same_name_after_a_power_loss_and_the_write_runs_once():
     async def main():
         async with open_cluster(directors=1, caches=2, operators=RECOVERY + DNS) as cluster:
             cluster.change_settings = short_writes
@@ -41,28 +41,28 @@
                 number += 1
                 return await submit(cluster.record, "n0", server, number, 300_000)
 
-            while (before := await new())[0] != "NOERROR":  # until the first four deadlines are over
+            while (before := await new())[0] != "NOERROR":  # until four deadlines have passed since the start
                 pass
             served = number
             assert before[1] == "records.example.org" and before[2]
             cluster.origin.profile = replace(
                 cluster.origin.profile, first_byte_s=0.25
-            )  # the next is under way at the loss
+            )  # the next write is in progress at the loss
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(submit, cluster.record, "n0", server, 7, 300_000)
-                await cluster.wait_until(lambda: f"{7:016x}" in cluster.shared.executions, "it runs")
+                await cluster.wait_until(lambda: f"{7:016x}" in cluster.shared.executions, "the write runs")
                 cluster.power_off("n0")
                 nursery.cancel_scope.cancel()
             await cluster.power_on("n0")
             await wait_until_all_reach(cluster)
-            assert await again(served) == before, "what was given out is given out again"
+            assert await again(served) == before, "the name given out before is given out again"
             cluster.origin.profile = replace(cluster.origin.profile, first_byte_s=0.04)
-            while (await new())[0] != "NOERROR":  # writes are taken again, and that one still is not
+            while (await new())[0] != "NOERROR":  # writes are accepted again, but not the interrupted one
                 pass
-            assert (await again(7))[0] == "SERVFAIL", "whether it ran can't be told"
+            assert (await again(7))[0] == "SERVFAIL", "it is unknown whether the write ran"
             assert [len(rids) for rids in cluster.shared.executions.values()] == [1] * len(
                 cluster.shared.executions
-            ), "ran once each"
+            ), "each write ran once"
             cluster.check_invariants()
 
     trio.run(main)
--- a/tests/test_recovery_processes.py
+++ b/tests/test_recovery_processes.py
@@ -1,5 +1,5 @@
-"""Recovery with several processes of the program and faults between them. Verdicts are on the record of what
-crossed the relays; nothing waits for a time but to end a hang."""
+"""Recovery of several directors as processes, with faults between them. Assertions are on the recorded traffic of the
+relays and on the directors' answers; time-outs only end a test that hangs."""
 
 import signal
 
@@ -10,7 +10,7 @@
 from tests.recovery_clusters import RECOVERY, fleet, logged, wait_until_all_reach
 
 
-def test_all_lose_power_amid_writes_three_times_and_return_in_other_orders():
+def test_three_power_losses_of_all_during_writes_with_different_orders_of_return():
     async def main():
         async with fleet() as cluster:
             await cluster.wait_until(lambda: len(cluster.shared.executions) > 3, "writes ran")
@@ -18,9 +18,9 @@
             for turn, order in enumerate((("n2", "n0", "n1", *stand_ins), (*stand_ins, "n1", "n2", "n0"), ())):
                 cluster.power_off()
                 await cluster.power_on(*order)
-                if turn == 0:  # again, in the midst of it
+                if turn == 0:  # the next loss comes during this recovery
                     await cluster.nodes["n0"].wait_for_log("recovery_stage", stage="writes")
-                    for name in cluster.names:  # a start that ends before this is not counted
+                    for name in cluster.names:  # a start that ends earlier does not count as a boot
                         await cluster.nodes[name].wait_for_log("state_open")
                 else:
                     await wait_until_all_reach(cluster, "reads")
@@ -34,12 +34,12 @@
 
 
 @pytest.mark.long
-def test_one_that_restarts_in_a_well_fleet_joins_at_once_and_a_frozen_one_comes_back():
+def test_a_restarted_director_joins_a_running_fleet_at_once_and_a_frozen_one_resumes():
     async def main():
         async with fleet(directors=4) as cluster:
             await wait_until_all_reach(cluster)
             await cluster.wait_until(
-                lambda: now_us() - cluster.record.began_us > 6_000_000, "a fleet that is up for long"
+                lambda: now_us() - cluster.record.began_us > 6_000_000, "a fleet that has been up for more than 6 s"
             )
             cluster.power_off("n1")
             await cluster.power_on("n1")
@@ -56,7 +56,7 @@
     trio.run(main)
 
 
-def test_a_drain_told_before_the_loss_binds_against_an_older_list_after_it():
+def test_a_drain_from_before_the_loss_overrides_an_older_list_after_it():
     async def main():
         async with fleet(rate=40) as cluster:
             older = {n: cluster.coordinator.known_at_start(n, 0) for n in cluster.names}
@@ -64,7 +64,7 @@
             cluster.coordinator.publish_members("c0")
             for name in cluster.names:
                 await cluster.wait_for_answer(name, "/recovery", lambda found: "c0" in found["drains"])
-            await cluster.wait_for_served(30)  # what was on its way to c0 has ended, what was put is synced
+            await cluster.wait_for_served(30)  # requests to c0 have ended and stored state is synced
             cluster.power_off(*cluster.names)
             cluster.coordinator.disconnect()
             asked = cluster.stand_ins["c0"].request_count
@@ -72,14 +72,14 @@
                 await cluster.power_on(name, known=older[name])
             await wait_until_all_reach(cluster, "fills")
             await cluster.wait_for_served(60)
-            assert cluster.stand_ins["c0"].request_count == asked, "an old permission opened a drained box"
+            assert cluster.stand_ins["c0"].request_count == asked, "an old list reopened a drained member"
             cluster.coordinator.reconnect()
 
     trio.run(main)
 
 
 @pytest.mark.parametrize("dark", [False, pytest.param(True, marks=pytest.mark.long)])
-def test_a_purge_before_the_loss_and_one_while_dark_void_older_copies(dark):
+def test_a_purge_before_the_loss_and_one_without_power_void_older_copies(dark):
     async def main():
         async with fleet(rate=80) as cluster:
             await cluster.wait_for_served(150)
@@ -89,10 +89,10 @@
                 made = cluster.coordinator.purge(key=hot)
                 for name in cluster.names:
                     await cluster.wait_until(
-                        lambda n=name: cluster.coordinator.last_sent_index[n] >= cluster.coordinator.index, "told"
+                        lambda n=name: cluster.coordinator.last_sent_index[n] >= cluster.coordinator.index, "purge sent"
                     )
                 await cluster.wait_for_served(30)
-            cluster.power_off(*cluster.names)  # the caches keep their copies
+            cluster.power_off(*cluster.names)  # only directors lose power: the caches keep their copies
             if dark:
                 made = cluster.coordinator.purge(key=hot)
             for node in cluster.nodes.values():
@@ -104,9 +104,9 @@
             await cluster.wait_until(
                 lambda: sum(w.key == hot and w.served_us > 0 for w in cluster.front.requests if w.arrival_us > since)
                 >= 5,
-                "it was served again",
+                "the object was served again",
             )
-            # Every copy that left for a client after the return is younger than the purge, told again or not.
+            # Each copy sent after the return is newer than the purge, whether or not the purge was sent again.
             old = [
                 row
                 for row in cluster.shared.sent_copies
@@ -118,7 +118,7 @@
 
 
 @pytest.mark.long
-def test_with_the_coordinator_away_and_an_empty_list_nothing_is_opened_until_it_returns():
+def test_with_the_coordinator_away_and_an_empty_list_no_director_is_ready_until_it_returns():
     async def main():
         async with fleet(rate=0) as cluster:
             await wait_until_all_reach(cluster)
@@ -134,7 +134,7 @@
             assert not any(
                 t.admitted and cluster.record.times("admitted", t.name)[-1] > cluster.record.times("fault", "power")[-1]
                 for t in cluster.front.targets.values()
-            ), "ready without a list"
+            ), "a director became ready without a list"
             cluster.coordinator.reconnect()
             await wait_until_all_reach(cluster, "writes")
             await cluster.wait_until_admitted()
@@ -143,7 +143,7 @@
 
 
 @pytest.mark.long
-def test_halves_that_do_not_hear_each_other_go_slowly_and_meet_again_over_a_bad_network():
+def test_separated_halves_limit_their_rate_and_rejoin_over_a_lossy_network():
     async def main():
         async with fleet(directors=4, rate=40) as cluster:
             cluster.power_off()
@@ -167,7 +167,7 @@
 
 
 @pytest.mark.long
-def test_a_clock_ten_minutes_off_at_the_return_neither_opens_nor_accuses():
+def test_clocks_ten_minutes_off_at_the_return_reopen_nothing_and_raise_no_doubt_about_peers():
     async def main():
         async with fleet(directors=3, rate=40) as cluster:
             cluster.power_off()
@@ -181,12 +181,12 @@
             made = cluster.coordinator.purge(key=key)
             for name in cluster.names:
                 await cluster.wait_until(
-                    lambda n=name: cluster.coordinator.last_sent_index[n] >= cluster.coordinator.index, "told"
+                    lambda n=name: cluster.coordinator.last_sent_index[n] >= cluster.coordinator.index, "purge sent"
                 )
-            since = now_us() + 700_000  # the grace of the rule, and its slack
+            since = now_us() + 700_000  # the grace of the invariant plus its slack
             await cluster.wait_until(
                 lambda: sum(w.key == key and w.served_us > since for w in cluster.front.requests) >= 10,
-                "it was served on",
+                "the object is still served",
             )
             old = [
                 row
@@ -198,7 +198,7 @@
     trio.run(main)
 
 
-def test_the_first_up_while_the_others_stay_down_waits_then_goes_on_with_less_and_ends_on_sigterm():
+def test_a_director_alone_after_the_loss_waits_then_serves_at_its_share_and_ends_on_sigterm():
     async def main():
         operators = RECOVERY.replace("[recovery]", "[recovery]\n ready-by 1500ms")
         async with fleet(directors=5, rate=40, operators=operators) as cluster:
@@ -209,7 +209,9 @@
             assert line["after_ms"] >= 1500 and line["without"] == "writes without 50% of the fleet, 20% there"
             assert (await cluster.nodes["n0"].wait_for_log("recovery_happened"))["happened"] == "cut-off"
             found = await cluster.admin_request("n0", "/recovery")
-            assert found["our_rate"] <= 400 / 5, "its part of all, not of those it hears"
+            assert (
+                found["our_rate"] <= 400 / 5
+            ), "the rate is a share of the whole fleet, not of the reachable directors"
             cluster.nodes["n0"].signal(signal.SIGTERM)
             assert await cluster.nodes["n0"].wait_for_exit() == 0
 
@@ -217,7 +219,7 @@
 
 
 @pytest.mark.long
-def test_a_machine_that_vanishes_amid_the_return_holds_nobody_up_and_returns():
+def test_a_machine_that_vanishes_during_the_return_delays_no_other_and_rejoins():
     async def main():
         async with fleet(directors=3, rate=40) as cluster:
             cluster.power_off()
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak, short and seeded; the long one by hand: python -m benchmarks.soak --seeds 50."""
+"""The seeded soak test, short. The long one is run by hand: python -m benchmarks.soak --seeds 50."""
 
 import pytest
 import trio
--- a/tests/test_state_processes.py
+++ b/tests/test_state_processes.py
@@ -1,4 +1,4 @@
-"""The folder of a director's state, with processes of the program."""
+"""A director's state folder, with directors as processes."""
 
 import trio
 
@@ -8,7 +8,7 @@
 STATE = "[state]\n folder {state}\n fleet f1\n"
 
 
-def test_a_director_refuses_a_folder_that_is_not_its_own_in_one_line_and_exit_2():
+def test_a_director_refuses_the_state_folder_of_another_with_one_line_and_exit_code_2():
     async def main():
         async with open_cluster(directors=2, caches=1, operators=STATE) as cluster:
             await cluster.start()
