--- a/rookbend/testing/cluster/faults.py
+++ b/rookbend/testing/cluster/faults.py
@@ -86,28 +86,28 @@
             fault_timeline.TargetType.MACHINE: [*self.names, *self.stand_ins],
             fault_timeline.TargetType.COORDINATOR: ["coordinator"],
         }
-        begun = trio.current_time()
+        started_s = trio.current_time()
         steps = fault_timeline.plan_steps(self.fault_schedule, targets)
-        at = 0
-        while at < len(steps):
-            due = steps[at].at_us
-            await trio.sleep_until(begun + due / 1e6)
-            together = []
-            while at < len(steps) and steps[at].at_us == due:
-                together.append(steps[at])
-                at += 1
+        index = 0
+        while index < len(steps):
+            due = steps[index].at_us
+            await trio.sleep_until(started_s + due / 1e6)
+            simultaneous = []
+            while index < len(steps) and steps[index].at_us == due:
+                simultaneous.append(steps[index])
+                index += 1
             # Power losses at the same instant come before all other steps.
-            for step in sorted(together, key=lambda s: s.fault.kind != "power"):
+            for step in sorted(simultaneous, key=lambda s: s.fault.kind != "power"):
                 await self._step(step)
 
     async def _step(self, step: fault_timeline.Step) -> None:
         """Begins or ends one fault. Raises ValueError for a kind that the cluster cannot inject."""
-        play = self._fault_handlers().get(step.fault.kind)
-        if play is None:
+        handler = self._fault_handlers().get(step.fault.kind)
+        if handler is None:
             raise ValueError(f"the cluster cannot inject a fault of kind {step.fault.kind}")
-        done = play(step)
-        if done is not None:
-            await done
+        result = handler(step)
+        if result is not None:
+            await result
 
     def _fault_handlers(self) -> dict[str, Callable[[fault_timeline.Step], Awaitable[None] | None]]:
         """Returns the function that begins and ends each kind of fault."""
--- a/rookbend/testing/cluster/member_wire.py
+++ b/rookbend/testing/cluster/member_wire.py
@@ -117,7 +117,7 @@
         self, connection: DirectorConnection, command: ActiveCommand, rid: str, key: str, part: int, result: FetchResult
     ) -> None:
         body = self.shared.bytes_of(key, part, result.copy.t0_us) if result.copy is not None else b""
-        load = f"inflight:{len(self._log)};util:{min(1.0, self._total / self.profile.capacity):.2f}"
+        load = f"inflight:{len(self._window)};util:{min(1.0, self._window_work_s / self.profile.capacity):.2f}"
         fields = [f"load={load}"]
         if result.note:
             fields.append(f"note={result.note}")
--- a/rookbend/testing/cluster/members.py
+++ b/rookbend/testing/cluster/members.py
@@ -36,8 +36,8 @@
         self.admitted_count = self.hits = self.request_count = self.checks = 0
         self.unhealthy = False  # whether it answers health checks with 503
         self.health: tuple[str, int] | None = None
-        self._log: deque[tuple[int, float]] = deque()
-        self._total, self._free_us = 0.0, 0
+        self._window: deque[tuple[int, float]] = deque()
+        self._window_work_s, self._free_us = 0.0, 0
         self._streams: set[trio.SocketStream] = set()
         self._nursery: trio.Nursery | None = None
         self._fetching: dict[tuple[str, int], trio.Event] = {}
@@ -52,7 +52,7 @@
     def phase(self) -> str:
         return "DRAINING" if self.draining else "SERVING"
 
-    # Life
+    # Lifecycle
 
     async def listen(self, nursery: trio.Nursery, port: int = 0) -> int:
         self._nursery = nursery
@@ -73,8 +73,8 @@
     def restart(self) -> None:
         """Starts the member again, empty and cold."""
         self.down, self.up_since_us = False, now_us()
-        self._log.clear()
-        self._total, self._free_us = 0.0, 0
+        self._window.clear()
+        self._window_work_s, self._free_us = 0.0, 0
         if self.role != "origin":
             self.record.feed(MemberStarted(now_us(), self.name, self.slow_start))
         self.record.note("start", self.name)
@@ -100,13 +100,13 @@
         now, profile = now_us(), self.profile
         if self.down:
             return None
-        self._log.append((now, work))
-        self._total += work
-        while self._log[0][0] <= now - profile.window_us:
-            self._total -= self._log.popleft()[1]
+        self._window.append((now, work))
+        self._window_work_s += work
+        while self._window[0][0] <= now - profile.window_us:
+            self._window_work_s -= self._window.popleft()[1]
         overload_work_s = profile.multiple * self.capacity(now - profile.window_us) * profile.window_us / 1e6
-        self.peak_load_ratio = max(self.peak_load_ratio, self._total / overload_work_s)
-        if self._total > overload_work_s and (self.role == "origin" or self.is_cold(now)):
+        self.peak_load_ratio = max(self.peak_load_ratio, self._window_work_s / overload_work_s)
+        if self._window_work_s > overload_work_s and (self.role == "origin" or self.is_cold(now)):
             self._fail_overloaded()
             return None
         free = max(self._free_us, now)
--- a/rookbend/testing/cluster/process_cluster.py
+++ b/rookbend/testing/cluster/process_cluster.py
@@ -76,8 +76,8 @@
         self.caches = [b for b in self.stand_ins.values() if b.role == "cache"]
         self.origin = self.stand_ins["records"]
         self.coordinator = Coordinator(self.shared, self._address_of)
-        more = {} if checkout is None else {"checkout": checkout}
-        self.nodes = {n: Node(n, folder / n, self.record, **more) for n in self.names}
+        checkout_option = {} if checkout is None else {"checkout": checkout}
+        self.nodes = {n: Node(n, folder / n, self.record, **checkout_option) for n in self.names}
         self.ledger = Ledger(self.record)
         self.front = Front(self.record, seed, rate, notice_s=notice_s)
         self.predecessors: dict[str, list[Node]] = {}
@@ -89,8 +89,8 @@
         self.operator_endpoints = False  # whether directors serve their operator endpoint
         self.powered_off: dict[str, None] = {}  # names without power, in the order in which they lost it
 
-    def _host(self, name: str, what: int) -> str:
-        return f"{self.address_prefix}.{1 + self.names.index(name)}.{what}"
+    def _host(self, name: str, number: int) -> str:
+        return f"{self.address_prefix}.{1 + self.names.index(name)}.{number}"
 
     def _address_of(self, director: str, member: str) -> str:
         return "{}:{}".format(*self.relays[director, member].address)
@@ -139,31 +139,31 @@
     # Directors
 
     def config(self, name: str, known: dict | None = None) -> dict:
-        i, place = self.names.index(name), self.addresses[name]
+        i, own_addresses = self.names.index(name), self.addresses[name]
         seed = (self.seed * 1000 + i) * 1000 + self.nodes[name].start_count
         return {
             "name": name,
-            "listen": place["listen"],
-            "operator": place["operator"] if self.operator_endpoints else "",
+            "listen": own_addresses["listen"],
+            "operator": own_addresses["operator"] if self.operator_endpoints else "",
             "seed": f"{seed:x}",
             "settings": self.change_settings(settings_for(len(self.names), len(self.caches), i)),
             "coordinator": self._address_of(name, "coordinator"),
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-            "peer_listen": place["peers"],
+            "peer_listen": own_addresses["peers"],
             "peers": [self.peers[n] for n in self.names],
             "known": known if known is not None else self.coordinator.known_at_start(name, PURGE_LIFE_US),
         }
 
     def settings_text(self, name: str) -> str:
-        more = self.operators(name) if callable(self.operators) else self.operators
-        for word, means in (
+        settings = self.operators(name) if callable(self.operators) else self.operators
+        for placeholder, value in (
             ("{state}", str(self.nodes[name].state)),
             ("{dns}", self.addresses[name]["dns"]),
             ("{resolver}", self.addresses[name]["resolver"]),
             ("{ledger}", self._address_of(name, "ledger")),
         ):
-            more = more.replace(word, means)
-        return OPERATORS.format(admin=self.addresses[name]["admin"], more=more)
+            settings = settings.replace(placeholder, value)
+        return OPERATORS.format(admin=self.addresses[name]["admin"], more=settings)
 
     async def start(self, *names: str, known: dict | None = None) -> None:
         """Starts the named directors, or all that do not run. Returns once the processes exist."""
@@ -180,16 +180,16 @@
             lambda: all(self.front.targets[n].admitted for n in names or self.names), f"{names or self.names} admitted"
         )
 
-    async def wait_until(self, holds: Callable[[], bool], what: str) -> None:
+    async def wait_until(self, holds: Callable[[], bool], condition: str) -> None:
         """Waits until `holds` returns true, checked at each change at the front and every 50 ms. Raises
-        `HungProcessError` on a time-out; `what` names the condition."""
+        `HungProcessError` on a time-out; `condition` describes it in the error."""
         with trio.move_on_after(HANG_TIMEOUT_S):
             while not holds():
                 # With clients, answers trigger checks all the time; the time-out serves an idle cluster.
                 with trio.move_on_after(0.05):
                     await self.front.changed.wait()
             return
-        raise HungProcessError(f"time-out while waiting for: {what}\n{self.report()}")
+        raise HungProcessError(f"time-out while waiting for: {condition}\n{self.report()}")
 
     async def wait_for_served(self, count: int) -> None:
         """Waits until clients have received `count` more served answers."""
@@ -220,11 +220,11 @@
 
     def earned_share(self, since_us: int = 0, until_us: int = 1 << 62) -> float:
         """Returns the weight earned as a share of the weight requested in that time."""
-        ended = self.front.outcomes(since_us, until_us)
-        asked = sum(self.front.traffic_classes[e.traffic_class].objective.priority_weight for e in ended)
+        outcomes = self.front.outcomes(since_us, until_us)
+        requested = sum(self.front.traffic_classes[e.traffic_class].objective.priority_weight for e in outcomes)
         return (
-            sum(earned_weight(self.front.traffic_classes[e.traffic_class].objective, e) for e in ended) / asked
-            if asked
+            sum(earned_weight(self.front.traffic_classes[e.traffic_class].objective, e) for e in outcomes) / requested
+            if requested
             else 1.0
         )
 
@@ -234,11 +234,11 @@
 
     async def stop(self) -> None:
         """Kills the processes that this cluster has started, and no others."""
-        every = self.all_nodes()
-        for node in every:
+        nodes = self.all_nodes()
+        for node in nodes:
             if node.running:
                 node.kill()
-        for node in every:
+        for node in nodes:
             if node.process is not None:
                 await node.wait_for_exit()
         self.address_block.release()
--- a/tests/recovery_clusters.py
+++ b/tests/recovery_clusters.py
@@ -26,9 +26,9 @@
         cluster.check_invariants()
 
 
-async def wait_until_all_reach(cluster, what="serving", names=None):
+async def wait_until_all_reach(cluster, stage_name="serving", names=None):
     for name in names or cluster.names:
-        await cluster.nodes[name].wait_for_log("recovery_stage", stage=what)
+        await cluster.nodes[name].wait_for_log("recovery_stage", stage=stage_name)
 
 
 def logged(cluster, name, event, **fields):
