--- a/benchmarks/mixed_versions.py
+++ b/benchmarks/mixed_versions.py
@@ -114,7 +114,7 @@
         excluded: list[str] = []
         for checkout, member in ((old, "c1"), (new, "c2"), (old, "c0")):
             use_version(cluster, checkout)
-            # Not `scene.start`, since that empties the folder with the file.
+            # Not `cluster.start`, since that empties the folder with the file.
             node.start(cluster.nursery, cluster.config("n0"), cluster.settings_text("n0"))
             await node.wait_for_log("ready")
             for known in excluded:
