--- a/rookbend/testing/cluster/disk.py
+++ b/rookbend/testing/cluster/disk.py
@@ -25,27 +25,27 @@
 def apply_torn_writes(folder: Path, part: float) -> int:
     """Applies the first `part` of the unsynced writes in their order, and only half of the last one. Returns the bytes
     written. A real disk may reorder writes too, but SQLite's checksums detect both alike."""
-    reached = 0
+    written = 0
     for unsynced_file in folder.glob(f"*{UNSYNCED_SUFFIX}"):
-        data, at, records = unsynced_file.read_bytes(), 0, []
-        while at + WRITE_HEADER.size <= len(data):
-            offset, length = WRITE_HEADER.unpack_from(data, at)
-            at += WRITE_HEADER.size
-            records.append((offset, None if length < 0 else data[at : at + length]))
-            at += max(length, 0)
-        kept = records[: max(1, int(len(records) * part))]
+        data, position, records = unsynced_file.read_bytes(), 0, []
+        while position + WRITE_HEADER.size <= len(data):
+            offset, length = WRITE_HEADER.unpack_from(data, position)
+            position += WRITE_HEADER.size
+            records.append((offset, None if length < 0 else data[position : position + length]))
+            position += max(length, 0)
+        applied = records[: max(1, int(len(records) * part))]
         with open(unsynced_file.with_name(unsynced_file.name.removesuffix(UNSYNCED_SUFFIX)), "r+b") as file:
-            for number, (offset, piece) in enumerate(kept):
-                if piece is None:
+            for index, (offset, chunk) in enumerate(applied):
+                if chunk is None:
                     file.truncate(offset)
                     continue
-                if number == len(kept) - 1:
-                    piece = piece[: len(piece) // 2]
+                if index == len(applied) - 1:
+                    chunk = chunk[: len(chunk) // 2]
                 file.seek(offset)
-                file.write(piece)
-                reached += len(piece)
+                file.write(chunk)
+                written += len(chunk)
         unsynced_file.unlink()
-    return reached
+    return written
 
 
 def copy_folder(folder: Path, to: Path) -> None:
--- a/rookbend/testing/cluster/soak.py
+++ b/rookbend/testing/cluster/soak.py
@@ -25,7 +25,7 @@
 from rookbend.testing.cluster.workload import LostRequest
 
 DIRECTORS = 3
-RATE = 60.0
+RATE = 60.0  # requests per second
 IDLE_CONNECTIONS = 150  # idle connections to one director
 IDLE_CONNECTION_S = 3.0
 LATE_REQUEST_US = 700_000  # after SIGTERM; later requests may be lost
