--- a/rookbend/testing/cluster/process.py
+++ b/rookbend/testing/cluster/process.py
@@ -58,7 +58,7 @@
         self, name: str, folder: Path, record: Record, checkout: Path = CHECKOUT, temporary: Path | None = None
     ):
         self.name, self.folder, self.record, self.checkout = name, folder, record, checkout
-        self.temporary = temporary or folder / "tmp"  # $TMPDIR, which keeps its files between starts
+        self.temporary = temporary or folder / "tmp"  # $TMPDIR; after an upgrade that of the old process
         self.config_file, self.settings_file = folder / "config.json", folder / "rookbend.conf"
         self.process: subprocess.Popen | None = None
         self.start_count = 0
--- a/rookbend/testing/cluster/process_cluster.py
+++ b/rookbend/testing/cluster/process_cluster.py
@@ -155,15 +155,15 @@
         }
 
     def settings_text(self, name: str) -> str:
-        settings = self.operators(name) if callable(self.operators) else self.operators
+        text = self.operators(name) if callable(self.operators) else self.operators
         for placeholder, value in (
             ("{state}", str(self.nodes[name].state)),
             ("{dns}", self.addresses[name]["dns"]),
             ("{resolver}", self.addresses[name]["resolver"]),
             ("{ledger}", self._address_of(name, "ledger")),
         ):
-            settings = settings.replace(placeholder, value)
-        return OPERATORS.format(admin=self.addresses[name]["admin"], more=settings)
+            text = text.replace(placeholder, value)
+        return OPERATORS.format(admin=self.addresses[name]["admin"], more=text)
 
     async def start(self, *names: str, known: dict | None = None) -> None:
         """Starts the named directors, or all that do not run. Returns once the processes exist."""
@@ -234,11 +234,11 @@
 
     async def stop(self) -> None:
         """Kills the processes that this cluster has started, and no others."""
-        nodes = self.all_nodes()
-        for node in nodes:
+        processes = self.all_nodes()
+        for node in processes:
             if node.running:
                 node.kill()
-        for node in nodes:
+        for node in processes:
             if node.process is not None:
                 await node.wait_for_exit()
         self.address_block.release()
--- a/rookbend/testing/cluster/record.py
+++ b/rookbend/testing/cluster/record.py
@@ -23,9 +23,8 @@
 class Record:
     def __init__(self, limits: InvariantLimits | None = None):
         self.checker = InvariantChecker(limits)
-        self.rows: deque[tuple[int, str, str, str]] = deque(
-            maxlen=MAX_ROWS
-        )  # (Unix microseconds, type, subject, detail)
+        # (Unix microseconds, type, subject, detail)
+        self.rows: deque[tuple[int, str, str, str]] = deque(maxlen=MAX_ROWS)
         self.counts: Counter[tuple[str, str]] = Counter()  # by (type, subject)
         self.began_us = now_us()
 
--- a/rookbend/testing/cluster/shared_state.py
+++ b/rookbend/testing/cluster/shared_state.py
@@ -15,7 +15,8 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberProfile:
-    """The capacity and limits of a member: `capacity` in seconds of work per second, `memory` in bytes."""
+    """The capacity and limits of a member: `capacity` in seconds of work per second, that is in concurrent
+    transfers, and `memory` in bytes."""
 
     capacity: float = 12.0
     memory: int = 4 << 20
@@ -73,9 +74,8 @@
         self.purged_objects: dict[str, int] = {}
         self.purged_groups: dict[int, int] = {}
         self.sent_copies: deque[SentCopy] = deque(maxlen=100_000)
-        self.executions: dict[
-            str, list[str]
-        ] = {}  # by object of a write: the request ids under which the origin ran it
+        # By object of a write: the request ids under which the origin ran it.
+        self.executions: dict[str, list[str]] = {}
         self.max_purge_delay_s = 5.0  # each member drops purged copies by itself, after its own delay of at most this
 
     def size_of(self, key: str, part: int) -> int:
--- a/rookbend/testing/cluster/soak.py
+++ b/rookbend/testing/cluster/soak.py
@@ -110,7 +110,7 @@
     async def _start_again(self, name: str) -> None:
         began_s = trio.current_time()
         await self.cluster.wait_until(
-            lambda: not self.cluster.front.targets[name].admitted, f"the front no longer admits {name}"
+            lambda: not self.cluster.front.targets[name].admitted, f"{name} is no longer admitted by the front"
         )
         await self.cluster.start(name)
         await self.cluster.wait_until_admitted(name)
