--- a/tests/test_boot_numbers_processes.py
+++ b/tests/test_boot_numbers_processes.py
@@ -51,17 +51,17 @@
     trio.run(main)
 
 
-@pytest.mark.parametrize("seed, cuts", [(1, 8), pytest.param(2, 60, marks=pytest.mark.long)])
-def test_a_start_interrupted_at_any_time_leaves_no_boot_number_that_a_later_start_reuses(seed, cuts):
+@pytest.mark.parametrize("seed, interruptions", [(1, 8), pytest.param(2, 60, marks=pytest.mark.long)])
+def test_a_start_interrupted_at_any_time_leaves_no_boot_number_that_a_later_start_reuses(seed, interruptions):
     # Guards against a director that restarts with a boot number that its peers know from an earlier start.
     async def main():
-        moments = random.Random(seed)
+        rng = random.Random(seed)
         async with fleet(rate=20, seed=seed) as cluster:
             node = cluster.nodes["n1"]
-            for _ in range(cuts):
+            for _ in range(interruptions):
                 cluster.power_off("n1")
                 await cluster.power_on("n1")
-                await trio.sleep(moments.uniform(0, LONGEST_START_S))
+                await trio.sleep(rng.uniform(0, LONGEST_START_S))
                 cluster.power_off("n1")
                 await node.wait_for_exit()
                 announced = [line["boot"] for line in node.find_logs("state_open")]
--- a/tests/test_leases_processes.py
+++ b/tests/test_leases_processes.py
@@ -52,16 +52,16 @@
 
 def assert_no_old_owner(cluster):
     """No accepted line has a token older than an earlier one, and no line number was accepted twice."""
-    taken = [t for t in cluster.ledger.appends if t.result == "ok"]
-    assert [t.token for t in taken] == sorted(t.token for t in taken)
-    assert len({t.number for t in taken}) == len(taken)
+    accepted = [t for t in cluster.ledger.appends if t.result == "ok"]
+    assert [t.token for t in accepted] == sorted(t.token for t in accepted)
+    assert len({t.number for t in accepted}) == len(accepted)
 
 
-async def owner_of(cluster, scope, but=()):
+async def owner_of(cluster, scope, excluded=()):
     """Waits until a director reports that it owns the scope, and returns its name."""
     while True:
         for name in cluster.names:
-            if name in but or not cluster.nodes[name].running:
+            if name in excluded or not cluster.nodes[name].running:
                 continue
             with trio.move_on_after(1.0):
                 try:
@@ -73,9 +73,9 @@
         await trio.sleep(0.02)
 
 
-async def with_timeout(what, *args):
+async def with_timeout(function, *args):
     with trio.fail_after(60):
-        return await what(*args)
+        return await function(*args)
 
 
 def state_of(found, member):
@@ -188,19 +188,19 @@
         async with fleet(directors=5, operators=operators) as cluster:
             small, large = ("n0", "n1"), ("n2", "n3", "n4")
             for turn in ((small, large), (("n2", "n3"), ("n0", "n1", "n4"))):
-                few, many = turn
-                cluster.split(few, many)
-                for name in few:
+                minority, majority = turn
+                cluster.split(minority, majority)
+                for name in minority:
                     await cluster.wait_for_answer(
                         name, "/owners", lambda found: not any(r["ours"] for r in found["owners"])
                     )
-                owner = await with_timeout(owner_of, cluster, "orders", few)
-                assert owner in many
+                owner = await with_timeout(owner_of, cluster, "orders", minority)
+                assert owner in majority
                 refused = await cluster.admin_request(
-                    few[0], "/orders", "POST", {"member": "c0", "order": "drain", "by": "kim", "fleet": True}
+                    minority[0], "/orders", "POST", {"member": "c0", "order": "drain", "by": "kim", "fleet": True}
                 )
                 assert refused["status"] == 503 and ("owns" in refused["fault"] or "can't be told" in refused["fault"])
-                cluster.split(few, many, cut=False)
+                cluster.split(minority, majority, cut=False)
             assert (await cluster.admin_request("n0", "/owners"))["status"] == 200
 
     trio.run(main)
@@ -213,8 +213,8 @@
             cluster.nodes[owner].signal(signal.SIGTERM)
             lost = await cluster.nodes[owner].wait_for_log("lease_lost", scope="orders")
             assert lost["why"].startswith("handed to")
-            heir = "n" + lost["why"].split()[-1]
-            await cluster.nodes[heir].wait_for_log("lease_acquired", scope="orders")
+            successor = "n" + lost["why"].split()[-1]
+            await cluster.nodes[successor].wait_for_log("lease_acquired", scope="orders")
             assert await cluster.nodes[owner].wait_for_exit() == 0
             await cluster.power_on(owner)
             await cluster.nodes[owner].wait_for_log("ready")
--- a/tests/test_operations_faults.py
+++ b/tests/test_operations_faults.py
@@ -175,19 +175,19 @@
         async with open_cluster(directors=1, rate=40) as cluster:
             await cluster.start_with_operator_endpoints()
             address = split_address(cluster.addresses["n0"]["operator"])
-            held = []
+            streams = []
             for i in range(300):
                 stream = await trio.open_tcp_stream(*address)
                 if i % 3:
                     await stream.send_all(b"PUT /maintenance/enter?mem"[: i % 25])
-                held.append(stream)
+                streams.append(stream)
                 if i % 30 == 29:
                     began = trio.current_time()
                     assert (await cluster.operator_request("n0", "GET", "/status"))[0] == 200
                     # The endpoint has to answer within 1 s; the measured lateness allows for a busy machine.
                     assert trio.current_time() - began < 1.0 + cluster.front.late_s
             await cluster.wait_for_served(20)
-            for stream in held:
+            for stream in streams:
                 await stream.aclose()
             cluster.check_invariants()
 
--- a/tests/test_operations_processes.py
+++ b/tests/test_operations_processes.py
@@ -7,7 +7,7 @@
 from rookbend.testing.cluster import open_cluster
 
 
-def lost(cluster):
+def lost_requests(cluster):
     return [w for w in cluster.front.requests if "lost" in w.verdicts]
 
 
@@ -27,7 +27,7 @@
                 if inherited:
                     await cluster.nodes["n0"].wait_for_log("upgrade_alone_again")
             await cluster.wait_for_served(20)
-            assert not (inherited and lost(cluster)), cluster.report()
+            assert not (inherited and lost_requests(cluster)), cluster.report()
             cluster.check_invariants()
 
     trio.run(main)
--- a/tests/test_process_cluster.py
+++ b/tests/test_process_cluster.py
@@ -60,26 +60,26 @@
 def test_datagrams_are_lost_duplicated_and_reordered():
     async def main():
         record, links = Record(), Links()
-        socks = {}
+        sockets = {}
         for name in ("a", "b"):
-            socks[name] = sock = trio.socket.socket(trio.socket.AF_INET, trio.socket.SOCK_DGRAM)
+            sockets[name] = sock = trio.socket.socket(trio.socket.AF_INET, trio.socket.SOCK_DGRAM)
             await sock.bind(("127.0.0.1", 0))
-        relay = UdpRelay(links, record, {n: s.getsockname()[:2] for n, s in socks.items()}, 7)
+        relay = UdpRelay(links, record, {n: s.getsockname()[:2] for n, s in sockets.items()}, 7)
         async with trio.open_nursery() as nursery:
-            known = await relay.listen(nursery, lambda name: "127.0.0.1")
-            host, _, port = known["b"].rpartition(":")
+            addresses = await relay.listen(nursery, lambda name: "127.0.0.1")
+            host, _, port = addresses["b"].rpartition(":")
             links.get("a", "b").set(loss=0.3, duplicate=0.5, reorder=0.3)
             for i in range(200):
-                await socks["a"].sendto(bytes([i]), (host, int(port)))
+                await sockets["a"].sendto(bytes([i]), (host, int(port)))
                 await trio.sleep(0.0005)
             while record.counts["datagram", "a"] < 200 or relay.delayed:
                 await trio.sleep(0)
             links.get("a", "b").heal()
-            await socks["a"].sendto(b"end", (host, int(port)))
+            await sockets["a"].sendto(b"end", (host, int(port)))
             got = []
             while not got or got[-1] != b"end":
-                data, address = await socks["b"].recvfrom(100)
-                assert "{}:{}".format(*address) == known["a"], "the datagram comes from the sender's address"
+                data, address = await sockets["b"].recvfrom(100)
+                assert "{}:{}".format(*address) == addresses["a"], "the datagram comes from the sender's address"
                 got.append(data)
             nursery.cancel_scope.cancel()
         numbers = [data[0] for data in got[:-1]]
--- a/tests/test_recovery_names_processes.py
+++ b/tests/test_recovery_names_processes.py
@@ -31,17 +31,17 @@
             await wait_until_all_reach(cluster)
             server, number = split_address(cluster.addresses["n0"]["dns"]), 1000
 
-            async def again(number):
+            async def look_up_again(number):
                 return await look_up(
                     server, f"r{number:016x}.p0.{number:016x}.g{number % 256}" ".form.route.example.org"
                 )
 
-            async def new():
+            async def submit_next():
                 nonlocal number
                 number += 1
                 return await submit(cluster.record, "n0", server, number, 300_000)
 
-            while (before := await new())[0] != "NOERROR":  # until four deadlines have passed since the start
+            while (before := await submit_next())[0] != "NOERROR":  # until four deadlines have passed since the start
                 pass
             served = number
             assert before[1] == "records.example.org" and before[2]
@@ -55,11 +55,11 @@
                 nursery.cancel_scope.cancel()
             await cluster.power_on("n0")
             await wait_until_all_reach(cluster)
-            assert await again(served) == before, "the name given out before is given out again"
+            assert await look_up_again(served) == before, "the name given out before is given out again"
             cluster.origin.profile = replace(cluster.origin.profile, first_byte_s=0.04)
-            while (await new())[0] != "NOERROR":  # writes are accepted again, but not the interrupted one
+            while (await submit_next())[0] != "NOERROR":  # writes are accepted again, but not the interrupted one
                 pass
-            assert (await again(7))[0] == "SERVFAIL", "it is unknown whether the write ran"
+            assert (await look_up_again(7))[0] == "SERVFAIL", "it is unknown whether the write ran"
             assert [len(rids) for rids in cluster.shared.executions.values()] == [1] * len(
                 cluster.shared.executions
             ), "each write ran once"
--- a/tests/test_recovery_processes.py
+++ b/tests/test_recovery_processes.py
@@ -78,28 +78,28 @@
     trio.run(main)
 
 
-@pytest.mark.parametrize("dark", [False, pytest.param(True, marks=pytest.mark.long)])
-def test_a_purge_before_the_loss_and_one_without_power_void_older_copies(dark):
+@pytest.mark.parametrize("purge_during_loss", [False, pytest.param(True, marks=pytest.mark.long)])
+def test_a_purge_before_the_loss_and_one_without_power_void_older_copies(purge_during_loss):
     async def main():
         async with fleet(rate=80) as cluster:
             await cluster.wait_for_served(150)
             hot = max(cluster.front.object_names[:3], key=lambda k: sum(w.key == k for w in cluster.front.requests))
-            empty = {"index": 0, "updates": []}
-            if not dark:
-                made = cluster.coordinator.purge(key=hot)
+            empty_list = {"index": 0, "updates": []}
+            if not purge_during_loss:
+                purged_us = cluster.coordinator.purge(key=hot)
                 for name in cluster.names:
                     await cluster.wait_until(
                         lambda n=name: cluster.coordinator.last_sent_index[n] >= cluster.coordinator.index, "purge sent"
                     )
                 await cluster.wait_for_served(30)
             cluster.power_off(*cluster.names)  # only directors lose power: the caches keep their copies
-            if dark:
-                made = cluster.coordinator.purge(key=hot)
+            if purge_during_loss:
+                purged_us = cluster.coordinator.purge(key=hot)
             for node in cluster.nodes.values():
                 await node.wait_for_exit()
             since = now_us()
             for name in cluster.names:
-                await cluster.power_on(name, known=empty)
+                await cluster.power_on(name, known=empty_list)
             await wait_until_all_reach(cluster, "fills")
             await cluster.wait_until(
                 lambda: sum(w.key == hot and w.served_us > 0 for w in cluster.front.requests if w.arrival_us > since)
@@ -110,7 +110,7 @@
             old = [
                 row
                 for row in cluster.shared.sent_copies
-                if row.key == hot and row.received_us > since and row.t0_us < made
+                if row.key == hot and row.received_us > since and row.t0_us < purged_us
             ]
             assert not old, old[:3]
 
@@ -178,7 +178,7 @@
             assert all(logged(cluster, n, "recovery_happened", happened="whole") for n in cluster.names)
             assert not any(logged(cluster, n, "peer_doubted") for n in cluster.names)
             key = cluster.front.object_names[0]
-            made = cluster.coordinator.purge(key=key)
+            purged_us = cluster.coordinator.purge(key=key)
             for name in cluster.names:
                 await cluster.wait_until(
                     lambda n=name: cluster.coordinator.last_sent_index[n] >= cluster.coordinator.index, "purge sent"
@@ -191,7 +191,7 @@
             old = [
                 row
                 for row in cluster.shared.sent_copies
-                if row.key == key and row.received_us > since and row.t0_us < made
+                if row.key == key and row.received_us > since and row.t0_us < purged_us
             ]
             assert not old, old[:3]
 
