--- a/rookbend/testing/cluster/shim/sitecustomize.py
+++ b/rookbend/testing/cluster/shim/sitecustomize.py
@@ -18,11 +18,11 @@
     _since = [_system_time(), 0.0, 0.0]  # true time of the last change of the setting, seconds ahead and rate set then
 
     def _now():
-        true = _system_time()
+        system_s = _system_time()
         ahead, rate = _unpack(_clock_setting)
         if (ahead, rate) != (_since[1], _since[2]):
-            _since[:] = true, ahead, rate
-        return true + ahead + (true - _since[0]) * rate
+            _since[:] = system_s, ahead, rate
+        return system_s + ahead + (system_s - _since[0]) * rate
 
     time.time = _now
 
@@ -35,11 +35,11 @@
     _send = socket.socket.send
 
     def _send_or_stop(self, data, *more):
-        mine = _stop_point[0] and bytes(data[:7]) == b"append "
-        if mine and _stop_point[0] == 1:
+        is_append = _stop_point[0] and bytes(data[:7]) == b"append "
+        if is_append and _stop_point[0] == 1:
             os.kill(os.getpid(), signal.SIGSTOP)
         sent = _send(self, data, *more)
-        if mine and _stop_point[0] == 2:
+        if is_append and _stop_point[0] == 2:
             os.kill(os.getpid(), signal.SIGSTOP)
         return sent
 
