--- a/rookbend/testing/cluster/clients.py
+++ b/rookbend/testing/cluster/clients.py
@@ -123,8 +123,8 @@
         while True:
             while conn.queue:
                 await conn.stream.send_all(conn.queue.popleft())
-            conn.wanted = trio.Event()
-            await conn.wanted.wait()
+            conn.data_queued = trio.Event()
+            await conn.data_queued.wait()
 
     async def _read(self, target: Target, conn: FrontConnection) -> None:
         data = b""
@@ -186,7 +186,7 @@
             return self._schedule_retry(req, 0.5)
         conn = min(usable, key=lambda held: len(held.open))
         self._rid += 1
-        conn.last += 1
+        conn.last_stream += 1
         rid = f"{self.random.getrandbits(32):08x}{self._rid:08x}"
         fields = {
             "method": kind.objective.name,
@@ -199,13 +199,13 @@
         if req.tries > 1:
             fields["again"] = "1"
         now = now_us()
-        conn.open[conn.last] = OpenRequest(rid, req, now)
+        conn.open[conn.last_stream] = OpenRequest(rid, req, now)
         self.record.feed(
             RequestSent(
                 now, rid, target.name, kind.write, now + kind.deadline_us, (req.key, req.part), group_of(req.key)
             )
         )
-        conn.write(encode_frame(7, conn.last, fields, b"form" if kind.write else b""))
+        conn.write(encode_frame(7, conn.last_stream, fields, b"form" if kind.write else b""))
 
     async def run(self) -> None:
         """Sends requests at the configured rate until `running` is cancelled."""
--- a/rookbend/testing/cluster/coordinator.py
+++ b/rookbend/testing/cluster/coordinator.py
@@ -48,27 +48,27 @@
         self._changed = trio.Event()
 
     def publish_members(self, *names: str) -> None:
-        """Publishes the current phase and start of these members."""
+        """Publishes the current phase and start time of these members."""
         self.revision += 1
-        lines = []
+        entries = []
         for name in names:
             member = self.shared.members[name]
             self.phases[name] = member.phase
-            lines.append(self._member_entry(member))
-        self._add({"endpoints": {"revision": self.revision, "complete": False, "members": lines}})
+            entries.append(self._member_entry(member))
+        self._add({"endpoints": {"revision": self.revision, "complete": False, "members": entries}})
 
     def purge(self, *, key: str = "", group: int = -1) -> int:
         """Purges an object or a group. Returns the time of the purge in Unix microseconds."""
-        made = now_us() // 1000 * 1000
+        purged_us = now_us() // 1000 * 1000
         if key:
-            self.shared.purged_objects[key] = made
-            event = {"evict": {"ref": key, "unix_ms": made // 1000}}
+            self.shared.purged_objects[key] = purged_us
+            event = {"evict": {"ref": key, "unix_ms": purged_us // 1000}}
         else:
-            self.shared.purged_groups[group] = made
-            event = {"evict": {"shard": group, "unix_ms": made // 1000}}
+            self.shared.purged_groups[group] = purged_us
+            event = {"evict": {"shard": group, "unix_ms": purged_us // 1000}}
         self._add(event)
-        self.purges.append((made, event))
-        return made
+        self.purges.append((purged_us, event))
+        return purged_us
 
     def _member_entry(self, member: StandInMember) -> dict:
         return {
@@ -91,16 +91,16 @@
         """Returns the list and the recent purges for the configuration of a director that starts now."""
         for member in self.shared.members.values():
             self.phases.setdefault(member.name, member.phase)
-        lines = [self._member_entry(b) for b in self.shared.members.values()]
-        whole = {"endpoints": {"revision": self.revision, "complete": True, "members": lines}}
+        entries = [self._member_entry(b) for b in self.shared.members.values()]
+        complete_list = {"endpoints": {"revision": self.revision, "complete": True, "members": entries}}
         recent = [event for at, event in self.purges if at > now_us() - purge_life_us]
         self.last_sent_index[director] = self.index
-        self.record_delivery(director, whole)
+        self.record_delivery(director, complete_list)
         for event in recent:
             self.record_delivery(director, event)
         return {
             "index": self.index,
-            "updates": [{"index": 0, **self._with_addresses(director, event)} for event in (whole, *recent)],
+            "updates": [{"index": 0, **self._with_addresses(director, event)} for event in (complete_list, *recent)],
         }
 
     def record_delivery(self, director: str, event: dict) -> None:
@@ -144,9 +144,9 @@
             self._streams[director] = stream
             if not last:
                 # For a director without an earlier event, the first event is the complete list.
-                lines = [self._member_entry(b) for b in self.shared.members.values()]
-                whole = {"endpoints": {"revision": self.revision, "complete": True, "members": lines}}
-                await self._write(stream, director, 1, whole)
+                entries = [self._member_entry(b) for b in self.shared.members.values()]
+                complete_list = {"endpoints": {"revision": self.revision, "complete": True, "members": entries}}
+                await self._write(stream, director, 1, complete_list)
                 for _, event in self.purges:
                     await self._write(stream, director, 1, event)
                 last = self.last_sent_index[director] = self.index
--- a/rookbend/testing/cluster/workload.py
+++ b/rookbend/testing/cluster/workload.py
@@ -44,14 +44,14 @@
     def __init__(self, stream: trio.SocketStream):
         self.stream = stream
         self.open: dict[int, OpenRequest] = {}  # by stream number
-        self.last = 0
+        self.last_stream = 0
         self.closing = False  # the director accepts no new request on it
         self.queue: deque[bytes] = deque()
-        self.wanted = trio.Event()
+        self.data_queued = trio.Event()
 
     def write(self, data: bytes) -> None:
         self.queue.append(data)
-        self.wanted.set()
+        self.data_queued.set()
 
 
 class Target:
--- a/tests/test_recovery_names_processes.py
+++ b/tests/test_recovery_names_processes.py
@@ -45,9 +45,8 @@
                 pass
             served = number
             assert before[1] == "records.example.org" and before[2]
-            cluster.origin.profile = replace(
-                cluster.origin.profile, first_byte_s=0.25
-            )  # the next write is in progress at the loss
+            # The next write is in progress at the loss.
+            cluster.origin.profile = replace(cluster.origin.profile, first_byte_s=0.25)
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(submit, cluster.record, "n0", server, 7, 300_000)
                 await cluster.wait_until(lambda: f"{7:016x}" in cluster.shared.executions, "the write runs")
