--- a/rookbend/testing/cluster/coordinator.py
+++ b/rookbend/testing/cluster/coordinator.py
@@ -1,7 +1,7 @@
-"""The coordinator's stand-in: numbered events, a stream a director, and what it says at a director's start.
+"""A stand-in coordinator: numbered events, one stream for each director, and the list in a director's configuration.
 
-Each director calls at a listener of its own, by its relay, since the addresses in the list are that
-director's relays. While it is away, streams have ended and calls are reset.
+Each director connects through its relay to its own listener, since the member addresses in the list are those of
+that director's relays. While the coordinator is away, its streams are closed and new connections are reset.
 """
 
 from __future__ import annotations
@@ -11,26 +11,26 @@
 
 import trio
 
-from rookbend.testing.cluster.members import Box
+from rookbend.testing.cluster.members import StandInMember
 from rookbend.testing.cluster.record import now_us
 from rookbend.testing.cluster.relay import reset
-from rookbend.testing.cluster.shared_state import ROLES, World
+from rookbend.testing.cluster.shared_state import ROLES, SharedState
 from rookbend.testing.invariant_events import MembershipSent, MemberStatus, PurgeSent
 
 PHASES = {"SERVING": MemberStatus.SERVING, "DRAINING": MemberStatus.DRAINING, "DELETED": MemberStatus.GONE}
 
 
 class Coordinator:
-    def __init__(self, world: World, address_of: Callable[[str, str], str]):
-        """`address_of(director, member)` is where that director reaches that member."""
-        self.world, self.record, self.address_of = world, world.record, address_of
-        self.index, self.revision = 1, 1  # the first event is the whole list
-        self.events: list[tuple[int, dict]] = []  # the worded event, without addresses
+    def __init__(self, shared: SharedState, address_of: Callable[[str, str], str]):
+        """`address_of(director, member)` returns the address at which that director reaches that member."""
+        self.shared, self.record, self.address_of = shared, shared.record, address_of
+        self.index, self.revision = 1, 1  # the first event is the complete list
+        self.events: list[tuple[int, dict]] = []  # events without addresses
         self.phases: dict[str, str] = {}
         self.purges: list[tuple[int, dict]] = []
         self.away = False
         self.calls: dict[str, int] = {}
-        self.told: dict[str, int] = {}  # the last event that each director's stream has carried
+        self.last_sent_index: dict[str, int] = {}  # by director: the last event sent on its stream
         self._changed = trio.Event()
         self._streams: dict[str, trio.SocketStream] = {}
 
@@ -39,7 +39,7 @@
         nursery.start_soon(trio.serve_listeners, lambda s: self._serve(director, s), listeners)
         return listeners[0].socket.getsockname()[:2]
 
-    # What it has to tell
+    # Events
 
     def _add(self, event: dict) -> None:
         self.index += 1
@@ -47,88 +47,88 @@
         self._changed.set()
         self._changed = trio.Event()
 
-    def tell_members(self, *names: str) -> None:
-        """What has changed of these."""
+    def publish_members(self, *names: str) -> None:
+        """Publishes the current phase and start time of these members."""
         self.revision += 1
-        lines = []
+        entries = []
         for name in names:
-            box = self.world.members[name]
-            self.phases[name] = box.phase
-            lines.append(self._line(box))
-        self._add({"endpoints": {"revision": self.revision, "complete": False, "members": lines}})
+            member = self.shared.members[name]
+            self.phases[name] = member.phase
+            entries.append(self._member_entry(member))
+        self._add({"endpoints": {"revision": self.revision, "complete": False, "members": entries}})
 
     def purge(self, *, key: str = "", group: int = -1) -> int:
-        """Voids an object or a group, now; the Unix microsecond of it."""
-        made = now_us() // 1000 * 1000
+        """Purges an object or a group. Returns the time of the purge in Unix microseconds."""
+        purged_us = now_us() // 1000 * 1000
         if key:
-            self.world.purged_objects[key] = made
-            event = {"evict": {"ref": key, "unix_ms": made // 1000}}
+            self.shared.purged_objects[key] = purged_us
+            event = {"evict": {"ref": key, "unix_ms": purged_us // 1000}}
         else:
-            self.world.purged_groups[group] = made
-            event = {"evict": {"shard": group, "unix_ms": made // 1000}}
+            self.shared.purged_groups[group] = purged_us
+            event = {"evict": {"shard": group, "unix_ms": purged_us // 1000}}
         self._add(event)
-        self.purges.append((made, event))
-        return made
+        self.purges.append((purged_us, event))
+        return purged_us
 
-    def _line(self, box: Box) -> dict:
+    def _member_entry(self, member: StandInMember) -> dict:
         return {
-            "id": box.name,
-            "locality": box.zone,
-            "flavor": ROLES[box.role],
-            "phase": self.phases[box.name],
-            "size": box.make.capacity,
-            "up_since_ms": box.up_since_us // 1000,
+            "id": member.name,
+            "locality": member.zone,
+            "flavor": ROLES[member.role],
+            "phase": self.phases[member.name],
+            "size": member.profile.capacity,
+            "up_since_ms": member.up_since_us // 1000,
         }
 
-    def _for(self, director: str, event: dict) -> dict:
+    def _with_addresses(self, director: str, event: dict) -> dict:
         if "endpoints" not in event:
             return event
-        told = event["endpoints"]
-        members = [{**m, "host_port": self.address_of(director, m["id"])} for m in told["members"]]
-        return {"endpoints": {**told, "members": members}}
-
-    def known(self, director: str, purge_life_us: int) -> dict:
-        """What the configuration of a director that starts now holds: the list, and the last purges."""
-        for box in self.world.members.values():
-            self.phases.setdefault(box.name, box.phase)
-        lines = [self._line(b) for b in self.world.members.values()]
-        whole = {"endpoints": {"revision": self.revision, "complete": True, "members": lines}}
+        endpoints = event["endpoints"]
+        members = [{**m, "host_port": self.address_of(director, m["id"])} for m in endpoints["members"]]
+        return {"endpoints": {**endpoints, "members": members}}
+
+    def known_at_start(self, director: str, purge_life_us: int) -> dict:
+        """Returns the list and the recent purges for the configuration of a director that starts now."""
+        for member in self.shared.members.values():
+            self.phases.setdefault(member.name, member.phase)
+        entries = [self._member_entry(b) for b in self.shared.members.values()]
+        complete_list = {"endpoints": {"revision": self.revision, "complete": True, "members": entries}}
         recent = [event for at, event in self.purges if at > now_us() - purge_life_us]
-        self.told[director] = self.index
-        self.record_told(director, whole)
+        self.last_sent_index[director] = self.index
+        self.record_delivery(director, complete_list)
         for event in recent:
-            self.record_told(director, event)
+            self.record_delivery(director, event)
         return {
             "index": self.index,
-            "updates": [{"index": 0, **self._for(director, event)} for event in (whole, *recent)],
+            "updates": [{"index": 0, **self._with_addresses(director, event)} for event in (complete_list, *recent)],
         }
 
-    def record_told(self, director: str, event: dict) -> None:
-        """From here on the event binds that director."""
+    def record_delivery(self, director: str, event: dict) -> None:
+        """Records that the director has received the event and has to obey it from now on."""
         at = now_us()
         for m in event.get("endpoints", {}).get("members", ()):
-            self.record.see(MembershipSent(at, director, m["id"], PHASES[m["phase"]]))
+            self.record.feed(MembershipSent(at, director, m["id"], PHASES[m["phase"]]))
         if (e := event.get("evict")) is not None:
-            self.record.see(PurgeSent(at, director, e["unix_ms"] * 1000, e.get("ref", ""), e.get("shard", -1)))
+            self.record.feed(PurgeSent(at, director, e["unix_ms"] * 1000, e.get("ref", ""), e.get("shard", -1)))
 
     # Streams
 
-    def go(self) -> None:
-        """It vanishes: streams are reset, calls are too until it is `back`."""
+    def disconnect(self) -> None:
+        """Resets all streams, and all new connections until `reconnect`."""
         self.away = True
         self.record.note("fault", "coordinator", "away")
         for stream in list(self._streams.values()):
             reset(stream)
         self._streams.clear()
 
-    def back(self) -> None:
+    def reconnect(self) -> None:
         self.away = False
         self.record.note("fault", "coordinator", "back")
 
     async def _write(self, stream, director: str, index: int, event: dict) -> None:
-        data = json.dumps({"index": index, **self._for(director, event)})
+        data = json.dumps({"index": index, **self._with_addresses(director, event)})
         await stream.send_all(f"id: {index}\ndata: {data}\n\n".encode())
-        self.record_told(director, event)
+        self.record_delivery(director, event)
 
     async def _serve(self, director: str, stream: trio.SocketStream) -> None:
         self.calls[director] = self.calls.get(director, 0) + 1
@@ -143,18 +143,18 @@
             await stream.send_all(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n:\n")
             self._streams[director] = stream
             if not last:
-                # To one that knows nothing, the first event is the whole list.
-                lines = [self._line(b) for b in self.world.members.values()]
-                whole = {"endpoints": {"revision": self.revision, "complete": True, "members": lines}}
-                await self._write(stream, director, 1, whole)
+                # For a director without an earlier event, the first event is the complete list.
+                entries = [self._member_entry(b) for b in self.shared.members.values()]
+                complete_list = {"endpoints": {"revision": self.revision, "complete": True, "members": entries}}
+                await self._write(stream, director, 1, complete_list)
                 for _, event in self.purges:
                     await self._write(stream, director, 1, event)
-                last = self.told[director] = self.index
+                last = self.last_sent_index[director] = self.index
             while True:
                 due = [(i, e) for i, e in self.events if i > last]
                 for index, event in due:
                     await self._write(stream, director, index, event)
-                    last = self.told[director] = index
+                    last = self.last_sent_index[director] = index
                 changed = self._changed
                 if not due:
                     with trio.move_on_after(1.0):
--- a/rookbend/testing/cluster/faults.py
+++ b/rookbend/testing/cluster/faults.py
@@ -1,4 +1,4 @@
-"""Faults of a scene: power, cuts, machines that vanish or stand still, and a day of them as a text."""
+"""Faults in a cluster: power losses, network cuts, vanished or frozen machines, and timelines of faults."""
 
 from __future__ import annotations
 
@@ -12,115 +12,115 @@
 
 
 class Faults:
-    """The part of `Scene` that does harm."""
+    """The part of `ProcessCluster` that injects faults."""
 
     def power_off(self, *names: str) -> None:
-        """These lose their power in one instant; all directors, caches and parents where none is named."""
-        chosen = names or [*self.names, *(b.name for b in self.boxes.values() if b.role != "origin")]
+        """Kills the named processes at once; without names, all directors, caches and parents."""
+        chosen = names or [*self.names, *(b.name for b in self.stand_ins.values() if b.role != "origin")]
         self.record.note("fault", "power", "off " + " ".join(chosen))
-        self.off.update(dict.fromkeys(chosen))
+        self.powered_off.update(dict.fromkeys(chosen))
         for name in chosen:
             if name in self.nodes:
                 self.nodes[name].kill()
         for name in chosen:
-            if name in self.boxes and not self.boxes[name].down:
-                self.boxes[name].die()
+            if name in self.stand_ins and not self.stand_ins[name].down:
+                self.stand_ins[name].crash()
 
     async def power_on(self, *names: str, known: dict | None = None) -> None:
-        """They return in this order, all that are without power if none is named: boxes cold and empty,
-        directors as they start."""
-        for name in names or sorted(self.off, key=lambda n: n in self.nodes):
-            self.off.pop(name, None)
-            if name in self.boxes:
-                self.boxes[name].come_back()
-                self.coordinator.tell_members(name)
+        """Restarts the named processes in this order; without names, all that have lost power. Members return cold and
+        empty. Directors lose their unsynced writes; `known` replaces the list in their configuration."""
+        for name in names or sorted(self.powered_off, key=lambda n: n in self.nodes):
+            self.powered_off.pop(name, None)
+            if name in self.stand_ins:
+                self.stand_ins[name].restart()
+                self.coordinator.publish_members(name)
             else:
-                await self.nodes[name].ended()
-                disk.lose(self.nodes[name].state)
+                await self.nodes[name].wait_for_exit()
+                disk.discard_unsynced(self.nodes[name].state)
                 await self.start(name, known=known)
 
     def freeze(self, name: str) -> None:
-        """It stands still. What is open at it is given up by its clients: no answer of a process that stands
-        can come in time."""
+        """Stops the process by SIGSTOP. Its clients give up their open requests, since a stopped process cannot answer
+        in time."""
         self.nodes[name].signal(signal.SIGSTOP)
-        self.front.give_up(name)
+        self.front.drop_connections(name)
 
-    def thaw(self, name: str) -> None:
+    def resume(self, name: str) -> None:
         self.nodes[name].signal(signal.SIGCONT)
 
     def vanish(self, name: str, gone: bool = True) -> None:
-        """The machine is cut off from all others, or there again: nothing crosses, nothing is reset, no new
-        connection comes up."""
+        """Cuts the machine off from all others, or reconnects it. While it is cut off nothing is delivered, no
+        connection is reset and no new connection is established."""
         self.record.note("fault", name, "vanished" if gone else "there again")
-        for other in (*self.names, *self.boxes, "coordinator", "clients"):
+        for other in (*self.names, *self.stand_ins, "coordinator", "clients"):
             for pair in ((name, other), (other, name)):
-                self.ways.get(*pair).set(silent=gone, deaf=gone)
+                self.links.get(*pair).set(silent=gone, unreachable=gone)
         if gone and name in self.names:
-            self.front.give_up(name)
+            self.front.drop_connections(name)
 
     def cut(self, source: str, target: str) -> None:
-        """Nothing of what the one says reaches the other."""
+        """Holds back everything that `source` sends to `target`."""
         self.record.note("fault", f"{source}>{target}", "cut")
-        self.ways.get(source, target).set(silent=True)
+        self.links.get(source, target).set(silent=True)
 
     def heal(self, source: str, target: str) -> None:
         self.record.note("fault", f"{source}>{target}", "healed")
-        self.ways.get(source, target).heal()
+        self.links.get(source, target).heal()
 
-    def split(self, ours: Iterable[str], theirs: Iterable[str], cut: bool = True) -> None:
-        """Directors of the one side and the other do not hear each other."""
-        for a in ours:
-            for b in theirs:
+    def split(self, first: Iterable[str], second: Iterable[str], cut: bool = True) -> None:
+        """Cuts all links between the directors of two sides, or heals them."""
+        for a in first:
+            for b in second:
                 for pair in ((a, b), (b, a)):
                     (self.cut if cut else self.heal)(*pair)
 
     async def play(self, text: str, file: str = "day") -> None:
-        """The failures of a text, from now on; `seed` and lines go into the report of a failed run."""
-        self.day = fault_timeline_format.parse_faults(text, file)
-        others = *self.names, *self.boxes, "coordinator", "clients"
+        """Plays a fault timeline, starting now. The timeline appears in the report of a failed run."""
+        self.fault_schedule = fault_timeline_format.parse_faults(text, file)
+        others = *self.names, *self.stand_ins, "coordinator", "clients"
         pairs = [f"{a}>{b}" for a in self.names for b in others if a != b]
-        world = {
-            fault_timeline.TargetType.MEMBER: list(self.boxes),
+        targets = {
+            fault_timeline.TargetType.MEMBER: list(self.stand_ins),
             fault_timeline.TargetType.DIRECTOR: self.names,
             fault_timeline.TargetType.PAIR: pairs,
-            fault_timeline.TargetType.MACHINE: [*self.names, *self.boxes],
+            fault_timeline.TargetType.MACHINE: [*self.names, *self.stand_ins],
             fault_timeline.TargetType.COORDINATOR: ["coordinator"],
         }
-        begun = trio.current_time()
-        steps = fault_timeline.plan_steps(self.day, world)
-        at = 0
-        while at < len(steps):
-            due = steps[at].at_us
-            await trio.sleep_until(begun + due / 1e6)
-            together = []
-            while at < len(steps) and steps[at].at_us == due:
-                together.append(steps[at])
-                at += 1
-            # All that loses power in one instant loses it before anybody else moves.
-            for step in sorted(together, key=lambda s: s.fault.kind != "power"):
+        started_s = trio.current_time()
+        steps = fault_timeline.plan_steps(self.fault_schedule, targets)
+        index = 0
+        while index < len(steps):
+            due = steps[index].at_us
+            await trio.sleep_until(started_s + due / 1e6)
+            simultaneous = []
+            while index < len(steps) and steps[index].at_us == due:
+                simultaneous.append(steps[index])
+                index += 1
+            # Power losses at the same instant come before all other steps.
+            for step in sorted(simultaneous, key=lambda s: s.fault.kind != "power"):
                 await self._step(step)
 
     async def _step(self, step: fault_timeline.Step) -> None:
-        """Begins or ends one fault."""
-        play = self._players().get(step.fault.kind)
-        if play is None:
-            raise ValueError(f"the stage does not play {step.fault.kind}")
-        done = play(step)
-        if done is not None:
-            await done
-
-    def _players(self) -> dict[str, Callable[[fault_timeline.Step], Awaitable[None] | None]]:
-        """What plays each kind of fault."""
+        """Begins or ends one fault. Raises ValueError for a kind that the cluster cannot inject."""
+        handler = self._fault_handlers().get(step.fault.kind)
+        if handler is None:
+            raise ValueError(f"the cluster cannot inject a fault of kind {step.fault.kind}")
+        result = handler(step)
+        if result is not None:
+            await result
+
+    def _fault_handlers(self) -> dict[str, Callable[[fault_timeline.Step], Awaitable[None] | None]]:
+        """Returns the function that begins and ends each kind of fault."""
         return {
             "power": self._play_power,
             "kill": self._play_power,
-            "freeze": lambda step: (self.freeze if step.begins else self.thaw)(step.target),
+            "freeze": lambda step: (self.freeze if step.begins else self.resume)(step.target),
             "vanish": lambda step: self.vanish(step.target, step.begins),
             "cut-between": lambda step: (self.cut if step.begins else self.heal)(*step.target.split(">")),
             "clock": self._play_clock,
             "disk": lambda step: self.nodes[step.target].set_disk(step.fault.says if step.begins else ""),
             "drop": self._play_loss,
-            "cut": lambda step: self.coordinator.go() if step.begins else self.coordinator.back(),
+            "cut": lambda step: self.coordinator.disconnect() if step.begins else self.coordinator.reconnect(),
             "term": self._play_stop,
             "hup": self._play_reload,
         }
@@ -134,7 +134,7 @@
 
     def _play_loss(self, step: fault_timeline.Step) -> None:
         for other in self.names:
-            self.ways.get(step.target, other).set(loss=step.fault.share if step.begins else 0.0)
+            self.links.get(step.target, other).set(loss=step.fault.share if step.begins else 0.0)
 
     def _play_stop(self, step: fault_timeline.Step) -> Awaitable[None] | None:
         if not step.begins:
--- a/rookbend/testing/cluster/record.py
+++ b/rookbend/testing/cluster/record.py
@@ -1,7 +1,7 @@
-"""What crossed the relays, every start and end, on one clock: the stage's record.
+"""The cluster's record: traffic across the relays, starts, ends and faults, on one clock.
 
-The rules' checker is fed as things are seen; what measurements and tests ask besides is kept as rows. No
-director's word goes in here. Rows are bounded (`KEPT`); counts are not rows and lose nothing.
+The invariant checker receives each event when it is observed; rows hold what measurements and tests need besides.
+Nothing that a director reports about itself is recorded. At most `MAX_ROWS` rows are kept; counts are complete.
 """
 
 from __future__ import annotations
@@ -12,52 +12,53 @@
 from rookbend.testing.invariant_checker import InvariantChecker, InvariantLimits, Violation
 from rookbend.testing.invariant_events import WireEvent
 
-KEPT = 200_000
+MAX_ROWS = 200_000
 
 
 def now_us() -> int:
-    """Unix microseconds of the stage, whose clock no fault touches."""
+    """Returns the test process's Unix time in microseconds; clock faults do not affect it."""
     return time.time_ns() // 1000
 
 
 class Record:
     def __init__(self, limits: InvariantLimits | None = None):
         self.checker = InvariantChecker(limits)
-        self.rows: deque[tuple[int, str, str, str]] = deque(maxlen=KEPT)  # (at, what, who, more)
-        self.counts: Counter[tuple[str, str]] = Counter()  # (what, who)
+        # (Unix microseconds, type, subject, detail)
+        self.rows: deque[tuple[int, str, str, str]] = deque(maxlen=MAX_ROWS)
+        self.counts: Counter[tuple[str, str]] = Counter()  # by (type, subject)
         self.began_us = now_us()
 
-    def see(self, event: WireEvent) -> None:
+    def feed(self, event: WireEvent) -> None:
         self.checker.observe(event)
 
-    def note(self, what: str, who: str, more: str = "") -> None:
-        self.rows.append((now_us(), what, who, more))
-        self.counts[what, who] += 1
+    def note(self, row_type: str, subject: str, detail: str = "") -> None:
+        self.rows.append((now_us(), row_type, subject, detail))
+        self.counts[row_type, subject] += 1
 
-    def count(self, what: str) -> int:
-        return sum(n for (kind, _), n in self.counts.items() if kind == what)
+    def count(self, row_type: str) -> int:
+        return sum(n for (kind, _), n in self.counts.items() if kind == row_type)
 
-    def times(self, what: str, who: str | None = None) -> list[int]:
-        return [at for at, kind, name, _ in self.rows if kind == what and who in (None, name)]
+    def times(self, row_type: str, subject: str | None = None) -> list[int]:
+        return [at for at, kind, name, _ in self.rows if kind == row_type and subject in (None, name)]
 
-    def peak(self, what: str, window_us: int) -> int:
-        """The most rows of a kind within any window of that length."""
-        times, most, low = self.times(what), 0, 0
+    def peak(self, row_type: str, window_us: int) -> int:
+        """Returns the highest number of rows of a type within any window of that length."""
+        times, most, low = self.times(row_type), 0, 0
         for high, at in enumerate(times):
             while times[low] <= at - window_us:
                 low += 1
             most = max(most, high - low + 1)
         return most
 
-    def breaches(self) -> list[Violation]:
+    def find_violations(self) -> list[Violation]:
         self.checker.close_expired(now_us())
         return self.checker.violations
 
-    def story(self) -> str:
-        """Starts, ends and faults in order, for a failed run: seconds since the stage began."""
-        told = ("start", "end", "fault", "fall", "admitted", "lost", "asked")
+    def timeline(self) -> str:
+        """Returns starts, ends and faults in order, in seconds since the record began, for a failed run's report."""
+        shown = ("start", "end", "fault", "fall", "admitted", "lost", "asked")
         return "\n".join(
-            f"{(at - self.began_us) / 1e6:8.3f} {what:9} {who} {more}".rstrip()
-            for at, what, who, more in self.rows
-            if what in told
+            f"{(at - self.began_us) / 1e6:8.3f} {row_type:9} {subject} {detail}".rstrip()
+            for at, row_type, subject, detail in self.rows
+            if row_type in shown
         )
--- a/rookbend/testing/cluster/report_ledger.py
+++ b/rookbend/testing/cluster/report_ledger.py
@@ -1,5 +1,5 @@
-"""A stand-in ledger: it takes the fleet report's lines, `append TOKEN NUMBER LINE`, and refuses an older
-token than the highest it has seen. Every try is kept as it came, so a test can count those of old owners."""
+"""A stand-in ledger. It accepts lines of the fleet's report, `append TOKEN NUMBER LINE`, and refuses a token older
+than the highest it has seen. All attempts are kept in order, so that tests can count those of earlier owners."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Try:
+class AppendAttempt:
     at_us: int
     token: int
     number: int
-    word: str  # ok, have, old
+    result: str  # "ok", "have" (a line of this number exists) or "old" (an old token)
 
 
 class Ledger:
     def __init__(self, record: Record):
         self.record, self.receiver = record, FencingGuard()
-        self.tries: list[Try] = []
+        self.appends: list[AppendAttempt] = []
         self.lines: dict[int, str] = {}
         self.address: tuple[str, int] | None = None
 
@@ -43,16 +43,16 @@
                     data = data[end + 1 :]
                     await stream.send_all(self._append(int(token), int(number), line))
         except (trio.BrokenResourceError, trio.ClosedResourceError):
-            pass  # its director has died
+            pass  # the director has ended
 
     def _append(self, token: int, number: int, line: str) -> bytes:
         if not self.receiver.accept(SCOPE, token):
-            word, answer = "old", f"old {self.receiver.highest[SCOPE]}\n"
+            result, answer = "old", f"old {self.receiver.highest[SCOPE]}\n"
         elif number in self.lines:
-            word = answer = "have"
+            result = answer = "have"
         else:
             self.lines[number] = line
-            word = answer = "ok"
-        self.tries.append(Try(now_us(), token, number, word))
-        self.record.note("ledger", word, f"token {token} number {number}")
+            result = answer = "ok"
+        self.appends.append(AppendAttempt(now_us(), token, number, result))
+        self.record.note("ledger", result, f"token {token} number {number}")
         return f"{answer.rstrip()}\n".encode()
--- a/rookbend/testing/cluster/shim/faultydisk.py
+++ b/rookbend/testing/cluster/shim/faultydisk.py
@@ -1,9 +1,9 @@
-"""A disk that forgets: an apsw VFS under SQLite, for processes of the stage. Loaded by `sitecustomize`.
+"""A disk that loses unsynced writes: an apsw VFS below SQLite, for a cluster's directors. Loaded by `sitecustomize`.
 
-What is written lives in this process's memory, and in a file beside it (`.unsynced`), until it is synced;
-only then it reaches the real file. A process that is killed therefore loses just what it had not synced, as a
-machine does that loses its power. The stage may then apply a part of `.unsynced`, the last write torn
-(`disk.tear`). The word in the stage's file `disk` makes writes fail: `full`, `read-only`.
+Writes stay in this process's memory and in a file beside the real one (`.unsynced`) until they are synced; only then
+do they reach the real file. A process that is killed therefore loses exactly its unsynced writes, like a machine that
+loses its power. The test can then apply a part of `.unsynced` with the last write torn (`disk.apply_torn_writes`).
+The text of the file `disk` in the folder `ROOKBEND_STAGE` makes writes fail: `full` or `read-only`.
 """
 
 import contextlib
@@ -14,49 +14,49 @@
 
 import apsw
 
-RECORD = struct.Struct("=qi")  # offset, length; -1: a truncation to the offset
+WRITE_HEADER = struct.Struct("=qi")  # offset, length; -1: a truncation to the offset
 FLAGS = apsw.SQLITE_OPEN_MAIN_DB | apsw.SQLITE_OPEN_WAL | apsw.SQLITE_OPEN_MAIN_JOURNAL
-_stops = b"\0"
+_stop_point = b"\0"
 if os.path.exists(os.path.join(os.environ["ROOKBEND_STAGE"], "stops")):
     with open(os.path.join(os.environ["ROOKBEND_STAGE"], "stops"), "rb") as _file:
-        _stops = mmap.mmap(_file.fileno(), 1, prot=mmap.PROT_READ)
-_word = os.path.join(os.environ["ROOKBEND_STAGE"], "disk")
+        _stop_point = mmap.mmap(_file.fileno(), 1, prot=mmap.PROT_READ)
+_fault_file = os.path.join(os.environ["ROOKBEND_STAGE"], "disk")
 
 
-def _refused():
+def _raise_disk_fault():
     try:
-        with open(_word, encoding="ascii") as file:
-            word = file.read().strip()
+        with open(_fault_file, encoding="ascii") as file:
+            fault = file.read().strip()
     except OSError:
         return
-    if word == "full":
-        raise apsw.FullError("the stage says the disk is full")
-    if word == "read-only":
-        raise apsw.ReadOnlyError("the stage says the disk is read-only")
+    if fault == "full":
+        raise apsw.FullError("the test has set the disk to full")
+    if fault == "read-only":
+        raise apsw.ReadOnlyError("the test has set the disk to read-only")
 
 
-class Forgetful(apsw.VFSFile):
+class UnsyncedLossFile(apsw.VFSFile):
     def __init__(self, name, flags):
         super().__init__("unix", name, flags)
         self.path = name.filename() if isinstance(name, apsw.URIFilename) else name
         with open(self.path, "rb") as file:
             self.image = bytearray(file.read())
         self.unsynced = []
-        self.beside = open(self.path + ".unsynced", "wb", buffering=0)  # noqa: SIM115 - open as long as we
+        self.unsynced_log = open(self.path + ".unsynced", "wb", buffering=0)  # noqa: SIM115 - closed in xClose
 
     def xRead(self, amount, offset):
         return bytes(self.image[offset : offset + amount])
 
     def xWrite(self, data, offset):
-        _refused()
-        self.beside.write(RECORD.pack(offset, len(data)) + bytes(data))
+        _raise_disk_fault()
+        self.unsynced_log.write(WRITE_HEADER.pack(offset, len(data)) + bytes(data))
         if len(self.image) < offset:
             self.image.extend(bytes(offset - len(self.image)))
         self.image[offset : offset + len(data)] = data
         self.unsynced.append((offset, bytes(data)))
 
     def xTruncate(self, size):
-        self.beside.write(RECORD.pack(size, -1))
+        self.unsynced_log.write(WRITE_HEADER.pack(size, -1))
         del self.image[size:]
         self.unsynced.append((size, None))
 
@@ -65,8 +65,8 @@
 
     def xSync(self, flags):
         if self.unsynced:
-            _refused()
-            if _stops[0] == 3:
+            _raise_disk_fault()
+            if _stop_point[0] == 3:
                 os.kill(os.getpid(), signal.SIGSTOP)
         for offset, data in self.unsynced:
             if data is None:
@@ -75,11 +75,11 @@
                 super().xWrite(data, offset)
         self.unsynced.clear()
         super().xSync(flags)
-        self.beside.seek(0)
-        self.beside.truncate()
+        self.unsynced_log.seek(0)
+        self.unsynced_log.truncate()
 
     def xClose(self):
-        self.beside.close()
+        self.unsynced_log.close()
         super().xClose()
 
 
@@ -89,7 +89,7 @@
 
     def xOpen(self, name, flags):
         if name is not None and flags[0] & FLAGS:
-            return Forgetful(name, flags)
+            return UnsyncedLossFile(name, flags)
         return super().xOpen(name, flags)
 
     def xDelete(self, filename, syncdir):
--- a/rookbend/testing/cluster/soak.py
+++ b/rookbend/testing/cluster/soak.py
@@ -1,8 +1,9 @@
-"""A seeded soak: a fleet under load while directors restart, reload, are upgraded, members return, lists fall silent.
+"""A seeded soak test: a cluster under load while directors restart, reload and are upgraded, members restart and the
+coordinator falls silent.
 
-The seed draws the events and their moments. Judged are the rules' checker, contained faults, exit codes, the time to
-readiness, and each request that was lost. The platform's page lets a director lose what comes more than 0.7 s after
-SIGTERM, and a request that crosses the close of an idle connection within 50 ms: its client sends it again.
+The seed determines the events and their times. The test checks invariants, contained faults, exit codes, the time to
+readiness, and each lost request. The platform's page allows a director to lose requests that arrive more than 0.7 s
+after SIGTERM, and a request that crosses the close of an idle connection within 50 ms: its client sends it again.
 """
 
 from __future__ import annotations
@@ -16,21 +17,21 @@
 import trio
 
 from rookbend.protocol.coordinator_stream import split_address
+from rookbend.testing.cluster.cluster_runner import open_cluster
 from rookbend.testing.cluster.process import Node
+from rookbend.testing.cluster.process_cluster import ProcessCluster
 from rookbend.testing.cluster.record import now_us
-from rookbend.testing.cluster.scenario import Scene
-from rookbend.testing.cluster.scenario_runner import stage
-from rookbend.testing.cluster.traffic_classes import KINDS
+from rookbend.testing.cluster.traffic_classes import TRAFFIC_CLASSES
 from rookbend.testing.cluster.workload import LostRequest
 
 DIRECTORS = 3
-RATE = 60.0
-CROWD = 150  # connections that say nothing
-CROWD_S = 3.0
-LATE_REQUEST_US = 700_000  # after SIGTERM; what comes later may be lost
-CROSSING_US = 50_000  # a request may cross the close of a connection without an open request
-LEAST_DEADLINE_US = 3_000_000  # what the longest deadline counts as where it is shorter
-LONGEST_DEADLINE_US = max(LEAST_DEADLINE_US, *(kind.deadline_us for kind in KINDS))
+RATE = 60.0  # requests per second
+IDLE_CONNECTIONS = 150  # idle connections to one director
+IDLE_CONNECTION_S = 3.0
+LATE_REQUEST_US = 700_000  # after SIGTERM; later requests may be lost
+CLOSE_RACE_US = 50_000  # a request sent this shortly before the close of an idle connection may be lost
+LEAST_DEADLINE_US = 3_000_000  # lower limit of the longest deadline
+LONGEST_DEADLINE_US = max(LEAST_DEADLINE_US, *(kind.deadline_us for kind in TRAFFIC_CLASSES))
 KILL_AFTER_S = (LONGEST_DEADLINE_US + LATE_REQUEST_US) / 1e6
 READY_WITHIN_S = 10.0
 LONGEST_PAUSE_S = 1.5
@@ -38,7 +39,7 @@
 
 @dataclass
 class SoakResult:
-    """What one seed came to; `failures` in words, none where all held."""
+    """The result of one seed; `failures` is empty if all checks passed."""
 
     seed: int
     events: list[str] = field(default_factory=list)
@@ -51,14 +52,14 @@
 
 
 class Soak:
-    """One seed; `seconds` is how long new events begin."""
+    """The run of one seed; new events begin for `seconds`."""
 
-    def __init__(self, scene: Scene, seed: int, seconds: float):
-        self.scene = scene
+    def __init__(self, cluster: ProcessCluster, seed: int, seconds: float):
+        self.cluster = cluster
         self.seconds = seconds
         self.random = random.Random(f"{seed} soak")
         self.result = SoakResult(seed, crowd=seed % 3 == 0)
-        self.stopped_us: dict[str, list[int]] = {name: [] for name in scene.names}  # SIGTERM
+        self.stopped_us: dict[str, list[int]] = {name: [] for name in cluster.names}  # SIGTERM
         self._events: list[Callable[[str], Awaitable[None]]] = [
             self._restart,
             self._restart_with_second_signal,
@@ -73,21 +74,21 @@
         ]
 
     async def run(self) -> SoakResult:
-        """Plays the events one after the other, and judges."""
-        await self.scene.serve_with_doors()
-        await self.scene.served_more(50)
+        """Plays the events one after the other and evaluates the run."""
+        await self.cluster.start_with_operator_endpoints()
+        await self.cluster.wait_for_served(50)
         if self.result.crowd:
-            self.scene.nursery.start_soon(self._crowd)
+            self.cluster.nursery.start_soon(self._open_idle_connections)
         end_s = trio.current_time() + self.seconds
         while trio.current_time() < end_s:
             event = self.random.choice(self._events)
-            director = self.random.choice(self.scene.names)
+            director = self.random.choice(self.cluster.names)
             self.result.events.append(f"{event.__name__.strip('_')} {director}")
-            self.scene.record.note("fault", director, event.__name__.strip("_"))
+            self.cluster.record.note("fault", director, event.__name__.strip("_"))
             await event(director)
             await trio.sleep(self.random.uniform(0, LONGEST_PAUSE_S))
-        await self.scene.served_more(50)
-        self._judge()
+        await self.cluster.wait_for_served(50)
+        self._evaluate()
         return self.result
 
     # Directors
@@ -96,33 +97,35 @@
         self.stopped_us[node.name].append(now_us())
         node.signal(signal.SIGTERM)
 
-    async def _until_ended(self, node: Node) -> None:
-        """SIGKILL comes at the page's earliest."""
+    async def _wait_for_exit(self, node: Node) -> None:
+        """Waits for an exit, and kills the process at the earliest time that the platform's page allows."""
         with trio.move_on_after(KILL_AFTER_S):
-            if code := await node.ended():
+            if code := await node.wait_for_exit():
                 self.result.failures.append(f"{node.name} ended with {code}")
             return
         self.result.failures.append(f"{node.name} had not ended {KILL_AFTER_S:g} s after SIGTERM")
         node.kill()
-        await node.ended()
+        await node.wait_for_exit()
 
     async def _start_again(self, name: str) -> None:
         began_s = trio.current_time()
-        await self.scene.until(lambda: not self.scene.front.targets[name].admitted, f"{name} is missed")
-        await self.scene.start(name)
-        await self.scene.admitted(name)
+        await self.cluster.wait_until(
+            lambda: not self.cluster.front.targets[name].admitted, f"{name} is no longer admitted by the front"
+        )
+        await self.cluster.start(name)
+        await self.cluster.wait_until_admitted(name)
         took_s = trio.current_time() - began_s
         self.result.slowest_start_s = max(self.result.slowest_start_s, took_s)
         if took_s > READY_WITHIN_S:
             self.result.failures.append(f"{name} was ready after {took_s:.1f} s")
 
     async def _restart(self, name: str, *then: signal.Signals, within_s: float = 0.0) -> None:
-        node = self.scene.nodes[name]
+        node = self.cluster.nodes[name]
         self._stop(node)
         for number in then:
             await trio.sleep(within_s)
             node.signal(number)
-        await self._until_ended(node)
+        await self._wait_for_exit(node)
         await self._start_again(name)
 
     async def _restart_with_second_signal(self, name: str) -> None:
@@ -133,107 +136,112 @@
         await self._restart(name, signal.SIGHUP, within_s=self.random.uniform(0, 1.0))
 
     async def _signals_at_once(self, name: str) -> None:
-        node = self.scene.nodes[name]
+        node = self.cluster.nodes[name]
         for number in self.random.sample((signal.SIGHUP, signal.SIGUSR1, signal.SIGHUP), 3):
             node.signal(number)
         await self._restart(name)
 
     def _write_changed_config(self, name: str) -> None:
         attempts = self.random.randint(3, 6)
-        self.scene.change = lambda settings: {**settings, "limits": {**settings["limits"], "maxAttempts": attempts}}
-        node = self.scene.nodes[name]
+        self.cluster.change_settings = lambda settings: {
+            **settings,
+            "limits": {**settings["limits"], "maxAttempts": attempts},
+        }
+        node = self.cluster.nodes[name]
         operator = json.loads(node.config_file.read_text())["operator"]
-        node.config_file.write_text(json.dumps({**self.scene.config(name), "operator": operator}))
+        node.config_file.write_text(json.dumps({**self.cluster.config(name), "operator": operator}))
 
     async def _reload(self, name: str) -> None:
-        node = self.scene.nodes[name]
-        before = len(node.heard("reloaded"))
+        node = self.cluster.nodes[name]
+        before = len(node.find_logs("reloaded"))
         self._write_changed_config(name)
         node.signal(signal.SIGHUP)
-        await self.scene.until(lambda: len(node.heard("reloaded")) > before, f"{name} reloads")
+        await self.cluster.wait_until(lambda: len(node.find_logs("reloaded")) > before, f"{name} reloads")
 
     async def _reload_of_broken_files(self, name: str) -> None:
-        node = self.scene.nodes[name]
-        before = len(node.heard("reload_failed"))
+        node = self.cluster.nodes[name]
+        before = len(node.find_logs("reload_failed"))
         whole = node.config_file.read_bytes()
         node.config_file.write_bytes(whole[: self.random.randrange(1, len(whole))])
         node.signal(signal.SIGHUP)
-        await self.scene.until(lambda: len(node.heard("reload_failed")) > before, f"{name} refuses to reload")
+        await self.cluster.wait_until(
+            lambda: len(node.find_logs("reload_failed")) > before, f"{name} refuses to reload"
+        )
         node.config_file.write_bytes(whole)
 
     async def _upgrade(self, name: str, reload: bool = False) -> None:
-        old = await self.scene.upgrade(name)
+        old = await self.cluster.upgrade(name)
         if reload:
             await trio.sleep(self.random.uniform(0, 0.5))
             old.signal(signal.SIGHUP)
-        await self.scene.until_yes(name)
+        await self.cluster.wait_until_accepting(name)
         self._stop(old)
-        await self._until_ended(old)
+        await self._wait_for_exit(old)
 
     async def _reload_within_upgrade(self, name: str) -> None:
         await self._upgrade(name, reload=True)
 
-    # What is round them
+    # Members, coordinator, clients
 
     async def _member_restart(self, _name: str) -> None:
-        member = self.random.choice([box.name for box in self.scene.caches])
-        self.scene.power_off(member)
+        member = self.random.choice([cache.name for cache in self.cluster.caches])
+        self.cluster.power_off(member)
         await trio.sleep(self.random.uniform(0.1, 1.0))
-        await self.scene.power_on(member)
+        await self.cluster.power_on(member)
 
     async def _silent_coordinator(self, _name: str) -> None:
-        self.scene.coordinator.go()
+        self.cluster.coordinator.disconnect()
         await trio.sleep(self.random.uniform(0.5, 3.0))
-        self.scene.coordinator.back()
+        self.cluster.coordinator.reconnect()
 
-    async def _crowd(self) -> None:
-        """Clients that connect to one director at once and send nothing."""
-        address = split_address(self.scene.places[self.random.choice(self.scene.names)]["listen"])
+    async def _open_idle_connections(self) -> None:
+        """Opens many connections to one director at once and sends nothing on them."""
+        address = split_address(self.cluster.addresses[self.random.choice(self.cluster.names)]["listen"])
         await trio.sleep(self.random.uniform(0, self.seconds / 2))
         async with trio.open_nursery() as nursery:
-            for _ in range(CROWD):
-                nursery.start_soon(self._hold_silent, address)
+            for _ in range(IDLE_CONNECTIONS):
+                nursery.start_soon(self._hold_idle_connection, address)
 
     @staticmethod
-    async def _hold_silent(address: tuple[str, int]) -> None:
+    async def _hold_idle_connection(address: tuple[str, int]) -> None:
         try:
             async with await trio.open_tcp_stream(*address) as stream:
-                with trio.move_on_after(CROWD_S):
+                with trio.move_on_after(IDLE_CONNECTION_S):
                     await stream.receive_some()
         except (OSError, trio.BrokenResourceError):
-            pass  # the director is restarting, or has closed it
+            pass  # the director is restarting, or has closed the connection
 
-    # Judgement
+    # Evaluation
 
     def _may_be_lost(self, request: LostRequest) -> bool:
-        if request.lost_us - request.sent_us <= CROSSING_US:
+        if request.lost_us - request.sent_us <= CLOSE_RACE_US:
             return True
-        # At the end of its grace a director closes the connections without an open request.
+        # At the end of its grace period a director closes the connections without an open request.
         return any(
-            LATE_REQUEST_US - CROSSING_US <= request.sent_us - stopped_us <= KILL_AFTER_S * 1e6
+            LATE_REQUEST_US - CLOSE_RACE_US <= request.sent_us - stopped_us <= KILL_AFTER_S * 1e6
             for stopped_us in self.stopped_us[request.director]
         )
 
-    def _judge(self) -> None:
-        front, result = self.scene.front, self.result
-        result.requests = len(front.wishes)
-        result.served = sum(wish.done_us > 0 for wish in front.wishes)
+    def _evaluate(self) -> None:
+        front, result = self.cluster.front, self.result
+        result.requests = len(front.requests)
+        result.served = sum(request.served_us > 0 for request in front.requests)
         result.lost = len(front.lost)
         result.failures += [
-            f"lost at {request.director}: sent {(request.sent_us - self.scene.record.began_us) / 1e6:.3f} s, "
-            f"lost {(request.lost_us - self.scene.record.began_us) / 1e6:.3f} s"
+            f"lost at {request.director}: sent {(request.sent_us - self.cluster.record.began_us) / 1e6:.3f} s, "
+            f"lost {(request.lost_us - self.cluster.record.began_us) / 1e6:.3f} s"
             for request in front.lost
             if not self._may_be_lost(request)
         ]
-        result.failures += [f"{v.rule}: {v.subject} {v.text}" for v in self.scene.record.breaches()]
+        result.failures += [f"{v.rule}: {v.subject} {v.text}" for v in self.cluster.record.find_violations()]
 
 
 async def soak(seed: int, seconds: float) -> SoakResult:
-    """Plays one seed. Raises AssertionError where a director has contained a fault, or a wait hung."""
-    async with stage(DIRECTORS, 3, 1, seed, rate=RATE) as scene:
-        scene.front.heeds_closing = seed % 2 == 0  # the others use open connections to the end
-        result = await Soak(scene, seed, seconds).run()
-        scene.front.running.cancel()
+    """Runs one seed. Raises AssertionError if a check failed, a director contained a fault or a wait timed out."""
+    async with open_cluster(DIRECTORS, 3, 1, seed, rate=RATE) as cluster:
+        cluster.front.honors_closing = seed % 2 == 0  # the other seeds send on open connections to the end
+        result = await Soak(cluster, seed, seconds).run()
+        cluster.front.running.cancel()
         if result.failures:
             raise AssertionError("\n".join([*result.failures, *result.events]))
     return result
--- a/rookbend/testing/cluster/workload.py
+++ b/rookbend/testing/cluster/workload.py
@@ -1,4 +1,4 @@
-"""What clients of the stage want, and the connections on which their front asks for it."""
+"""The requests of the cluster's clients, and the connections on which the front sends them."""
 
 from __future__ import annotations
 
@@ -10,54 +10,54 @@
 
 
 @dataclass(slots=True)
-class Wish:
-    """What a client wants, over all its tries."""
+class ClientRequest:
+    """A client's request over all its tries."""
 
-    kind: int
+    class_index: int
     key: str
     part: int
-    first_us: int
+    arrival_us: int
     tries: int = 0
     verdicts: list[str] = field(default_factory=list)
-    done_us: int = 0
+    served_us: int = 0
 
 
 class OpenRequest(NamedTuple):
-    """A request that was sent and has no answer yet."""
+    """A request that was sent and is not answered yet."""
 
     rid: str
-    wish: Wish
+    request: ClientRequest
     sent_us: int
 
 
 class LostRequest(NamedTuple):
-    """A request whose connection ended before its answer came."""
+    """A request whose connection ended before its answer arrived."""
 
     director: str
     sent_us: int
     lost_us: int
 
 
-class Line:
+class FrontConnection:
     """One connection of the front to a director."""
 
     def __init__(self, stream: trio.SocketStream):
         self.stream = stream
         self.open: dict[int, OpenRequest] = {}  # by stream number
-        self.last = 0
-        self.closing = False  # the director takes nothing new on it
+        self.last_stream = 0
+        self.closing = False  # the director accepts no new request on it
         self.queue: deque[bytes] = deque()
-        self.wanted = trio.Event()
+        self.data_queued = trio.Event()
 
     def write(self, data: bytes) -> None:
         self.queue.append(data)
-        self.wanted.set()
+        self.data_queued.set()
 
 
 class Target:
-    """A director as the front sees it."""
+    """The front's view of a director."""
 
     def __init__(self, name: str, address: tuple[str, int]):
         self.name, self.address = name, address
-        self.admitted, self.lines = False, []
-        self.nursery: trio.Nursery | None = None  # of its connections, while it is admitted
+        self.admitted, self.connections = False, []
+        self.nursery: trio.Nursery | None = None  # runs its connections while it is admitted
--- a/rookbend/testing/demo.py
+++ b/rookbend/testing/demo.py
@@ -14,7 +14,7 @@
 
 import trio
 
-from rookbend.testing.cluster import Scene, stage
+from rookbend.testing.cluster import ProcessCluster, open_cluster
 from rookbend.testing.cluster.record import now_us
 
 REFRESH_INTERVAL_S = 0.5
@@ -54,7 +54,7 @@
         operator_settings = default_operator_settings() if plan.operator_settings is None else plan.operator_settings
         with tempfile.TemporaryDirectory(prefix="rookbend-demo-") as folder:
             async with (
-                stage(
+                open_cluster(
                     plan.directors,
                     plan.caches,
                     1,
@@ -62,51 +62,58 @@
                     operator_settings,
                     plan.rate,
                     folder=log_folder or Path(folder),
-                ) as scene,
+                ) as cluster,
                 trio.open_nursery() as nursery,
             ):
-                nursery.start_soon(self._report_progress, scene)
-                await scene.start()
-                await scene.admitted()
+                nursery.start_soon(self._report_progress, cluster)
+                await cluster.start()
+                await cluster.wait_until_admitted()
                 self.first_admission_us, self.phase = now_us(), "serving"
                 await trio.sleep(plan.before_outage_s)
                 self.power_lost_us, self.phase = now_us(), "power lost"
-                scene.power_off()
+                cluster.power_off()
                 await trio.sleep(plan.outage_s)
                 self.power_back_us, self.phase = now_us(), "power restored"
-                await scene.power_on()
+                await cluster.power_on()
                 await trio.sleep(plan.after_return_s)
                 nursery.cancel_scope.cancel()
-            self.on_progress("ended", self.rows(scene))
-        return self.report(scene)
+            self.on_progress("ended", self.rows(cluster))
+        return self.report(cluster)
 
-    async def _report_progress(self, scene: Scene) -> None:
+    async def _report_progress(self, cluster: ProcessCluster) -> None:
         while True:
-            self.on_progress(self.phase, self.rows(scene))
+            self.on_progress(self.phase, self.rows(cluster))
             await trio.sleep(REFRESH_INTERVAL_S)
 
-    def rows(self, scene: Scene) -> list[list[str]]:
+    def rows(self, cluster: ProcessCluster) -> list[list[str]]:
         """Returns one row for each process: name, role, state and activity."""
         rows = []
-        for name, node in scene.nodes.items():
-            state = "down" if not node.running else "admitted" if scene.front.targets[name].admitted else "not admitted"
-            stages = node.heard("recovery_stage") if node.running else []
+        for name, node in cluster.nodes.items():
+            state = (
+                "down" if not node.running else "admitted" if cluster.front.targets[name].admitted else "not admitted"
+            )
+            stages = node.find_logs("recovery_stage") if node.running else []
             rows.append(
-                [name, "director", state, f"incarnation {node.lives}" + (f", {stages[-1]['stage']}" if stages else "")]
+                [
+                    name,
+                    "director",
+                    state,
+                    f"incarnation {node.start_count}" + (f", {stages[-1]['stage']}" if stages else ""),
+                ]
             )
-        for box in scene.boxes.values():
-            cold = box.role != "origin" and box.is_cold(now_us())
+        for member in cluster.stand_ins.values():
+            cold = member.role != "origin" and member.is_cold(now_us())
             rows.append(
                 [
-                    box.name,
-                    box.role,
-                    "down" if box.down else "cold" if cold else "warm",
-                    f"{box.asked} requests, {box.worked} requests and fills accepted, {box.falls} overloads",
+                    member.name,
+                    member.role,
+                    "down" if member.down else "cold" if cold else "warm",
+                    f"{member.request_count} requests, {member.admitted_count} requests and fills accepted, {member.overload_count} overloads",
                 ]
             )
         return rows
 
-    def report(self, scene: Scene) -> dict:
+    def report(self, cluster: ProcessCluster) -> dict:
         """Returns the report as an object to encode as JSON.
 
         `rules` counts violations by rule, `return` has [director, seconds from the return of power to its admission],
@@ -115,27 +122,27 @@
         """
         admitted = [
             [who, round((at - self.power_back_us) / 1e6, 2)]
-            for at, what, who, _ in scene.record.rows
+            for at, what, who, _ in cluster.record.rows
             if what == "admitted" and at >= self.power_back_us
         ]
         # Requests of the last two seconds may still be open.
-        seconds = scene.front.by_second(self.first_admission_us, now_us() - 2_000_000)
+        seconds = cluster.front.by_second(self.first_admission_us, now_us() - 2_000_000)
         worth = [
             round(got / asked, 3) if asked else None
             for got, asked in (seconds.get(i, (0.0, 0.0)) for i in range(max(seconds, default=-1) + 1))
         ]
-        breaches = scene.record.breaches()
+        breaches = cluster.record.find_violations()
         return {
             "directors": self.plan.directors,
             "seed": self.plan.seed,
-            "requests": len(scene.front.wishes),
+            "requests": len(cluster.front.requests),
             "return": admitted,
             "worth": worth,
             "lost_at": round((self.power_lost_us - self.first_admission_us) / 1e6, 1),
             "back_at": round((self.power_back_us - self.first_admission_us) / 1e6, 1),
-            "falls": {b.name: b.falls for b in scene.boxes.values() if b.falls},
-            "seen": scene.record.checker.observed_events,
-            "rules": scene.record.checker.violations_by_rule(),
+            "falls": {b.name: b.overload_count for b in cluster.stand_ins.values() if b.overload_count},
+            "seen": cluster.record.checker.observed_events,
+            "rules": cluster.record.checker.violations_by_rule(),
             "breaches": [f"{b.rule}: {b.subject} {b.text}" for b in breaches[:20]],
-            "client_late_ms": round(scene.front.late_s * 1000, 1),
+            "client_late_ms": round(cluster.front.late_s * 1000, 1),
         }
--- a/tests/test_boot_numbers_processes.py
+++ b/tests/test_boot_numbers_processes.py
@@ -1,4 +1,4 @@
-"""Boot numbers through starts that are cut off: what has left a director carries a number that is on its disk."""
+"""Boot numbers across interrupted starts: a director sends a boot number only once it is on its disk."""
 
 import random
 
@@ -7,66 +7,66 @@
 
 from rookbend.testing.cluster.process import IN_SYNC
 from rookbend.testing.cluster.record import now_us
-from tests.recovery_scenes import all_reach, fleet
+from tests.recovery_clusters import fleet, wait_until_all_reach
 
 LONGEST_START_S = 1.0
 
 
-def sent_since(scene, name, since_us):
-    """Datagrams and TCP connections that a director began since then."""
+def sent_since(cluster, name, since_us):
+    """Returns the datagrams that a director sent and the TCP connections that it opened since then."""
     return [
         row
-        for row in scene.record.rows
+        for row in cluster.record.rows
         if row[0] >= since_us
         and (row[1:3] == ("datagram", name) or (row[1] == "call" and row[2].startswith(f"{name}>")))
     ]
 
 
-async def boot_known_of(scene, asked, number):
-    return (await scene.ask(asked, "/fleet"))["directors"][number]["boot"]
+async def boot_known_of(cluster, asked, number):
+    return (await cluster.admin_request(asked, "/fleet"))["directors"][number]["boot"]
 
 
-def test_a_start_cut_off_in_the_sync_of_its_boot_number_has_sent_nothing_and_is_not_counted():
-    # Guards against a boot number that leaves a director before it is durable: two starts would share it.
+def test_a_start_interrupted_in_the_sync_of_its_boot_number_has_sent_nothing_and_is_not_counted():
+    # Guards against a boot number that is sent before it is durable: two starts would share it.
     async def main():
-        async with fleet(rate=20) as scene:
-            node = scene.nodes["n1"]
-            await node.said("state_open", boot=1)
-            scene.power_off("n1")
-            await node.ended()
+        async with fleet(rate=20) as cluster:
+            node = cluster.nodes["n1"]
+            await node.wait_for_log("state_open", boot=1)
+            cluster.power_off("n1")
+            await node.wait_for_exit()
             node.stop_at(IN_SYNC)
             since = now_us()
-            await scene.power_on("n1")
-            await node.stopped()
-            await scene.served_more(10)  # the others go on, and hear nothing of it
-            assert not node.heard("state_open") and not sent_since(scene, "n1", since)
-            scene.power_off("n1")
-            await node.ended()
+            await cluster.power_on("n1")
+            await node.wait_until_stopped()
+            await cluster.wait_for_served(10)  # the other directors serve meanwhile
+            assert not node.find_logs("state_open") and not sent_since(cluster, "n1", since)
+            cluster.power_off("n1")
+            await node.wait_for_exit()
             node.stop_at()
-            await scene.power_on("n1")
-            assert (await node.said("state_open"))["boot"] == 2
-            await all_reach(scene, names=["n1"])
-            assert sent_since(scene, "n1", since) and await boot_known_of(scene, "n0", 1) == 2
+            await cluster.power_on("n1")
+            assert (await node.wait_for_log("state_open"))["boot"] == 2
+            await wait_until_all_reach(cluster, names=["n1"])
+            assert sent_since(cluster, "n1", since) and await boot_known_of(cluster, "n0", 1) == 2
 
     trio.run(main)
 
 
-@pytest.mark.parametrize("seed, cuts", [(1, 8), pytest.param(2, 60, marks=pytest.mark.long)])
-def test_a_start_cut_off_at_any_moment_leaves_no_number_behind_that_a_later_start_takes(seed, cuts):
-    # Guards against a director that returns with a number that its peers have heard from an earlier start.
+@pytest.mark.parametrize("seed, interruptions", [(1, 8), pytest.param(2, 60, marks=pytest.mark.long)])
+def test_a_start_interrupted_at_any_time_leaves_no_boot_number_that_a_later_start_reuses(seed, interruptions):
+    # Guards against a director that restarts with a boot number that its peers know from an earlier start.
     async def main():
-        moments = random.Random(seed)
-        async with fleet(rate=20, seed=seed) as scene:
-            node = scene.nodes["n1"]
-            for _ in range(cuts):
-                scene.power_off("n1")
-                await scene.power_on("n1")
-                await trio.sleep(moments.uniform(0, LONGEST_START_S))
-                scene.power_off("n1")
-                await node.ended()
-                announced = [line["boot"] for line in node.heard("state_open")]
-                heard_by_peers = [await boot_known_of(scene, peer, 1) for peer in ("n0", "n2")]
-                await scene.power_on("n1")
-                assert (await node.said("state_open"))["boot"] > max(announced + heard_by_peers)
+        rng = random.Random(seed)
+        async with fleet(rate=20, seed=seed) as cluster:
+            node = cluster.nodes["n1"]
+            for _ in range(interruptions):
+                cluster.power_off("n1")
+                await cluster.power_on("n1")
+                await trio.sleep(rng.uniform(0, LONGEST_START_S))
+                cluster.power_off("n1")
+                await node.wait_for_exit()
+                announced = [line["boot"] for line in node.find_logs("state_open")]
+                heard_by_peers = [await boot_known_of(cluster, peer, 1) for peer in ("n0", "n2")]
+                await cluster.power_on("n1")
+                assert (await node.wait_for_log("state_open"))["boot"] > max(announced + heard_by_peers)
 
     trio.run(main)
--- a/tests/test_failure_record.py
+++ b/tests/test_failure_record.py
@@ -1,20 +1,20 @@
-"""What a failed test of several processes leaves behind."""
+"""The files kept of a failed test cluster."""
 
 import pytest
 import trio
 
-from rookbend.testing.cluster import stage
+from rookbend.testing.cluster import open_cluster
 from rookbend.testing.cluster.failure_record import ENVIRONMENT_VARIABLE
 
 
-def test_a_failed_scene_leaves_report_logs_and_settings_and_names_the_folder(tmp_path, monkeypatch):
-    # Guards against failures that come once and whose output is lost.
+def test_a_failed_cluster_keeps_report_logs_and_settings_and_names_their_folder(tmp_path, monkeypatch):
+    # Guards against losing the output of a failure that cannot be reproduced.
     monkeypatch.setenv(ENVIRONMENT_VARIABLE, str(tmp_path / "failures"))
 
     async def main():
-        async with stage(directors=1, caches=1, seed=11) as scene:
-            await scene.start()
-            await scene.nodes["n0"].said("ready")
+        async with open_cluster(directors=1, caches=1, seed=11) as cluster:
+            await cluster.start()
+            await cluster.nodes["n0"].wait_for_log("ready")
             raise ValueError("as planted")
 
     with pytest.raises(ExceptionGroup) as raised:
--- a/tests/test_leases_processes.py
+++ b/tests/test_leases_processes.py
@@ -1,5 +1,5 @@
-"""One owner at a time with several processes of the program and faults between them. Verdicts are on what the
-stand-ins received; nothing waits for a time but to end a hang."""
+"""Several directors as processes have one owner at a time despite faults between them. Assertions are on what the
+stand-ins received; time-outs only end a test that hangs."""
 
 import json
 import signal
@@ -8,7 +8,7 @@
 import pytest
 import trio
 
-from rookbend.testing.cluster import allow_probes, stage
+from rookbend.testing.cluster import allow_probes, open_cluster
 from rookbend.testing.cluster.process import AFTER_SEND, BEFORE_SEND, IN_SYNC
 
 OWNERSHIP = """
@@ -38,34 +38,34 @@
 
 @asynccontextmanager
 async def fleet(directors=4, rate=0.0, operators=OWNERSHIP, **more):
-    async with stage(directors, caches=3, rate=rate, operators=operators, **more) as scene:
-        scene.change = allow_probes
-        await scene.start()
-        for name in scene.names:
-            await scene.nodes[name].said("ready")
-        await owner_of(scene, "orders")
-        yield scene
-        scene.front.running.cancel()
-        scene.verdict()
-        assert_no_old_owner(scene)
-
-
-def assert_no_old_owner(scene):
-    """No line was taken with a token older than one taken before, and none twice."""
-    taken = [t for t in scene.ledger.tries if t.word == "ok"]
-    assert [t.token for t in taken] == sorted(t.token for t in taken)
-    assert len({t.number for t in taken}) == len(taken)
-
-
-async def owner_of(scene, scope, but=()):
-    """The director that says that it owns the scope; waits until one does."""
+    async with open_cluster(directors, caches=3, rate=rate, operators=operators, **more) as cluster:
+        cluster.change_settings = allow_probes
+        await cluster.start()
+        for name in cluster.names:
+            await cluster.nodes[name].wait_for_log("ready")
+        await owner_of(cluster, "orders")
+        yield cluster
+        cluster.front.running.cancel()
+        cluster.check_invariants()
+        assert_no_old_owner(cluster)
+
+
+def assert_no_old_owner(cluster):
+    """No accepted line has a token older than an earlier one, and no line number was accepted twice."""
+    accepted = [t for t in cluster.ledger.appends if t.result == "ok"]
+    assert [t.token for t in accepted] == sorted(t.token for t in accepted)
+    assert len({t.number for t in accepted}) == len(accepted)
+
+
+async def owner_of(cluster, scope, excluded=()):
+    """Waits until a director reports that it owns the scope, and returns its name."""
     while True:
-        for name in scene.names:
-            if name in but or not scene.nodes[name].running:
+        for name in cluster.names:
+            if name in excluded or not cluster.nodes[name].running:
                 continue
             with trio.move_on_after(1.0):
                 try:
-                    found = await scene.ask(name, "/owners")
+                    found = await cluster.admin_request(name, "/owners")
                 except (OSError, trio.BrokenResourceError):
                     continue
                 if any(r["ours"] and r["scope"] == scope for r in found["owners"]):
@@ -73,25 +73,26 @@
         await trio.sleep(0.02)
 
 
-async def bounded(what, *args):
+async def with_timeout(function, *args):
     with trio.fail_after(60):
-        return await what(*args)
+        return await function(*args)
 
 
 def state_of(found, member):
     return next(row["state"] for row in found["members"] if row["member"] == member)
 
 
-async def all_know(scene, member, states, names=None):
-    for name in names or scene.names:
-        await scene.until_told(name, "/members", lambda found: state_of(found, member) in states)
+async def wait_until_all_know(cluster, member, states, names=None):
+    for name in names or cluster.names:
+        await cluster.wait_for_answer(name, "/members", lambda found: state_of(found, member) in states)
 
 
-async def another_writes(scene, old):
-    """Waits for a line with a token above all that `old` was tried with."""
-    highest = max(t.token for t in scene.ledger.tries) if scene.ledger.tries else 0
-    await scene.until(
-        lambda: any(t.word == "ok" and t.token > highest for t in scene.ledger.tries), f"a line by another than {old}"
+async def wait_for_next_token(cluster, old):
+    """Waits for an accepted line with a token above all tokens seen so far, those of `old` included."""
+    highest = max(t.token for t in cluster.ledger.appends) if cluster.ledger.appends else 0
+    await cluster.wait_until(
+        lambda: any(t.result == "ok" and t.token > highest for t in cluster.ledger.appends),
+        f"a line by another than {old}",
     )
 
 
@@ -99,147 +100,152 @@
     "where",
     [BEFORE_SEND, pytest.param(AFTER_SEND, marks=pytest.mark.long), pytest.param(IN_SYNC, marks=pytest.mark.long)],
 )
-def test_an_owner_stopped_amid_its_work_wakes_up_late_and_does_no_harm(where):
+def test_an_owner_stopped_during_its_work_resumes_late_and_changes_nothing(where):
     async def main():
-        async with fleet() as scene:
-            await scene.until(lambda: any(t.word == "ok" for t in scene.ledger.tries), "a line")
-            old = await bounded(owner_of, scene, "report")
-            node = scene.nodes[old]
+        async with fleet() as cluster:
+            await cluster.wait_until(lambda: any(t.result == "ok" for t in cluster.ledger.appends), "a line")
+            old = await with_timeout(owner_of, cluster, "report")
+            node = cluster.nodes[old]
             node.stop_at(where)
             if where == IN_SYNC:
-                with trio.move_on_after(1.0):  # something to be synced
-                    await scene.ask(old, "/orders", "POST", {"member": "c1", "order": "drain", "by": "kim"})
-            await node.stopped()
-            await another_writes(scene, old)
-            new = await bounded(owner_of, scene, "report", (old,))
+                with trio.move_on_after(1.0):  # causes a sync of the disk
+                    await cluster.admin_request(old, "/orders", "POST", {"member": "c1", "order": "drain", "by": "kim"})
+            await node.wait_until_stopped()
+            await wait_for_next_token(cluster, old)
+            new = await with_timeout(owner_of, cluster, "report", (old,))
             node.stop_at()
-            scene.thaw(old)
-            await node.said("lease_lost", scope="report")
+            cluster.resume(old)
+            await node.wait_for_log("lease_lost", scope="report")
             if where == BEFORE_SEND:
-                # Its line was checked before the stop and went out after it: the ledger refused it.
-                await scene.until(lambda: any(t.word == "old" for t in scene.ledger.tries), "an old token")
-            before = len(scene.ledger.tries)
-            await scene.until(lambda: len(scene.ledger.tries) >= before + 2, "lines go on")
+                # The line was checked before the stop and sent after it, so the ledger has to refuse it.
+                await cluster.wait_until(lambda: any(t.result == "old" for t in cluster.ledger.appends), "an old token")
+            before = len(cluster.ledger.appends)
+            await cluster.wait_until(lambda: len(cluster.ledger.appends) >= before + 2, "lines go on")
             assert new != old
 
     trio.run(main)
 
 
-def test_members_are_checked_by_one_owner_and_all_know_though_owners_die_or_are_cut_off():
+def test_one_owner_checks_each_member_and_all_directors_learn_the_result_after_an_owner_is_lost():
     async def main():
-        async with fleet() as scene:
-            await all_know(scene, "c0", ("ready", "degraded"))
-            scene.boxes["c0"].ill = True
-            await all_know(scene, "c0", ("down",))
-            # Each of its own, four directors would each ask; owners do once. Whose shard it is may move amid it.
-            before, n = scene.boxes["c1"].checks, scene.boxes["p0"].checks
-            await scene.until(lambda: scene.boxes["p0"].checks >= n + 4, "checks of p0")
-            assert scene.boxes["c1"].checks - before <= 2 * 4 + 4
-            first = await bounded(owner_of, scene, "orders")
-            scene.power_off(first)
-            left = [name for name in scene.names if name != first]
-            scene.boxes["c0"].ill = False
-            await all_know(scene, "c0", ("ready", "degraded"), left)
-            scene.boxes["c2"].ill = True
-            await all_know(scene, "c2", ("down",), left)
-            # A drain of the membership wins whatever an owner says.
-            scene.boxes["c1"].draining = True
-            scene.coordinator.tell_members("c1")
-            await all_know(scene, "c1", ("draining",), left)
-            await scene.power_on(first)
+        async with fleet() as cluster:
+            await wait_until_all_know(cluster, "c0", ("ready", "degraded"))
+            cluster.stand_ins["c0"].unhealthy = True
+            await wait_until_all_know(cluster, "c0", ("down",))
+            # Four independent directors would each check a member; with owners only one does. A shard may move meanwhile.
+            before, n = cluster.stand_ins["c1"].checks, cluster.stand_ins["p0"].checks
+            await cluster.wait_until(lambda: cluster.stand_ins["p0"].checks >= n + 4, "checks of p0")
+            assert cluster.stand_ins["c1"].checks - before <= 2 * 4 + 4
+            first = await with_timeout(owner_of, cluster, "orders")
+            cluster.power_off(first)
+            remaining = [name for name in cluster.names if name != first]
+            cluster.stand_ins["c0"].unhealthy = False
+            await wait_until_all_know(cluster, "c0", ("ready", "degraded"), remaining)
+            cluster.stand_ins["c2"].unhealthy = True
+            await wait_until_all_know(cluster, "c2", ("down",), remaining)
+            # A drain in the membership overrides what an owner reports.
+            cluster.stand_ins["c1"].draining = True
+            cluster.coordinator.publish_members("c1")
+            await wait_until_all_know(cluster, "c1", ("draining",), remaining)
+            await cluster.power_on(first)
 
     trio.run(main)
 
 
-def test_an_order_for_the_fleet_stands_through_the_loss_of_its_writer_of_a_disk_and_of_all_power():
+def test_a_fleet_order_survives_the_loss_of_its_writer_of_a_disk_and_of_all_power():
     async def main():
-        async with fleet() as scene:
-            writer = await bounded(owner_of, scene, "orders")
-            other = next(name for name in scene.names if name != writer)
+        async with fleet() as cluster:
+            writer = await with_timeout(owner_of, cluster, "orders")
+            other = next(name for name in cluster.names if name != writer)
             order = {"member": "c1", "order": "maintain", "by": "kim", "fleet": True}
-            assert (await scene.ask(other, "/orders", "POST", order))["status"] == 200
-            scene.power_off(writer)
-            await all_know(scene, "c1", ("maintenance",), [n for n in scene.names if n != writer])
-            await scene.nodes[writer].ended()
-            for left in scene.nodes[writer].state.iterdir():
-                left.unlink()
-            await scene.power_on(writer)
-            await all_know(scene, "c1", ("maintenance",))
-            tokens = {r["scope"]: r["token"] for r in (await scene.ask(other, "/owners"))["owners"]}
-            scene.power_off()
-            await scene.power_on()
-            await bounded(owner_of, scene, "orders")
-            await all_know(scene, "c1", ("maintenance",))
-            new = await bounded(owner_of, scene, "orders")
-            found = await scene.ask(new, "/owners")
+            assert (await cluster.admin_request(other, "/orders", "POST", order))["status"] == 200
+            cluster.power_off(writer)
+            await wait_until_all_know(cluster, "c1", ("maintenance",), [n for n in cluster.names if n != writer])
+            await cluster.nodes[writer].wait_for_exit()
+            for file in cluster.nodes[writer].state.iterdir():
+                file.unlink()
+            await cluster.power_on(writer)
+            await wait_until_all_know(cluster, "c1", ("maintenance",))
+            tokens = {r["scope"]: r["token"] for r in (await cluster.admin_request(other, "/owners"))["owners"]}
+            cluster.power_off()
+            await cluster.power_on()
+            await with_timeout(owner_of, cluster, "orders")
+            await wait_until_all_know(cluster, "c1", ("maintenance",))
+            new = await with_timeout(owner_of, cluster, "orders")
+            found = await cluster.admin_request(new, "/owners")
             for row in found["owners"]:
                 if row["ours"]:
-                    assert row["token"] > tokens[row["scope"]], "tokens grow over a loss of all power"
+                    assert row["token"] > tokens[row["scope"]], "tokens grow across a loss of all power"
             assert found["orders"]["in_effect"] >= 1
 
     trio.run(main)
 
 
 @pytest.mark.long
-def test_voters_split_two_and_three_and_the_side_without_a_majority_owns_nothing():
+def test_with_voters_split_two_and_three_the_side_without_a_majority_owns_nothing():
     async def main():
         operators = OWNERSHIP.replace("voters        0 1 2", "voters        0 1 2 3 4")
-        async with fleet(directors=5, operators=operators) as scene:
+        async with fleet(directors=5, operators=operators) as cluster:
             small, large = ("n0", "n1"), ("n2", "n3", "n4")
             for turn in ((small, large), (("n2", "n3"), ("n0", "n1", "n4"))):
-                few, many = turn
-                scene.split(few, many)
-                for name in few:
-                    await scene.until_told(name, "/owners", lambda found: not any(r["ours"] for r in found["owners"]))
-                owner = await bounded(owner_of, scene, "orders", few)
-                assert owner in many
-                refused = await scene.ask(
-                    few[0], "/orders", "POST", {"member": "c0", "order": "drain", "by": "kim", "fleet": True}
+                minority, majority = turn
+                cluster.split(minority, majority)
+                for name in minority:
+                    await cluster.wait_for_answer(
+                        name, "/owners", lambda found: not any(r["ours"] for r in found["owners"])
+                    )
+                owner = await with_timeout(owner_of, cluster, "orders", minority)
+                assert owner in majority
+                refused = await cluster.admin_request(
+                    minority[0], "/orders", "POST", {"member": "c0", "order": "drain", "by": "kim", "fleet": True}
                 )
                 assert refused["status"] == 503 and ("owns" in refused["fault"] or "can't be told" in refused["fault"])
-                scene.split(few, many, cut=False)
-            assert (await scene.ask("n0", "/owners"))["status"] == 200
+                cluster.split(minority, majority, cut=False)
+            assert (await cluster.admin_request("n0", "/owners"))["status"] == 200
 
     trio.run(main)
 
 
-def test_sigterm_hands_over_and_a_reload_of_half_the_voters_makes_no_second_owner():
+def test_sigterm_hands_over_and_a_reload_of_some_voters_makes_no_second_owner():
     async def main():
-        async with fleet(directors=5) as scene:
-            owner = await bounded(owner_of, scene, "orders")
-            scene.nodes[owner].signal(signal.SIGTERM)
-            lost = await scene.nodes[owner].said("lease_lost", scope="orders")
+        async with fleet(directors=5) as cluster:
+            owner = await with_timeout(owner_of, cluster, "orders")
+            cluster.nodes[owner].signal(signal.SIGTERM)
+            lost = await cluster.nodes[owner].wait_for_log("lease_lost", scope="orders")
             assert lost["why"].startswith("handed to")
-            heir = "n" + lost["why"].split()[-1]
-            await scene.nodes[heir].said("lease_acquired", scope="orders")
-            assert await scene.nodes[owner].ended() == 0
-            await scene.power_on(owner)
-            await scene.nodes[owner].said("ready")
-            for name in scene.names[:3]:
-                node = scene.nodes[name]
-                node.settings_file.write_text(scene.settings_text(name).replace("0 1 2", "2 3 4"))
+            successor = "n" + lost["why"].split()[-1]
+            await cluster.nodes[successor].wait_for_log("lease_acquired", scope="orders")
+            assert await cluster.nodes[owner].wait_for_exit() == 0
+            await cluster.power_on(owner)
+            await cluster.nodes[owner].wait_for_log("ready")
+            for name in cluster.names[:3]:
+                node = cluster.nodes[name]
+                node.settings_file.write_text(cluster.settings_text(name).replace("0 1 2", "2 3 4"))
                 node.signal(signal.SIGHUP)
-                await node.said("lease_voters_changed")
-            await scene.until_told("n0", "/owners", lambda found: found["voters_differ"] == [3, 4])
+                await node.wait_for_log("lease_voters_changed")
+            await cluster.wait_for_answer("n0", "/owners", lambda found: found["voters_differ"] == [3, 4])
             holders = [
                 name
-                for name in scene.names
-                if any(r["ours"] and r["scope"] == "orders" for r in (await scene.ask(name, "/owners"))["owners"])
+                for name in cluster.names
+                if any(
+                    r["ours"] and r["scope"] == "orders"
+                    for r in (await cluster.admin_request(name, "/owners"))["owners"]
+                )
             ]
             assert len(holders) <= 1
-            for name in scene.names[3:]:
-                node = scene.nodes[name]
-                node.settings_file.write_text(scene.settings_text(name).replace("0 1 2", "2 3 4"))
+            for name in cluster.names[3:]:
+                node = cluster.nodes[name]
+                node.settings_file.write_text(cluster.settings_text(name).replace("0 1 2", "2 3 4"))
                 node.signal(signal.SIGHUP)
-            for name in scene.names:
-                await scene.until_told(name, "/owners", lambda found: found["voters_before"] is None)
-            scene.power_off("n0", "n1")
-            assert await bounded(owner_of, scene, "orders") in ("n2", "n3", "n4")
+            for name in cluster.names:
+                await cluster.wait_for_answer(name, "/owners", lambda found: found["voters_before"] is None)
+            cluster.power_off("n0", "n1")
+            assert await with_timeout(owner_of, cluster, "orders") in ("n2", "n3", "n4")
 
     trio.run(main)
 
 
-def test_the_report_goes_on_in_a_file_under_the_next_owners_token(tmp_path):
+def test_the_report_continues_in_a_file_with_the_next_owners_token(tmp_path):
     path = tmp_path / "report"
 
     def lines():
@@ -247,14 +253,14 @@
 
     async def main():
         operators = OWNERSHIP.replace("report-ledger {ledger}", f"report-file   {path}")
-        async with fleet(directors=3, operators=operators) as scene:
-            await scene.until(lambda: len(lines()) >= 2, "two lines")
-            old = await bounded(owner_of, scene, "report")
+        async with fleet(directors=3, operators=operators) as cluster:
+            await cluster.wait_until(lambda: len(lines()) >= 2, "two lines")
+            old = await with_timeout(owner_of, cluster, "report")
             first = lines()[-1]["token"]
-            scene.power_off(old)
-            await scene.until(lambda: lines()[-1]["token"] > first, "a line of the next owner")
+            cluster.power_off(old)
+            await cluster.wait_until(lambda: lines()[-1]["token"] > first, "a line of the next owner")
             tokens = [line["token"] for line in lines()]
             assert tokens == sorted(tokens) and len({line["number"] for line in lines()}) == len(lines())
-            await scene.power_on(old)
+            await cluster.power_on(old)
 
     trio.run(main)
--- a/tests/test_operations_processes.py
+++ b/tests/test_operations_processes.py
@@ -1,93 +1,93 @@
-"""Two processes of one director: nothing is lost at the door, whichever of the two ends, and however."""
+"""Two processes of one director during an upgrade: no request is lost, whichever process ends and however it ends."""
 
 import signal
 
 import trio
 
-from rookbend.testing.cluster import stage
+from rookbend.testing.cluster import open_cluster
 
 
-def lost(scene):
-    return [w for w in scene.front.wishes if "lost" in w.verdicts]
+def lost_requests(cluster):
+    return [w for w in cluster.front.requests if "lost" in w.verdicts]
 
 
-def test_upgrades_under_load_lose_nothing_and_break_no_rule():
+def test_upgrades_under_load_lose_no_request_and_violate_no_invariant():
     async def main():
-        async with stage(directors=1, rate=40) as scene:
-            await scene.serve_with_doors()
+        async with open_cluster(directors=1, rate=40) as cluster:
+            await cluster.start_with_operator_endpoints()
             inherited = True
             for _ in range(3):
-                await scene.served_more(20)
-                old = await scene.upgrade("n0")
-                await scene.until_yes("n0")
-                # A machine too busy for the old one to answer within seconds has the new one start by itself.
-                inherited &= bool(scene.nodes["n0"].heard("upgrade_inherited"))
-                await scene.served_more(20)
-                assert await scene.retire(old) == 0
+                await cluster.wait_for_served(20)
+                old = await cluster.upgrade("n0")
+                await cluster.wait_until_accepting("n0")
+                # On a very busy machine the old process may not answer in time; the new one then starts without it.
+                inherited &= bool(cluster.nodes["n0"].find_logs("upgrade_inherited"))
+                await cluster.wait_for_served(20)
+                assert await cluster.stop_predecessor(old) == 0
                 if inherited:
-                    await scene.nodes["n0"].said("upgrade_alone_again")
-            await scene.served_more(20)
-            assert not (inherited and lost(scene)), scene.report()
-            scene.verdict()
+                    await cluster.nodes["n0"].wait_for_log("upgrade_alone_again")
+            await cluster.wait_for_served(20)
+            assert not (inherited and lost_requests(cluster)), cluster.report()
+            cluster.check_invariants()
 
     trio.run(main)
 
 
-def test_a_next_process_that_dies_before_or_after_its_yes_leaves_the_old_one_in_full_service():
+def test_a_new_process_that_dies_before_or_after_it_is_ready_leaves_the_old_one_serving():
     async def main():
-        async with stage(directors=1, rate=40) as scene:
-            await scene.serve_with_doors()
-            for yes in (False, True):
-                door = scene.places["n0"]["operator"]
-                old = await scene.upgrade("n0")
-                new = scene.nodes["n0"]
-                if yes:
-                    await scene.until_yes("n0")
+        async with open_cluster(directors=1, rate=40) as cluster:
+            await cluster.start_with_operator_endpoints()
+            for ready in (False, True):
+                endpoint = cluster.addresses["n0"]["operator"]
+                old = await cluster.upgrade("n0")
+                new = cluster.nodes["n0"]
+                if ready:
+                    await cluster.wait_until_accepting("n0")
                 else:
-                    await new.said("upgrade_inherited")
+                    await new.wait_for_log("upgrade_inherited")
                 new.kill()
-                await new.ended()
-                scene.undo_upgrade("n0", old, door)
-                await scene.served_more(20)
-                assert (await scene.call("n0", "GET", "/status"))[0] == 200
-            old = await scene.upgrade("n0")  # and the next one finds it as before
-            await scene.until_yes("n0")
-            assert await scene.retire(old) == 0
-            await scene.served_more(20)
-            scene.verdict()
+                await new.wait_for_exit()
+                cluster.undo_upgrade("n0", old, endpoint)
+                await cluster.wait_for_served(20)
+                assert (await cluster.operator_request("n0", "GET", "/status"))[0] == 200
+            old = await cluster.upgrade("n0")  # the next upgrade works as usual
+            await cluster.wait_until_accepting("n0")
+            assert await cluster.stop_predecessor(old) == 0
+            await cluster.wait_for_served(20)
+            cluster.check_invariants()
 
     trio.run(main)
 
 
-def test_an_old_process_that_stands_still_is_replaced_all_the_same():
+def test_a_stopped_old_process_is_still_replaced():
     async def main():
-        async with stage(directors=1, rate=0) as scene:
-            await scene.serve_with_doors()
-            scene.nodes["n0"].signal(signal.SIGSTOP)
-            old = await scene.upgrade("n0")
-            await scene.until_yes("n0")
-            assert scene.nodes["n0"].heard("upgrade_alone")[0]["reason"] == "it stands still"
-            # It wakes up, finds that it was asked, and must not take back what the new one stands for.
+        async with open_cluster(directors=1, rate=0) as cluster:
+            await cluster.start_with_operator_endpoints()
+            cluster.nodes["n0"].signal(signal.SIGSTOP)
+            old = await cluster.upgrade("n0")
+            await cluster.wait_until_accepting("n0")
+            assert cluster.nodes["n0"].find_logs("upgrade_alone")[0]["reason"] == "it stands still"
+            # The old process resumes, reads the upgrade request and must not take back what the new process now owns.
             old.signal(signal.SIGCONT)
-            await old.said("upgrade_ended")
-            assert await scene.retire(old) == 0
-            assert (await scene.call("n0", "GET", "/status"))[0] == 200
-            second = await scene.upgrade("n0")
-            await scene.until_yes("n0")
-            assert scene.nodes["n0"].heard("upgrade_inherited"), scene.report()
-            assert await scene.retire(second) == 0
+            await old.wait_for_log("upgrade_ended")
+            assert await cluster.stop_predecessor(old) == 0
+            assert (await cluster.operator_request("n0", "GET", "/status"))[0] == 200
+            second = await cluster.upgrade("n0")
+            await cluster.wait_until_accepting("n0")
+            assert cluster.nodes["n0"].find_logs("upgrade_inherited"), cluster.report()
+            assert await cluster.stop_predecessor(second) == 0
 
     trio.run(main)
 
 
-def test_two_directors_at_one_address_by_mistake_are_still_found():
+def test_a_second_director_configured_with_the_same_address_exits_with_1():
     async def main():
-        async with stage(directors=2, rate=0) as scene:
-            scene.doors = True
-            await scene.start("n0")
-            await scene.nodes["n0"].said("ready")
-            scene.places["n1"]["listen"] = scene.places["n0"]["listen"]
-            await scene.start("n1")
-            assert await scene.nodes["n1"].ended() == 1
+        async with open_cluster(directors=2, rate=0) as cluster:
+            cluster.operator_endpoints = True
+            await cluster.start("n0")
+            await cluster.nodes["n0"].wait_for_log("ready")
+            cluster.addresses["n1"]["listen"] = cluster.addresses["n0"]["listen"]
+            await cluster.start("n1")
+            assert await cluster.nodes["n1"].wait_for_exit() == 1
 
     trio.run(main)
