--- a/rookbend/testing/demo.py
+++ b/rookbend/testing/demo.py
@@ -1,7 +1,7 @@
 """Demonstrates a power loss and the recovery of a fleet on this machine: `rookbend demo`.
 
 Directors are processes of this program; caches, a parent, the origin, the coordinator and the clients are test doubles
-(`rookbend.testing.cluster.stage`). Results come from the observed traffic, not from directors' reports.
+(`rookbend.testing.cluster.open_cluster`). Results come from the observed traffic, not from directors' reports.
 """
 
 from __future__ import annotations
@@ -108,7 +108,8 @@
                     member.name,
                     member.role,
                     "down" if member.down else "cold" if cold else "warm",
-                    f"{member.request_count} requests, {member.admitted_count} requests and fills accepted, {member.overload_count} overloads",
+                    f"{member.request_count} requests, {member.admitted_count} requests and fills accepted, "
+                    f"{member.overload_count} overloads",
                 ]
             )
         return rows
