--- a/tests/director_scenario.py
+++ b/tests/director_scenario.py
@@ -26,7 +26,7 @@
 from tests.dns_stand_ins import Agent, DnsClient, Health, Resolver
 from tests.platform_stand_ins import OBJ, PATIENCE, Box, Client, Coordinator
 
-__all__ = ["OBJ", "SETTINGS", "UNIX", "on_stage", "play", "staged"]
+__all__ = ["OBJ", "SETTINGS", "UNIX", "director_harness", "play", "run_with_director"]
 UNIX = 1_764_576_000.0
 HOSTS = {"cache1": "127.0.0.11", "cache2": "127.0.0.12", "upper": "127.0.0.21", "records": "127.0.0.31"}
 ROLES = {"upper": ("hub", "parent"), "records": ("hub", "origin")}
@@ -45,7 +45,7 @@
 """
 
 
-class Stage:
+class DirectorHarness:
     def __init__(self, nursery):
         self.nursery, self.ports, self.draining = nursery, {}, set()
         self.actors = {
@@ -161,31 +161,31 @@
 
 
 @asynccontextmanager
-async def staged(members=("cache1", "upper", "records"), component_faults=0, **changes):
+async def director_harness(members=("cache1", "upper", "records"), component_faults=0, **changes):
     """`component_faults`: how many are planted; any other fails the test, so that none hides behind its containment."""
     async with trio.open_nursery() as nursery:
-        stage = Stage(nursery)
-        await stage.open(members, **changes)
-        yield stage
-        assert stage.service.counters.component_faults == component_faults
+        harness = DirectorHarness(nursery)
+        await harness.open(members, **changes)
+        yield harness
+        assert harness.service.counters.component_faults == component_faults
         nursery.cancel_scope.cancel()
 
 
 def play(scenario, **options):
     """Plays a scenario to its end; returns the service, for a look at its counters."""
 
-    async def steps(stage):
-        await stage.play(scenario)
-        return stage.service
+    async def steps(harness):
+        await harness.play(scenario)
+        return harness.service
 
-    return on_stage(steps, **options)
+    return run_with_director(steps, **options)
 
 
-def on_stage(steps, **options):
+def run_with_director(steps, **options):
     """The same for steps that need more than a scenario's words."""
 
     async def main():
-        async with staged(**options) as stage:
-            return await steps(stage)
+        async with director_harness(**options) as harness:
+            return await steps(harness)
 
     return trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
--- a/tests/dns_stand_ins.py
+++ b/tests/dns_stand_ins.py
@@ -18,22 +18,22 @@
     async def open(self):
         self.udp = trio.socket.socket(trio.socket.AF_INET, trio.socket.SOCK_DGRAM)
         await self.udp.bind(("127.0.0.1", 0))
-        self.stage.nursery.start_soon(self.read)
+        self.harness.nursery.start_soon(self.read)
 
     async def send(self, words):
         if words[0] == "raw":
-            return await self.udp.sendto(bytes.fromhex(words[1]), self.stage.service.dns.address)
+            return await self.udp.sendto(bytes.fromhex(words[1]), self.harness.service.dns.address)
         args = pairs(words)
         name = next(w for w in words if "." in w)
         wire = dns.message.make_query(
             name, args.get("type", "A"), id=int(args.get("id", 1)), use_edns=None if "plain" in words else 0
         ).to_wire()
         if words[0] != "tcp":
-            return await self.udp.sendto(wire, self.stage.service.dns.address)
-        stream = await trio.open_tcp_stream(*self.stage.service.dns.address)
+            return await self.udp.sendto(wire, self.harness.service.dns.address)
+        stream = await trio.open_tcp_stream(*self.harness.service.dns.address)
         await stream.send_all(dns_tcp.frame(wire))
         self.streams.append(stream)
-        self.stage.nursery.start_soon(self.read_tcp, stream)
+        self.harness.nursery.start_soon(self.read_tcp, stream)
 
     async def read(self):
         while True:
@@ -72,8 +72,8 @@
     async def open(self):
         tcp, udp = map(trio.socket.from_stdlib_socket, bind_tcp_and_udp(Listeners(), ("127.0.0.1", 0)))
         self.address, self.udp = tcp.getsockname(), udp
-        self.stage.nursery.start_soon(trio.serve_listeners, self.read_tcp, [trio.SocketListener(tcp)])
-        self.stage.nursery.start_soon(self.read)
+        self.harness.nursery.start_soon(trio.serve_listeners, self.read_tcp, [trio.SocketListener(tcp)])
+        self.harness.nursery.start_soon(self.read)
 
     async def read(self):
         while True:
@@ -110,7 +110,7 @@
     """Asks the agent-check (no words to send) or an HTTP path."""
 
     async def send(self, words):
-        server = self.stage.service.balancer[0 if words[0] == "agent" else 1]
+        server = self.harness.service.balancer[0 if words[0] == "agent" else 1]
         async with await trio.open_tcp_stream(*server.address) as stream:
             if words[0] != "agent":
                 await stream.send_all(
@@ -126,8 +126,8 @@
     """A box's agent or health service. `send` sets what it answers from then on: an agent's line, or a
     manner and its text (`stall up 100%`, `http 200 fine`, `grpc serving`); `expect ask` hears of an asker."""
 
-    def __init__(self, stage, host):
-        super().__init__(stage)
+    def __init__(self, harness, host):
+        super().__init__(harness)
         self.peer = HealthAgent(host, on_poll=self.asked)
 
     def asked(self, data):
--- a/tests/health_scenarios.py
+++ b/tests/health_scenarios.py
@@ -5,7 +5,7 @@
 import trio
 import trio.testing
 
-from tests.director_scenario import SETTINGS, on_stage, play
+from tests.director_scenario import SETTINGS, play, run_with_director
 
 PROBING = copy.deepcopy(SETTINGS)
 PROBING["limits"]["probes"] = True
@@ -48,20 +48,20 @@
 
 
 def on_health(steps, operators=AGENT, members=TWO, **options):
-    return on_stage(steps, operators=operators, members=members, settings=PROBING, **options)
+    return run_with_director(steps, operators=operators, members=members, settings=PROBING, **options)
 
 
-async def placed(stage, number):
+async def placed(harness, number):
     """Sends a read and tells which caches hear it, having them answer."""
-    await stage.play(f"client send request {number} video chunk={number}")
+    await harness.play(f"client send request {number} video chunk={number}")
     heard = None
     with trio.fail_after(5):
         while heard is None:
             heard = next(
-                (n for n in ("cache1", "cache2") if stage.actors[n].heard.statistics().current_buffer_used), None
+                (n for n in ("cache1", "cache2") if harness.actors[n].heard.statistics().current_buffer_used), None
             )
             await trio.sleep(0.01)
-    await stage.play(f"""
+    await harness.play(f"""
         {heard} expect do rid={number:016x}
         {heard} send ok note=mem body=x
         client expect served {number}
@@ -69,11 +69,11 @@
     return heard
 
 
-async def where(stage, first, count=12):
+async def where(harness, first, count=12):
     """The caches that new reads go to, on a new connection: an old one may have idled out."""
-    client = stage.actors["client"]
+    client = harness.actors["client"]
     await client.close()
     await trio.testing.wait_all_tasks_blocked()
     while client.heard.statistics().current_buffer_used:
         client.heard.receive_nowait()
-    return {await placed(stage, first + i) for i in range(count)}
+    return {await placed(harness, first + i) for i in range(count)}
--- a/tests/platform_stand_ins.py
+++ b/tests/platform_stand_ins.py
@@ -20,8 +20,8 @@
 class Actor:
     """Something outside the director. What it hears goes into `heard`, one line of words at a time."""
 
-    def __init__(self, stage):
-        self.stage = stage
+    def __init__(self, harness):
+        self.harness = harness
         self.send_heard, self.heard = trio.open_memory_channel(1000)
         self.streams = []
 
@@ -46,9 +46,9 @@
 
 class Client(Actor):
     async def open(self):
-        stream = await trio.open_tcp_stream(*self.stage.service.address)
+        stream = await trio.open_tcp_stream(*self.harness.service.address)
         self.streams.append(stream)
-        self.stage.nursery.start_soon(self.read, stream)
+        self.harness.nursery.start_soon(self.read, stream)
 
     async def send(self, words):
         if not self.streams:
@@ -93,14 +93,14 @@
     """A cache, a parent or the origin: hears `do` and `undo`, answers the newest `do` or the one of rid=."""
 
     async def open(self):
-        listeners = await trio.open_tcp_listeners(self.stage.ports.get(self, 0), host=self.host)
-        self.stage.ports[self] = listeners[0].socket.getsockname()[1]
+        listeners = await trio.open_tcp_listeners(self.harness.ports.get(self, 0), host=self.host)
+        self.harness.ports[self] = listeners[0].socket.getsockname()[1]
         self.listener = listeners[0]
         self.last, self.stalled = {}, set()
         self.reading = trio.Event()  # while it is not set, no connection is read
         self.reading.set()
         self.serving = trio.CancelScope()
-        self.stage.nursery.start_soon(self.serve, listeners)
+        self.harness.nursery.start_soon(self.serve, listeners)
 
     async def serve(self, listeners):
         with self.serving:
@@ -182,7 +182,7 @@
         listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
         self.port, self.index = listeners[0].socket.getsockname()[1], 1
         self.lock = trio.Lock()
-        self.stage.nursery.start_soon(trio.serve_listeners, self.read, listeners)
+        self.harness.nursery.start_soon(trio.serve_listeners, self.read, listeners)
 
     async def read(self, stream):
         self.streams.append(stream)
@@ -199,9 +199,9 @@
     async def send(self, words):
         self.index = int(pairs(words).get("index", self.index + 1))
         if words[0] == "purge":
-            event = {"evict": {"ref": words[1], "unix_ms": int(self.stage.unix() * 1000)}}
+            event = {"evict": {"ref": words[1], "unix_ms": int(self.harness.unix() * 1000)}}
         else:
-            event = {"endpoints": {"members": [self.stage.member(words[1], words[0])]}}
+            event = {"endpoints": {"members": [self.harness.member(words[1], words[0])]}}
         text = f"id: {self.index}\ndata: {json.dumps({'index': self.index, **event})}\n\n"
         await self.write(self.streams[-1], text.encode())
 
--- a/tests/raw_client.py
+++ b/tests/raw_client.py
@@ -21,13 +21,13 @@
 class RawClient:
     """A client that reads only when the test says so, and tells a close from a reset."""
 
-    def __init__(self, stage):
-        self.stage, self.sock, self.data = stage, trio.socket.socket(), b""
+    def __init__(self, harness):
+        self.harness, self.sock, self.data = harness, trio.socket.socket(), b""
 
     async def connect(self, receive_buffer=None):
         if receive_buffer:
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_buffer)
-        await self.sock.connect(self.stage.service.address)
+        await self.sock.connect(self.harness.service.address)
         return self
 
     async def send(self, data):
--- a/tests/scripted_coordinator.py
+++ b/tests/scripted_coordinator.py
@@ -20,16 +20,16 @@
 class ScriptedCoordinator:
     """Accepts calls and sends nothing by itself: the test writes the bytes of each answer."""
 
-    def __init__(self, stage):
-        self.stage = stage
+    def __init__(self, harness):
+        self.harness = harness
         self.send_calls, self.calls = trio.open_memory_channel(100)
 
     async def open(self):
         listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
-        self.stage.nursery.start_soon(trio.serve_listeners, self.serve, listeners)
+        self.harness.nursery.start_soon(trio.serve_listeners, self.serve, listeners)
         port = listeners[0].socket.getsockname()[1]
-        self.stage.config = msgspec.structs.replace(self.stage.config, coordinator=f"127.0.0.1:{port}")
-        self.stage.service.reload()
+        self.harness.config = msgspec.structs.replace(self.harness.config, coordinator=f"127.0.0.1:{port}")
+        self.harness.service.reload()
         return self
 
     async def serve(self, stream):
@@ -44,7 +44,7 @@
             return await self.calls.receive()
 
     def members(self, *names, **phases):
-        return [self.stage.member(name, phases.get(name, "SERVING")) for name in names]
+        return [self.harness.member(name, phases.get(name, "SERVING")) for name in names]
 
 
 def full_membership(coordinator, index, *names, revision=1, **phases):
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -15,9 +15,9 @@
 SECOND = 1_000_000
 
 
-async def ask(stage, method, path, body="", *headers):
+async def ask(harness, method, path, body="", *headers):
     """(status, body) of one request to the operators' listener."""
-    async with await trio.open_tcp_stream(*stage.service.admin.address) as stream:
+    async with await trio.open_tcp_stream(*harness.service.admin.address) as stream:
         head = [f"{method} {path} HTTP/1.1", "Connection: close", f"Content-Length: {len(body)}", *headers]
         if not any(h.startswith("Host") for h in headers):
             head.append("Host: 127.0.0.1")
@@ -33,9 +33,9 @@
 
 
 def test_members_orders_and_figures_over_the_loopback():
-    async def steps(stage):
-        await stage.play("agent1 send up 40% # fan\n cache1 wait degraded")
-        status, body = await ask(stage, "GET", "/members")
+    async def steps(harness):
+        await harness.play("agent1 send up 40% # fan\n cache1 wait degraded")
+        status, body = await ask(harness, "GET", "/members")
         found = msgspec.json.decode(body)
         assert status == 200 and [m["member"] for m in found["members"]] == ["cache1", "cache2", "upper", "records"]
         lines = tables.format_table(members.HEADER, members.table_rows(found, with_evidence=True)).splitlines()
@@ -43,12 +43,12 @@
         assert "roster" in lines[2] and "agent" in lines[3]
 
         order = json.dumps({"member": "cache2", "order": "drain", "by": "kim"})
-        assert (await ask(stage, "POST", "/orders", order, JSON))[0] == 200
-        assert stage.state("cache2") == ("draining", 0, "order")
-        status, text = await ask(stage, "GET", "/metrics")
+        assert (await ask(harness, "POST", "/orders", order, JSON))[0] == 200
+        assert harness.state("cache2") == ("draining", 0, "order")
+        status, text = await ask(harness, "GET", "/metrics")
         assert status == 200 and 'rookbend_member_weight{member="cache1",role="cache"} 40.0' in text
         assert 'rookbend_members{role="cache",state="draining"} 1.0' in text and "rookbend_requests_total 0.0" in text
-        assert json.loads((await ask(stage, "GET", "/background"))[1])["jobs"] == 2
+        assert json.loads((await ask(harness, "GET", "/background"))[1])["jobs"] == 2
 
     on_health(steps, operators=ADMIN)
 
@@ -67,9 +67,9 @@
     ],
 )
 def test_what_operators_may_not_ask(status, method, path, body, headers):
-    async def steps(stage):
-        assert (await ask(stage, method, path, body, *headers))[0] == status
-        assert stage.state("cache1")[0] == "ready"
+    async def steps(harness):
+        assert (await ask(harness, method, path, body, *headers))[0] == status
+        assert harness.state("cache1")[0] == "ready"
 
     on_health(steps, operators=ADMIN)
 
--- a/tests/test_attempt_crossings.py
+++ b/tests/test_attempt_crossings.py
@@ -7,7 +7,7 @@
 import trio
 import trio.testing
 
-from tests.director_scenario import on_stage, play
+from tests.director_scenario import play, run_with_director
 from tests.interleaving import fill_send_buffer, hold_connects
 
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
@@ -24,10 +24,12 @@
     """The director has not read the member's close when it sends the write. On that connection the write would be
     reset and fail, since a write that was reset may have run and is not retried."""
 
-    async def check(stage):
-        await stage.play(WARM)
-        (stream,) = stage.actors["records"].streams
-        (connection,) = next(u for u in stage.service.pool.members.values() if u.endpoint.name == "records").connections
+    async def check(harness):
+        await harness.play(WARM)
+        (stream,) = harness.actors["records"].streams
+        (connection,) = next(
+            u for u in harness.service.pool.members.values() if u.endpoint.name == "records"
+        ).connections
         held, real = trio.Event(), connection.socket.receive
 
         async def blocked_receive():
@@ -35,7 +37,7 @@
             return await real()
 
         connection.socket.receive = blocked_receive  # after the next answer the reading task blocks
-        await stage.play("""
+        await harness.play("""
             client send request 2 form
             records expect do rid=0000000000000002
             records send ok body=done
@@ -44,45 +46,45 @@
         if way == "reset":
             stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         await stream.aclose()
-        await stage.play("""
+        await harness.play("""
             client send request 3 form
             records expect do rid=0000000000000003
             records send ok body=done
             client expect served 3 done
         """)
         held.set()
-        await stage.play("client expect nothing")
+        await harness.play("client expect nothing")
 
-    on_stage(check)
+    run_with_director(check)
 
 
 def test_a_duplicate_answer_is_not_taken_for_the_answer_to_a_later_attempt_with_its_id():
     """An attempt that may not fill misses, and a fill follows at the same cache under the same id."""
 
-    async def check(stage):
-        stage.service.engine.router.fill_limit.limit = 0.0  # no fill may start, so the cache only looks up its copies
-        await stage.play("""
+    async def check(harness):
+        harness.service.engine.router.fill_limit.limit = 0.0  # no fill may start, so the cache only looks up its copies
+        await harness.play("""
             client send request 1 video budget=5000
             cache1 expect do rid=0000000000000001
         """)
-        stage.service.engine.router.fill_limit.limit = 4.0
-        cache = stage.actors["cache1"]
+        harness.service.engine.router.fill_limit.limit = 4.0
+        cache = harness.actors["cache1"]
         first = cache.last["-"]
-        await stage.play("""
+        await harness.play("""
             cache1 send nothing slow=0
             cache1 expect do rid=0000000000000001
         """)
         again, cache.last["-"] = cache.last["-"], first
-        await stage.play("cache1 send nothing slow=0")  # a duplicate of the first answer
+        await harness.play("cache1 send nothing slow=0")  # a duplicate of the first answer
         cache.last["-"] = again
-        await stage.play("""
+        await harness.play("""
             cache1 send ok note=parent body=hello
             client expect served 1 hello
             cache1 expect nothing
         """)
-        assert stage.service.counters.attempts == 2 and stage.service.counters.miss == 1
+        assert harness.service.counters.attempts == 2 and harness.service.counters.miss == 1
 
-    on_stage(check)
+    run_with_director(check)
 
 
 @pytest.mark.parametrize("fields", ["current sum=bb t0=1", "current t0=1"])
@@ -112,40 +114,42 @@
 def test_a_connection_established_after_its_attempt_was_given_up_carries_nothing_of_it(cls, monkeypatch):
     allow_connects = hold_connects(monkeypatch)
 
-    async def check(stage):
-        await stage.play(f"client send request 1 {cls} budget=700\nclient expect 1")
+    async def check(harness):
+        await harness.play(f"client send request 1 {cls} budget=700\nclient expect 1")
         allow_connects.set()
-        await stage.play("director wait 0.3\ncache1 expect nothing\nupper expect nothing\nrecords expect nothing")
-        assert stage.service.counters.served == 0 and stage.service.engine.open_requests == 0
+        await harness.play("director wait 0.3\ncache1 expect nothing\nupper expect nothing\nrecords expect nothing")
+        assert harness.service.counters.served == 0 and harness.service.engine.open_requests == 0
 
-    on_stage(check)
+    run_with_director(check)
 
 
 @pytest.mark.parametrize("before_end", [True, False], ids=["before-its-last-byte", "after-its-last-byte"])
 def test_a_write_that_was_reset_is_retried_only_if_its_last_byte_was_not_sent(before_end):
-    async def check(stage):
-        await stage.play(WARM)
-        (connection,) = next(u for u in stage.service.pool.members.values() if u.endpoint.name == "records").connections
+    async def check(harness):
+        await harness.play(WARM)
+        (connection,) = next(
+            u for u in harness.service.pool.members.values() if u.endpoint.name == "records"
+        ).connections
         if before_end:
-            await stage.play("records send pause")
+            await harness.play("records send pause")
             fill_send_buffer(connection.socket.sock)
-        await stage.play("client send request 2 form body=more\nclient send ready? 9\nclient expect ready")
+        await harness.play("client send request 2 form body=more\nclient send ready? 9\nclient expect ready")
         if not before_end:
-            await stage.play("records expect do rid=0000000000000002")
-        (stream,) = stage.actors["records"].streams
+            await harness.play("records expect do rid=0000000000000002")
+        (stream,) = harness.actors["records"].streams
         stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         stream.socket.close()
         if before_end:
-            await stage.play("""
+            await harness.play("""
                 records send resume
                 records expect do rid=0000000000000002 body=more
                 records send ok body=done
                 client expect served 2 done
             """)
         else:
-            await stage.play("client expect failed 2\nrecords expect nothing\nupper expect nothing")
+            await harness.play("client expect failed 2\nrecords expect nothing\nupper expect nothing")
 
-    on_stage(check)
+    run_with_director(check)
 
 
 @pytest.mark.parametrize("when", ["open", "answered", "failed"])
--- a/tests/test_client_port.py
+++ b/tests/test_client_port.py
@@ -7,7 +7,7 @@
 import trio.testing
 
 from rookbend.net.buffered_socket import BufferedSocket
-from tests.director_scenario import on_stage, play
+from tests.director_scenario import play, run_with_director
 
 
 @pytest.mark.parametrize(
@@ -69,16 +69,16 @@
 def test_a_client_that_is_silent_idle_or_stops_within_a_frame_is_closed(sent, expected, min_s, max_s):
     """Hundreds of such connections stayed open and used up the descriptors."""
 
-    async def check(stage):
-        await stage.actors["client"].open()
+    async def check(harness):
+        await harness.actors["client"].open()
         began = trio.current_time()
-        await stage.play(f"{sent}\nclient expect {expected}")
+        await harness.play(f"{sent}\nclient expect {expected}")
         assert min_s <= trio.current_time() - began < max_s
         if expected != "closed":
-            await stage.play("client expect closed")
-        return stage.service.client_listener
+            await harness.play("client expect closed")
+        return harness.service.client_listener
 
-    assert not on_stage(check).open
+    assert not run_with_director(check).open
 
 
 def test_a_client_with_an_open_request_is_not_closed():
@@ -97,13 +97,13 @@
 def test_silent_clients_are_evicted_for_a_new_client_when_all_places_are_taken():
     """Hundreds of clients that only connected kept new clients from being accepted."""
 
-    async def check(stage):
-        stage.service.client_listener.max_clients = 3
-        client = stage.actors["client"]
-        await stage.play("other send request 1 video chunk=1 budget=5000\ncache1 expect do rid=0000000000000001")
+    async def check(harness):
+        harness.service.client_listener.max_clients = 3
+        client = harness.actors["client"]
+        await harness.play("other send request 1 video chunk=1 budget=5000\ncache1 expect do rid=0000000000000001")
         for _ in range(5):
             await client.open()
-        await stage.play("""
+        await harness.play("""
             director wait 0.2
             client expect nothing
             director wait 0.3
@@ -118,52 +118,52 @@
             other expect served 1 there
         """)
 
-    on_stage(check)
+    run_with_director(check)
 
 
 def test_idle_clients_are_evicted_before_a_new_client_whose_request_is_in_transit():
     """A new client was evicted for the next one within milliseconds, before its first request arrived."""
 
-    async def check(stage):
-        stage.service.client_listener.max_clients = 2
-        client, other = stage.actors["client"], stage.actors["other"]
-        await stage.play("other send ready? 1\nother expect ready\nother send ready? 2\nother expect ready")
+    async def check(harness):
+        harness.service.client_listener.max_clients = 2
+        client, other = harness.actors["client"], harness.actors["other"]
+        await harness.play("other send ready? 1\nother expect ready\nother send ready? 2\nother expect ready")
         await client.open()
         await trio.testing.wait_all_tasks_blocked()
         await other.open()  # a second new client directly after it: the idle one has to be evicted
-        await stage.play("""
+        await harness.play("""
             other expect closed
             client send request 1 video
             cache1 expect do rid=0000000000000001
         """)
 
-    on_stage(check)
+    run_with_director(check)
 
 
 def test_an_answer_written_in_the_turn_of_a_half_close_is_sent_completely():
-    async def check(stage):
+    async def check(harness):
         with socket.create_server(("127.0.0.1", 0)) as listener:
             theirs = socket.create_connection(listener.getsockname())
             ours, _ = listener.accept()
-        front, size = stage.service.client_listener, 4 << 20
+        front, size = harness.service.client_listener, 4 << 20
         theirs.setblocking(False)
         theirs.send(b"x")
         theirs.shutdown(socket.SHUT_WR)  # the byte and the end are read in one turn of the event loop
-        front._accepted(ours, stage.nursery)
+        front._accepted(ours, harness.nursery)
         client = next(reversed(front.open))
         client.session.feed = lambda data: client.socket.write(bytes(size)) or True
         async with trio.SocketStream(trio.socket.from_stdlib_socket(theirs)) as stream:
             assert sum([len(data) async for data in stream]) == size
 
-    on_stage(check)
+    run_with_director(check)
 
 
 @pytest.mark.parametrize("count, size", [(3, 10), (2000, 1), (3, 1 << 21)])
 def test_the_writes_of_a_turn_are_sent_completely_and_in_order(count, size):
-    async def check(stage):
+    async def check(harness):
         ours, theirs = socket.socketpair()
         ours.setblocking(False)
-        channel = BufferedSocket(ours, stage.nursery, stage.service.write_scheduler)
+        channel = BufferedSocket(ours, harness.nursery, harness.service.write_scheduler)
         parts = [bytes([i % 256]) * size for i in range(count)]
         for part in parts:
             channel.write(part)
@@ -173,7 +173,7 @@
                 data += await stream.receive_some(1 << 20)
         assert data == b"".join(parts) and not channel.unsent_bytes
 
-    on_stage(check)
+    run_with_director(check)
 
 
 def test_a_stream_number_in_use_is_rejected_for_another_request():
--- a/tests/test_dns_front.py
+++ b/tests/test_dns_front.py
@@ -3,7 +3,7 @@
 from rookbend.core.model import Endpoint, MembershipChange
 from rookbend.interface import Member, MemberState
 from rookbend.protocol.coordinator_stream import server_number
-from tests.director_scenario import OBJ, on_stage, play
+from tests.director_scenario import OBJ, play, run_with_director
 
 READ = f"p0.{OBJ}.g1.video.route.example.org"
 WRITE = f"r9b1f03aa5c7e2d41.p0.{OBJ}.g1.form.route.example.org"
@@ -117,10 +117,10 @@
 
 
 def test_a_client_that_closes_its_sending_side_still_gets_its_reply():
-    async def check(stage):
-        await stage.play(f"dns send tcp {READ} id=6\ncache1 expect do k={OBJ}")
-        await stage.actors["dns"].streams[0].send_eof()
-        await stage.play("""
+    async def check(harness):
+        await harness.play(f"dns send tcp {READ} id=6\ncache1 expect do k={OBJ}")
+        await harness.actors["dns"].streams[0].send_eof()
+        await harness.play("""
             director wait 0.1
             cache1 send ok note=mem body=hello
             resolver expect cache1.example.org
@@ -128,7 +128,7 @@
             dns expect tcp id=6 NOERROR cache1.example.org
         """)
 
-    on_stage(check)
+    run_with_director(check)
 
 
 def test_a_submission_in_doubt_fails_and_its_repeat_gets_that_answer():
@@ -183,9 +183,9 @@
 
 
 def test_memory_is_bounded_and_full_of_writes_refuses_rather_than_forgets():
-    async def check(stage):
-        stage.service.dns.front.table.capacity = 1
-        await stage.play(
+    async def check(harness):
+        harness.service.dns.front.table.capacity = 1
+        await harness.play(
             LIFE_BEFORE
             + f"""
             dns send {WRITE} id=1
@@ -200,9 +200,9 @@
             records expect do rid=8b1f03aa5c7e2d41
         """
         )
-        assert len(stage.service.dns.front.table.by_key) == 1
+        assert len(harness.service.dns.front.table.by_key) == 1
 
-    on_stage(check)
+    run_with_director(check)
 
 
 def test_a_silent_cache_costs_the_lookup_its_answer_by_the_deadline():
@@ -234,12 +234,12 @@
 
 
 def test_a_box_back_in_service_under_its_old_name_is_named_at_its_new_address_only():
-    async def check(stage):
-        await stage.play(NAMED)
+    async def check(harness):
+        await harness.play(NAMED)
         number = server_number("cache1")
         moved = Endpoint(Member(number, 50.0, 0, 1, 0, MemberState.READY, 0), "cache1", ("127.0.0.12", 1))
-        stage.service.engine.membership_changed(MembershipChange(False, 3, [moved]))
-        front = stage.service.dns.front
+        harness.service.engine.membership_changed(MembershipChange(False, 3, [moved]))
+        front = harness.service.dns.front
         told = []
         front._resolved(next(iter(front.table.by_key.values())), number, "cache1.example.org", ["127.0.0.11"])
         told.append(next(iter(front.table.by_key.values())).outcome.server)
@@ -247,4 +247,4 @@
         told.append(next(iter(front.table.by_key.values())).outcome.address)
         assert told == [0, "127.0.0.12"]
 
-    on_stage(check)
+    run_with_director(check)
--- a/tests/test_health_agents.py
+++ b/tests/test_health_agents.py
@@ -10,19 +10,19 @@
 def test_an_agent_that_says_ready_does_not_lift_the_rosters_word():
     """Twenty times a second, and the box stays out; so does the reverse, a box that the membership has ready."""
 
-    async def steps(stage):
-        await stage.play("""
+    async def steps(harness):
+        await harness.play("""
             agent1 send up ready 100%
             coordinator send DRAINING cache1
             cache1 wait draining
         """)
         for _ in range(40):
-            stage.actors["agent1"].peer.behavior.text = b"up ready 100%\n"
+            harness.actors["agent1"].peer.behavior.text = b"up ready 100%\n"
             await trio.sleep(0.05)
-            assert stage.state("cache1") == ("draining", 0, "roster")
-        assert await where(stage, 1) == {"cache2"}
-        await stage.play("coordinator send DELETED cache1\n all wait 3")
-        assert stage.service.health.service.find("cache1") is None and await where(stage, 50) == {"cache2"}
+            assert harness.state("cache1") == ("draining", 0, "roster")
+        assert await where(harness, 1) == {"cache2"}
+        await harness.play("coordinator send DELETED cache1\n all wait 3")
+        assert harness.service.health.service.find("cache1") is None and await where(harness, 50) == {"cache2"}
 
     on_health(
         steps,
@@ -42,13 +42,13 @@
     ],
 )
 def test_an_agents_word_takes_a_box_out_that_the_roster_has_ready(words, state):
-    async def steps(stage):
-        await stage.play(f"agent1 send {words}\n cache1 wait {state}")
-        assert await where(stage, 1) == {"cache2"}
-        await stage.play("agent1 send ready up 100%\n cache1 wait degraded")
-        assert stage.state("cache1")[2] == "slow-start"
-        await stage.play("all wait 16\n cache1 wait ready")
-        assert await where(stage, 50) == {"cache1", "cache2"}
+    async def steps(harness):
+        await harness.play(f"agent1 send {words}\n cache1 wait {state}")
+        assert await where(harness, 1) == {"cache2"}
+        await harness.play("agent1 send ready up 100%\n cache1 wait degraded")
+        assert harness.state("cache1")[2] == "slow-start"
+        await harness.play("all wait 16\n cache1 wait ready")
+        assert await where(harness, 50) == {"cache1", "cache2"}
 
     on_health(steps)
 
@@ -56,35 +56,35 @@
 def test_an_attempt_that_waits_for_a_connection_is_withheld_once_the_agent_says_drain():
     """Guards the 500 ms: the bytes of what was placed before must not go out after."""
 
-    async def steps(stage):
-        stage.service.pool.max_connections = 0  # nothing can go out: the attempt waits
-        await stage.play("client send request 1 video\n all wait 0.05")
+    async def steps(harness):
+        harness.service.pool.max_connections = 0  # nothing can go out: the attempt waits
+        await harness.play("client send request 1 video\n all wait 0.05")
         waiting = [
-            n for n in ("cache1", "cache2") if stage.service.pool.members.get(stage.service.health.service.find(n))
+            n for n in ("cache1", "cache2") if harness.service.pool.members.get(harness.service.health.service.find(n))
         ]
         agent, other = ("agent1", "cache2") if waiting == ["cache1"] else ("agent2", "cache1")
-        await stage.play(f"{agent} send drain\n {waiting[0]} wait draining")
-        stage.service.pool.max_connections = 8
-        member_pool = stage.service.pool.members[stage.service.health.service.find(waiting[0])]
+        await harness.play(f"{agent} send drain\n {waiting[0]} wait draining")
+        harness.service.pool.max_connections = 8
+        member_pool = harness.service.pool.members[harness.service.health.service.find(waiting[0])]
         member_pool.dispatch_waiting()
-        await stage.play(f"""
+        await harness.play(f"""
             {other} expect do rid=0000000000000001
             {other} send ok note=mem body=x
             client expect served 1
             {waiting[0]} expect nothing
         """)
-        assert stage.service.counters.withheld == 1
+        assert harness.service.counters.withheld == 1
 
     on_health(steps)
 
 
 def test_a_draining_parent_is_no_source_any_more():
-    async def steps(stage):
-        await stage.play("agent3 send drain\n upper wait draining\n client send request 1 video")
-        stage.nursery.start_soon(trio.sleep, 0)
+    async def steps(harness):
+        await harness.play("agent3 send drain\n upper wait draining\n client send request 1 video")
+        harness.nursery.start_soon(trio.sleep, 0)
         await trio.sleep(0.1)
-        box = next(n for n in ("cache1", "cache2") if stage.actors[n].heard.statistics().current_buffer_used)
-        await stage.play(f"{box} expect do next=records")
+        box = next(n for n in ("cache1", "cache2") if harness.actors[n].heard.statistics().current_buffer_used)
+        await harness.play(f"{box} expect do next=records")
 
     on_health(steps, operators=AGENT + "    tier all\n")
 
@@ -105,16 +105,16 @@
     ],
 )
 def test_an_agent_that_misbehaves_changes_nothing_and_holds_nothing_up(manner):
-    async def steps(stage):
-        await stage.play(f"agent1 send {manner}\n agent2 send {manner}\n all wait 5")
-        assert stage.state("cache1")[:2] == ("ready", 100) and stage.state("cache2")[:2] == ("ready", 100)
+    async def steps(harness):
+        await harness.play(f"agent1 send {manner}\n agent2 send {manner}\n all wait 5")
+        assert harness.state("cache1")[:2] == ("ready", 100) and harness.state("cache2")[:2] == ("ready", 100)
         before = trio.current_time()
-        assert await where(stage, 1) == {"cache1", "cache2"} and trio.current_time() - before < 2
-        health = stage.service.health
+        assert await where(harness, 1) == {"cache1", "cache2"} and trio.current_time() - before < 2
+        health = harness.service.health
         assert all(c["trouble"] for row in health.service.table() for c in row["checks"]), "operators see it"
         assert health.runner.scheduler.running <= 2 and health.service.table()[0]["checks"]
         for name in ("agent1", "agent2"):
-            peer = stage.actors[name].peer
+            peer = harness.actors[name].peer
             # What it sent beyond a line's bound stayed in the sockets, and was never read.
             assert peer.sent_bytes / peer.polls < 8 << 20
 
@@ -124,8 +124,8 @@
 def test_what_an_agent_said_holds_while_it_is_silent_and_no_longer_than_stated():
     """Its weight and its `down` age; its `drain` is its people's order, and stays."""
 
-    async def steps(stage):
-        await stage.play("""
+    async def steps(harness):
+        await harness.play("""
             agent1 send up 40%
             cache1 wait degraded
             agent2 send drain
@@ -134,20 +134,20 @@
             agent2 send silent
             all wait 2
         """)
-        assert stage.state("cache1") == ("degraded", 40, "agent")
+        assert harness.state("cache1") == ("degraded", 40, "agent")
         await trio.sleep(30)
-        assert stage.state("cache1")[:2] == ("ready", 100) and stage.state("cache2")[0] == "draining"
+        assert harness.state("cache1")[:2] == ("ready", 100) and harness.state("cache2")[0] == "draining"
 
     on_health(steps)
 
 
 def test_a_flapping_agent_is_held_out_for_longer_each_time():
-    async def steps(stage):
-        service, away = stage.service.health.service, []
+    async def steps(harness):
+        service, away = harness.service.health.service, []
         for _ in range(5):
-            await stage.play("agent1 send down\n cache1 wait down")
+            await harness.play("agent1 send down\n cache1 wait down")
             began = trio.current_time()
-            await stage.play("agent1 send up\n cache1 wait ready degraded")
+            await harness.play("agent1 send up\n cache1 wait ready degraded")
             away.append(trio.current_time() - began)
         assert away[4] > 2 * away[2] > 2 * away[0], away
         assert service.table()[[r["member"] for r in service.table()].index("cache1")]["flaps"] == 4
@@ -158,15 +158,15 @@
 def test_checks_that_all_fail_at_once_do_not_empty_a_tier():
     """Our own network is at fault: all agents say down, no box is out, and it is said."""
 
-    async def steps(stage):
-        await stage.play("agent1 send down\n cache1 wait down\n agent2 send down\n cache1 wait degraded")
-        assert stage.state("cache1")[2] == "panic" and stage.state("cache2")[2] == "panic"
-        assert await where(stage, 1) == {"cache1", "cache2"}
+    async def steps(harness):
+        await harness.play("agent1 send down\n cache1 wait down\n agent2 send down\n cache1 wait degraded")
+        assert harness.state("cache1")[2] == "panic" and harness.state("cache2")[2] == "panic"
+        assert await where(harness, 1) == {"cache1", "cache2"}
         # Back within the limit the checks count again, after a while.
-        await stage.play("agent2 send up\n all wait 1")
-        assert stage.state("cache1")[2] == "panic"
-        await stage.play("cache1 wait down")
-        assert await where(stage, 50) == {"cache2"}
+        await harness.play("agent2 send up\n all wait 1")
+        assert harness.state("cache1")[2] == "panic"
+        await harness.play("cache1 wait down")
+        assert await where(harness, 50) == {"cache2"}
 
     on_health(steps)
 
@@ -174,22 +174,22 @@
 def test_a_box_that_was_dead_and_recovers_is_taken_for_cold():
     """Its process was not there: whatever the membership says, the budgets for cold members bind."""
 
-    async def steps(stage):
-        service = stage.service.health.service
+    async def steps(harness):
+        service = harness.service.health.service
         server = service.find("cache1")
-        await stage.play("agent1 send http 200 fine\n agent2 send http 200 fine\n all wait 2")
-        await stage.actors["agent1"].close()
-        await stage.play("cache1 wait down")
-        await stage.actors["agent1"].peer.listen(stage.nursery, stage.actors["agent2"].peer.port)
-        await stage.play("cache1 wait degraded\n all wait 0.15")
-        member = stage.service.engine.endpoints[server].member
-        assert member.started_us > stage.service.clock.now() - 3_000_000
-        assert stage.state("cache1")[1] == 20, "the rules' cold share at first"
+        await harness.play("agent1 send http 200 fine\n agent2 send http 200 fine\n all wait 2")
+        await harness.actors["agent1"].close()
+        await harness.play("cache1 wait down")
+        await harness.actors["agent1"].peer.listen(harness.nursery, harness.actors["agent2"].peer.port)
+        await harness.play("cache1 wait degraded\n all wait 0.15")
+        member = harness.service.engine.endpoints[server].member
+        assert member.started_us > harness.service.clock.now() - 3_000_000
+        assert harness.state("cache1")[1] == 20, "the rules' cold share at first"
         levels = []
         for _ in range(15):
-            levels.append(stage.state("cache1")[1])
+            levels.append(harness.state("cache1")[1])
             await trio.sleep(1)
         assert levels == sorted(levels) and max(b - a for a, b in zip(levels, levels[1:], strict=False)) <= 10
-        await stage.play("cache1 wait ready")
+        await harness.play("cache1 wait ready")
 
     on_health(steps, operators=HTTP)
--- a/tests/test_health_checks.py
+++ b/tests/test_health_checks.py
@@ -4,7 +4,7 @@
 import trio
 import trio.testing
 
-from tests.director_scenario import OBJ, on_stage
+from tests.director_scenario import OBJ, run_with_director
 from tests.health_scenarios import GRPC, HTTP, health, on_health, where
 
 
@@ -22,18 +22,18 @@
     ],
 )
 def test_an_http_check_goes_by_status_body_and_headers(said, state):
-    async def steps(stage):
-        await stage.play(f"agent2 send http 200 fine\n agent1 send {said}\n all wait 6")
-        assert stage.state("cache1")[0] == state, stage.service.health.service.table()
-        assert b"GET /health HTTP/1.1" in stage.actors["agent2"].peer.received[-1]
+    async def steps(harness):
+        await harness.play(f"agent2 send http 200 fine\n agent1 send {said}\n all wait 6")
+        assert harness.state("cache1")[0] == state, harness.service.health.service.table()
+        assert b"GET /health HTTP/1.1" in harness.actors["agent2"].peer.received[-1]
 
     on_health(steps, operators=HTTP)
 
 
 @pytest.mark.parametrize("kind", ["grpc", "grpc-watch"])
 def test_a_grpc_check_goes_by_the_status_told(kind):
-    async def steps(stage):
-        await stage.play("""
+    async def steps(harness):
+        await harness.play("""
             agent1 send grpc serving
             agent2 send grpc serving
             all wait 3
@@ -43,7 +43,7 @@
             agent1 send grpc serving
             cache1 wait degraded
         """)
-        assert stage.state("cache2") == ("ready", 100, "nothing")
+        assert harness.state("cache2") == ("ready", 100, "nothing")
 
     on_health(steps, operators=GRPC.format(type=kind))
 
@@ -51,30 +51,30 @@
 def test_a_watch_that_goes_silent_is_noticed():
     """It says nothing while nothing changes: only a ping that nobody answers tells its end."""
 
-    async def steps(stage):
-        await stage.play("agent1 send grpc serving\n agent2 send grpc serving\n all wait 5")
-        watched = stage.actors["agent1"].peer.polls
-        assert stage.state("cache1")[0] == "ready" and watched == 1, "one stream, and it lasts"
-        await stage.play("agent1 send grpc deaf\n cache1 wait down")
-        assert stage.actors["agent1"].peer.polls > watched
+    async def steps(harness):
+        await harness.play("agent1 send grpc serving\n agent2 send grpc serving\n all wait 5")
+        watched = harness.actors["agent1"].peer.polls
+        assert harness.state("cache1")[0] == "ready" and watched == 1, "one stream, and it lasts"
+        await harness.play("agent1 send grpc deaf\n cache1 wait down")
+        assert harness.actors["agent1"].peer.polls > watched
 
     on_health(steps, operators=GRPC.format(type="grpc-watch"))
 
 
 def test_a_plain_connect_is_enough_for_a_tcp_check():
-    async def steps(stage):
-        await stage.play("all wait 3")
-        assert stage.state("cache1")[0] == "ready"
-        await stage.actors["agent1"].close()
-        await stage.play("cache1 wait down")
+    async def steps(harness):
+        await harness.play("all wait 3")
+        assert harness.state("cache1")[0] == "ready"
+        await harness.actors["agent1"].close()
+        await harness.play("cache1 wait down")
 
     on_health(steps, operators="[health]\n hold 1s\n[check up]\n type tcp\n port AGENTS\n interval 1s\n proxy local\n")
 
 
 def test_a_proxy_header_goes_before_the_question():
-    async def steps(stage):
-        await stage.play("agent1 send http 200 fine\n all wait 3")
-        return list(stage.actors["agent1"].peer.received)
+    async def steps(harness):
+        await harness.play("agent1 send http 200 fine\n all wait 3")
+        return list(harness.actors["agent1"].peer.received)
 
     heard = on_health(steps, operators=HTTP + "    proxy proxy\n")
     assert heard and all(h.startswith(b"\r\n\r\n\0\r\nQUIT\n\x21\x11\0\x0c\x7f\0\0") and b"GET /" in h for h in heard)
@@ -84,51 +84,51 @@
 
 
 def test_a_check_that_a_reload_removes_is_not_heard_any_more():
-    async def steps(stage):
-        await stage.play("agent1 send stall down\n agent1 expect ask")
-        stage.operators = type(stage.operators)(health=stage.operators.health)
-        stage.service.reload()
-        stage.actors["agent1"].peer.behavior.text = b"down\n"
+    async def steps(harness):
+        await harness.play("agent1 send stall down\n agent1 expect ask")
+        harness.operators = type(harness.operators)(health=harness.operators.health)
+        harness.service.reload()
+        harness.actors["agent1"].peer.behavior.text = b"down\n"
         await trio.sleep(30)
-        assert stage.state("cache1") == ("ready", 100, "nothing")
-        assert not stage.service.health.runner.scheduler.jobs
-        asked = stage.actors["agent1"].peer.polls
+        assert harness.state("cache1") == ("ready", 100, "nothing")
+        assert not harness.service.health.runner.scheduler.jobs
+        asked = harness.actors["agent1"].peer.polls
         await trio.sleep(30)
-        assert stage.actors["agent1"].peer.polls == asked
+        assert harness.actors["agent1"].peer.polls == asked
 
     on_health(steps)
 
 
 def test_a_box_replaced_at_the_same_address_inherits_nothing_of_the_check_that_is_out():
-    async def steps(stage):
-        service, coordinator = stage.service.health.service, stage.actors["coordinator"]
-        await stage.play("agent1 send down\n cache1 wait down\n agent1 send stall down\n agent1 expect ask")
-        gone = stage.member("cache1", "DELETED")
-        new = {**stage.member("cache1"), "id": "cache9"}
-        await stage.tell(coordinator, gone, new)
+    async def steps(harness):
+        service, coordinator = harness.service.health.service, harness.actors["coordinator"]
+        await harness.play("agent1 send down\n cache1 wait down\n agent1 send stall down\n agent1 expect ask")
+        gone = harness.member("cache1", "DELETED")
+        new = {**harness.member("cache1"), "id": "cache9"}
+        await harness.tell(coordinator, gone, new)
         while service.find("cache9") is None:
             await trio.sleep(0.01)
-        assert service.find("cache1") is None and stage.state("cache9") == ("ready", 100, "nothing")
+        assert service.find("cache1") is None and harness.state("cache9") == ("ready", 100, "nothing")
         await trio.sleep(2)
-        assert stage.state("cache9")[0] == "ready" and service.registry.overtaken >= 1
+        assert harness.state("cache9")[0] == "ready" and service.registry.overtaken >= 1
 
     on_health(steps)
 
 
 def test_orders_hold_through_what_agents_and_restarts_say():
-    async def steps(stage):
-        await stage.play("""
+    async def steps(harness):
+        await harness.play("""
             director send order maintain cache1
             agent1 send ready up 100%
             all wait 3
         """)
-        assert stage.state("cache1") == ("maintenance", 0, "order")
-        await stage.tell(
-            stage.actors["coordinator"], {**stage.member("cache1"), "up_since_ms": int(stage.unix() * 1000)}
+        assert harness.state("cache1") == ("maintenance", 0, "order")
+        await harness.tell(
+            harness.actors["coordinator"], {**harness.member("cache1"), "up_since_ms": int(harness.unix() * 1000)}
         )
         await trio.sleep(1)
-        assert stage.state("cache1") == ("maintenance", 0, "order") and await where(stage, 1) == {"cache2"}
-        await stage.play("director send order ready cache1\n cache1 wait degraded")
+        assert harness.state("cache1") == ("maintenance", 0, "order") and await where(harness, 1) == {"cache2"}
+        await harness.play("director send order ready cache1\n cache1 wait degraded")
 
     on_health(steps)
 
@@ -153,17 +153,17 @@
     from rookbend.core.check_result import CheckOutcome
     from rookbend.protocol.grpc_health_client import GrpcHealthClient
 
-    async def steps(stage):
+    async def steps(harness):
         ask, told = GrpcHealthClient("x", "", watch=True), []
-        async with await trio.open_tcp_stream(*stage.service.balancer[2].address) as stream:
+        async with await trio.open_tcp_stream(*harness.service.balancer[2].address) as stream:
             await stream.send_all(ask.start())
             while len(told) < 2:
                 await stream.send_all(ask.feed(await stream.receive_some(65536)) or b"")
                 if ask.result is not None:
                     told.append(ask.result)
                     ask.result = None
-                    stage.service.stop()
+                    harness.service.stop()
         assert told == [(CheckOutcome.PASSED, ""), (CheckOutcome.FAILED, "NOT_SERVING")]
         assert trio.current_time() < 0.5, "not only once the latecomers' time is over"
 
-    on_stage(steps)
+    run_with_director(steps)
--- a/tests/test_hostile_peers.py
+++ b/tests/test_hostile_peers.py
@@ -10,7 +10,7 @@
 
 from rookbend.protocol.dns_resolver import ResolverError, address_query, parse_addresses
 from rookbend.protocol.http_server import HttpServerConnection
-from tests.director_scenario import on_stage
+from tests.director_scenario import run_with_director
 
 
 @pytest.mark.parametrize(
@@ -64,16 +64,16 @@
 
 def test_a_director_goes_on_serving_after_malformed_http_behind_a_head_request():
     # Guards against a director that is ended by one connection to its health listener.
-    async def steps(stage):
-        _, server, _ = stage.service.balancer  # agent check, HTTP, gRPC
+    async def steps(harness):
+        _, server, _ = harness.service.balancer  # agent check, HTTP, gRPC
         for _ in range(2):
             async with await trio.open_tcp_stream(*server.address) as stream:
                 await stream.send_all(b"HEAD /health HTTP/1.1\r\nHost: a\r\n\r\nzz\r\n\r\n")
                 while await stream.receive_some():
                     pass
-        assert server.clients == 0 and not stage.done.is_set()
+        assert server.clients == 0 and not harness.done.is_set()
 
-    on_stage(steps)
+    run_with_director(steps)
 
 
 def test_an_address_record_of_another_class_than_in_is_not_an_address():
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -1,6 +1,6 @@
 """Drains, purges, the exit and reloads of a director on loopback."""
 
-from tests.director_scenario import OBJ, on_stage, play
+from tests.director_scenario import OBJ, play, run_with_director
 
 SERVE = """
     client send request 1 video
@@ -38,12 +38,12 @@
 
 
 def test_an_answer_to_a_request_is_owed_after_the_sending_side_was_closed():
-    async def check(stage):
-        await stage.play("client send request 1 video\ncache1 expect do rid=0000000000000001")
-        await stage.actors["client"].streams[0].send_eof()
-        await stage.play("cache1 send ok note=mem body=hello\nclient expect served 1 hello\nclient expect closed")
+    async def check(harness):
+        await harness.play("client send request 1 video\ncache1 expect do rid=0000000000000001")
+        await harness.actors["client"].streams[0].send_eof()
+        await harness.play("cache1 send ok note=mem body=hello\nclient expect served 1 hello\nclient expect closed")
 
-    on_stage(check)
+    run_with_director(check)
 
 
 def test_a_restart_settles_what_was_taken_and_serves_latecomers():
@@ -90,9 +90,9 @@
 def test_a_loop_that_was_late_takes_requests_again_though_none_is_open():
     """Guards against the guard: measured only with the timers, a lag stayed when no request had any."""
 
-    async def check(stage):
-        stage.service.engine.lag_us = 300_000
-        await stage.play("""
+    async def check(harness):
+        harness.service.engine.lag_us = 300_000
+        await harness.play("""
             client send request 1 video
             client expect refused 1 backoff=500
             director wait 0.1
@@ -100,7 +100,7 @@
             cache1 expect do rid=0000000000000002
         """)
 
-    on_stage(check)
+    run_with_director(check)
 
 
 RELOADED = (
--- a/tests/test_member_connections.py
+++ b/tests/test_member_connections.py
@@ -5,7 +5,7 @@
 from rookbend.core.model import AttemptResult
 from rookbend.interface import AttemptStatus
 from rookbend.net import member_pool
-from tests.director_scenario import OBJ, on_stage, play
+from tests.director_scenario import OBJ, play, run_with_director
 
 
 def test_a_malformed_answer_closes_only_its_connection():
@@ -56,8 +56,8 @@
 def test_a_cancelled_request_is_sent_to_the_same_cache_again_only_after_it_read_the_cancel():
     """Otherwise the cache handles it twice: the `do` on an idle connection overtook the `abort` on the other."""
 
-    async def check(stage):
-        await stage.play("""
+    async def check(harness):
+        await harness.play("""
             client send request 1 video
             cache1 expect do rid=0000000000000001
             client send request 2 video chunk=1
@@ -66,11 +66,11 @@
             client expect served 2
             cache1 send stall rid=0000000000000001
         """)
-        engine = stage.service.engine
+        engine = harness.service.engine
         (open_request,) = engine.requests.by_id.values()
         engine.backend.abort(open_request.current_attempt)  # as the routing module does when the source does not answer
         engine.finished(open_request.current_attempt, AttemptResult(AttemptStatus.CANCELLED))
-        await stage.play("""
+        await harness.play("""
             cache1 expect nothing
             director wait 0.6
             cache1 expect do rid=0000000000000001
@@ -78,7 +78,7 @@
             client expect served 1 hello
         """)
 
-    on_stage(check)
+    run_with_director(check)
 
 
 def test_a_duplicate_answer_and_an_unknown_id_are_ignored():
@@ -101,10 +101,10 @@
 def test_connections_are_shared_only_while_the_attempt_rate_is_high():
     """With one connection per attempt, a director collapsed under CPU load at thousands of attempts per second."""
 
-    async def check(stage):
-        await stage.play("director wait 0.1")
-        stage.service.engine.backend.sent_this_second = 1000
-        await stage.play("""
+    async def check(harness):
+        await harness.play("director wait 0.1")
+        harness.service.engine.backend.sent_this_second = 1000
+        await harness.play("""
             client send request 1 video chunk=1 budget=5000
             cache1 expect do rid=0000000000000001
             client send request 2 video chunk=2 budget=5000
@@ -113,9 +113,9 @@
             client send request 3 video chunk=3
             cache1 expect do rid=0000000000000003
         """)
-        return stage.service.counters.connects
+        return harness.service.counters.connects
 
-    assert on_stage(check) == 2
+    assert run_with_director(check) == 2
 
 
 def test_connections_are_shared_when_the_connection_limit_is_reached():
@@ -141,9 +141,9 @@
         await trio.sleep(0.2)
         return await connect(address)
 
-    async def check(stage):
+    async def check(harness):
         monkeypatch.setattr(member_pool, "open_socket", connect_late)
-        await stage.play(f"""
+        await harness.play(f"""
             client send request 1 video
             director wait 0.1
             coordinator send DELETED cache1
@@ -152,6 +152,6 @@
             client expect served 1 hello
             director wait 1
         """)
-        assert stage.service.counters.connects == 2 and stage.service.pool.open_connections == 1
+        assert harness.service.counters.connects == 2 and harness.service.pool.open_connections == 1
 
-    on_stage(check)
+    run_with_director(check)
--- a/tests/test_member_restart.py
+++ b/tests/test_member_restart.py
@@ -4,7 +4,7 @@
 
 from rookbend.core.restart_detection import RestartDetector
 from rookbend.protocol.coordinator_stream import server_number
-from tests.director_scenario import on_stage
+from tests.director_scenario import run_with_director
 
 CACHE = server_number("cache1")
 SERVED = """
@@ -15,15 +15,15 @@
 """
 
 
-def member_start_us(stage):
-    return stage.service.engine.router.membership.all[CACHE].started_us
+def member_start_us(harness):
+    return harness.service.engine.router.membership.all[CACHE].started_us
 
 
-async def kill_during_request(stage):
+async def kill_during_request(harness):
     """Kills the cache during a request, whose next attempt at another member is answered."""
-    await stage.play(SERVED)
-    await stage.actors["cache1"].die()
-    await stage.play("""
+    await harness.play(SERVED)
+    await harness.actors["cache1"].die()
+    await harness.play("""
         client send request 2 video
         upper expect do rid=0000000000000002
         upper send ok body=there
@@ -31,10 +31,10 @@
     """)
 
 
-async def restart(stage, number):
+async def restart(harness, number):
     """Restarts the cache at its old address; it receives requests again once its ejection is over."""
-    await stage.actors["cache1"].open()
-    await stage.play(f"""
+    await harness.actors["cache1"].open()
+    await harness.play(f"""
         director wait 5
         client send request {number} video chunk={number}
         cache1 expect do rid={number:016x}
@@ -44,36 +44,36 @@
 
 
 def test_a_restarted_member_is_cold_until_the_membership_reports_its_start():
-    async def check(stage):
-        await kill_during_request(stage)
-        assert member_start_us(stage) == 0
-        await restart(stage, 3)
-        now = stage.service.clock.now()
-        assert now - 1_000_000 < member_start_us(stage) <= now
-        assert stage.service.counters.restarts_seen == 1
+    async def check(harness):
+        await kill_during_request(harness)
+        assert member_start_us(harness) == 0
+        await restart(harness, 3)
+        now = harness.service.clock.now()
+        assert now - 1_000_000 < member_start_us(harness) <= now
+        assert harness.service.counters.restarts_seen == 1
         # A change that still reports the previous start: the cache stays cold.
-        await stage.tell(stage.actors["coordinator"], {**stage.member("cache1"), "size": 40.0})
-        await stage.play("director wait 0.01")
-        assert member_start_us(stage) > now - 1_000_000
+        await harness.tell(harness.actors["coordinator"], {**harness.member("cache1"), "size": 40.0})
+        await harness.play("director wait 0.01")
+        assert member_start_us(harness) > now - 1_000_000
         # The membership reports the new start.
         reported_ms = (now - 500_000) // 1000
-        await stage.tell(stage.actors["coordinator"], {**stage.member("cache1"), "up_since_ms": reported_ms})
-        await stage.play("director wait 0.01")
-        assert member_start_us(stage) == reported_ms * 1000
+        await harness.tell(harness.actors["coordinator"], {**harness.member("cache1"), "up_since_ms": reported_ms})
+        await harness.play("director wait 0.01")
+        assert member_start_us(harness) == reported_ms * 1000
 
-    on_stage(check)
+    run_with_director(check)
 
 
 def test_a_detected_start_is_dropped_after_the_warm_up():
-    async def check(stage):
-        await kill_during_request(stage)
-        await restart(stage, 3)
-        await stage.play("director wait 16")
-        await stage.tell(stage.actors["coordinator"], stage.member("cache1"))
-        await stage.play("director wait 0.01")
-        assert member_start_us(stage) == 0
-
-    on_stage(check)
+    async def check(harness):
+        await kill_during_request(harness)
+        await restart(harness, 3)
+        await harness.play("director wait 16")
+        await harness.tell(harness.actors["coordinator"], harness.member("cache1"))
+        await harness.play("director wait 0.01")
+        assert member_start_us(harness) == 0
+
+    run_with_director(check)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_membership_stream.py
+++ b/tests/test_membership_stream.py
@@ -7,7 +7,7 @@
 import trio
 
 from rookbend.net.watch import MIN_PAUSE_S, SILENCE_TIMEOUT_US, ReconnectBackoff
-from tests.director_scenario import OBJ, UNIX, on_stage
+from tests.director_scenario import OBJ, UNIX, run_with_director
 from tests.interleaving import hold_connects
 from tests.scripted_coordinator import HEAD, ScriptedCoordinator, chunk, event, full_membership, member_change
 
@@ -24,8 +24,8 @@
 
 @pytest.mark.parametrize("how", ["first-byte", "headers", "event", "chunk", "comments-stop"])
 def test_a_silent_stream_is_replaced_by_a_new_call_within_the_time_limit(how):
-    async def check(stage):
-        coordinator = await ScriptedCoordinator(stage).open()
+    async def check(harness):
+        coordinator = await ScriptedCoordinator(harness).open()
         at, last, stream = await coordinator.next_call()
         update = member_change(coordinator, 2, "cache1", "DRAINING")
         response = {
@@ -42,14 +42,14 @@
         assert again - at <= SILENCE_TIMEOUT_US / 1e6 + MIN_PAUSE_S + span_s + 0.05
         assert (last, last_again) == (1, 1)
         await stream.send_all(HEAD + chunk(update))  # the drain takes effect as soon as its event is received
-        await stage.play("""
+        await harness.play("""
             director wait 0.01
             client send request 1 video
             upper expect do rid=0000000000000001
             cache1 expect nothing
         """)
 
-    on_stage(check)
+    run_with_director(check)
 
 
 @pytest.mark.parametrize("count", [1, 3, 5])
@@ -61,29 +61,29 @@
 
 
 def test_events_between_a_stream_end_and_the_next_call_are_requested_and_applied_once():
-    async def check(stage):
-        coordinator = await ScriptedCoordinator(stage).open()
+    async def check(harness):
+        coordinator = await ScriptedCoordinator(harness).open()
         _, _, stream = await coordinator.next_call()
         await stream.send_all(HEAD + chunk(member_change(coordinator, 2, "cache2", "SERVING")))
         await trio.sleep(0.01)
         await stream.aclose()
         _, last, stream = await coordinator.next_call()
         assert last == 2
-        before = stage.service.counters.roster_changes
+        before = harness.service.counters.roster_changes
         twice = (
             member_change(coordinator, 2, "cache2", "SERVING") + member_change(coordinator, 3, "cache1", "DELETED") * 2
         )
         await stream.send_all(HEAD + chunk(twice))
         await trio.sleep(0.01)
-        assert stage.service.counters.roster_changes == before + 1
-        await stage.play(EXPECT_SERVED_BY.format(1, "cache2"))
+        assert harness.service.counters.roster_changes == before + 1
+        await harness.play(EXPECT_SERVED_BY.format(1, "cache2"))
 
-    on_stage(check)
+    run_with_director(check)
 
 
 def test_a_full_membership_replaces_changes_and_an_older_or_repeated_one_is_ignored():
-    async def check(stage):
-        coordinator = await ScriptedCoordinator(stage).open()
+    async def check(harness):
+        coordinator = await ScriptedCoordinator(harness).open()
         _, _, stream = await coordinator.next_call()
         await stream.send_all(
             HEAD
@@ -95,18 +95,18 @@
             )
         )
         await trio.sleep(0.01)
-        assert sorted(e.name for e in stage.service.engine.endpoints.values()) == ["cache2", "records", "upper"]
-        await stage.play(EXPECT_SERVED_BY.format(1, "cache2"))
+        assert sorted(e.name for e in harness.service.engine.endpoints.values()) == ["cache2", "records", "upper"]
+        await harness.play(EXPECT_SERVED_BY.format(1, "cache2"))
 
-    on_stage(check)
+    run_with_director(check)
 
 
 def test_a_new_member_at_the_address_of_a_removed_one_gets_new_connections():
-    async def check(stage):
-        coordinator = await ScriptedCoordinator(stage).open()
-        await stage.play(EXPECT_SERVED_BY.format(1, "cache1"))
+    async def check(harness):
+        coordinator = await ScriptedCoordinator(harness).open()
+        await harness.play(EXPECT_SERVED_BY.format(1, "cache1"))
         _, _, stream = await coordinator.next_call()
-        connects = stage.service.counters.connects
+        connects = harness.service.counters.connects
         await stream.send_all(
             HEAD
             + chunk(
@@ -115,11 +115,11 @@
             )
         )
         await trio.sleep(0.01)
-        assert "cache9" in [e.name for e in stage.service.engine.endpoints.values()]
-        await stage.play(EXPECT_SERVED_BY.format(2, "cache1"))
-        assert stage.service.counters.connects == connects + 1
+        assert "cache9" in [e.name for e in harness.service.engine.endpoints.values()]
+        await harness.play(EXPECT_SERVED_BY.format(2, "cache1"))
+        assert harness.service.counters.connects == connects + 1
 
-    on_stage(check)
+    run_with_director(check)
 
 
 @pytest.mark.parametrize(
@@ -137,73 +137,73 @@
 def test_an_unusable_event_does_not_block_later_events(bad):
     """The index moves past an unusable event. Requested again from the index before it, the event ended each call."""
 
-    async def check(stage):
-        coordinator = await ScriptedCoordinator(stage).open()
+    async def check(harness):
+        coordinator = await ScriptedCoordinator(harness).open()
         _, _, stream = await coordinator.next_call()
         await stream.send_all(HEAD + chunk(event(2, bad) + member_change(coordinator, 3, "cache1", "DRAINING")))
-        await stage.play("""
+        await harness.play("""
             director wait 0.01
             client send request 1 video
             upper expect do rid=0000000000000001
             cache1 expect nothing
         """)
-        assert stage.service.counters.events_unusable == 1
+        assert harness.service.counters.events_unusable == 1
         await stream.aclose()
         assert (await coordinator.next_call())[1] == 3
 
-    on_stage(check)
+    run_with_director(check)
 
 
 def test_a_changed_coordinator_address_is_called_at_once_during_a_call():
-    async def check(stage):
-        first = await ScriptedCoordinator(stage).open()
+    async def check(harness):
+        first = await ScriptedCoordinator(harness).open()
         await first.next_call()  # and is never answered
         began = trio.current_time()
-        second = await ScriptedCoordinator(stage).open()
+        second = await ScriptedCoordinator(harness).open()
         at, last, stream = await second.next_call()
         assert at - began < 0.05 and last == 1
         await stream.send_all(HEAD + chunk(member_change(second, 2, "cache1", "DRAINING")))
-        await stage.play("""
+        await harness.play("""
             director wait 0.01
             client send request 1 video
             upper expect do rid=0000000000000001
             cache1 expect nothing
         """)
 
-    on_stage(check)
+    run_with_director(check)
 
 
 def test_a_drain_and_a_purge_after_a_reconnect_apply_to_an_attempt_waiting_in_the_pool(monkeypatch):
     allow_connects = hold_connects(monkeypatch)
 
-    async def check(stage):
-        coordinator = await ScriptedCoordinator(stage).open()
+    async def check(harness):
+        coordinator = await ScriptedCoordinator(harness).open()
         _, _, stream = await coordinator.next_call()
         await stream.aclose()
         _, _, stream = await coordinator.next_call()
-        await stage.play("client send request 1 video budget=5000\nclient send ready? 9\nclient expect ready")
+        await harness.play("client send request 1 video budget=5000\nclient send ready? 9\nclient expect ready")
         purge = {"evict": {"ref": OBJ, "unix_ms": int(UNIX * 1000 + trio.current_time() * 1000)}}
         await stream.send_all(HEAD + chunk(member_change(coordinator, 2, "cache1", "DRAINING") + event(3, purge)))
         await trio.sleep(0.01)
         allow_connects.set()
-        await stage.play("upper expect do rid=0000000000000001 c=video")
-        await stage.play("cache1 expect nothing")
-        assert stage.service.counters.withheld >= 1 and stage.service.counters.purges == 1
+        await harness.play("upper expect do rid=0000000000000001 c=video")
+        await harness.play("cache1 expect nothing")
+        assert harness.service.counters.withheld >= 1 and harness.service.counters.purges == 1
 
-    on_stage(check)
+    run_with_director(check)
 
 
 def test_a_director_is_ready_only_once_a_member_is_serving():
     """A director that reports ready without a member would get clients and serve none of them."""
 
-    async def check(stage):
-        coordinator = await ScriptedCoordinator(stage).open()
-        await stage.play("client send ready? 1\nclient expect ready refused 1")
+    async def check(harness):
+        coordinator = await ScriptedCoordinator(harness).open()
+        await harness.play("client send ready? 1\nclient expect ready refused 1")
         _, _, stream = await coordinator.next_call()
         await stream.send_all(HEAD + chunk(full_membership(coordinator, 2, "cache1", cache1="DRAINING")))
-        await stage.play("director wait 0.01\nclient send ready? 2\nclient expect ready refused 2")
+        await harness.play("director wait 0.01\nclient send ready? 2\nclient expect ready refused 2")
         await stream.send_all(chunk(full_membership(coordinator, 3, *ALL, revision=2)))
-        await stage.play("director wait 0.01\nclient send ready? 3\nclient expect ready served 3")
-        await stage.play(EXPECT_SERVED_BY.format(4, "cache1"))
+        await harness.play("director wait 0.01\nclient send ready? 3\nclient expect ready served 3")
+        await harness.play(EXPECT_SERVED_BY.format(4, "cache1"))
 
-    on_stage(check, members=())
+    run_with_director(check, members=())
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -13,7 +13,7 @@
 from rookbend.operations import metrics_text
 from rookbend.operations.exclusions import MAX_EXCLUSIONS, Exclusions
 from rookbend.testing.measurement_settings import SETTINGS
-from tests.director_scenario import OBJ, staged
+from tests.director_scenario import OBJ, director_harness
 
 READY, DRAINING, GONE = MemberState.READY, MemberState.DRAINING, MemberState.GONE
 
@@ -110,25 +110,25 @@
 
 def run_stage(steps, **options):
     async def main():
-        async with staged(operator="127.0.0.1:0", **options) as stage:
-            await steps(stage)
+        async with director_harness(operator="127.0.0.1:0", **options) as harness:
+            await steps(harness)
 
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
-def metrics(stage):
-    lines = stage.service.operations.metrics().decode().splitlines()
+def metrics(harness):
+    lines = harness.service.operations.metrics().decode().splitlines()
     return {line.split(":")[0].removeprefix("svc."): int(line.split(":")[1].split("|")[0]) for line in lines}
 
 
 def test_metrics_count_requests_attempts_and_members():
-    async def steps(stage):
-        await stage.play(f"""
+    async def steps(harness):
+        await harness.play(f"""
             client send request 1 video
             cache1 expect do k={OBJ}
         """)
-        assert metrics(stage)["in_flight"] == 1 and metrics(stage)["attempts"] == 1
-        await stage.play("""
+        assert metrics(harness)["in_flight"] == 1 and metrics(harness)["attempts"] == 1
+        await harness.play("""
             cache1 send ok note=mem body=hello
             client expect served 1 hello
             client send request 2 nonsense
@@ -136,41 +136,41 @@
             client send request 3 video budget=zero
             client expect failed 3
         """)
-        found = metrics(stage)
+        found = metrics(harness)
         assert found["requests.video.served"] == 1 and found["requests.video.failed"] == 1
         assert found["attempts"] == 1 and found["in_flight"] == 0
         assert found["caches_known"] == 1 and found["caches_excluded"] == 0
         assert not any("nonsense" in name for name in found), "a class that a client invents gets no metrics"
-        assert stage.service.operations.set_excluded("cache1", True) == ""
-        assert metrics(stage)["caches_excluded"] == 1
+        assert harness.service.operations.set_excluded("cache1", True) == ""
+        assert metrics(harness)["caches_excluded"] == 1
 
     run_stage(steps)
 
 
 def test_a_request_queued_for_a_connection_is_not_sent_to_an_excluded_member():
-    async def steps(stage):
-        await stage.play("client send request 1 video\ncache1 expect do\n")
-        await stage.play("client send request 2 video obj=00000000000000aa\ncache1 expect do\n")
-        stage.service.operations.set_excluded("cache1", True)
-        await stage.play("client send request 3 video obj=00000000000000ab\n")
-        await stage.play("upper expect do\ncache1 expect nothing\n")
-        assert stage.service.operations.set_excluded("cache1", False) == ""
-        assert "no member" in stage.service.operations.set_excluded("cache7", True)
+    async def steps(harness):
+        await harness.play("client send request 1 video\ncache1 expect do\n")
+        await harness.play("client send request 2 video obj=00000000000000aa\ncache1 expect do\n")
+        harness.service.operations.set_excluded("cache1", True)
+        await harness.play("client send request 3 video obj=00000000000000ab\n")
+        await harness.play("upper expect do\ncache1 expect nothing\n")
+        assert harness.service.operations.set_excluded("cache1", False) == ""
+        assert "no member" in harness.service.operations.set_excluded("cache7", True)
 
     run_stage(steps, members=("cache1", "upper", "records"))
 
 
 def test_a_reload_keeps_requests_in_flight_and_accepts_new_classes():
-    async def steps(stage):
-        await stage.play("client send request 1 video\ncache1 expect do\n")
+    async def steps(harness):
+        await harness.play("client send request 1 video\ncache1 expect do\n")
         raw = copy.deepcopy(SETTINGS)
         raw["lanes"][0]["name"] = "other-video"
         raw["limits"]["maxAttempts"] = 2
-        stage.config = msgspec.structs.replace(
-            stage.config, settings=msgspec.convert(raw, configuration.PlatformSettings)
+        harness.config = msgspec.structs.replace(
+            harness.config, settings=msgspec.convert(raw, configuration.PlatformSettings)
         )
-        stage.service.reload()
-        await stage.play("""
+        harness.service.reload()
+        await harness.play("""
             cache1 send ok note=mem body=hello
             client expect served 1 hello
             client send request 2 other-video obj=00000000000000aa
@@ -185,8 +185,8 @@
             client send request 4 video
             client expect failed 4
         """)
-        assert stage.service.engine.settings.max_attempts == 2
-        found = metrics(stage)
+        assert harness.service.engine.settings.max_attempts == 2
+        found = metrics(harness)
         assert found["requests.other-video.served"] == 1 and found["requests.video.served"] == 2
         assert (found["reloads_ok"], found["reloads_failed"]) == (1, 0)
 
--- a/tests/test_operations_endpoint.py
+++ b/tests/test_operations_endpoint.py
@@ -9,7 +9,7 @@
 from rookbend.net.operator_endpoint import MAX_CONNECTIONS
 from rookbend.protocol.http_server import HttpServerConnection
 from rookbend.protocol.operator_api import OperatorApi
-from tests.director_scenario import staged
+from tests.director_scenario import director_harness
 
 
 def send_request(api, method, target):
@@ -50,8 +50,8 @@
 
 def run_with_endpoint(steps):
     async def main():
-        async with staged(operator="127.0.0.1:0") as stage:
-            await steps(stage, stage.service.operations.endpoint)
+        async with director_harness(operator="127.0.0.1:0") as harness:
+            await steps(harness, harness.service.operations.endpoint)
 
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
@@ -69,7 +69,7 @@
 
 
 def test_a_request_is_answered_also_if_it_arrives_in_pieces_and_its_connection_is_closed():
-    async def steps(stage, endpoint):
+    async def steps(harness, endpoint):
         assert await call(endpoint) == 200
         assert await call(endpoint, pieces=7) == 200
         assert await call(endpoint, b"GET /status HTTP/1.1\r\nHost: x\r\n\r\nand more") == 200
@@ -82,7 +82,7 @@
 
 
 def test_hundreds_of_silent_or_incomplete_connections_do_not_block_others_and_are_closed():
-    async def steps(stage, endpoint):
+    async def steps(harness, endpoint):
         silent = []
         for i in range(8 * MAX_CONNECTIONS):
             stream = await trio.open_tcp_stream(*endpoint.address)
@@ -101,7 +101,7 @@
 
 
 def test_a_connection_reset_within_a_request_is_removed():
-    async def steps(stage, endpoint):
+    async def steps(harness, endpoint):
         stream = await trio.open_tcp_stream(*endpoint.address)
         await stream.send_all(b"PUT /maint")
         await trio.testing.wait_all_tasks_blocked()
@@ -115,9 +115,9 @@
 
 
 def test_the_endpoint_reports_ready_until_the_director_is_told_to_stop():
-    async def steps(stage, endpoint):
+    async def steps(harness, endpoint):
         assert await call(endpoint) == 200
-        stage.service.stop()
+        harness.service.stop()
         await trio.testing.wait_all_tasks_blocked()
         assert await call(endpoint) == 503
 
--- a/tests/test_order_targets.py
+++ b/tests/test_order_targets.py
@@ -12,7 +12,7 @@
 from rookbend.recovery.director_orders import DirectorOrders, MalformedOrderKeyError
 from rookbend.testing.lease_simulation import LeaseSimulation
 from rookbend.testing.lease_simulation_parts import SECOND_US
-from tests.director_scenario import on_stage
+from tests.director_scenario import run_with_director
 
 NO_SCOPES = (
     "checks/\u00b2",
@@ -84,12 +84,12 @@
 
 def test_an_order_unknown_to_this_version_has_no_effect(capsys):
     # An unknown order from a peer must not end the director when it is applied, nor at each start from its disk.
-    async def steps(stage):
-        recovery = stage.service.context.built["recovery"]
+    async def steps(harness):
+        recovery = harness.service.context.built["recovery"]
         recovery.apply_order(ApplyOrder("cache1", "explode", "kim"))
         recovery.apply_order(ApplyOrder("cache1", "drain", "kim"))
-        await stage.until("cache1", "draining")
+        await harness.until("cache1", "draining")
 
-    on_stage(steps, operators="[recovery]\n fleet f1\n[health]\n")
+    run_with_director(steps, operators="[recovery]\n fleet f1\n[health]\n")
     (line,) = [line for line in capsys.readouterr().err.splitlines() if "event=order_unknown" in line]
     assert "order=explode" in line and "member=cache1" in line
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -2,7 +2,7 @@
 
 from rookbend.core.model import Request
 from rookbend.interface import AttemptStatus
-from tests.director_scenario import OBJ, on_stage, play
+from tests.director_scenario import OBJ, play, run_with_director
 
 SERVE = """
     client send request 1 video
@@ -81,18 +81,18 @@
 def test_an_attempt_given_up_before_it_left_the_buffer_never_goes_out():
     """Guards both ways: what is called never run (a write may go again then) must not reach the member."""
 
-    async def check(stage):
-        await stage.play("""
+    async def check(harness):
+        await harness.play("""
             client send request 1 video
             cache1 expect do rid=0000000000000001
             cache1 send ok note=mem body=done
             client expect served 1
         """)
-        engine = stage.service.engine
+        engine = harness.service.engine
         now = engine.clock.now()
         open_request = engine.submit(Request("f" * 16, 0, "video", OBJ, int(OBJ, 16), now + 3_000_000), print)
         assert engine.backend.abort(open_request.current_attempt) is AttemptStatus.CONNECT_FAILED
-        await stage.play("""
+        await harness.play("""
             cache1 expect nothing
             client send request 2 video chunk=7
             cache1 expect do rid=0000000000000002
@@ -100,7 +100,7 @@
             client expect served 2 there
         """)
 
-    on_stage(check)
+    run_with_director(check)
 
 
 def test_a_write_that_was_reset_whole_fails_and_is_not_repeated():
--- a/tests/test_reload_voters.py
+++ b/tests/test_reload_voters.py
@@ -5,7 +5,7 @@
 
 from rookbend.settings import Settings
 from rookbend.settings.sections import Ownership
-from tests.director_scenario import on_stage
+from tests.director_scenario import run_with_director
 
 VOTERS = Ownership(voters=(0, 1, 2))
 
@@ -23,14 +23,14 @@
 )
 def test_a_reload_names_the_section_only_where_more_than_the_voters_has_changed(before, after, waits, capsys):
     # Guards against a restart that is asked for, at this SIGHUP and all later ones, for voters that are in force.
-    async def steps(stage):
-        context = stage.service.reload._context
+    async def steps(harness):
+        context = harness.service.reload._context
         context.operators = msgspec.structs.replace(context.operators, ownership=before)
-        stage.operators = msgspec.structs.replace(stage.operators, ownership=after)
-        stage.service.reload()
-        stage.service.reload()
+        harness.operators = msgspec.structs.replace(harness.operators, ownership=after)
+        harness.service.reload()
+        harness.service.reload()
         assert isinstance(context.operators, Settings)
 
-    on_stage(steps)
+    run_with_director(steps)
     lines = [line for line in capsys.readouterr().err.splitlines() if "event=reloaded" in line]
     assert [line.rpartition("restart_for=")[2] for line in lines] == [waits, waits]
