--- a/tests/director_scenario.py
+++ b/tests/director_scenario.py
@@ -23,14 +23,14 @@
 from rookbend.settings import parse
 from rookbend.testing.health_agents import listen_on_shared_port
 from rookbend.testing.measurement_settings import SETTINGS
-from tests.dns_stand_ins import Agent, DnsClient, Health, Resolver
-from tests.platform_stand_ins import OBJ, PATIENCE, Box, Client, Coordinator
+from tests.dns_stand_ins import Agent, BalancerProbe, DnsClient, Resolver
+from tests.platform_stand_ins import OBJ, TIMEOUT_S, Client, Coordinator, MemberServer
 
-__all__ = ["OBJ", "SETTINGS", "UNIX", "director_harness", "play", "run_with_director"]
-UNIX = 1_764_576_000.0
+__all__ = ["OBJ", "SETTINGS", "START_UNIX_S", "director_harness", "play", "run_with_director"]
+START_UNIX_S = 1_764_576_000.0
 HOSTS = {"cache1": "127.0.0.11", "cache2": "127.0.0.12", "upper": "127.0.0.21", "records": "127.0.0.31"}
 ROLES = {"upper": ("hub", "parent"), "records": ("hub", "origin")}
-OPERATORS = """
+OPERATOR_SETTINGS = """
 [dns]
     listen 127.0.0.1:0
     resolver 127.0.0.1:{resolver}
@@ -55,16 +55,16 @@
             "coordinator2": Coordinator(self),
             "dns": DnsClient(self),
             "resolver": Resolver(self),
-            "health": Health(self),
+            "health": BalancerProbe(self),
         }
         for number, (name, host) in enumerate(HOSTS.items(), 1):
             self.actors[f"agent{number}"] = Agent(self, host)
-            self.actors[name] = Box(self)
+            self.actors[name] = MemberServer(self)
             self.actors[name].host = host
 
     @staticmethod
     def unix():
-        return UNIX + trio.current_time()
+        return START_UNIX_S + trio.current_time()
 
     def member(self, name, phase="SERVING"):
         zone, flavor = ROLES.get(name, ("edge", "standard"))
@@ -80,7 +80,7 @@
     async def open(self, members, max_connections=None, operators="", dns="", settings=SETTINGS, operator=""):
         for name in (*HOSTS, "coordinator", "coordinator2", "dns", "resolver"):
             await self.actors[name].open()
-        agents = [a.peer for a in self.actors.values() if isinstance(a, Agent)]
+        agents = [a.health_agent for a in self.actors.values() if isinstance(a, Agent)]
         operators = operators.replace("AGENTS", str(await listen_on_shared_port(agents, self.nursery)))
         known = {
             "index": 1,
@@ -100,7 +100,7 @@
         )
         self.config = config
         self.operators = parse(
-            OPERATORS.format(resolver=self.actors["resolver"].address[1], more=operators, dns=dns), "test"
+            OPERATOR_SETTINGS.format(resolver=self.actors["resolver"].address[1], more=operators, dns=dns), "test"
         )
         self.service = Service(config, self.operators, self.unix, lambda before: (self.config, self.operators))
         if max_connections is not None:
@@ -119,7 +119,7 @@
         self.config = msgspec.structs.replace(self.config, coordinator=address)
         self.service.reload()
 
-    def order(self, _, order, name):
+    def give_order(self, _, order, name):
         """An operator's order, as the operators' listener passes it on."""
         service = self.service.health.service
         service.feed(OrderReceived(service.find(name), Order(order), "test"))
@@ -129,29 +129,29 @@
         row = next(r for r in self.service.health.service.table() if r["member"] == name)
         return row["state"], row["weight"], row["cause"]
 
-    async def tell(self, coordinator, *lines):
+    async def send_members(self, coordinator, *lines):
         """A membership event with these lines, from a coordinator."""
         coordinator.index += 1
         event = {"index": coordinator.index, "endpoints": {"members": lines}}
         await coordinator.write(coordinator.streams[-1], f"data: {json.dumps(event)}\n\n".encode())
 
-    async def until(self, name, *wanted):
+    async def wait_for_state(self, name, *wanted):
         """Waits until a member is in one of these states."""
-        with trio.fail_after(PATIENCE):
+        with trio.fail_after(TIMEOUT_S):
             while self.state(name)[0] not in wanted:
                 await trio.sleep(0.05)
 
     async def play(self, scenario):
         for actor, verb, *words in filter(None, map(str.split, scenario.splitlines())):
             if verb == "wait":
-                await (self.until(actor, *words) if actor in HOSTS else trio.sleep(float(words[0])))
+                await (self.wait_for_state(actor, *words) if actor in HOSTS else trio.sleep(float(words[0])))
             elif actor == "director":
                 if verb == "close":
                     self.service.stop()
                 elif verb == "send":
-                    self.order(*words) if words[0] == "order" else self.reload(words[1])
+                    self.give_order(*words) if words[0] == "order" else self.reload(words[1])
                 else:
-                    with trio.fail_after(PATIENCE):
+                    with trio.fail_after(TIMEOUT_S):
                         await self.done.wait()
             elif words == ["nothing"]:
                 await self.actors[actor].expect_nothing()
--- a/tests/dns_stand_ins.py
+++ b/tests/dns_stand_ins.py
@@ -37,15 +37,15 @@
 
     async def read(self):
         while True:
-            self.take((await self.udp.recvfrom(65535))[0], "udp")
+            self.handle_message((await self.udp.recvfrom(65535))[0], "udp")
 
     async def read_tcp(self, stream):
         messages = dns_tcp.MessageReader()
         async for data in stream:
             for wire in messages.feed(data):
-                self.take(wire, "tcp")
+                self.handle_message(wire, "tcp")
 
-    def take(self, wire, way):
+    def handle_message(self, wire, way):
         reply = dns.message.from_wire(wire, raise_on_truncation=False)
         records = [
             word
@@ -55,7 +55,7 @@
         ]
         notes = [o.text for o in reply.options if isinstance(o, dns.edns.EDEOption)]
         flags = ["truncated"] if reply.flags & dns.flags.TC else []
-        self.hear(
+        self.record(
             way,
             f"id={reply.id}",
             dns.rcode.to_text(reply.rcode()),
@@ -77,17 +77,17 @@
 
     async def read(self):
         while True:
-            wire, self.asker = await self.udp.recvfrom(4096)
-            self.take(wire)
+            wire, self.requester = await self.udp.recvfrom(4096)
+            self.handle_message(wire)
 
     async def read_tcp(self, stream):
-        self.asker, (wire,) = stream, dns_tcp.MessageReader().feed(await stream.receive_some())
-        self.take(wire)
+        self.requester, (wire,) = stream, dns_tcp.MessageReader().feed(await stream.receive_some())
+        self.handle_message(wire)
         await trio.sleep_forever()
 
-    def take(self, wire):
+    def handle_message(self, wire):
         self.query = dns.message.from_wire(wire)
-        self.hear(self.query.question[0].name.to_text().rstrip("."))
+        self.record(self.query.question[0].name.to_text().rstrip("."))
 
     async def send(self, words):
         reply = dns.message.make_response(self.query)
@@ -100,13 +100,13 @@
             reply.set_rcode(dns.rcode.from_text(words[0]))
         else:
             reply.answer.append(dns.rrset.from_text(self.query.question[0].name, 300, "IN", "A", *words))
-        if isinstance(self.asker, trio.SocketStream):
-            await self.asker.send_all(dns_tcp.frame(reply.to_wire()))
+        if isinstance(self.requester, trio.SocketStream):
+            await self.requester.send_all(dns_tcp.frame(reply.to_wire()))
         else:
-            await self.udp.sendto(reply.to_wire(), self.asker)
+            await self.udp.sendto(reply.to_wire(), self.requester)
 
 
-class Health(Actor):
+class BalancerProbe(Actor):
     """Asks the agent-check (no words to send) or an HTTP path."""
 
     async def send(self, words):
@@ -119,7 +119,7 @@
             data = b""
             async for more in stream:
                 data += more
-            self.hear(*data.decode().split())
+            self.record(*data.decode().split())
 
 
 class Agent(Actor):
@@ -128,34 +128,34 @@
 
     def __init__(self, harness, host):
         super().__init__(harness)
-        self.peer = HealthAgent(host, on_poll=self.asked)
+        self.health_agent = HealthAgent(host, on_poll=self.on_poll)
 
-    def asked(self, data):
-        if self.heard.statistics().current_buffer_used < 500:  # nobody may be listening to each check
-            self.hear("ask", *data.decode("latin-1").split())
+    def on_poll(self, data):
+        if self.observed.statistics().current_buffer_used < 500:  # nobody may be listening to each check
+            self.record("ask", *data.decode("latin-1").split())
 
     async def send(self, words):
-        kind, peer = words[0], self.peer
+        kind, health_agent = words[0], self.health_agent
         if kind == "grpc":
-            if peer.behavior.mode != ResponseMode.GRPC:
-                peer.behavior = Behavior(ResponseMode.GRPC, is_serving="serving" in words)
-            peer.behavior.ignores_grpc = "deaf" in words
-            if not peer.behavior.ignores_grpc:
-                await peer.set_serving("serving" in words)
+            if health_agent.behavior.mode != ResponseMode.GRPC:
+                health_agent.behavior = Behavior(ResponseMode.GRPC, is_serving="serving" in words)
+            health_agent.behavior.ignores_grpc = "deaf" in words
+            if not health_agent.behavior.ignores_grpc:
+                await health_agent.set_serving("serving" in words)
         elif kind == "http":
-            peer.behavior = Behavior(ResponseMode.RESPOND, http_response(int(words[1]), words[2], *words[3:]))
+            health_agent.behavior = Behavior(ResponseMode.RESPOND, http_response(int(words[1]), words[2], *words[3:]))
         elif kind in ("stall", "dribble", "flood", "silent", "reset", "leave"):
-            peer.behavior = Behavior(
+            health_agent.behavior = Behavior(
                 ResponseMode(kind), " ".join(words[1:]).encode() + (b"" if kind == "flood" else b"\n")
             )
         else:
-            peer.behavior = Behavior(ResponseMode.RESPOND, " ".join(words).encode() + b"\n")
+            health_agent.behavior = Behavior(ResponseMode.RESPOND, " ".join(words).encode() + b"\n")
 
     async def expect(self, words):
         """An ask from now on: those of before prove nothing about what it says now."""
-        while self.heard.statistics().current_buffer_used:
-            self.heard.receive_nowait()
+        while self.observed.statistics().current_buffer_used:
+            self.observed.receive_nowait()
         await super().expect(words)
 
     async def close(self):
-        self.peer.close()
+        self.health_agent.close()
--- a/tests/health_scenarios.py
+++ b/tests/health_scenarios.py
@@ -58,7 +58,7 @@
     with trio.fail_after(5):
         while heard is None:
             heard = next(
-                (n for n in ("cache1", "cache2") if harness.actors[n].heard.statistics().current_buffer_used), None
+                (n for n in ("cache1", "cache2") if harness.actors[n].observed.statistics().current_buffer_used), None
             )
             await trio.sleep(0.01)
     await harness.play(f"""
@@ -74,6 +74,6 @@
     client = harness.actors["client"]
     await client.close()
     await trio.testing.wait_all_tasks_blocked()
-    while client.heard.statistics().current_buffer_used:
-        client.heard.receive_nowait()
+    while client.observed.statistics().current_buffer_used:
+        client.observed.receive_nowait()
     return {await placed(harness, first + i) for i in range(count)}
--- a/tests/platform_stand_ins.py
+++ b/tests/platform_stand_ins.py
@@ -8,9 +8,9 @@
 
 from rookbend.testing.open_loop_client import encode_frame
 
-PATIENCE = 60
+TIMEOUT_S = 60
 OBJ = "7f3a9c21e0b4d655"
-VERDICTS = {0: "served", 14: "refused", 2: "failed"}
+OUTCOMES = {0: "served", 14: "refused", 2: "failed"}
 
 
 def pairs(words):
@@ -22,22 +22,22 @@
 
     def __init__(self, harness):
         self.harness = harness
-        self.send_heard, self.heard = trio.open_memory_channel(1000)
+        self.send_observed, self.observed = trio.open_memory_channel(1000)
         self.streams = []
 
-    def hear(self, *words):
-        self.send_heard.send_nowait([str(w) for w in words])
+    def record(self, *words):
+        self.send_observed.send_nowait([str(w) for w in words])
 
     async def expect(self, words):
-        with trio.move_on_after(PATIENCE):
-            heard = await self.heard.receive()
-            assert set(words) <= set(heard), f"expected {words}, heard {heard}"
+        with trio.move_on_after(TIMEOUT_S):
+            observed = await self.observed.receive()
+            assert set(words) <= set(observed), f"expected {words}, heard {observed}"
             return
         raise AssertionError(f"expected {words}, heard nothing")
 
     async def expect_nothing(self):
         await trio.testing.wait_all_tasks_blocked()
-        assert not self.heard.statistics().current_buffer_used, f"heard {self.heard.receive_nowait()}"
+        assert not self.observed.statistics().current_buffer_used, f"heard {self.observed.receive_nowait()}"
 
     async def close(self):
         while self.streams:
@@ -70,33 +70,33 @@
             async for more in stream:
                 data += more
                 while len(data) >= 4 and len(data) >= 4 + (size := int.from_bytes(data[:4], "big")):
-                    self.take(data[4 : 4 + size])
+                    self.handle_frame(data[4 : 4 + size])
                     data = data[4 + size :]
-            self.hear("closed")
+            self.record("closed")
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             pass
 
-    def take(self, data):
+    def handle_frame(self, data):
         kind, stream = data[0], int.from_bytes(data[1:5], "big")
         if kind == 3:
-            return self.hear("closing")
+            return self.record("closing")
         fields, at = [], 7
         for _ in range(data[6]):
             n = at + 1 + data[at]
             v = n + 2 + int.from_bytes(data[n : n + 2], "big")
             fields.append(f"{data[at + 1:n].decode()}={data[n + 2:v].decode()}")
             at = v
-        self.hear(*(["ready"] if kind == 2 else []), VERDICTS[data[5]], stream, *fields, data[at:].decode())
+        self.record(*(["ready"] if kind == 2 else []), OUTCOMES[data[5]], stream, *fields, data[at:].decode())
 
 
-class Box(Actor):
+class MemberServer(Actor):
     """A cache, a parent or the origin: hears `do` and `undo`, answers the newest `do` or the one of rid=."""
 
     async def open(self):
         listeners = await trio.open_tcp_listeners(self.harness.ports.get(self, 0), host=self.host)
         self.harness.ports[self] = listeners[0].socket.getsockname()[1]
         self.listener = listeners[0]
-        self.last, self.stalled = {}, set()
+        self.received_attempts, self.stalled = {}, set()
         self.reading = trio.Event()  # while it is not set, no connection is read
         self.reading.set()
         self.serving = trio.CancelScope()
@@ -106,7 +106,7 @@
         with self.serving:
             await trio.serve_listeners(self.read, listeners)
 
-    async def die(self):
+    async def crash(self):
         """As a process does: its connections are reset, and new ones are refused until it opens again."""
         self.reset_on_close()
         self.streams.clear()
@@ -133,10 +133,10 @@
                         if len(rest) < size + 2:
                             break
                         body, rest = rest[:size].decode(), rest[size + 2 :]
-                        self.last[rid] = self.last["-"] = (stream, rid)
-                        self.hear("do", f"rid={rid}", *more[0].split(","), f"body={body}")
+                        self.received_attempts[rid] = self.received_attempts["-"] = (stream, rid)
+                        self.record("do", f"rid={rid}", *more[0].split(","), f"body={body}")
                     elif verb != "pad":
-                        self.hear(verb, f"rid={rid}")
+                        self.record(verb, f"rid={rid}")
                     data = rest
             if stream in self.stalled:
                 await trio.sleep_forever()
@@ -148,11 +148,11 @@
         await self.reading.wait()
         return await stream.receive_some()
 
-    async def heard_of(self, verb):
+    async def has_received(self, verb):
         """Whether a `verb` is among what it heard and nobody has looked at."""
         await trio.testing.wait_all_tasks_blocked()
-        heard = [self.heard.receive_nowait() for _ in range(self.heard.statistics().current_buffer_used)]
-        return any(words[0] == verb for words in heard)
+        observed = [self.observed.receive_nowait() for _ in range(self.observed.statistics().current_buffer_used)]
+        return any(words[0] == verb for words in observed)
 
     async def send(self, words):
         if words[0] == "pause":  # reads nothing more, on any connection
@@ -161,7 +161,7 @@
         if words[0] == "resume":
             return self.reading.set()
         args = pairs(words)
-        stream, rid = self.last[args.pop("rid", "-")]
+        stream, rid = self.received_attempts[args.pop("rid", "-")]
         if words[0] == "stall":  # reads no more on that connection, nor sees its end
             return self.stalled.add(stream)
         body = args.pop("body", "")
@@ -187,7 +187,7 @@
     async def read(self, stream):
         self.streams.append(stream)
         head = (await stream.receive_some()).decode()
-        self.hear("call", *(line.replace(": ", "=") for line in head.split("\r\n")))
+        self.record("call", *(line.replace(": ", "=") for line in head.split("\r\n")))
         await stream.send_all(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n")
         try:
             while True:
--- a/tests/test_attempt_crossings.py
+++ b/tests/test_attempt_crossings.py
@@ -69,14 +69,14 @@
         """)
         harness.service.engine.router.fill_limit.limit = 4.0
         cache = harness.actors["cache1"]
-        first = cache.last["-"]
+        first = cache.received_attempts["-"]
         await harness.play("""
             cache1 send nothing slow=0
             cache1 expect do rid=0000000000000001
         """)
-        again, cache.last["-"] = cache.last["-"], first
+        again, cache.received_attempts["-"] = cache.received_attempts["-"], first
         await harness.play("cache1 send nothing slow=0")  # a duplicate of the first answer
-        cache.last["-"] = again
+        cache.received_attempts["-"] = again
         await harness.play("""
             cache1 send ok note=parent body=hello
             client expect served 1 hello
--- a/tests/test_client_leaves.py
+++ b/tests/test_client_leaves.py
@@ -175,7 +175,7 @@
         await leave(harness.actors["client"], way, 2)
         assert not connection.in_flight
         await harness.play("records send resume\ndirector wait 0.3")
-        assert not await harness.actors["records"].heard_of("do")
+        assert not await harness.actors["records"].has_received("do")
 
     run_with_director(check)
 
@@ -225,7 +225,7 @@
             await trio.testing.wait_all_tasks_blocked()
             assert set(client.session.open_streams) <= {count}
             await harness.play("director wait 0.3")
-            assert not await harness.actors["cache1"].heard_of("do")
+            assert not await harness.actors["cache1"].has_received("do")
 
     def request(i):
         return encode_frame(
--- a/tests/test_health_agents.py
+++ b/tests/test_health_agents.py
@@ -17,7 +17,7 @@
             cache1 wait draining
         """)
         for _ in range(40):
-            harness.actors["agent1"].peer.behavior.text = b"up ready 100%\n"
+            harness.actors["agent1"].health_agent.behavior.text = b"up ready 100%\n"
             await trio.sleep(0.05)
             assert harness.state("cache1") == ("draining", 0, "roster")
         assert await where(harness, 1) == {"cache2"}
@@ -83,7 +83,7 @@
         await harness.play("agent3 send drain\n upper wait draining\n client send request 1 video")
         harness.nursery.start_soon(trio.sleep, 0)
         await trio.sleep(0.1)
-        box = next(n for n in ("cache1", "cache2") if harness.actors[n].heard.statistics().current_buffer_used)
+        box = next(n for n in ("cache1", "cache2") if harness.actors[n].observed.statistics().current_buffer_used)
         await harness.play(f"{box} expect do next=records")
 
     on_health(steps, operators=AGENT + "    tier all\n")
@@ -114,9 +114,9 @@
         assert all(c["trouble"] for row in health.service.table() for c in row["checks"]), "operators see it"
         assert health.runner.scheduler.running <= 2 and health.service.table()[0]["checks"]
         for name in ("agent1", "agent2"):
-            peer = harness.actors[name].peer
+            health_agent = harness.actors[name].health_agent
             # What it sent beyond a line's bound stayed in the sockets, and was never read.
-            assert peer.sent_bytes / peer.polls < 8 << 20
+            assert health_agent.sent_bytes / health_agent.polls < 8 << 20
 
     on_health(steps)
 
@@ -180,7 +180,7 @@
         await harness.play("agent1 send http 200 fine\n agent2 send http 200 fine\n all wait 2")
         await harness.actors["agent1"].close()
         await harness.play("cache1 wait down")
-        await harness.actors["agent1"].peer.listen(harness.nursery, harness.actors["agent2"].peer.port)
+        await harness.actors["agent1"].health_agent.listen(harness.nursery, harness.actors["agent2"].health_agent.port)
         await harness.play("cache1 wait degraded\n all wait 0.15")
         member = harness.service.engine.endpoints[server].member
         assert member.started_us > harness.service.clock.now() - 3_000_000
--- a/tests/test_health_checks.py
+++ b/tests/test_health_checks.py
@@ -25,7 +25,7 @@
     async def steps(harness):
         await harness.play(f"agent2 send http 200 fine\n agent1 send {said}\n all wait 6")
         assert harness.state("cache1")[0] == state, harness.service.health.service.table()
-        assert b"GET /health HTTP/1.1" in harness.actors["agent2"].peer.received[-1]
+        assert b"GET /health HTTP/1.1" in harness.actors["agent2"].health_agent.received[-1]
 
     on_health(steps, operators=HTTP)
 
@@ -53,10 +53,10 @@
 
     async def steps(harness):
         await harness.play("agent1 send grpc serving\n agent2 send grpc serving\n all wait 5")
-        watched = harness.actors["agent1"].peer.polls
+        watched = harness.actors["agent1"].health_agent.polls
         assert harness.state("cache1")[0] == "ready" and watched == 1, "one stream, and it lasts"
         await harness.play("agent1 send grpc deaf\n cache1 wait down")
-        assert harness.actors["agent1"].peer.polls > watched
+        assert harness.actors["agent1"].health_agent.polls > watched
 
     on_health(steps, operators=GRPC.format(type="grpc-watch"))
 
@@ -74,7 +74,7 @@
 def test_a_proxy_header_goes_before_the_question():
     async def steps(harness):
         await harness.play("agent1 send http 200 fine\n all wait 3")
-        return list(harness.actors["agent1"].peer.received)
+        return list(harness.actors["agent1"].health_agent.received)
 
     heard = on_health(steps, operators=HTTP + "    proxy proxy\n")
     assert heard and all(h.startswith(b"\r\n\r\n\0\r\nQUIT\n\x21\x11\0\x0c\x7f\0\0") and b"GET /" in h for h in heard)
@@ -88,13 +88,13 @@
         await harness.play("agent1 send stall down\n agent1 expect ask")
         harness.operators = type(harness.operators)(health=harness.operators.health)
         harness.service.reload()
-        harness.actors["agent1"].peer.behavior.text = b"down\n"
+        harness.actors["agent1"].health_agent.behavior.text = b"down\n"
         await trio.sleep(30)
         assert harness.state("cache1") == ("ready", 100, "nothing")
         assert not harness.service.health.runner.scheduler.jobs
-        asked = harness.actors["agent1"].peer.polls
+        asked = harness.actors["agent1"].health_agent.polls
         await trio.sleep(30)
-        assert harness.actors["agent1"].peer.polls == asked
+        assert harness.actors["agent1"].health_agent.polls == asked
 
     on_health(steps)
 
@@ -105,7 +105,7 @@
         await harness.play("agent1 send down\n cache1 wait down\n agent1 send stall down\n agent1 expect ask")
         gone = harness.member("cache1", "DELETED")
         new = {**harness.member("cache1"), "id": "cache9"}
-        await harness.tell(coordinator, gone, new)
+        await harness.send_members(coordinator, gone, new)
         while service.find("cache9") is None:
             await trio.sleep(0.01)
         assert service.find("cache1") is None and harness.state("cache9") == ("ready", 100, "nothing")
@@ -123,7 +123,7 @@
             all wait 3
         """)
         assert harness.state("cache1") == ("maintenance", 0, "order")
-        await harness.tell(
+        await harness.send_members(
             harness.actors["coordinator"], {**harness.member("cache1"), "up_since_ms": int(harness.unix() * 1000)}
         )
         await trio.sleep(1)
--- a/tests/test_member_restart.py
+++ b/tests/test_member_restart.py
@@ -22,7 +22,7 @@
 async def kill_during_request(harness):
     """Kills the cache during a request, whose next attempt at another member is answered."""
     await harness.play(SERVED)
-    await harness.actors["cache1"].die()
+    await harness.actors["cache1"].crash()
     await harness.play("""
         client send request 2 video
         upper expect do rid=0000000000000002
@@ -52,12 +52,14 @@
         assert now - 1_000_000 < member_start_us(harness) <= now
         assert harness.service.counters.restarts_seen == 1
         # A change that still reports the previous start: the cache stays cold.
-        await harness.tell(harness.actors["coordinator"], {**harness.member("cache1"), "size": 40.0})
+        await harness.send_members(harness.actors["coordinator"], {**harness.member("cache1"), "size": 40.0})
         await harness.play("director wait 0.01")
         assert member_start_us(harness) > now - 1_000_000
         # The membership reports the new start.
         reported_ms = (now - 500_000) // 1000
-        await harness.tell(harness.actors["coordinator"], {**harness.member("cache1"), "up_since_ms": reported_ms})
+        await harness.send_members(
+            harness.actors["coordinator"], {**harness.member("cache1"), "up_since_ms": reported_ms}
+        )
         await harness.play("director wait 0.01")
         assert member_start_us(harness) == reported_ms * 1000
 
@@ -69,7 +71,7 @@
         await kill_during_request(harness)
         await restart(harness, 3)
         await harness.play("director wait 16")
-        await harness.tell(harness.actors["coordinator"], harness.member("cache1"))
+        await harness.send_members(harness.actors["coordinator"], harness.member("cache1"))
         await harness.play("director wait 0.01")
         assert member_start_us(harness) == 0
 
--- a/tests/test_membership_stream.py
+++ b/tests/test_membership_stream.py
@@ -7,7 +7,7 @@
 import trio
 
 from rookbend.net.watch import MIN_PAUSE_S, SILENCE_TIMEOUT_US, ReconnectBackoff
-from tests.director_scenario import OBJ, UNIX, run_with_director
+from tests.director_scenario import OBJ, START_UNIX_S, run_with_director
 from tests.interleaving import hold_connects
 from tests.scripted_coordinator import HEAD, ScriptedCoordinator, chunk, event, full_membership, member_change
 
@@ -182,7 +182,7 @@
         await stream.aclose()
         _, _, stream = await coordinator.next_call()
         await harness.play("client send request 1 video budget=5000\nclient send ready? 9\nclient expect ready")
-        purge = {"evict": {"ref": OBJ, "unix_ms": int(UNIX * 1000 + trio.current_time() * 1000)}}
+        purge = {"evict": {"ref": OBJ, "unix_ms": int(START_UNIX_S * 1000 + trio.current_time() * 1000)}}
         await stream.send_all(HEAD + chunk(member_change(coordinator, 2, "cache1", "DRAINING") + event(3, purge)))
         await trio.sleep(0.01)
         allow_connects.set()
--- a/tests/test_order_targets.py
+++ b/tests/test_order_targets.py
@@ -88,7 +88,7 @@
         recovery = harness.service.context.built["recovery"]
         recovery.apply_order(ApplyOrder("cache1", "explode", "kim"))
         recovery.apply_order(ApplyOrder("cache1", "drain", "kim"))
-        await harness.until("cache1", "draining")
+        await harness.wait_for_state("cache1", "draining")
 
     run_with_director(steps, operators="[recovery]\n fleet f1\n[health]\n")
     (line,) = [line for line in capsys.readouterr().err.splitlines() if "event=order_unknown" in line]
