--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,1 +1,1 @@
-"""The tests; `tests/director_scenario.py` has the scenario language, `tests/router_harness.py` a decision module by itself."""
+"""The tests: `tests/director_scenario.py` defines the scenario language, `tests/router_harness.py` runs a router by itself."""
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,5 +1,7 @@
-"""With ROOKBEND_FAULT a fault of rookbend/model_checking/faults.py is planted for all tests: benchmarks.leases_model_checking
-asks so which of them the ordinary tests catch."""
+"""Plants the fault of rookbend/model_checking/faults.py that ROOKBEND_FAULT names, for all tests of a run.
+
+benchmarks.leases_model_checking uses it to find out which faults the ordinary tests catch.
+"""
 
 import os
 
@@ -10,17 +12,19 @@
 if name := os.environ.get("ROOKBEND_FAULT"):
     from rookbend.model_checking.faults import FAULTS
 
-    for where, what, new in next(f for f in FAULTS if f.name == name).patches:
-        setattr(where, what, new)
+    for owner, attribute, patch in next(f for f in FAULTS if f.name == name).patches:
+        setattr(owner, attribute, patch)
 
 
 def pytest_configure(config):
     known_red.pytest_configure(config)
-    config.addinivalue_line("markers", "long: runs with ROOKBEND_LONG=1 only, as benchmarks.recovery_sweep does")
+    config.addinivalue_line(
+        "markers", "long: runs only with ROOKBEND_LONG=1, which benchmarks.recovery_sweep --tests sets"
+    )
 
 
 def pytest_collection_modifyitems(items):
     if not os.environ.get("ROOKBEND_LONG"):
         for item in items:
             if "long" in item.keywords:
-                item.add_marker(pytest.mark.skip(reason="long: ROOKBEND_LONG=1"))
+                item.add_marker(pytest.mark.skip(reason="long: runs only with ROOKBEND_LONG=1"))
--- a/tests/director_scenario.py
+++ b/tests/director_scenario.py
@@ -1,7 +1,7 @@
-"""A director on loopback, the stand-ins round it, and the scenario language that moves them.
+"""A director on loopback, stand-ins for its clients, members and other peers, and the scenario language that scripts them.
 
-A scenario is one step a line: ACTOR VERB WORDS. The verbs are send, expect, close and wait. The clock is
-trio's MockClock: it jumps when everybody waits, so an `expect` that nothing meets fails at once.
+A scenario has one step per line: ACTOR VERB WORDS. The verbs are send, expect, close and wait. The clock is
+trio's MockClock: it jumps ahead when all tasks wait, so an `expect` that nothing satisfies fails at once.
 
     client send request 1 video obj=7f3a9c21e0b4d655 budget=1500
     cache1 expect do c=video k=7f3a9c21e0b4d655
@@ -46,6 +46,8 @@
 
 
 class DirectorHarness:
+    """One director in this process and the actors of a scenario by name."""
+
     def __init__(self, nursery):
         self.nursery, self.ports, self.draining = nursery, {}, set()
         self.actors = {
@@ -120,25 +122,25 @@
         self.service.reload()
 
     def give_order(self, _, order, name):
-        """An operator's order, as the operators' listener passes it on."""
+        """Gives an operator's order to the health service, as the admin listener does."""
         service = self.service.health.service
         service.feed(OrderReceived(service.find(name), Order(order), "test"))
 
     def state(self, name):
-        """What health makes of a member: (state, weight, cause)."""
+        """The health state of a member: (state, weight, cause)."""
         row = next(r for r in self.service.health.service.table() if r["member"] == name)
         return row["state"], row["weight"], row["cause"]
 
     async def send_members(self, coordinator, *lines):
-        """A membership event with these lines, from a coordinator."""
+        """Sends a membership event with these members from a coordinator."""
         coordinator.index += 1
         event = {"index": coordinator.index, "endpoints": {"members": lines}}
         await coordinator.write(coordinator.streams[-1], f"data: {json.dumps(event)}\n\n".encode())
 
-    async def wait_for_state(self, name, *wanted):
-        """Waits until a member is in one of these states."""
+    async def wait_for_state(self, name, *states):
+        """Waits until the member is in one of these states."""
         with trio.fail_after(TIMEOUT_S):
-            while self.state(name)[0] not in wanted:
+            while self.state(name)[0] not in states:
                 await trio.sleep(0.05)
 
     async def play(self, scenario):
@@ -162,7 +164,10 @@
 
 @asynccontextmanager
 async def director_harness(members=("cache1", "upper", "records"), component_faults=0, **changes):
-    """`component_faults`: how many are planted; any other fails the test, so that none hides behind its containment."""
+    """Runs a director and its actors. `component_faults` is the number of faults that the test plants.
+
+    Any other number of contained faults fails the test, so that containment can't hide an unexpected one.
+    """
     async with trio.open_nursery() as nursery:
         harness = DirectorHarness(nursery)
         await harness.open(members, **changes)
@@ -172,7 +177,7 @@
 
 
 def play(scenario, **options):
-    """Plays a scenario to its end; returns the service, for a look at its counters."""
+    """Plays a scenario to its end; returns the service, so that the test can check its counters."""
 
     async def steps(harness):
         await harness.play(scenario)
@@ -182,7 +187,7 @@
 
 
 def run_with_director(steps, **options):
-    """The same for steps that need more than a scenario's words."""
+    """Runs `steps(harness)` with a director under a MockClock; returns what it returns."""
 
     async def main():
         async with director_harness(**options) as harness:
--- a/tests/dns_stand_ins.py
+++ b/tests/dns_stand_ins.py
@@ -1,4 +1,4 @@
-"""Actors beside the platform's: DNS clients and resolvers, balancers that ask, and members' health agents."""
+"""Further actors of the scenario language: DNS clients and resolvers, load balancers, and members' health agents."""
 
 import dns.message
 import dns.rdatatype
@@ -13,7 +13,7 @@
 
 
 class DnsClient(Actor):
-    """Over UDP, or over TCP where the first word of `send` is tcp; `raw` sends bytes as they are."""
+    """Queries over UDP, or over TCP if the first word of `send` is tcp; `raw` sends the bytes of a hex string over UDP."""
 
     async def open(self):
         self.udp = trio.socket.socket(trio.socket.AF_INET, trio.socket.SOCK_DGRAM)
@@ -45,7 +45,7 @@
             for wire in messages.feed(data):
                 self.handle_message(wire, "tcp")
 
-    def handle_message(self, wire, way):
+    def handle_message(self, wire, transport):
         reply = dns.message.from_wire(wire, raise_on_truncation=False)
         records = [
             word
@@ -53,21 +53,24 @@
             for record in rrset
             for word in (f"ttl={rrset.ttl}", record.to_text().rstrip("."))
         ]
-        notes = [o.text for o in reply.options if isinstance(o, dns.edns.EDEOption)]
+        extra_texts = [o.text for o in reply.options if isinstance(o, dns.edns.EDEOption)]
         flags = ["truncated"] if reply.flags & dns.flags.TC else []
         self.record(
-            way,
+            transport,
             f"id={reply.id}",
             dns.rcode.to_text(reply.rcode()),
             *flags,
             *records,
-            *(notes[0].split(" ") if notes else ()),
+            *(extra_texts[0].split(" ") if extra_texts else ()),
             *([] if records else ["unnamed"]),
         )
 
 
 class Resolver(Actor):
-    """A resolver that knows no membership: hears a name over UDP or TCP, hands out what it is told to."""
+    """A recursive resolver without knowledge of the membership.
+
+    Records the name of each query over UDP or TCP; `send` answers the latest query.
+    """
 
     async def open(self):
         tcp, udp = map(trio.socket.from_stdlib_socket, bind_tcp_and_udp(Listeners(), ("127.0.0.1", 0)))
@@ -107,7 +110,7 @@
 
 
 class BalancerProbe(Actor):
-    """Asks the agent-check (no words to send) or an HTTP path."""
+    """A load balancer: `send agent` queries the agent-check, `send METHOD PATH` the HTTP health server."""
 
     async def send(self, words):
         server = self.harness.service.balancer[0 if words[0] == "agent" else 1]
@@ -117,21 +120,25 @@
                     f"{words[0]} {words[1]} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n".encode()
                 )
             data = b""
-            async for more in stream:
-                data += more
+            async for received in stream:
+                data += received
             self.record(*data.decode().split())
 
 
 class Agent(Actor):
-    """A box's agent or health service. `send` sets what it answers from then on: an agent's line, or a
-    manner and its text (`stall up 100%`, `http 200 fine`, `grpc serving`); `expect ask` hears of an asker."""
+    """A member's agent or health service.
+
+    `send` sets the answer to all later polls: an agent's line, or a response mode and its text (`stall up 100%`,
+    `http 200 fine`, `grpc serving`). `expect ask` waits for a poll.
+    """
 
     def __init__(self, harness, host):
         super().__init__(harness)
         self.health_agent = HealthAgent(host, on_poll=self.on_poll)
 
     def on_poll(self, data):
-        if self.observed.statistics().current_buffer_used < 500:  # nobody may be listening to each check
+        # A test may leave polls unread; the channel holds 1000 entries.
+        if self.observed.statistics().current_buffer_used < 500:
             self.record("ask", *data.decode("latin-1").split())
 
     async def send(self, words):
@@ -152,7 +159,7 @@
             health_agent.behavior = Behavior(ResponseMode.RESPOND, " ".join(words).encode() + b"\n")
 
     async def expect(self, words):
-        """An ask from now on: those of before prove nothing about what it says now."""
+        """Waits for a poll that begins after this call: an earlier poll may have received the previous answer."""
         while self.observed.statistics().current_buffer_used:
             self.observed.receive_nowait()
         await super().expect(words)
--- a/tests/platform_stand_ins.py
+++ b/tests/platform_stand_ins.py
@@ -18,7 +18,7 @@
 
 
 class Actor:
-    """Something outside the director. What it hears goes into `heard`, one line of words at a time."""
+    """A stand-in for a process outside the director. What it receives goes into `observed`, one list of words each."""
 
     def __init__(self, harness):
         self.harness = harness
@@ -31,13 +31,13 @@
     async def expect(self, words):
         with trio.move_on_after(TIMEOUT_S):
             observed = await self.observed.receive()
-            assert set(words) <= set(observed), f"expected {words}, heard {observed}"
+            assert set(words) <= set(observed), f"expected {words}, observed {observed}"
             return
-        raise AssertionError(f"expected {words}, heard nothing")
+        raise AssertionError(f"expected {words}, observed nothing")
 
     async def expect_nothing(self):
         await trio.testing.wait_all_tasks_blocked()
-        assert not self.observed.statistics().current_buffer_used, f"heard {self.observed.receive_nowait()}"
+        assert not self.observed.statistics().current_buffer_used, f"observed {self.observed.receive_nowait()}"
 
     async def close(self):
         while self.streams:
@@ -53,22 +53,22 @@
     async def send(self, words):
         if not self.streams:
             await self.open()
-        what, args = words[0], pairs(words)
-        if what == "raw":
+        kind, args = words[0], pairs(words)
+        if kind == "raw":
             data = bytes.fromhex(words[1])
-        elif what == "request":
+        elif kind == "request":
             body = args.pop("body", "").encode()
             args.setdefault("rid", f"{int(words[1]):016x}")
             data = encode_frame(7, int(words[1]), {"method": words[2], "obj": OBJ, "budget": "1500", **args}, body)
         else:
-            data = encode_frame({"cancel": 9, "ready?": 1}[what], int(words[1]), {} if what == "ready?" else None)
+            data = encode_frame({"cancel": 9, "ready?": 1}[kind], int(words[1]), {} if kind == "ready?" else None)
         await self.streams[-1].send_all(data)
 
     async def read(self, stream):
         data = b""
         try:
-            async for more in stream:
-                data += more
+            async for received in stream:
+                data += received
                 while len(data) >= 4 and len(data) >= 4 + (size := int.from_bytes(data[:4], "big")):
                     self.handle_frame(data[4 : 4 + size])
                     data = data[4 + size :]
@@ -90,14 +90,14 @@
 
 
 class MemberServer(Actor):
-    """A cache, a parent or the origin: hears `do` and `undo`, answers the newest `do` or the one of rid=."""
+    """A cache, a parent or the origin: records `do` and `undo`, and answers the newest `do` or the one that rid= names."""
 
     async def open(self):
         listeners = await trio.open_tcp_listeners(self.harness.ports.get(self, 0), host=self.host)
         self.harness.ports[self] = listeners[0].socket.getsockname()[1]
         self.listener = listeners[0]
         self.received_attempts, self.stalled = {}, set()
-        self.reading = trio.Event()  # while it is not set, no connection is read
+        self.reading = trio.Event()  # while not set, no connection is read
         self.reading.set()
         self.serving = trio.CancelScope()
         self.harness.nursery.start_soon(self.serve, listeners)
@@ -107,14 +107,14 @@
             await trio.serve_listeners(self.read, listeners)
 
     async def crash(self):
-        """As a process does: its connections are reset, and new ones are refused until it opens again."""
+        """Ends as a killed process does: connections are reset, and new ones are refused until `open` is called again."""
         self.reset_on_close()
         self.streams.clear()
-        self.serving.cancel()  # closes the listener and what it has accepted
+        self.serving.cancel()  # closes the listener and the connections that it accepted
         await trio.testing.wait_all_tasks_blocked()
 
     def reset_on_close(self):
-        """Closing a connection sends a reset from here on."""
+        """Makes closing a connection send a reset from now on."""
         for stream in self.streams:
             if stream.socket.fileno() >= 0:
                 stream.socket.setsockopt(trio.socket.SOL_SOCKET, trio.socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -123,18 +123,18 @@
         self.streams.append(stream)
         data = b""
         try:
-            while more := await self.receive(stream):
-                data += more if stream not in self.stalled else b""
+            while received := await self.receive(stream):
+                data += received if stream not in self.stalled else b""
                 while b"\r\n" in data:
                     line, rest = data.split(b"\r\n", 1)
-                    verb, rid, *more = line.decode().split(" ")
+                    verb, rid, *values = line.decode().split(" ")
                     if verb == "do":
-                        size = int(more[1])
+                        size = int(values[1])
                         if len(rest) < size + 2:
                             break
                         body, rest = rest[:size].decode(), rest[size + 2 :]
                         self.received_attempts[rid] = self.received_attempts["-"] = (stream, rid)
-                        self.record("do", f"rid={rid}", *more[0].split(","), f"body={body}")
+                        self.record("do", f"rid={rid}", *values[0].split(","), f"body={body}")
                     elif verb != "pad":
                         self.record(verb, f"rid={rid}")
                     data = rest
@@ -149,20 +149,20 @@
         return await stream.receive_some()
 
     async def has_received(self, verb):
-        """Whether a `verb` is among what it heard and nobody has looked at."""
+        """Empties `observed`; returns whether a `verb` was in it."""
         await trio.testing.wait_all_tasks_blocked()
         observed = [self.observed.receive_nowait() for _ in range(self.observed.statistics().current_buffer_used)]
         return any(words[0] == verb for words in observed)
 
     async def send(self, words):
-        if words[0] == "pause":  # reads nothing more, on any connection
+        if words[0] == "pause":  # stops reading from all connections
             self.reading = trio.Event()
             return
         if words[0] == "resume":
             return self.reading.set()
         args = pairs(words)
         stream, rid = self.received_attempts[args.pop("rid", "-")]
-        if words[0] == "stall":  # reads no more on that connection, nor sees its end
+        if words[0] == "stall":  # ignores further data and the end of that connection
             return self.stalled.add(stream)
         body = args.pop("body", "")
         rid = args.pop("as", rid)
