--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,9 +1,10 @@
-"""Tests that fail for a known fault, listed in KNOWN-RED.txt at the root: one entry a line, kept short.
+"""A pytest plugin for tests that fail because of a known fault, listed in KNOWN-RED.txt at the root, one entry per line:
 
     test id | command and seed | what was seen | issue
 
-A listed test runs, does not decide the result, and is printed at the end with its outcome. A malformed line, a test that
-is listed twice, or an id that no test has fails the run. The file is absent while there is none.
+A listed test runs, does not affect the exit code, and is printed at the end with its outcome. The run fails if a line is
+malformed, a test is listed twice, or no test has a listed id. Entries are short. The file does not exist while no test is
+listed.
 """
 
 from __future__ import annotations
@@ -18,12 +19,12 @@
 
 
 class KnownRedError(Exception):
-    """The list can't be used."""
+    """KNOWN-RED.txt is malformed."""
 
 
 @dataclass(frozen=True)
 class KnownRed:
-    """A test that fails, how to see it, what was seen, and the number of the open issue that will fix it."""
+    """A failing test: its id, the command that reproduces it, the failure that was seen, and the number of the open issue."""
 
     test: str
     command: str
@@ -32,7 +33,7 @@
 
 
 def parse_line(line: str, number: int) -> KnownRed:
-    """One entry; KnownRedError with the line's number where it has not the form."""
+    """Parses one entry; raises KnownRedError with the line number if it does not match FORM."""
     fields = [field.strip() for field in line.split("|")]
     if len(fields) != 4 or not all(fields) or not fields[3].isdigit():
         raise KnownRedError(f"{FILE}:{number}: not `{FORM}`: {line!r}")
@@ -40,19 +41,19 @@
 
 
 def read(path: Path) -> list[KnownRed]:
-    """The listed tests; none where there is no file."""
+    """The listed tests; empty if the file does not exist."""
     if not path.exists():
         return []
     rows = [parse_line(line, number) for number, line in enumerate(path.read_text().splitlines(), 1)]
     if not rows:
-        raise KnownRedError(f"{FILE}: lists nothing: an empty list is no file")
+        raise KnownRedError(f"{FILE}: lists nothing: remove the file when no test is listed")
     if len({row.test for row in rows}) != len(rows):
         raise KnownRedError(f"{FILE}: a test is listed twice")
     return rows
 
 
-def without_test(rows: list[KnownRed], collected: set[str], root: Path) -> list[str]:
-    """Listed ids that no test has. Of a file that this run did not collect, only its absence is known."""
+def unknown_tests(rows: list[KnownRed], collected: set[str], root: Path) -> list[str]:
+    """The listed ids that no test has. An id in an existing file that this run did not collect is accepted."""
     files = {test.partition("::")[0] for test in collected}
 
     def unknown(test: str) -> bool:
@@ -63,15 +64,15 @@
 
 
 class KnownRedPlugin:
-    """Keeps listed tests from deciding the result, and tells how they ended."""
+    """Excludes listed tests from the exit code, and prints their outcomes."""
 
     def __init__(self, rows: list[KnownRed]):
         self.rows = {row.test: row for row in rows}
         self.outcomes: dict[str, str] = {}
-        self.failures: dict[str, str] = {}  # what a failed one printed
+        self.failures: dict[str, str] = {}  # by test id, the failure report
 
     def pytest_collection_modifyitems(self, session, items):
-        unknown = without_test(list(self.rows.values()), {i.nodeid for i in items}, session.config.rootpath)
+        unknown = unknown_tests(list(self.rows.values()), {i.nodeid for i in items}, session.config.rootpath)
         if unknown:
             raise pytest.UsageError(f"{FILE}: no test has this id: {', '.join(unknown)}")
 
--- a/tests/test_benchmarks.py
+++ b/tests/test_benchmarks.py
@@ -1,4 +1,4 @@
-"""Every measurement starts: at its smallest size it runs through, and ends in its line of figures."""
+"""Every benchmark runs to its end at its smallest size, and prints its figures as JSON on the last line."""
 
 import json
 import subprocess
@@ -7,19 +7,19 @@
 
 import pytest
 
-HERE = Path(__file__).parent.parent
-MEASUREMENTS = sorted(p.stem for p in (HERE / "benchmarks").glob("*.py") if "__main__" in p.read_text(encoding="utf-8"))
-# A checkout may hold no older revision.
-MORE = {"fleet": ["--before", "HEAD"], "mixed_versions": ["."]}
+ROOT = Path(__file__).parent.parent
+BENCHMARKS = sorted(p.stem for p in (ROOT / "benchmarks").glob("*.py") if "__main__" in p.read_text(encoding="utf-8"))
+# The only revision that every checkout has is its own HEAD.
+EXTRA_ARGUMENTS = {"fleet": ["--before", "HEAD"], "mixed_versions": ["."]}
 
 
-@pytest.mark.parametrize("name", MEASUREMENTS)
-def test_a_measurement_runs_at_its_smallest_size(name):
-    words = [sys.executable, "-m", f"benchmarks.{name}", "--smallest", *MORE.get(name, [])]
-    ended = subprocess.run(words, cwd=HERE, text=True, capture_output=True)
-    assert ended.returncode == 0, ended.stdout + ended.stderr
-    assert json.loads(ended.stdout.strip().splitlines()[-1])
+@pytest.mark.parametrize("name", BENCHMARKS)
+def test_a_benchmark_runs_at_its_smallest_size(name):
+    command = [sys.executable, "-m", f"benchmarks.{name}", "--smallest", *EXTRA_ARGUMENTS.get(name, [])]
+    completed = subprocess.run(command, cwd=ROOT, text=True, capture_output=True)
+    assert completed.returncode == 0, completed.stdout + completed.stderr
+    assert json.loads(completed.stdout.strip().splitlines()[-1])
 
 
-def test_the_measurements_are_found():
-    assert {"fleet", "health"} <= set(MEASUREMENTS)
+def test_the_benchmarks_are_found():
+    assert {"fleet", "health"} <= set(BENCHMARKS)
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that fail for a known fault: what it lets pass, what it prints, and what it refuses."""
+"""KNOWN-RED.txt: failures that it excludes from the exit code, its printed outcomes, and malformed lists."""
 
 import os
 import subprocess
@@ -15,50 +15,50 @@
 def test_red():
     assert 1 == 2
 
-def test_mended():
+def test_fixed():
     pass
 """
-RED, MENDED = "test_here.py::test_red", "test_here.py::test_mended"
+RED, FIXED = "test_here.py::test_red", "test_here.py::test_fixed"
 RUN = "pytest -q, seed 7"
 MALFORMED = "KNOWN-RED.txt:{}: not `test id | command and seed | what was seen | issue`"
 
 
-def run(tmp_path, listed, *words):
+def run(tmp_path, listed, *arguments):
     (tmp_path / "test_here.py").write_text(TESTS)
     (tmp_path / "pytest.ini").write_text("[pytest]\n")
     if listed is not None:
         (tmp_path / "KNOWN-RED.txt").write_text(listed)
     env = {**os.environ, "PYTHONPATH": str(ROOT)}
-    done = subprocess.run(
-        [sys.executable, "-m", "pytest", "-q", "-p", "tests.known_red", *words],
+    completed = subprocess.run(
+        [sys.executable, "-m", "pytest", "-q", "-p", "tests.known_red", *arguments],
         cwd=tmp_path,
         env=env,
         capture_output=True,
         text=True,
     )
-    return done.returncode, done.stdout + done.stderr
+    return completed.returncode, completed.stdout + completed.stderr
 
 
-def test_without_a_list_a_failing_test_decides(tmp_path):
+def test_without_a_list_a_failing_test_fails_the_run(tmp_path):
     code, out = run(tmp_path, None)
     assert code == 1 and "known red" not in out
 
 
-def test_a_listed_test_runs_does_not_decide_and_is_printed_with_its_outcome(tmp_path):
-    code, out = run(tmp_path, f"{RED} | {RUN} | a fault | 28\n{MENDED} | {RUN} | another | 29\n")
+def test_a_listed_test_runs_without_failing_the_run_and_is_printed_with_its_outcome(tmp_path):
+    code, out = run(tmp_path, f"{RED} | {RUN} | a fault | 28\n{FIXED} | {RUN} | another | 29\n")
     assert code == 0
     assert f"known red: {RED}: failed: a fault (pytest -q, seed 7; issue 28)" in out
-    assert f"known red: {MENDED}: passed: another (pytest -q, seed 7; issue 29)" in out
-    assert "assert 1 == 2" in out, "what it printed is there to be traced"
+    assert f"known red: {FIXED}: passed: another (pytest -q, seed 7; issue 29)" in out
+    assert "assert 1 == 2" in out, "the failure report is not printed"
 
 
-def test_another_failing_test_still_decides(tmp_path):
-    code, _ = run(tmp_path, f"{MENDED} | {RUN} | another | 29\n")
+def test_a_failing_test_that_is_not_listed_fails_the_run(tmp_path):
+    code, _ = run(tmp_path, f"{FIXED} | {RUN} | another | 29\n")
     assert code == 1
 
 
 @pytest.mark.parametrize(
-    "listed, said",
+    "listed, expected",
     [
         (f"{RED} | {RUN} | a fault\n", MALFORMED.format(1)),
         (f"{RED} | {RUN} | | 28\n", MALFORMED.format(1)),
@@ -72,9 +72,9 @@
         (f"test_gone.py::test_red | {RUN} | a fault | 28\n", "no test has this id: test_gone.py::test_red"),
     ],
 )
-def test_a_list_that_cannot_be_used_fails_the_run(tmp_path, listed, said):
+def test_a_malformed_list_fails_the_run(tmp_path, listed, expected):
     code, out = run(tmp_path, listed)
-    assert code not in (0, 1) and said in out
+    assert code not in (0, 1) and expected in out
 
 
 def test_any_number_of_tests_may_be_listed(tmp_path):
--- a/tests/test_layering.py
+++ b/tests/test_layering.py
@@ -1,4 +1,4 @@
-"""The layers of docs/ARCHITECTURE.md: imports point down only, and no modules import one another in a circle."""
+"""The layers of docs/ARCHITECTURE.md: no module imports a higher layer, and no imports are circular."""
 
 import ast
 from pathlib import Path
@@ -26,7 +26,7 @@
     "interface": 0,
     "routing": 0,
 }
-NEVER_IMPORTED = "testing", "model_checking"  # by what a director runs
+TEST_ONLY = "testing", "model_checking"  # packages that a director never imports
 
 
 def modules():
@@ -37,7 +37,7 @@
 
 
 def top_level_imports(body):
-    """Imports of the module itself, those for type checkers among them, not those inside functions."""
+    """The import statements at module level, including those under TYPE_CHECKING; those inside functions are left out."""
     for node in body:
         if isinstance(node, ast.If | ast.Try):
             yield from top_level_imports(node.body)
@@ -45,9 +45,9 @@
             yield node
 
 
-def imports_of(name, known, every=False):
+def imports_of(name, known, nested=False):
     tree = ast.parse(known[name].read_text())
-    nodes = ast.walk(tree) if every else top_level_imports(tree.body)
+    nodes = ast.walk(tree) if nested else top_level_imports(tree.body)
     found = set()
     for node in nodes:
         if isinstance(node, ast.ImportFrom) and node.module:
@@ -61,36 +61,36 @@
     return name.split(".")[1] if "." in name else ""
 
 
-def test_imports_point_down():
+def test_no_module_imports_a_higher_layer():
     known = modules()
-    up = [
+    violations = [
         (name, other)
         for name in known
         if (layer := LAYERS.get(part_of(name))) is not None
         for other in imports_of(name, known)
         if LAYERS.get(part_of(other), -1) > layer
     ]
-    assert up == []
+    assert violations == []
 
 
-def test_no_modules_import_one_another_in_a_circle():
+def test_no_imports_are_circular():
     known = modules()
     graph = {name: imports_of(name, known) for name in known}
     while leaves := {name for name, others in graph.items() if not others & graph.keys()}:
         graph = {name: others for name, others in graph.items() if name not in leaves}
-    # What is left imports something that is left: a circle, and what stands above one.
+    # Each remaining module is part of an import cycle or imports one that is, directly or indirectly.
     assert graph == {}
 
 
-def test_a_director_imports_no_stand_in():
+def test_a_director_imports_no_test_code():
     known = modules()
     outside = [*LAYERS, "config", "logs", "platform_settings", "settings", "state", "__main__"]
-    lazily = {"rookbend.cli.demo"}  # a cluster on this machine, started as a command of its own
+    exempt = {"rookbend.cli.demo"}  # a sub-command of its own, which starts a cluster on this machine
     found = [
         (name, other)
         for name in known
-        if part_of(name) in outside and name not in lazily
-        for other in imports_of(name, known, every=True)
-        if part_of(other) in NEVER_IMPORTED
+        if part_of(name) in outside and name not in exempt
+        for other in imports_of(name, known, nested=True)
+        if part_of(other) in TEST_ONLY
     ]
     assert found == []
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -1,10 +1,10 @@
-"""The layout of the code: no file over 250 lines, but for a list of exceptions that may only shrink."""
+"""No source file is longer than 250 lines, except for a list of files that may only shrink."""
 
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
-MOST_LINES = 250
-# Files that are longer still, and how long each may be: a file that shrinks takes its figure along.
+MAX_LINES = 250
+# The longer files and their maximum length. When a file shrinks, its entry is lowered to the new length.
 EXCEPTIONS = {
     "tests/test_leases_processes.py": 260,
     "tests/test_recovery.py": 355,
@@ -13,7 +13,7 @@
 }
 
 
-def lines_of(path):
+def line_count(path):
     return len(path.read_text().splitlines())
 
 
@@ -21,11 +21,11 @@
     return [p for folder in ("rookbend", "tests", "benchmarks") for p in sorted((ROOT / folder).rglob("*.py"))]
 
 
-def test_no_file_is_over_its_length():
-    over = {str(p.relative_to(ROOT)): n for p in files() if (n := lines_of(p)) > MOST_LINES}
-    assert {name: n for name, n in over.items() if n > EXCEPTIONS.get(name, MOST_LINES)} == {}
+def test_no_file_exceeds_its_maximum_length():
+    over = {str(p.relative_to(ROOT)): n for p in files() if (n := line_count(p)) > MAX_LINES}
+    assert {name: n for name, n in over.items() if n > EXCEPTIONS.get(name, MAX_LINES)} == {}
 
 
-def test_the_list_of_exceptions_holds_nothing_that_is_short_enough():
-    short = [name for name in EXCEPTIONS if not (ROOT / name).exists() or lines_of(ROOT / name) <= MOST_LINES]
+def test_the_exceptions_list_only_files_that_need_one():
+    short = [name for name in EXCEPTIONS if not (ROOT / name).exists() or line_count(ROOT / name) <= MAX_LINES]
     assert short == []
