--- a/benchmarks/origin.py
+++ b/benchmarks/origin.py
@@ -26,15 +26,15 @@
 WORLDS = {"": {}, " less room": {"origin_room": 1.2}}
 
 
-def world(directors: int, **changes) -> World:
+def build_world(directors: int, **changes) -> World:
     """The same mix at every size: eleven directors and five caches a location."""
     return World(directors=directors, locations=max(2, 18 * directors // 200), parents=max(3, directors // 20)).but(
         **changes
     )
 
 
-def turn(side: str, directors: int, seed: int, **changes) -> dict:
-    fleet = EdgeFleet(world(directors, **changes), seed, SIDES[side])
+def simulate_run(side: str, directors: int, seed: int, **changes) -> dict:
+    fleet = EdgeFleet(build_world(directors, **changes), seed, SIDES[side])
     fleet.fill_up()
     fleet.clients(SECONDS, lambda second: MORE if BURST[0] <= second < BURST[1] else 1.0)
     fleet.sim.run((SECONDS + 6) * 1_000_000)
@@ -63,7 +63,7 @@
         for size in sizes:
             for name, changes in worlds.items():
                 for side in SIDES:
-                    found.setdefault((size, name, side), []).append(turn(side, size, seed, **changes))
+                    found.setdefault((size, name, side), []).append(simulate_run(side, size, seed, **changes))
     print(machine())
     rows = [
         [f"{size}{name}", side, *(spread([t[key] for t in turns]) for key in turns[0])]
--- a/tests/test_simulated_fleet.py
+++ b/tests/test_simulated_fleet.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from benchmarks.origin import turn, world
+from benchmarks.origin import build_world, simulate_run
 from rookbend.core.model import FinalOutcome
 from rookbend.testing.simulation import EdgeFleet, World
 from rookbend.testing.simulation.clock import Simulation
@@ -17,7 +17,7 @@
 
 @pytest.fixture(scope="module")
 def turns():
-    return {side: turn(side, FLEET, 1, origin_room=1.1) for side in ("before", "now")}
+    return {side: simulate_run(side, FLEET, 1, origin_room=1.1) for side in ("before", "now")}
 
 
 def test_the_module_before_topples_the_origin_and_stays_down(turns):
@@ -33,7 +33,7 @@
 
 
 def test_every_request_has_one_answer_by_its_deadline():
-    fleet = EdgeFleet(world(24, origin_room=1.1), 3, Careless)
+    fleet = EdgeFleet(build_world(24, origin_room=1.1), 3, Careless)
     late, answers = [], []
     inner = fleet._answered
 
@@ -57,7 +57,7 @@
     shares = []
     for _ in range(2):
         random.seed()  # nothing draws from the common source
-        fleet = EdgeFleet(world(12), 5)
+        fleet = EdgeFleet(build_world(12), 5)
         fleet.fill_up()
         fleet.clients(6)
         fleet.sim.run(8_000_000)
