--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements, each started with `python -m benchmarks.NAME`."""
+"""The benchmarks; `python -m benchmarks.NAME` runs one."""
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -1,15 +1,14 @@
-"""A fleet of directors before one origin: the connections that writes cost it, now and in a version before.
+"""Connections that writes open at the origin behind a fleet of directors, compared with an earlier version.
 
     python -m benchmarks.fleet [--quick] [--before REV]
 
-Directors are processes of their own on loopback, each with clients of its own that send `form`
-open-loop at a low rate, as every director of a large fleet does. The stand-in origin counts the
-connections it accepts.
-Sides: this checkout, and the version REV (default 1913c51, the last before fleet growth) taken from git into
-a folder of its own; turns alternate between the sides and are repeated. Held fixed: the number of directors,
-their clients' rate and seed, the length of a turn.
+Each director is a process on loopback with its own clients, which send `form` requests open-loop at a low
+rate, as the clients of each director of a large fleet do. The stand-in origin counts the connections that it
+accepts. The sides are this checkout and the version REV, which git extracts into a temporary folder (default
+1913c51, the last version before fleet growth). Turns (single measurements) alternate between the sides and are
+repeated. Fixed: the number of directors, their clients' rate and seed, and the length of a turn.
 
-Figures: connections at the origin a write (counts), writes served a write sent, CPU seconds a director.
+Figures: origin connections per write, writes served per write sent, CPU seconds per director.
 """
 
 from __future__ import annotations
@@ -29,32 +28,32 @@
 from rookbend.testing.measurement_fleet import open_fleet
 from rookbend.testing.open_loop_client import OpenLoopClient
 
-HERE = Path(__file__).parent.parent
+ROOT = Path(__file__).parent.parent
 SEED = 11
 BEFORE = "1913c51"
-RATE = 3.0  # writes a second, of each director's clients
+RATE = 3.0  # writes per second of each director's clients
 
 
 def checkout(rev: str, into: Path) -> Path:
-    """The sources of REV in a folder, read by git; the current environment's libraries serve both."""
+    """Extracts the sources of REV from git into a folder; both versions use the libraries of this environment."""
     into.mkdir(parents=True, exist_ok=True)
     archive = subprocess.run(
-        ["git", "-C", str(HERE), "archive", rev, "rookbend"], check=True, capture_output=True
+        ["git", "-C", str(ROOT), "archive", rev, "rookbend"], check=True, capture_output=True
     ).stdout
     subprocess.run(["tar", "-x", "-C", str(into)], input=archive, check=True)
     return into
 
 
-async def turn(code: Path, directors: int, seconds: float, folder: Path) -> dict:
-    async with open_fleet(2) as made:
+async def measure(code: Path, directors: int, seconds: float, folder: Path) -> dict:
+    async with open_fleet(2) as fleet:
         nodes, addresses = [], []
-        for me in range(directors):
+        for number in range(directors):
             port = find_free_port()
-            place = folder / f"n{me}"
-            place.mkdir(parents=True, exist_ok=True)
-            nodes.append(DirectorProcess(code, place, made.director_config(False, port, me, directors)))
+            working_folder = folder / f"n{number}"
+            working_folder.mkdir(parents=True, exist_ok=True)
+            nodes.append(DirectorProcess(code, working_folder, fleet.director_config(False, port, number, directors)))
             addresses.append(("127.0.0.1", port))
-        origin = made.origin
+        origin = fleet.origin
         async with running_directors(*nodes):
             before = origin.connections
             clients = [
@@ -65,7 +64,7 @@
                 async with trio.open_nursery() as nursery:
                     for c in clients:
                         nursery.start_soon(c.run)
-            await trio.sleep(0.5)  # the last answers
+            await trio.sleep(0.5)  # until the last responses have arrived
             cpu = [node.cpu_s() for node in nodes]
             opened = origin.connections - before
         sent = sum(len(c.timings) + len(c.due_s) for c in clients)
@@ -79,27 +78,31 @@
     }
 
 
-SIZES = {"smallest": (1, 1.0, 1), "quick": (4, 3.0, 2), "full": (16, 10.0, 3)}  # directors, seconds, turns
+SIZES = {
+    "smallest": (1, 1.0, 1),
+    "quick": (4, 3.0, 2),
+    "full": (16, 10.0, 3),
+}  # directors, seconds per turn, turns per side
 
 
 async def main(size: str, rev: str) -> None:
     directors, seconds, rounds = SIZES[size]
     with tempfile.TemporaryDirectory() as tmp:
-        sides = {"before": checkout(rev, Path(tmp) / "before"), "now": HERE}
-        found: dict[str, list[dict]] = {side: [] for side in sides}
+        sides = {"before": checkout(rev, Path(tmp) / "before"), "now": ROOT}
+        runs: dict[str, list[dict]] = {side: [] for side in sides}
         began = time.monotonic()
         for number in range(rounds):
             for side, code in sides.items() if number % 2 == 0 else reversed(sides.items()):
-                found[side].append(await turn(code, directors, seconds, Path(tmp) / f"{side}{number}"))
+                runs[side].append(await measure(code, directors, seconds, Path(tmp) / f"{side}{number}"))
     rows = []
-    for side, turns in found.items():
+    for side, results in runs.items():
         rows.append(
             [
                 side,
-                spread([t["per_write"] for t in turns]),
-                spread([t["served"] for t in turns]),
-                spread([float(t["writes"]) for t in turns]),
-                spread([t["cpu_s"] for t in turns]),
+                spread([r["per_write"] for r in results]),
+                spread([r["served"] for r in results]),
+                spread([float(r["writes"]) for r in results]),
+                spread([r["cpu_s"] for r in results]),
             ]
         )
     print(
@@ -107,8 +110,8 @@
         f"{rounds} turns a side, seed {SEED}, before = {rev}; {time.monotonic() - began:.0f} s"
     )
     print(table(["side", "origin connections a write", "served a write", "writes", "CPU s a director"], rows))
-    median = {side: statistics.median(t["per_write"] for t in turns) for side, turns in found.items()}
-    served = {side: statistics.median(t["served"] for t in turns) for side, turns in found.items()}
+    median = {side: statistics.median(r["per_write"] for r in results) for side, results in runs.items()}
+    served = {side: statistics.median(r["served"] for r in results) for side, results in runs.items()}
     print(
         figures(
             directors=directors,
@@ -126,8 +129,8 @@
 if __name__ == "__main__":
     parser = argparse.ArgumentParser(prog="python -m benchmarks.fleet", description=__doc__.splitlines()[0])
     parser.add_argument("--quick", action="store_true", help="4 directors, two turns a side (under 45 s)")
-    parser.add_argument("--smallest", action="store_true", help="the least that runs; shows nothing")
-    parser.add_argument("--before", default=BEFORE, help="the version to compare with, a git revision")
+    parser.add_argument("--smallest", action="store_true", help="the smallest size that runs; its figures mean nothing")
+    parser.add_argument("--before", default=BEFORE, help="the git revision to compare with")
     args = parser.parse_args()
     trio.run(main, "smallest" if args.smallest else "quick" if args.quick else "full", args.before)
     sys.exit(0)
--- a/benchmarks/health.py
+++ b/benchmarks/health.py
@@ -1,13 +1,13 @@
-"""Health on loopback: how soon a box that is said to drain gets nothing new, and what hearing costs.
+"""Health checks on loopback: how soon a draining member gets no new attempts, and what the checks cost.
 
     python -m benchmarks.health [--quick | --smallest] [--before CHECKOUT]
 
-1. reaction: from an agent's `drain`, or the coordinator's event, to the last byte of an attempt that its member reads.
-2. stalled: client latency and CPU a request with none and with 30% of the agents stalled in mid-reply, in
-   turns of equal length, several of each in one run.
-3. before: the same figures of the version before, of this one with health off, and on.
-4. cost: CPU a check, and bytes a member in the registry and in the plan.
-5. platform: memory and time to start with all of it off, beside another checkout (the version before).
+1. reaction: the time from an agent's `drain`, or from the coordinator's event, until the member reads its last attempt.
+2. stalled: client latency and CPU per request with no agent and with 30% of the agents stalled in mid-reply, in
+   several alternating turns of equal length in one run.
+3. before: latency and CPU per request of the CHECKOUT version and of this version with health checks off and on.
+4. cost: CPU per check, and bytes per member in the health registry and the scheduler.
+5. platform: memory and start time with health checks off, beside those of the CHECKOUT version.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 from rookbend.testing.measurement_fleet import MeasurementFleet, open_fleet
 from rookbend.testing.open_loop_client import OpenLoopClient
 
-HERE = Path(__file__).parent.parent
+ROOT = Path(__file__).parent.parent
 SEED = 7
 OPERATORS = """
 [background]
@@ -51,13 +51,13 @@
 DRAIN, READY = Behavior(text=b"drain\n"), Behavior(text=b"ready up 100%\n")
 STALL = Behavior(ResponseMode.STALL, b"up ready 100%\n")
 PARTS = "reaction", "stalled", "before", "cost", "platform"
-SETTLE_S = 1.5  # an attempt to a box that was drained this long ago is looked for no more
+SETTLE_S = 1.5  # attempts are counted for this long after a member begins to drain
 
 
-def director(made: MeasurementFleet, folder: Path, probes: bool, operators: str) -> tuple[DirectorProcess, tuple]:
+def director(fleet: MeasurementFleet, folder: Path, probes: bool, operators: str) -> tuple[DirectorProcess, tuple]:
     port = find_free_port()
     folder.mkdir(parents=True, exist_ok=True)
-    return DirectorProcess(HERE, folder, made.director_config(probes, port), operators), ("127.0.0.1", port)
+    return DirectorProcess(ROOT, folder, fleet.director_config(probes, port), operators), ("127.0.0.1", port)
 
 
 def hot_objects(count: int) -> list[str]:
@@ -66,14 +66,14 @@
 
 
 async def reaction(members: int, seconds: float, rate: float, folder: Path) -> dict:
-    """Drains the boxes that are read most, now by their agent, now by the membership, and back."""
+    """Drains the two busiest caches, one by its agent and one by the membership, and reverts it, repeatedly."""
     delays: dict[str, list[float]] = {"agent": [], "roster": []}
     after = {"agent": 0, "roster": 0}
-    async with open_fleet(members) as made:
-        for box in made.members:
-            box.agent.behavior = READY
+    async with open_fleet(members) as fleet:
+        for member in fleet.members:
+            member.agent.behavior = READY
         node, address = director(
-            made, folder, True, OPERATORS.format(port=made.agent_port, interval="1s" if members <= 100 else "4s")
+            fleet, folder, True, OPERATORS.format(port=fleet.agent_port, interval="1s" if members <= 100 else "4s")
         )
         async with running_directors(node), trio.open_nursery() as nursery:
             clients = OpenLoopClient(address, rate, hot_objects(24), SEED)
@@ -84,30 +84,30 @@
                 if time.monotonic() > until:
                     break
                 now = time.monotonic()
-                busy = sorted(made.caches, key=lambda b: -sum(t > now - 1 for t in b.arrivals_s))
-                drained = dict(zip(delays, busy if turn % 2 else busy[1::-1], strict=False))
-                told: dict[str, float] = {}
-                await made.coordinator.send_members(drained["roster"].membership_entry("DRAINING"))
-                told["roster"] = time.monotonic()
+                busiest = sorted(fleet.caches, key=lambda c: -sum(t > now - 1 for t in c.arrivals_s))
+                drained = dict(zip(delays, busiest if turn % 2 else busiest[1::-1], strict=False))
+                notified_s: dict[str, float] = {}
+                await fleet.coordinator.send_members(drained["roster"].membership_entry("DRAINING"))
+                notified_s["roster"] = time.monotonic()
                 agent = drained["agent"].agent
-                heard = trio.Event()
+                polled = trio.Event()
 
-                def on_asked(data, heard=heard, told=told):
-                    if "agent" not in told:
-                        told["agent"] = time.monotonic()
-                        heard.set()
+                def on_poll(data, polled=polled, notified_s=notified_s):
+                    if "agent" not in notified_s:
+                        notified_s["agent"] = time.monotonic()
+                        polled.set()
 
-                agent.on_poll, agent.behavior = on_asked, DRAIN
-                await heard.wait()
+                agent.on_poll, agent.behavior = on_poll, DRAIN
+                await polled.wait()
                 await trio.sleep(SETTLE_S)
-                for way, box in drained.items():
-                    late = [t - told[way] for t in box.arrivals_s if t > told[way]]
-                    delays[way].append(max(late, default=0.0) * 1000)
-                    after[way] += len(late)
+                for source, cache in drained.items():
+                    late = [t - notified_s[source] for t in cache.arrivals_s if t > notified_s[source]]
+                    delays[source].append(max(late, default=0.0) * 1000)
+                    after[source] += len(late)
                 agent.on_poll, agent.behavior = (lambda data: None), READY
-                await made.coordinator.send_members(drained["roster"].membership_entry())
+                await fleet.coordinator.send_members(drained["roster"].membership_entry())
                 await trio.sleep(0.5)
-            found = {
+            results = {
                 "members": members,
                 "served": sum(code == 0 for _, _, code in clients.timings),
                 "answers": len(clients.timings),
@@ -116,92 +116,92 @@
                 "after": after,
             }
             nursery.cancel_scope.cancel()
-    return found
+    return results
 
 
 async def stalled(members: int, turns: int, seconds: float, rate: float, folder: Path) -> dict:
-    """Turn and turn about: all agents answer; 30% stop in mid-reply."""
+    """Alternates turns in which all agents answer with turns in which 30% of them stall in mid-reply."""
     p99, median, cpu = ({0: [], 30: []} for _ in range(3))
-    async with open_fleet(members) as made:
-        for box in made.members:
-            box.agent.behavior = READY
-        node, address = director(made, folder, True, OPERATORS.format(port=made.agent_port, interval="1s"))
+    async with open_fleet(members) as fleet:
+        for member in fleet.members:
+            member.agent.behavior = READY
+        node, address = director(fleet, folder, True, OPERATORS.format(port=fleet.agent_port, interval="1s"))
         async with running_directors(node), trio.open_nursery() as nursery:
             clients = OpenLoopClient(address, rate, hot_objects(200), SEED)
             nursery.start_soon(clients.run)
             await trio.sleep(2)
             rng = random.Random(SEED)
-            chosen = rng.sample(made.caches, members * 3 // 10)
+            chosen = rng.sample(fleet.caches, members * 3 // 10)
             for turn in range(2 * turns):
-                share = 30 if (turn + turn // 2) % 2 else 0  # 0 30 30 0 ...: a drift falls on both
-                for box in chosen:
-                    box.agent.behavior = STALL if share else READY
+                percent = 30 if (turn + turn // 2) % 2 else 0  # 0 30 30 0 ...: a drift affects both equally
+                for cache in chosen:
+                    cache.agent.behavior = STALL if percent else READY
                 await trio.sleep(1.5)
                 begun, cpu_before = time.monotonic(), node.cpu_s()
                 await trio.sleep(seconds)
                 used = node.cpu_s() - cpu_before
                 times = [taken * 1000 for due, taken, code in clients.timings if due >= begun and code == 0]
-                p99[share].append(percentile(times, 0.99))
-                median[share].append(percentile(times, 0.5))
-                cpu[share].append(used / len(times) * 1e6)
+                p99[percent].append(percentile(times, 0.99))
+                median[percent].append(percentile(times, 0.5))
+                cpu[percent].append(used / len(times) * 1e6)
             nursery.cancel_scope.cancel()
     return {"p99": p99, "median": median, "cpu": cpu, "late": clients.max_lateness_s}
 
 
 async def beside_before(members: int, turns: int, seconds: float, rate: float, before: Path, folder: Path) -> dict:
-    """The version before, health off, health on: three directors side by side, asked in turns."""
-    found: dict[str, dict[str, list[float]]] = {}
-    async with open_fleet(members) as made:
-        for box in made.members:
-            box.agent.behavior = READY
-        nodes, asked = {}, {}
+    """Three directors get requests in turns: the version before, and this version with health checks off and on."""
+    results: dict[str, dict[str, list[float]]] = {}
+    async with open_fleet(members) as fleet:
+        for member in fleet.members:
+            member.agent.behavior = READY
+        nodes, clients_of = {}, {}
         for side, checkout, operators in (
             ("before", before, ""),
-            ("off", HERE, ""),
-            ("on", HERE, OPERATORS.format(port=made.agent_port, interval="1s")),
+            ("off", ROOT, ""),
+            ("on", ROOT, OPERATORS.format(port=fleet.agent_port, interval="1s")),
         ):
-            port, where = find_free_port(), folder / side
-            where.mkdir(parents=True)
-            nodes[side] = DirectorProcess(checkout, where, made.director_config(True, port), operators)
-            asked[side] = OpenLoopClient(("127.0.0.1", port), rate, hot_objects(200), SEED)
-            found[side] = {"p99": [], "cpu": []}
+            port, cwd = find_free_port(), folder / side
+            cwd.mkdir(parents=True)
+            nodes[side] = DirectorProcess(checkout, cwd, fleet.director_config(True, port), operators)
+            clients_of[side] = OpenLoopClient(("127.0.0.1", port), rate, hot_objects(200), SEED)
+            results[side] = {"p99": [], "cpu": []}
         async with running_directors(*nodes.values()):
             for turn in range(turns):
                 for side in sorted(nodes, reverse=bool(turn % 2)):
-                    clients, node = asked[side], nodes[side]
+                    clients, node = clients_of[side], nodes[side]
                     with trio.move_on_after(1 + seconds):
                         async with trio.open_nursery() as nursery:
                             nursery.start_soon(clients.run)
-                            await trio.sleep(1)  # connections are there by then
+                            await trio.sleep(1)  # time for the connections to open
                             begun, cpu, done = time.monotonic(), node.cpu_s(), len(clients.timings)
                             await trio.sleep(seconds - 0.1)
                             used, done = node.cpu_s() - cpu, len(clients.timings) - done
                     times = [taken * 1000 for due, taken, code in clients.timings if due >= begun and code == 0]
-                    found[side]["p99"].append(percentile(times, 0.99))
-                    found[side]["cpu"].append(used / done * 1e6)
+                    results[side]["p99"].append(percentile(times, 0.99))
+                    results[side]["cpu"].append(used / done * 1e6)
                     clients.due_s.clear()
-    return found
+    return results
 
 
 async def cost_of_checks(members: int, seconds: float, folder: Path) -> dict:
-    """CPU a check: a director without clients, checks on and off, in two processes side by side."""
-    async with open_fleet(members) as made:
-        for box in made.members:
-            box.agent.behavior = READY
-        on, _ = director(made, folder / "on", True, OPERATORS.format(port=made.agent_port, interval="1s"))
-        off, _ = director(made, folder / "off", True, "")
+    """CPU per check: the difference between two simultaneous directors without clients, with checks on and off."""
+    async with open_fleet(members) as fleet:
+        for member in fleet.members:
+            member.agent.behavior = READY
+        on, _ = director(fleet, folder / "on", True, OPERATORS.format(port=fleet.agent_port, interval="1s"))
+        off, _ = director(fleet, folder / "off", True, "")
         async with running_directors(on, off):
             await trio.sleep(2)
-            before, asked = (on.cpu_s(), off.cpu_s()), sum(b.agent.polls for b in made.members)
+            before, polls = (on.cpu_s(), off.cpu_s()), sum(m.agent.polls for m in fleet.members)
             await trio.sleep(seconds)
             used = on.cpu_s() - before[0] - (off.cpu_s() - before[1])
-            checks = sum(b.agent.polls for b in made.members) - asked
+            checks = sum(m.agent.polls for m in fleet.members) - polls
             resident = on.resident_kb() - off.resident_kb()
     return {"checks": checks, "us": used / checks * 1e6, "resident_kb": resident}
 
 
-def bytes_a_member(count: int) -> float:
-    """Of the board's rows and the plan's jobs, one check each."""
+def bytes_per_member(count: int) -> float:
+    """Memory of the registry's entries and the scheduler's jobs, with one check per member."""
     from rookbend.core.model import Endpoint
     from rookbend.health.events import MembershipReceived
     from rookbend.health.model import CheckPolicy, HealthPolicy
@@ -223,8 +223,8 @@
 
 
 def platform_start(before: Path | None, rounds: int, folder: Path) -> dict:
-    """Resident memory and seconds to be ready with all of it off."""
-    sides = {"now": HERE, **({"before": before} if before else {})}
+    """Resident memory and seconds until ready, with health checks off."""
+    sides = {"now": ROOT, **({"before": before} if before else {})}
     memory, seconds = ({side: [] for side in sides} for _ in range(2))
     for turn in range(rounds):
         for side in sorted(sides, reverse=bool(turn % 2)):
@@ -234,12 +234,12 @@
                 "seed": "7",
                 "settings": MeasurementFleet(0).director_config(False, 0)["settings"],
             }
-            where = folder / f"{side}{turn}"
-            where.mkdir(parents=True)
-            # Each in the environment that its own build makes, where there is one: libraries of tests and
-            # operators that happen to be installed are found and loaded by others.
-            own = sides[side] / ".venv" / "bin" / "python"
-            node = DirectorProcess(sides[side], where, config, "", str(own) if own.exists() else sys.executable)
+            cwd = folder / f"{side}{turn}"
+            cwd.mkdir(parents=True)
+            # Each version runs in the environment that its own build makes, if there is one: elsewhere, libraries of
+            # tests and operators may be installed, and other libraries find and load those.
+            python = sides[side] / ".venv" / "bin" / "python"
+            node = DirectorProcess(sides[side], cwd, config, "", str(python) if python.exists() else sys.executable)
             seconds[side].append(node.start())
             time.sleep(0.2)
             memory[side].append(node.resident_kb() / 1024)
@@ -250,9 +250,9 @@
 def main(argv: list[str] | None = None) -> int:
     parser = argparse.ArgumentParser(prog="benchmarks.health", description=__doc__.splitlines()[0])
     parser.add_argument("--quick", action="store_true", help="small sizes, under 45 s")
-    parser.add_argument("--smallest", action="store_true", help="the least that runs; shows nothing")
-    parser.add_argument("--before", type=Path, help="a checkout of the version before, for parts 3 and 5")
-    parser.add_argument("--part", choices=PARTS, help="one part alone")
+    parser.add_argument("--smallest", action="store_true", help="the smallest size that runs; its figures mean nothing")
+    parser.add_argument("--before", type=Path, help="a checkout of an earlier version, for parts 3 and 5")
+    parser.add_argument("--part", choices=PARTS, help="run only this part")
     args = parser.parse_args(argv)
     parts = (args.part,) if args.part else PARTS
     args.quick |= args.smallest
@@ -321,7 +321,7 @@
                     found[f"{side}_{what}_ratio"] = round(now / then, 3)
         if "cost" in parts:
             c = trio.run(cost_of_checks, members if args.quick else 1000, seconds if args.quick else 12, folder / "c")
-            per_member = bytes_a_member(1000)
+            per_member = bytes_per_member(1000)
             print(
                 f"{c['checks']} checks, {c['us']:.0f} us of CPU a check; {per_member:.0f} bytes a member; "
                 f"{c['resident_kb']} kB more resident"
--- a/benchmarks/origin.py
+++ b/benchmarks/origin.py
@@ -1,14 +1,15 @@
-"""One origin behind hundreds of directors, and a burst that asks a little more of it than it takes.
+"""One origin behind hundreds of directors, during a burst that slightly exceeds the origin's capacity.
 
     python -m benchmarks.origin [--quick] [--directors N ...] [--turns T]
 
-Real engines and modules in simulated time (`rookbend.testing.simulation`): locations of caches, parents, an origin that
-turns calls away above a rate and stops for 4 s where it is asked for 2.5 times what it can do. The load is
-half as much again from second 8 to 12. Sides: the module as it is, and as it was before it spared the origin;
-the same worlds and seeds, interleaved. Held fixed: the load for each cache, so a larger fleet has more.
+Real engines and routers run in simulated time (`rookbend.testing.simulation`), with locations of caches, parents and
+an origin. The origin refuses calls above a rate, and stops for 4 s if the demand reaches 2.5 times its capacity. The
+load is 1.5 times the normal load from second 8 to 12. The sides are the current router and the router before it had
+origin protection; both run with the same worlds and seeds, interleaved. The load per cache is fixed, so a larger fleet
+has a higher load.
 
-Figures: worth served of what was asked for, in all, as the burst ends (8 to 13 s), long after (20 to 25 s);
-the worst class; calls to the origin; how often it stopped.
+Figures: the served share of the requested worth in total, during the burst (8 to 13 s) and long after it (20 to 25 s);
+the same share of the worst traffic class; calls to the origin; the number of times that the origin stopped.
 """
 
 from __future__ import annotations
@@ -21,13 +22,13 @@
 from rookbend.testing.simulation import EdgeFleet, World
 from rookbend.testing.simulation.planted_fault import Careless
 
-SECONDS, BURST, MORE = 25, (8, 12), 1.5
+SECONDS, BURST, BURST_LOAD = 25, (8, 12), 1.5
 SIDES = {"before": Careless, "now": Router}
 WORLDS = {"": {}, " less room": {"origin_room": 1.2}}
 
 
 def build_world(directors: int, **changes) -> World:
-    """The same mix at every size: eleven directors and five caches a location."""
+    """A world with the same proportions at every size: about eleven directors and five caches per location."""
     return World(directors=directors, locations=max(2, 18 * directors // 200), parents=max(3, directors // 20)).but(
         **changes
     )
@@ -36,7 +37,7 @@
 def simulate_run(side: str, directors: int, seed: int, **changes) -> dict:
     fleet = EdgeFleet(build_world(directors, **changes), seed, SIDES[side])
     fleet.fill_up()
-    fleet.clients(SECONDS, lambda second: MORE if BURST[0] <= second < BURST[1] else 1.0)
+    fleet.clients(SECONDS, lambda second: BURST_LOAD if BURST[0] <= second < BURST[1] else 1.0)
     fleet.sim.run((SECONDS + 6) * 1_000_000)
     return {
         "worth": fleet.share(0, SECONDS),
@@ -58,25 +59,25 @@
     sizes = args.directors or ([12] if args.smallest else [60] if args.quick else [60, 200])
     turns = args.turns or (1 if args.smallest else 2 if args.quick else 3)
     worlds = {"": {}} if args.quick or args.smallest else WORLDS
-    found: dict = {}
+    runs: dict = {}
     for seed in range(1, turns + 1):
         for size in sizes:
             for name, changes in worlds.items():
                 for side in SIDES:
-                    found.setdefault((size, name, side), []).append(simulate_run(side, size, seed, **changes))
+                    runs.setdefault((size, name, side), []).append(simulate_run(side, size, seed, **changes))
     print(machine())
     rows = [
-        [f"{size}{name}", side, *(spread([t[key] for t in turns]) for key in turns[0])]
-        for (size, name, side), turns in found.items()
+        [f"{size}{name}", side, *(spread([r[key] for r in results]) for key in results[0])]
+        for (size, name, side), results in runs.items()
     ]
     print(table(["directors", "side", "worth", "8-13 s", "20-25 s", "worst class", "calls", "stops"], rows))
     print(
         figures(
             **{
                 f"{side}_{size}{name.replace(' ', '_')}": {
-                    key: statistics.median(t[key] for t in turns) for key in turns[0]
+                    key: statistics.median(r[key] for r in results) for key in results[0]
                 }
-                for (size, name, side), turns in found.items()
+                for (size, name, side), results in runs.items()
             }
         )
     )
