--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -1,13 +1,15 @@
-"""One owner at a time: what it saves, how fast it notices, how long nobody owns.
+"""Leader leases: the checks that they save, the delay of detection, and the time without an owner after a fault.
 
     python -m benchmarks.leases [--quick | --smallest] [--sizes 3,10]
 
-1. checks (real directors): checks a second at a member and CPU seconds a second of the fleet, each director
-   checking for itself against owners; seconds from a member's failure until the last director knows
-2. orders (real): milliseconds of an order for the fleet until it stands and until the last director has it
-3. without an owner (simulated time, 5 directors, 5% loss): after a kill, a freeze, a cut, SIGTERM; in leases
-4. datagrams and bytes a second a director (simulated time) at 3, 10, 40 and 200
-Sides interleaved; held fixed: interval, members, seeds, the lease.
+1. checks (real directors): checks per second at each member and CPU seconds per second of the fleet, with each
+   director checking all members and with lease owners checking them; seconds from a member's failure until the
+   last director knows of it
+2. orders (real directors): seconds until an order for the fleet is committed, and until the last director applies it
+3. without an owner (simulated time, 5 directors, 5% loss): seconds, and multiples of the lease, until a scope has
+   another owner after a kill, a freeze, a network partition and SIGTERM
+4. datagrams and bytes per second and director (simulated time) with 3, 10, 40 and 200 directors
+The sides are interleaved. Fixed: the check interval, the members, the seeds and the lease.
 """
 
 from __future__ import annotations
@@ -50,7 +52,7 @@
 LEASE_S = LeaseTerms().lease_us / 1e6
 
 
-async def checks(side: str, directors: int, seconds: float, seed: int) -> dict:
+async def measure_fleet(side: str, directors: int, seconds: float, seed: int) -> dict:
     async with stage(directors, 4, 1, seed, SIDES[side]) as scene:
         scene.change = allow_probes
         await scene.start()
@@ -70,32 +72,32 @@
         made = sum(b.checks for b in scene.boxes.values()) - before
         cpu = sum(map(cpu_s, pids)) - cpu
         scene.boxes["c1"].ill = True
-        began, last = time.monotonic(), 0.0
+        began, known_by_all = time.monotonic(), 0.0
         for name in scene.names:
             await scene.nodes[name].said("member_state", member="c1", state="down")
-            last = time.monotonic() - began
-        stands = all_have = None
+            known_by_all = time.monotonic() - began
+        committed = applied_by_all = None
         if side == "owners":
             began = time.monotonic()
             found = await scene.ask(
                 scene.names[-1], "/orders", "POST", {"member": "c2", "order": "maintain", "by": "bench", "fleet": True}
             )
             assert found["status"] == 200, found
-            stands = time.monotonic() - began
+            committed = time.monotonic() - began
             for name in scene.names:
                 await scene.nodes[name].said("member_state", member="c2", state="maintenance")
-            all_have = time.monotonic() - began
+            applied_by_all = time.monotonic() - began
         return {
             "checks": made / seconds / len(scene.boxes),
             "cpu": cpu / seconds,
-            "known": last,
-            "stands": stands,
-            "all_have": all_have,
+            "known": known_by_all,
+            "stands": committed,
+            "all_have": applied_by_all,
         }
 
 
 def without_owner(kind: str, seed: int) -> float:
-    """Seconds of simulated time from the fault until the first scope that was lost has an owner again."""
+    """Seconds of simulated time from the fault until another director owns the scope of orders."""
     sim = LeaseSimulation(5, seed, loss=0.05, duplication=0.05, drift=0.02)
     sim.start()
     sim.run(9 * SECOND_US)
@@ -113,21 +115,21 @@
     while not [o for o in sim.holders(scope) if o != owner] and sim.now_us - began < 60 * SECOND_US:
         sim.run(5_000)
     assert not sim.violations, sim.violations
-    # Until its lease ends a frozen or cut owner owns, and may act: that time is not without an owner.
+    # A frozen or partitioned owner holds its lease, and may act, until the lease expires: that time has an owner.
     return (sim.now_us - began) / 1e6
 
 
-def traffic(count: int, seed: int) -> dict:
+def measure_traffic(count: int, seed: int) -> dict:
     sim = LeaseSimulation(count, seed, voters=5, shards=8)
     sim.start()
     sim.run(10 * SECOND_US)
-    sent, size, began = sum(sim.network.datagrams_by_second.values()), sim.network.bytes_sent, sim.now_us
+    sent, bytes_sent, began = sum(sim.network.datagrams_by_second.values()), sim.network.bytes_sent, sim.now_us
     sim.run(10 * SECOND_US)
     seconds = (sim.now_us - began) / 1e6
     most = max(n.machine.actions.sent for n in sim.directors) / ((sim.now_us - sim.directors[0].machine.began_us) / 1e6)
     return {
         "datagrams": (sum(sim.network.datagrams_by_second.values()) - sent) / seconds / count,
-        "bytes": (sim.network.bytes_sent - size) / seconds / count,
+        "bytes": (sim.network.bytes_sent - bytes_sent) / seconds / count,
         "most": most,
     }
 
@@ -135,7 +137,7 @@
 def main(argv: list[str] | None = None) -> int:
     parser = argparse.ArgumentParser(prog="benchmarks.leases", description=__doc__.splitlines()[0])
     parser.add_argument("--quick", action="store_true", help="3 real directors, one turn, under 45 s")
-    parser.add_argument("--smallest", action="store_true", help="the least that runs; shows nothing")
+    parser.add_argument("--smallest", action="store_true", help="the smallest size that runs; its figures mean nothing")
     parser.add_argument("--sizes", default="3,10", help="real directors (default %(default)s)")
     args = parser.parse_args(argv)
     if args.smallest:
@@ -150,8 +152,8 @@
     for turn in range(turns):
         for size in sizes:
             for side in SIDES if turn % 2 == 0 else reversed(SIDES):
-                real.setdefault((size, side), []).append(trio.run(checks, side, size, seconds, 7 + turn))
-    print(f"{machine()}; {time.monotonic() - began:.0f} s; an interval of 1 s, 6 members, seeds 7 to " f"{6 + turns}")
+                real.setdefault((size, side), []).append(trio.run(measure_fleet, side, size, seconds, 7 + turn))
+    print(f"{machine()}; {time.monotonic() - began:.0f} s; check interval 1 s, 6 members, seeds 7 to " f"{6 + turns}")
 
     def median(rows: list[dict], name: str) -> float | None:
         values = [row[name] for row in rows if row[name] is not None]
@@ -160,30 +162,40 @@
     names = "checks", "cpu", "known", "stands", "all_have"
     print(
         table(
-            ["directors", "side", "checks/s a member", "CPU s/s", "known by all s", "order stands s", "all have it s"],
+            [
+                "directors",
+                "side",
+                "checks/s a member",
+                "CPU s/s",
+                "known by all s",
+                "order committed s",
+                "applied by all s",
+            ],
             [[*key, *(median(rows, n) for n in names)] for key, rows in real.items()],
         )
     )
-    gaps = {kind: [without_owner(kind, seed) for seed in range(seeds)] for kind in ("kill", "freeze", "cut", "sigterm")}
+    delays = {
+        kind: [without_owner(kind, seed) for seed in range(seeds)] for kind in ("kill", "freeze", "cut", "sigterm")
+    }
     print(
         table(
-            ["fault", "until another owns, s", "leases (median)"],
-            [[kind, spread(v), statistics.median(v) / LEASE_S] for kind, v in gaps.items()],
+            ["fault", "until another owner, s", "leases (median)"],
+            [[kind, spread(v), statistics.median(v) / LEASE_S] for kind, v in delays.items()],
         )
     )
-    flow = {count: traffic(count, 7) for count in counts}
+    traffic_by_size = {count: measure_traffic(count, 7) for count in counts}
     print(
         table(
             ["directors", "datagrams/s each", "bytes/s each", "the busiest, datagrams/s"],
-            [[n, f["datagrams"], f["bytes"], f["most"]] for n, f in flow.items()],
+            [[n, f["datagrams"], f["bytes"], f["most"]] for n, f in traffic_by_size.items()],
         )
     )
     print(
         figures(
             real={f"{size} {side}": {n: median(rows, n) for n in names} for (size, side), rows in real.items()},
-            until_owned={kind: round(statistics.median(v), 3) for kind, v in gaps.items()},
-            worst={kind: round(max(v), 3) for kind, v in gaps.items()},
-            traffic={n: {k: round(v, 1) for k, v in f.items()} for n, f in flow.items()},
+            until_owned={kind: round(statistics.median(v), 3) for kind, v in delays.items()},
+            worst={kind: round(max(v), 3) for kind, v in delays.items()},
+            traffic={n: {k: round(v, 1) for k, v in f.items()} for n, f in traffic_by_size.items()},
         )
     )
     return 0
--- a/benchmarks/leases_model_checking.py
+++ b/benchmarks/leases_model_checking.py
@@ -1,10 +1,10 @@
-"""All interleavings of the lease's machines under a model network and clocks, and planted faults.
+"""Model checking of the lease protocol: all interleavings under a model network and clocks, and planted faults.
 
     python -m benchmarks.leases_model_checking [--quick | --smallest] [--states N] [--jobs N]
 
-1. the program as it is, in several bounds, each to a number of states: nothing may be found wrong
-2. every planted fault (rookbend/model_checking/faults.py): what it breaks must be found; beside it, whether the
-   ordinary tests of the lease (tests/test_leases.py) catch it too
+1. the program without faults, within several bounds and up to a number of states each: no property may be violated
+2. each planted fault (rookbend/model_checking/faults.py): the violation that it causes must be found; also reported
+   is whether the ordinary tests of the lease (tests/test_leases.py) catch it
 """
 
 from __future__ import annotations
@@ -22,8 +22,8 @@
 from rookbend.model_checking.lease import LeaseModel
 from rookbend.model_checking.search import Found, search
 
-HERE = Path(__file__).parent.parent
-WHOLE = {
+ROOT = Path(__file__).parent.parent
+BOUNDS = {
     "network": (Bounds(rounds=3, ticks=4, duplicates=1, acts=1), 1 << 10),
     "clocks": (Bounds(rounds=3, ticks=5, drifts=2, acts=2), 0),
     "disks": (Bounds(rounds=3, ticks=4, with_disk=1, without_disk=1), 0),
@@ -35,31 +35,31 @@
 
 
 def caught_by_tests(fault: Fault) -> bool:
-    """Whether tests/test_leases.py fails with the fault planted (conftest.py plants what is named)."""
-    ended = subprocess.run(
+    """Whether tests/test_leases.py fails with the fault planted (tests/conftest.py plants it)."""
+    completed = subprocess.run(
         [sys.executable, "-m", "pytest", "-q", "-x", "-p", "no:cacheprovider", "tests/test_leases.py"],
-        cwd=HERE,
+        cwd=ROOT,
         env={**os.environ, "ROOKBEND_FAULT": fault.name},
         capture_output=True,
         text=True,
     )
-    return ended.returncode == 1
+    return completed.returncode == 1
 
 
 def main(argv: list[str] | None = None) -> int:
     parser = argparse.ArgumentParser(prog="benchmarks.leases_model_checking", description=__doc__.splitlines()[0])
     parser.add_argument("--quick", action="store_true", help="few states, under 45 s")
-    parser.add_argument("--smallest", action="store_true", help="the least that runs; shows nothing")
-    parser.add_argument("--states", type=int, default=400_000, help="of each bound (default %(default)s)")
+    parser.add_argument("--smallest", action="store_true", help="the smallest size that runs; its figures mean nothing")
+    parser.add_argument("--states", type=int, default=400_000, help="states to visit per bound (default %(default)s)")
     parser.add_argument("--jobs", type=int, default=os.cpu_count() or 1)
     args = parser.parse_args(argv)
     states = 500 if args.smallest else 15_000 if args.quick else args.states
     faults = FAULTS[:2] if args.smallest else FAULTS[:8] if args.quick else FAULTS
     print(machine())
     wrong, total, rows = [], 0, []
-    for name, (bounds, prompt) in WHOLE.items():
+    for name, (bounds, first_prompt_candidate) in BOUNDS.items():
         began = time.monotonic()
-        found = search(LeaseModel(bounds, first_prompt_candidate=prompt), states, jobs=args.jobs)
+        found = search(LeaseModel(bounds, first_prompt_candidate=first_prompt_candidate), states, jobs=args.jobs)
         total += found.states
         rows.append(
             [
@@ -77,12 +77,12 @@
     print(table(["bounds", "states", "steps", "depth", "", "wrong", "seconds"], rows), flush=True)
     for name, found in wrong:
         print(f"{name}: {found.wrong}\n  " + "\n  ".join(found.path))
-    missed, by_tests, rows = [], 0, []
+    missed, caught_count, rows = [], 0, []
     for fault in faults:
         began = time.monotonic()
-        found = hunt(fault, args.jobs)
-        ordinary = caught_by_tests(fault) if not (args.quick or args.smallest) else False
-        by_tests += ordinary
+        found = search_with_fault(fault, args.jobs)
+        caught = caught_by_tests(fault) if not (args.quick or args.smallest) else False
+        caught_count += caught
         if found.wrong != fault.breaks:
             missed.append(fault.name)
         rows.append(
@@ -91,7 +91,7 @@
                 found.wrong or "MISSED",
                 found.states,
                 len(found.path),
-                "yes" if ordinary else "no",
+                "yes" if caught else "no",
                 time.monotonic() - began,
             ]
         )
@@ -102,15 +102,15 @@
             wrong=[name for name, _ in wrong],
             faults=len(faults),
             missed=missed,
-            caught_by_ordinary_tests=by_tests,
+            caught_by_ordinary_tests=caught_count,
         )
     )
     return 1 if wrong or missed else 0
 
 
-def hunt(fault: Fault, jobs: int = 1, most: int = 400_000) -> Found:
+def search_with_fault(fault: Fault, jobs: int = 1, max_states: int = 400_000) -> Found:
     with planted(fault) as model:
-        return search(model, most, jobs=jobs)
+        return search(model, max_states, jobs=jobs)
 
 
 if __name__ == "__main__":
--- a/benchmarks/mixed_versions.py
+++ b/benchmarks/mixed_versions.py
@@ -6,9 +6,9 @@
 environment of this command.
 
     stored     old, new and old again start with the same state folders and settings. Orders that one version stored
-               are in effect under the next, and the fencing tokens grow.
+               are in effect under the next one, and the fencing tokens grow.
     fleet      three directors, the first one of the old version. The lease for the fleet's orders moves to the old
-               version and back; an order that either version's leader commits reaches all directors.
+               version and back; all directors apply an order that the leader of either version commits.
     exclusions old, new and old again start with the same file of exclusions; what one version excluded stays excluded.
     upgrade    from old to new and from new to old, under requests. No request is lost, an exclusion stays in force.
     interface  metrics with their labels, keys of the admin API's JSON, help texts and events of the log are compared.
@@ -49,7 +49,7 @@
 
 
 async def check_stored_data(old: Path, new: Path, seed: int, steps: int) -> int:
-    """Versions in turn start from what the one before stored; the number of starts."""
+    """Starts the versions alternately on the data that the previous one stored; returns the number of starts."""
     async with stage(directors=3, caches=3, seed=seed, operators=SETTINGS) as scene:
         scene.change = allow_probes
         tokens: dict[str, int] = {}
@@ -76,7 +76,7 @@
 
 
 async def check_mixed_fleet(old: Path, new: Path, seed: int) -> int:
-    """n0 of the old version, n1 and n2 of the new one; the number of leases handed over."""
+    """Runs n0 with the old version, n1 and n2 with the new one; returns the number of leases handed over."""
     async with stage(directors=3, caches=3, seed=seed, operators=SETTINGS) as scene:
         scene.change = allow_probes
         use_version(scene, new)
@@ -84,7 +84,7 @@
         await scene.start()
         for name in scene.names:
             await scene.nodes[name].said("ready")
-        moved = 0
+        moved_leases = 0
         for target in (0, 1, 0, 2):
             leader = await leader_of(scene, "orders")
             if leader != f"n{target}":
@@ -94,7 +94,7 @@
                 with trio.fail_after(TIMEOUT_S):
                     while await leader_of(scene, "orders") != f"n{target}":
                         await trio.sleep(0.05)
-                moved += 1
+                moved_leases += 1
             await order_for_fleet(scene, "n1" if target == 0 else "n0", "c1", "maintain" if target == 0 else "ready")
         # The lease also moves where its holder ends by SIGTERM.
         leader = await leader_of(scene, "orders")
@@ -103,18 +103,18 @@
         require(lost["why"].startswith("handed to"), f"{leader} ended without handing over its lease: {lost['why']}")
         require(await scene.nodes[leader].ended() == 0, f"{leader} did not end with 0")
         scene.verdict()
-    return moved + 1
+    return moved_leases + 1
 
 
 async def check_exclusions(old: Path, new: Path, seed: int) -> int:
-    """Versions in turn start with the file of exclusions that the one before wrote; the number of starts."""
+    """Starts the versions alternately with the stored exclusions of the previous one; returns the number of starts."""
     async with stage(directors=1, caches=3, seed=seed, operators="[health]\n") as scene:
         scene.doors = True
         node = scene.nodes["n0"]
         excluded: list[str] = []
         for checkout, member in ((old, "c1"), (new, "c2"), (old, "c0")):
             use_version(scene, checkout)
-            # Not `scene.start`, since that empties the folder with the file.
+            # `scene.start` would empty the folder that contains the file.
             node.start(scene.nursery, scene.config("n0"), scene.settings_text("n0"))
             await node.said("ready")
             for known in excluded:
@@ -129,7 +129,7 @@
 
 
 async def check_upgrades(old: Path, new: Path, seed: int, steps: int) -> dict[str, int]:
-    """Upgrades under requests, between the versions in turn; what clients saw."""
+    """Upgrades between the versions under requests; returns the counts of upgrades and requests."""
     async with stage(directors=1, caches=3, seed=seed, rate=REQUESTS_PER_S, operators="[health]\n") as scene:
         use_version(scene, old)
         await scene.serve_with_doors()
--- a/benchmarks/operator_interface.py
+++ b/benchmarks/operator_interface.py
@@ -1,4 +1,4 @@
-"""What operators and their tools see of a director, read from short runs of two versions and compared."""
+"""Compares what operators and their tools see of a director in short runs of two versions."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 
 class VersionMismatchError(Exception):
-    """The two versions do not work together; the message says where."""
+    """The two versions are incompatible; the message says how."""
 
 
 def require(holds: bool, message: str) -> None:
@@ -55,13 +55,13 @@
 
 
 def use_version(scene: Scene, checkout: Path, *names: str) -> None:
-    """The named directors, or all of them, start from this checkout from now on."""
+    """Makes the named directors, or all of them, start from this checkout from now on."""
     for name in names or scene.names:
         scene.nodes[name].checkout = checkout
 
 
 async def leader_of(scene: Scene, scope: str) -> str:
-    """The director that holds the lease of the scope; waits until there is one."""
+    """Waits until a director holds the lease of the scope; returns its name."""
     with trio.fail_after(TIMEOUT_S):
         while True:
             for name in scene.names:
@@ -81,7 +81,7 @@
 
 
 async def order_for_fleet(scene: Scene, name: str, member: str, order: str) -> None:
-    """An order for all directors, given at one of them, and in effect at each."""
+    """Gives an order for all directors to one of them, and waits until it is in effect on each."""
     body = {"member": member, "order": order, "by": "kim", "fleet": True}
     answer = await scene.ask(name, "/orders", "POST", body)
     require(answer["status"] == 200, f"the order on {member} at {name} was answered with {answer}")
@@ -90,7 +90,7 @@
 
 
 def keys_of(value: Any, path: str = "") -> set[str]:
-    """The paths of all keys of a decoded JSON value; elements of lists count as one."""
+    """The paths of all keys of a decoded JSON value; all elements of a list share a path."""
     if isinstance(value, dict):
         return {f"{path}.{key}" for key in value}.union(*(keys_of(v, f"{path}.{key}") for key, v in value.items()))
     if isinstance(value, list):
@@ -104,14 +104,14 @@
 
 
 def help_texts(checkout: Path) -> set[str]:
-    """The usage and options of each sub-command, a line each."""
+    """The lines of the help texts of all sub-commands."""
     lines = set()
     for command in COMMANDS:
-        words = [sys.executable, "-m", "rookbend", *command, "--help"]
-        ended = subprocess.run(
-            words, cwd=checkout, text=True, capture_output=True, env={**os.environ, "COLUMNS": "200"}
+        arguments = [sys.executable, "-m", "rookbend", *command, "--help"]
+        completed = subprocess.run(
+            arguments, cwd=checkout, text=True, capture_output=True, env={**os.environ, "COLUMNS": "200"}
         )
-        lines |= {f"{' '.join(command)}: {line.strip()}" for line in ended.stdout.splitlines() if line.strip()}
+        lines |= {f"{' '.join(command)}: {line.strip()}" for line in completed.stdout.splitlines() if line.strip()}
     return lines
 
 
@@ -142,7 +142,7 @@
 
 
 async def differences_by_kind(old: Path, new: Path, seed: int) -> dict[str, list[str]]:
-    """The differences by kind, each with its sign: - only in the old version, + only in the new one."""
+    """The differences by kind, each with a sign: - for only in the old version, + for only in the new one."""
     before, after = await interface_of(old, seed), await interface_of(new, seed)
     before["help"], after["help"] = help_texts(old), help_texts(new)
     return {
