--- a/benchmarks/operations.py
+++ b/benchmarks/operations.py
@@ -1,14 +1,15 @@
-"""Running day by day: the door under load, upgrades, figures, a reload, and what the door costs.
+"""Day-to-day operation: the operator endpoint under load, upgrades, metrics, reloads, and the endpoint's cost.
 
     python -m benchmarks.operations [--quick | --smallest]
 
-One director of the stage, three caches, `RATE` requests a second.
+One director process, three caches and `RATE` requests per second.
 
-    door      how long a call takes: with no request, under the rate, beside 200 callers that say nothing
-    upgrade   second processes one after the other under the rate: requests lost or unsent, broken rules
-    figures   what the door says against what clients and caches saw, asked at an unforeseen moment
-    reload    the loop's longest lateness, as calls of the door see it, about a changed file
-    cost      CPU a request with the door, asked for figures each second, against no door; sides in turn
+    door      the duration of a call to the operator endpoint: without load, under load, and also with
+              200 connections that send no complete request
+    upgrade   consecutive upgrades under load: lost and unsent requests, violated invariants
+    figures   the endpoint's metrics compared with what clients saw, read at arbitrary times
+    reload    the longest delay of the event loop during a reload, measured by calls to the endpoint
+    cost      CPU per request with the endpoint, whose metrics are read each second, and without it; the sides alternate
 """
 
 from __future__ import annotations
@@ -29,8 +30,8 @@
 from rookbend.testing.cluster import stage
 
 RATE = 100.0
-SILENT = 200
-BEAT_S = 0.02
+IDLE_CONNECTIONS = 200  # they send nothing or an incomplete request
+CALL_INTERVAL_S = 0.02
 
 
 async def call_ms(scene, path: str = "/status") -> float:
@@ -40,41 +41,41 @@
     return (time.monotonic() - began) * 1000
 
 
-async def calls(scene, count: int) -> list[float]:
-    found = []
+async def call_durations_ms(scene, count: int) -> list[float]:
+    durations = []
     for n in range(count):
-        found.append(await call_ms(scene, "/status/metrics" if n % 2 else "/status"))
-        await trio.sleep(BEAT_S)
-    return found
+        durations.append(await call_ms(scene, "/status/metrics" if n % 2 else "/status"))
+        await trio.sleep(CALL_INTERVAL_S)
+    return durations
 
 
-async def door(rate: float, silent: int, count: int, seed: int) -> list[float]:
+async def endpoint(rate: float, idle_connections: int, count: int, seed: int) -> list[float]:
     async with stage(1, 3, 1, seed, "", rate) as scene:
         await scene.serve_with_doors()
         if rate:
             await scene.served_more(int(rate / 4))
         address, held = split_address(scene.places["n0"]["operator"]), []
-        for i in range(silent):
+        for i in range(idle_connections):
             stream = await trio.open_tcp_stream(*address)
             if i % 2:
                 await stream.send_all(b"GET /status HT")
             held.append(stream)
-        found = await calls(scene, count)
+        durations = await call_durations_ms(scene, count)
         for stream in held:
             await stream.aclose()
         scene.verdict()
-        return found
+        return durations
 
 
 async def upgrades(count: int, seed: int) -> dict:
     async with stage(1, 3, 1, seed, "", RATE) as scene:
         await scene.serve_with_doors()
-        took = []
+        durations_s = []
         for _ in range(count):
             began = time.monotonic()
             old = await scene.upgrade("n0")
             await scene.until_yes("n0")
-            took.append(time.monotonic() - began)
+            durations_s.append(time.monotonic() - began)
             await scene.served_more(10)
             assert await scene.retire(old) == 0
         verdicts = [v for w in scene.front.wishes for v in w.verdicts]
@@ -83,13 +84,17 @@
             "asked": len(verdicts),
             "lost": verdicts.count("lost"),
             "unsent": verdicts.count("unsent"),
-            "yes_s": took,
+            "yes_s": durations_s,
             "late_ms": scene.front.late_s * 1000,
         }
 
 
-async def told(seconds: float, seed: int) -> dict:
-    """The largest share by which a figure is off, over answers of clients and arrivals at caches."""
+async def metric_errors(seconds: float, seed: int) -> dict:
+    """The largest errors of the metrics against the requests that the clients count.
+
+    A ratio for served requests, a count for requests in flight; `off_when_quiet` is the error of served requests, as a
+    count, after the load has ended.
+    """
     async with stage(1, 3, 1, seed, "", RATE) as scene:
         await scene.serve_with_doors()
         worst = {"served": 0.0, "in_flight": 0.0}
@@ -115,7 +120,7 @@
 
 
 async def reload(count: int, seed: int) -> list[float]:
-    """The slowest call of the door about each SIGHUP that brings other settings, in milliseconds."""
+    """The slowest call to the endpoint after each SIGHUP that changes settings, in milliseconds."""
     async with stage(1, 3, 1, seed, "", RATE) as scene:
         await scene.serve_with_doors()
         await scene.served_more(20)
@@ -131,7 +136,7 @@
 
 
 async def cost(on: bool, seconds: float, seed: int) -> float:
-    """CPU microseconds an answer."""
+    """CPU microseconds per response."""
     async with stage(1, 3, 1, seed, "", RATE) as scene:
         scene.doors = on
         await scene.start()
@@ -149,55 +154,56 @@
 def main(argv: list[str] | None = None) -> int:
     parser = argparse.ArgumentParser(prog="benchmarks.operations", description=__doc__.splitlines()[0])
     parser.add_argument("--quick", action="store_true", help="under 45 s")
-    parser.add_argument("--smallest", action="store_true", help="the least that runs; shows nothing")
+    parser.add_argument("--smallest", action="store_true", help="the smallest size that runs; its figures mean nothing")
     parser.add_argument("--upgrades", type=int, default=200)
     parser.add_argument("--seed", type=int, default=7)
     args = parser.parse_args(argv)
-    count, ups, span, turns = (
+    count, upgrade_count, seconds, turns = (
         (5, 1, 0.5, 1) if args.smallest else (60, 4, 3.0, 1) if args.quick else (500, args.upgrades, 20.0, 6)
     )
     began, seed = time.monotonic(), args.seed
-    found = {
-        "idle": trio.run(door, 0.0, 0, count, seed),
-        "load": trio.run(door, RATE, 0, count, seed),
-        "silent": trio.run(door, RATE, 20 if args.smallest else SILENT, count, seed),
+    call_times = {
+        "idle": trio.run(endpoint, 0.0, 0, count, seed),
+        "load": trio.run(endpoint, RATE, 0, count, seed),
+        "silent": trio.run(endpoint, RATE, 20 if args.smallest else IDLE_CONNECTIONS, count, seed),
     }
-    up = trio.run(upgrades, ups, seed)
-    told_of = trio.run(told, span, seed)
+    upgraded = trio.run(upgrades, upgrade_count, seed)
+    errors = trio.run(metric_errors, seconds, seed)
     slowest = trio.run(reload, max(2, count // 25), seed)
     sides: dict[bool, list[float]] = {True: [], False: []}
     for n in range(turns):
         for on in (True, False) if n % 2 else (False, True):
-            sides[on].append(trio.run(cost, on, span, seed + n))
+            sides[on].append(trio.run(cost, on, seconds, seed + n))
     ratios = [a / b for a, b in zip(sides[True], sides[False], strict=True) if b]
     print(f"{machine()}; {time.monotonic() - began:.0f} s; {RATE:g} requests a second; seed {seed}")
     print(
         table(
-            ["door, ms", "p50", "p99", "most"],
-            [[name, percentile(v, 0.5), percentile(v, 0.99), max(v)] for name, v in found.items()],
+            ["endpoint, ms", "p50", "p99", "most"],
+            [[name, percentile(v, 0.5), percentile(v, 0.99), max(v)] for name, v in call_times.items()],
         )
     )
     print(
-        f"upgrades: {ups}; of {up['asked']} requests {up['lost']} lost, {up['unsent']} unsent; "
-        f"yes after {spread(up['yes_s'])} s; the lab's own lateness {up['late_ms']:.0f} ms"
+        f"upgrades: {upgrade_count}; "
+        f"of {upgraded['asked']} requests {upgraded['lost']} lost, {upgraded['unsent']} unsent; "
+        f"ready after {spread(upgraded['yes_s'])} s; requests sent at most {upgraded['late_ms']:.0f} ms late"
     )
     print(
-        f"figures: served off by {told_of['served']:.2%} at most, in flight by {told_of['in_flight']:g}; "
-        f"when quiet off by {told_of['off_when_quiet']}"
+        f"metrics: served differs by {errors['served']:.2%} at most, in flight by {errors['in_flight']:g}; "
+        f"without load served differs by {errors['off_when_quiet']}"
     )
-    print(f"reload: slowest call about it {spread(slowest)} ms")
-    print(f"CPU a request, door on against off: {spread(ratios) if ratios else '-'}")
+    print(f"reload: slowest call {spread(slowest)} ms")
+    print(f"CPU a request, endpoint on against off: {spread(ratios) if ratios else '-'}")
     print(
         figures(
             door_ms={
                 k: {"p50": round(percentile(v, 0.5), 2), "p99": round(percentile(v, 0.99), 2), "most": round(max(v), 2)}
-                for k, v in found.items()
+                for k, v in call_times.items()
             },
-            upgrades=ups,
-            lost=up["lost"],
-            unsent=up["unsent"],
-            asked=up["asked"],
-            figures=told_of,
+            upgrades=upgrade_count,
+            lost=upgraded["lost"],
+            unsent=upgraded["unsent"],
+            asked=upgraded["asked"],
+            figures=errors,
             reload_ms=round(max(slowest), 2),
             cpu_ratio=round(statistics.median(ratios), 3) if ratios else math.nan,
         )
