--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -1,17 +1,18 @@
-"""Return from a power loss: the version before, recovery without and with peers, with and without a disk.
+"""Recovery from a power loss: an earlier version, and recovery without peers, with peers and with a disk.
 
     python -m benchmarks.recovery [--quick | --smallest] [--before REV]
 
-1. real: directors as processes on the stage; all of them, caches and parents lose their power in one instant
-   and return at once, cold. Sides in turn: `before` (REV, by default the last without recovery), `alone`
-   (recovery, `peers no`), `peers` (and its datagrams), `disk` (and [state]).
-2. simulated: the same machine at up to 200 directors in simulated time (testing/recovery_simulation.py): without,
-   alone, peers.
-3. calls: a coordinator that ends all streams; the most calls in any 0.1 s as a share of the fleet.
-
-Figures: seconds from the power to 50% and 95% of worth for three seconds, worth of the first seconds, the
-origin's fullest window as a share of what pushes it over, its falls, refused answers, datagrams a second a
-director at peak. Held fixed: demand, the origin, the seed of each turn.
+1. real: directors as processes. All directors, caches and parents lose power at the same moment and restart at once
+   with cold caches. The sides alternate: `before` (REV, by default the last version without recovery), `alone`
+   (recovery, `peers no`), `peers` (also with datagrams between directors), `disk` (also with [state]).
+2. simulated: the same recovery state machine with up to 200 directors in simulated time
+   (testing/recovery_simulation.py), with the sides `without`, `alone` and `peers`.
+3. calls: reconnects after a coordinator has ended all streams; the maximum in any 0.1 s as a share of the fleet.
+
+Figures: seconds from the restart until 50% and 95% of the requested worth are served for three seconds, the served
+share of the worth over all seconds measured, the origin's highest demand as a share of the demand at which it
+collapses, the number of collapses, refused requests, datagrams per second and director at peak. Fixed: the clients'
+demand, the origin, and the seed of each turn.
 """
 
 from __future__ import annotations
@@ -44,36 +45,36 @@
     "peers": RECOVERY,
     "disk": "[state]\n folder {state}\n fleet f1\n" + RECOVERY,
 }
-WEAK = Make(**{**{n: getattr(ORIGIN, n) for n in ORIGIN.__slots__}, "capacity": 3.0})
+SMALL_ORIGIN = Make(**{**{n: getattr(ORIGIN, n) for n in ORIGIN.__slots__}, "capacity": 3.0})
 RATE = 80.0
 
 
-def held(shares: list[float], wanted: float) -> float:
-    """The first second from which on that share is held for three; infinity where none."""
+def seconds_until_share(shares: list[float], min_share: float) -> float:
+    """The first second that begins three seconds with at least this share; infinity if there is none."""
     for i in range(len(shares) - 2):
-        if min(shares[i : i + 3]) >= wanted:
+        if min(shares[i : i + 3]) >= min_share:
             return float(i)
     return math.inf
 
 
 async def real(side: str, code: Path | None, directors: int, rate: float, seconds: float, seed: int) -> dict:
-    async with stage(directors, 4, 1, seed, SIDES[side], rate, {"origin": WEAK}, code) as scene:
+    async with stage(directors, 4, 1, seed, SIDES[side], rate, {"origin": SMALL_ORIGIN}, code) as scene:
         await scene.start()
         await scene.admitted()
         await trio.sleep(2.0)
         scene.power_off()
         scene.origin.most, falls = 0.0, scene.origin.falls
         refused = scene.record.counts["answer", "refused"]
-        back = now_us()
+        restarted_us = now_us()
         await scene.power_on()
         await trio.sleep(seconds + 2.0)
-        by_second = scene.front.by_second(back, now_us() - 2_000_000)
+        by_second = scene.front.by_second(restarted_us, now_us() - 2_000_000)
         shares = [got / asked for got, asked in (by_second[s] for s in sorted(by_second)) if asked]
         breaches = len(scene.record.breaches())
         datagrams = scene.record.peak("datagram", 1_000_000) / directors
     return {
-        "to_50": held(shares, 0.5),
-        "to_95": held(shares, 0.95),
+        "to_50": seconds_until_share(shares, 0.5),
+        "to_95": seconds_until_share(shares, 0.95),
         "worth": statistics.mean(shares),
         "most": scene.origin.most,
         "falls": scene.origin.falls - falls,
@@ -92,26 +93,26 @@
     sim.demand.go_cold()
     sim.origin.most, falls = 0.0, sim.origin.falls
     sim.run(SECOND)
-    at, refused, asked = 13, sim.demand.refused, sim.demand.requests
+    restart_second, refused, requests = 13, sim.demand.refused, sim.demand.requests
     sim.power_on()
     sim.run(32 * SECOND)
-    shares = [sim.demand.served_ratio(s) for s in range(at, at + 30)]
+    shares = [sim.demand.served_ratio(s) for s in range(restart_second, restart_second + 30)]
     return {
-        "to_50": held(shares, 0.5),
-        "to_95": held(shares, 0.95),
+        "to_50": seconds_until_share(shares, 0.5),
+        "to_95": seconds_until_share(shares, 0.95),
         "worth": statistics.mean(shares),
         "most": sim.origin.most,
         "falls": sim.origin.falls - falls,
         "datagrams": max(sim.datagrams.values(), default=0) / count,
-        "refused": (sim.demand.refused - refused) / max(1, sim.demand.requests - asked),
+        "refused": (sim.demand.refused - refused) / max(1, sim.demand.requests - requests),
     }
 
 
 def calls(count: int, seed: int) -> dict:
-    """Peak share of the fleet in any 0.1 s over 7 calls: the pauses of the version before, and now."""
+    """The peak share of the fleet that calls in any 0.1 s over 7 calls, with the previous and the current back-off."""
 
-    def peak(pauses) -> float:
-        times = sorted(t for row in pauses for t in row)
+    def peak(call_times_s) -> float:
+        times = sorted(t for row in call_times_s for t in row)
         return max(sum(t <= u < t + 0.1 for u in times) for t in times) / count
 
     before, now = [], []
@@ -133,10 +134,10 @@
 COLUMNS = "to_50", "to_95", "worth", "most", "falls", "datagrams", "refused"
 
 
-def shown(found: dict[tuple, list[dict]]) -> str:
+def results_table(results: dict[tuple, list[dict]]) -> str:
     rows = [
         [*key, len(turns), *(round(statistics.median(t[c] for t in turns), 3) for c in COLUMNS)]
-        for key, turns in found.items()
+        for key, turns in results.items()
     ]
     return table(
         [
@@ -146,8 +147,8 @@
             "to 50% s",
             "to 95% s",
             "worth",
-            "origin's most",
-            "falls",
+            "peak of origin demand",
+            "collapses",
             "datagrams/s each",
             "refused",
         ],
@@ -155,10 +156,10 @@
     )
 
 
-def medians(found: dict[tuple, list[dict]]) -> dict[str, dict[str, float | None]]:
-    """By size and side; what was never reached is None."""
+def medians(results: dict[tuple, list[dict]]) -> dict[str, dict[str, float | None]]:
+    """The medians by size and side; None for a share that was not reached."""
     out = {}
-    for (count, side), turns in found.items():
+    for (count, side), turns in results.items():
         row = {c: statistics.median(t[c] for t in turns) for c in COLUMNS}
         out[f"{count} {side}"] = {c: round(v, 3) if math.isfinite(v) else None for c, v in row.items()}
     return out
@@ -167,9 +168,9 @@
 def main(argv: list[str] | None = None) -> int:
     parser = argparse.ArgumentParser(prog="benchmarks.recovery", description=__doc__.splitlines()[0])
     parser.add_argument("--quick", action="store_true", help="3 real and 40 simulated directors, under 45 s")
-    parser.add_argument("--smallest", action="store_true", help="the least that runs; shows nothing")
-    parser.add_argument("--sizes", help="real directors, as 3,10; one turn, no simulated time")
-    parser.add_argument("--before", default=BEFORE, help="the version to compare with, a git revision")
+    parser.add_argument("--smallest", action="store_true", help="the smallest size that runs; its figures mean nothing")
+    parser.add_argument("--sizes", help="numbers of real directors, for example 3,10; runs one turn, and no simulation")
+    parser.add_argument("--before", default=BEFORE, help="the git revision to compare with")
     args = parser.parse_args(argv)
     if args.smallest:
         sizes, seconds, turns, sims, sides = (1,), 3.0, 1, (3,), ("peers",)
@@ -180,7 +181,7 @@
     if args.sizes:
         sizes, turns, sims = tuple(map(int, args.sizes.split(","))), 1, ()
     began = time.monotonic()
-    found: dict[tuple, list[dict]] = {}
+    results: dict[tuple, list[dict]] = {}
     with tempfile.TemporaryDirectory() as tmp:
         code = None
         if "before" in sides:
@@ -188,25 +189,25 @@
                 code = checkout(args.before, Path(tmp) / "before")
             except subprocess.CalledProcessError:
                 sides = tuple(s for s in sides if s != "before")
-                print(f"no revision {args.before} here: the version before is left out")
+                print(f"revision {args.before} not found: the side `before` is skipped")
         for turn in range(turns):
             for size in sizes:
                 for side in sides if turn % 2 == 0 else tuple(reversed(sides)):
                     checkout_of = code if side == "before" else None
                     row = trio.run(real, side, checkout_of, size, RATE, seconds, SEED + turn)
-                    found.setdefault((size, side), []).append(row)
+                    results.setdefault((size, side), []).append(row)
     print(
         f"{machine()}; {time.monotonic() - began:.0f} s; real: {RATE:g} requests a second, origin of "
-        f"{WEAK.capacity:g} workers, seeds {SEED} to {SEED + turns - 1}"
+        f"{SMALL_ORIGIN.capacity:g} workers, seeds {SEED} to {SEED + turns - 1}"
     )
-    print(shown(found))
+    print(results_table(results))
     simulations: dict[tuple, list[dict]] = {}
     for count in sims:
         for side in ("without", "alone", "peers"):
             for turn in range(1 if count == 200 else turns):
                 simulations.setdefault((count, side), []).append(simulated(side, count, SEED + turn))
     print("simulated time: 600 requests a second, origin of 140 calls a second, cold caches")
-    print(shown(simulations))
+    print(results_table(simulations))
     peaks = {count: calls(count, SEED) for count in (10, 40, 200)}
     print(
         table(
@@ -214,7 +215,7 @@
             [[n, p["before"], p["now"]] for n, p in peaks.items()],
         )
     )
-    every = [turn for rows in found.values() for turn in rows]
+    every = [turn for rows in results.values() for turn in rows]
     print(
         figures(
             seed=SEED,
@@ -222,7 +223,7 @@
             breaches=sum(t["breaches"] for t in every),
             lab_late_ms=round(max(t["late_ms"] for t in every), 1),
             calls={n: p["now"] for n, p in peaks.items()},
-            real=medians(found),
+            real=medians(results),
             simulated=medians(simulations),
         )
     )
--- a/benchmarks/recovery_cost.py
+++ b/benchmarks/recovery_cost.py
@@ -1,12 +1,13 @@
-"""What recovery, state and ownership cost a director that serves: CPU a request with them on, against off.
+"""The cost of recovery, stored state and ownership to a serving director: CPU per request with them on, against off.
 
     python -m benchmarks.recovery_cost [--quick | --smallest]
 
-One director of the stage at a time, caches warm, `RATE` requests a second; sides in turn, repeated: `off` as
-in `run`, `recovery` with [state], [recovery] and two peers that talk to it as a fleet of three does, and
-`ownership` with all of that and [ownership]. Figures: CPU
-microseconds of the director's process (all its threads) an answer, the ratios, CPU with no request, memory.
-Held fixed: the rate, the seed of a turn, the caches. The peers' CPU is not counted.
+One director serves `RATE` requests per second, with warm caches. The sides alternate and are repeated: `off` without
+these parts, `recovery` with [state], [recovery] and two peers that exchange datagrams with it as in a fleet of
+three, and `ownership` with [ownership] in addition.
+
+Figures: CPU microseconds of the director's process (all threads) per response, the ratios to `off`, CPU without
+requests, memory. Fixed: the rate, the seed of a turn, the caches. The peers' CPU is not counted.
 """
 
 from __future__ import annotations
@@ -25,29 +26,31 @@
 RECOVERY = "[state]\n folder {state}\n fleet f1\n[recovery]\n fleet f1\n first-rate 390\n"
 SIDES = {"off": "", "recovery": RECOVERY, "ownership": RECOVERY + "[ownership]\n report-ledger {ledger}\n"}
 RATE = 100.0
-WARM_S = 22.0
-TICK = os.sysconf("SC_CLK_TCK")
+WARM_UP_S = 22.0
+TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
 
 def cpu_s(pid: int) -> float:
+    """The CPU seconds that a process has used, in user and system mode."""
     with open(f"/proc/{pid}/stat", encoding="ascii") as f:
         fields = f.read().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / TICK
+    return (int(fields[11]) + int(fields[12])) / TICKS_PER_S
 
 
 def memory_mb(pid: int) -> float:
+    """The resident memory of a process in MiB."""
     with open(f"/proc/{pid}/status", encoding="ascii") as f:
         return next(int(line.split()[1]) for line in f if line.startswith("VmRSS")) / 1024
 
 
-async def turn(side: str, directors: int, warm: float, seconds: float, seed: int) -> dict:
+async def measure(side: str, directors: int, warm: float, seconds: float, seed: int) -> dict:
     async with stage(directors, 3, 1, seed, SIDES[side], RATE) as scene:
         await scene.start()
         await scene.admitted()
         if side != "off":
             for node in scene.nodes.values():
                 await node.said("recovery_stage", stage="serving")
-        for name in scene.names[1:]:  # one director gets all the requests, the others only talk to it
+        for name in scene.names[1:]:  # one director gets all requests, the others only exchange datagrams with it
             scene.front.targets[name].admitted = False
         await trio.sleep(warm)
         pid = scene.nodes["n0"].process.pid
@@ -71,19 +74,19 @@
 def main(argv: list[str] | None = None) -> int:
     parser = argparse.ArgumentParser(prog="benchmarks.recovery_cost", description=__doc__.splitlines()[0])
     parser.add_argument("--quick", action="store_true", help="one turn of 3 s a side, under 45 s")
-    parser.add_argument("--smallest", action="store_true", help="the least that runs; shows nothing")
+    parser.add_argument("--smallest", action="store_true", help="the smallest size that runs; its figures mean nothing")
     parser.add_argument("--turns", type=int, default=6)
     args = parser.parse_args(argv)
     directors = 1 if args.smallest else 3
-    # After a start together members count as cold for 20 s: until then other requests are measured.
+    # After a simultaneous start, members count as cold for 20 s; a shorter warm-up would measure other requests.
     turns, warm, seconds = (
-        (1, 0.1, 0.5) if args.smallest else (1, 2.0, 3.0) if args.quick else (args.turns, WARM_S, 10.0)
+        (1, 0.1, 0.5) if args.smallest else (1, 2.0, 3.0) if args.quick else (args.turns, WARM_UP_S, 10.0)
     )
     found: dict[str, list[dict]] = {side: [] for side in SIDES}
     began = time.monotonic()
     for n in range(turns):
         for side in SIDES if n % 2 == 0 else reversed(SIDES):
-            found[side].append(trio.run(turn, side, directors, warm, seconds, 7 + n))
+            found[side].append(trio.run(measure, side, directors, warm, seconds, 7 + n))
     us = {side: [t["us"] for t in rows] for side, rows in found.items()}
     ratios = {
         side: [on / off for on, off in zip(us[side], us["off"], strict=True) if off] for side in SIDES if side != "off"
