--- a/benchmarks/recovery_sweep.py
+++ b/benchmarks/recovery_sweep.py
@@ -1,23 +1,23 @@
-"""The long sweep of returns: real directors, one hard case a run, seeds upon seeds.
+"""A long sweep of recoveries with real directors: one hard case per run, over many seeds.
 
     python -m benchmarks.recovery_sweep [--quick | --smallest] [--seeds N] [--first SEED] [--cases a,b]
 
-Every run is a process of its own with a stage in it; it ends well where the fleet serves again and no rule
-was broken, whatever came when. A run that does not prints its report: seed, faults, what the directors said.
-`--first SEED --seeds 1 --cases CASE` repeats one.
-
-    orders      everything loses its power amid writes, and returns one by one in an order drawn by the seed,
-                the next when it may, not when the last is ready
-    thrice      the power fails again as the first director is on its way, and once more
-    away        the coordinator stays away for 30 s after the return of all
-    frozen      one director stands still for 20 s through the whole return
-    torn        what was not synced reached the disk in part, its last write half; clients run
-    swapped     one director is started on another's folder, refuses it, and returns on its own; clients run
-    weak        an origin that falls over at the first rush, and cold parents
-    vanished    a director and a cache vanish amid the return, then two others, then all are there again
-    owners      five directors with four duties: kills, freezes, cuts, clocks that step and run wrong, stops
-                amid a line to the ledger; no line of an old owner may be taken, no order that stood be lost
-    bad-net     a third of the datagrams lost, others doubled and reordered, a coordinator that resets
+Each run is a process of its own with a fleet of directors. It passes if the fleet serves again and no invariant is
+violated. A failed run prints its report: the seed, the faults and the directors' log lines.
+`--first SEED --seeds 1 --cases CASE` repeats a run.
+
+    orders      all processes lose power during writes and restart one by one in an order that the seed draws; a
+                restart does not wait until the previous process is ready
+    thrice      the power fails again when the first director has begun to recover, and once more
+    away        the coordinator is unreachable for 30 s after all processes have restarted
+    frozen      one director is suspended for 20 s while the fleet recovers
+    torn        unsynced data reaches the disk in part, and the last write only to half; clients send requests
+    swapped     one director is started with another's folder, refuses it, recovers with its own; clients send requests
+    weak        the origin collapses under the first load peak, and the parents are cold
+    vanished    a director and a cache become unreachable during recovery, then two others, then all are reachable
+    owners      five directors, four tasks; kills, freezes, partitions, clocks that step and drift, stops during a write
+                to the ledger. The ledger accepts no line of an old owner, and no committed order is lost
+    bad-net     a third of the datagrams is lost, others are duplicated and reordered, the coordinator resets streams
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 from rookbend.testing.cluster.process import AFTER_SEND, BEFORE_SEND
 from rookbend.testing.cluster.shared_state import ORIGIN
 
-OPERATORS = """
+OPERATOR_SETTINGS = """
 [state]
     folder {state}
     fleet  f1
@@ -51,7 +51,7 @@
 RATE = 60.0
 
 
-async def all_serve(scene: Scene) -> None:
+async def wait_until_all_serve(scene: Scene) -> None:
     for name in scene.names:
         await scene.nodes[name].said("recovery_stage", stage="serving")
     await scene.admitted()
@@ -69,10 +69,10 @@
 
 
 async def thrice(scene: Scene, rng: random.Random) -> None:
-    for stage_name in rng.sample(("writes", "reads", "fills"), 2):
+    for recovery_stage in rng.sample(("writes", "reads", "fills"), 2):
         scene.power_off()
         await scene.power_on()
-        await scene.nodes[rng.choice(scene.names)].said("recovery_stage", stage=stage_name)
+        await scene.nodes[rng.choice(scene.names)].said("recovery_stage", stage=recovery_stage)
     scene.power_off()
     await scene.power_on()
 
@@ -102,7 +102,7 @@
         await node.ended()
         disk.tear(node.state, rng.random())
     await scene.power_on()
-    assert not any(node.heard("state_damaged") for node in scene.nodes.values()), "a torn write is no damage"
+    assert not any(node.heard("state_damaged") for node in scene.nodes.values()), "a torn write was reported as damage"
 
 
 async def swapped(scene: Scene, rng: random.Random) -> None:
@@ -110,14 +110,14 @@
     scene.power_off(one)
     await scene.nodes[one].ended()
     disk.lose(scene.nodes[one].state)
-    ours = scene.folder / "ours"
-    disk.copy(scene.nodes[one].state, ours)
+    own_copy = scene.folder / "ours"
+    disk.copy(scene.nodes[one].state, own_copy)
     disk.copy(scene.nodes[other].state, scene.nodes[one].state)
     await scene.start(one)
-    assert await scene.nodes[one].ended() == 2, "it took another's folder"
-    said = [line.get("text", "") for line in scene.nodes[one].lines[-1]]
-    assert any(f"is of director '{other}'" in text for text in said), said
-    disk.copy(ours, scene.nodes[one].state)
+    assert await scene.nodes[one].ended() == 2, "the director did not refuse another's folder"
+    log_texts = [line.get("text", "") for line in scene.nodes[one].lines[-1]]
+    assert any(f"is of director '{other}'" in text for text in log_texts), log_texts
+    disk.copy(own_copy, scene.nodes[one].state)
     await scene.power_on(one)
 
 
@@ -153,7 +153,7 @@
         scene.coordinator.back()
 
 
-OWNERS = """
+OWNERSHIP_SETTINGS = """
 [state]
     folder {state}
     fleet  f1
@@ -174,8 +174,8 @@
 """
 
 
-async def harm(scene: Scene, rng: random.Random) -> None:
-    """One fault, to its end."""
+async def inject_fault(scene: Scene, rng: random.Random) -> None:
+    """Injects one fault that the seed draws; returns when it has ended."""
     name, other = rng.sample(scene.names, 2)
     node = scene.nodes[name]
     kind = rng.choice(("kill", "freeze", "cut", "cut one way", "clock", "rate", "before", "after"))
@@ -201,17 +201,17 @@
         node.set_clock(*((step,) if kind == "clock" else (0.0, rate)))
         await trio.sleep(span_s / 2)
     else:
-        for each in scene.nodes.values():  # whichever writes next
+        for each in scene.nodes.values():  # the first one that writes to the ledger
             each.stop_at(BEFORE_SEND if kind == "before" else AFTER_SEND)
         async with trio.open_nursery() as nursery:
 
-            async def first(each) -> None:
+            async def cancel_when_stopped(each) -> None:
                 await each.stopped()
                 nursery.cancel_scope.cancel()
 
             nursery.cancel_scope.deadline = trio.current_time() + 6.0
             for each in scene.nodes.values():
-                nursery.start_soon(first, each)
+                nursery.start_soon(cancel_when_stopped, each)
         for each in scene.nodes.values():
             each.stop_at()
         await trio.sleep(span_s)
@@ -220,13 +220,13 @@
 
 
 async def owners(seed: int) -> None:
-    """A run of its own: five directors, four duties, twelve faults."""
+    """The case `owners`: five directors, four tasks, twelve faults."""
     rng = random.Random(f"{seed} owners")
-    async with stage(5, 3, 1, seed, OWNERS) as scene:
+    async with stage(5, 3, 1, seed, OWNERSHIP_SETTINGS) as scene:
         scene.change = allow_probes
         await scene.start()
         await scene.admitted()
-        stood: list[str] = []
+        committed: list[str] = []
 
         async def order(number: int) -> None:
             member, name = rng.choice(scene.caches).name, rng.choice(scene.names)
@@ -239,14 +239,14 @@
                         {"member": member, "order": rng.choice(("drain", "ready")), "by": f"s{number}", "fleet": True},
                     )
                     if found["status"] == 200:
-                        stood.append(f"s{number}")
+                        committed.append(f"s{number}")
                 except (OSError, trio.BrokenResourceError):
-                    pass  # that director was away
+                    pass  # the director was down or unreachable
 
         for number in range(12):
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(order, number)
-                await harm(scene, rng)
+                await inject_fault(scene, rng)
         scene.ways.heal()
         for node in scene.nodes.values():
             node.set_clock()
@@ -259,17 +259,17 @@
                 name,
                 "/owners",
                 lambda found: all(r["owner"] >= 0 for r in found["owners"])
-                and found["orders"]["in_effect"] >= len(stood),
+                and found["orders"]["in_effect"] >= len(committed),
             )
             counts[name] = found["orders"]["in_effect"]
         scene.front.running.cancel()
         scene.verdict()
-        taken = [t for t in scene.ledger.tries if t.word == "ok"]
-        assert [t.token for t in taken] == sorted(t.token for t in taken), "an old owner's line was taken"
-        assert len({t.number for t in taken}) == len(taken), "a line was taken twice"
-        old = sum(t.word == "old" for t in scene.ledger.tries)
+        accepted = [t for t in scene.ledger.tries if t.word == "ok"]
+        assert [t.token for t in accepted] == sorted(t.token for t in accepted), "an old owner's line was accepted"
+        assert len({t.number for t in accepted}) == len(accepted), "a line was accepted twice"
+        refused = sum(t.word == "old" for t in scene.ledger.tries)
         print(
-            f"owners {seed}: {len(taken)} lines taken, {old} of old owners refused, " f"{len(stood)} orders stood",
+            f"owners {seed}: lines: {len(accepted)} accepted, {refused} stale; " f"{len(committed)} orders committed",
             flush=True,
         )
 
@@ -286,26 +286,26 @@
     "bad-net": bad_net,
     "owners": owners,
 }
-SHORT = "orders", "torn", "swapped"
+QUICK_CASES = "orders", "torn", "swapped"
 
 
 async def run(case: str, seed: int, directors: int) -> None:
-    """One run. Raises AssertionError with its report where it does not end well."""
+    """Runs one case with one seed. Raises AssertionError with the report if it fails."""
     if case == "owners":
         return await owners(seed)
-    async with stage(directors, 3, 1, seed, OPERATORS, RATE) as scene:
+    async with stage(directors, 3, 1, seed, OPERATOR_SETTINGS, RATE) as scene:
         await scene.start()
         await scene.admitted()
         await scene.until(lambda: len(scene.world.ran) > 3, "writes ran")
         await CASES[case](scene, random.Random(f"{seed} {case}"))
-        await all_serve(scene)
+        await wait_until_all_serve(scene)
         scene.front.running.cancel()
         scene.verdict()
-        twice = [rids for rids in scene.world.ran.values() if len(rids) != len(set(rids))]
-        assert not twice, f"an id ran twice: {twice}"
+        duplicates = [rids for rids in scene.world.ran.values() if len(rids) != len(set(rids))]
+        assert not duplicates, f"a request id was executed twice: {duplicates}"
 
 
-def child(case: str, seed: int, directors: int) -> int:
+def run_child(case: str, seed: int, directors: int) -> int:
     try:
         trio.run(run, case, seed, directors)
     except BaseExceptionGroup as group:
@@ -318,9 +318,9 @@
     return 0
 
 
-def sweep(wanted: list[tuple[str, int]], directors: int, jobs: int) -> list[tuple[str, int, float, int]]:
-    """(case, seed, seconds, exit code) of each; so many at once."""
-    out, live, waiting = [], {}, list(wanted)
+def run_cases(wanted: list[tuple[str, int]], directors: int, jobs: int) -> list[tuple[str, int, float, int]]:
+    """Runs each case and seed, `jobs` at the same time; returns (case, seed, seconds, exit code) of each."""
+    results, live, waiting = [], {}, list(wanted)
     while waiting or live:
         while waiting and len(live) < jobs:
             case, seed = waiting.pop(0)
@@ -340,28 +340,28 @@
         process = next(p for p in live if p.pid == pid)
         case, seed, began = live.pop(process)
         code = os.waitstatus_to_exitcode(status)
-        said = process.stderr.read()
+        output = process.stderr.read()
         process.stderr.close()
         process.returncode = code
-        out.append((case, seed, time.monotonic() - began, code))
+        results.append((case, seed, time.monotonic() - began, code))
         if code:
-            print(f"== {case}, seed {seed}: exit {code}\n{said}", flush=True)
-    return out
+            print(f"== {case}, seed {seed}: exit {code}\n{output}", flush=True)
+    return results
 
 
 PROCESS_TESTS = "test_process_cluster.py", "test_recovery_processes.py", "test_leases_processes.py"
 
 
-def tests(times: int, jobs: int) -> int:
-    """All tests with several processes, again and again; so many runs of a file at once."""
+def run_process_tests(times: int, jobs: int) -> int:
+    """Runs each file of tests with several processes `times` times, `jobs` runs at the same time."""
     waiting = [(n, name) for n in range(times) for name in PROCESS_TESTS]
     live, failed, began = {}, Counter(), time.monotonic()
     while waiting or live:
         while waiting and len(live) < jobs:
             n, name = waiting.pop(0)
-            words = [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider", f"tests/{name}"]
+            command = [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider", f"tests/{name}"]
             process = subprocess.Popen(
-                words,
+                command,
                 env={**os.environ, "ROOKBEND_LONG": "1"},
                 text=True,
                 stdout=subprocess.PIPE,
@@ -369,11 +369,11 @@
             )
             live[process] = n, name
         process = next(iter(live))
-        said, _ = process.communicate()
+        output, _ = process.communicate()
         n, name = live.pop(process)
         if process.returncode:
             failed[name] += 1
-            print(f"== {name}, run {n}:\n{said}", flush=True)
+            print(f"== {name}, run {n}:\n{output}", flush=True)
     print(f"{machine()}; {time.monotonic() - began:.0f} s; {times} runs of each file, {jobs} at once")
     print(figures(times=times, failed=dict(failed)))
     return 1 if failed else 0
@@ -382,7 +382,7 @@
 def main(argv: list[str] | None = None) -> int:
     parser = argparse.ArgumentParser(prog="benchmarks.recovery_sweep", description=__doc__.splitlines()[0])
     parser.add_argument("--quick", action="store_true", help="three short cases, one seed, under 45 s")
-    parser.add_argument("--smallest", action="store_true", help="one run of one director; shows nothing")
+    parser.add_argument("--smallest", action="store_true", help="one run with one director; its result means nothing")
     parser.add_argument("--seeds", type=int, default=5)
     parser.add_argument("--first", type=int, default=1)
     parser.add_argument("--cases", default=",".join(CASES))
@@ -392,28 +392,28 @@
         "--tests",
         type=int,
         default=0,
-        help="run the tests with several processes so often, the long ones too, and no case",
+        help="instead of the cases, run the tests with several processes this many times, including the long ones",
     )
     parser.add_argument("--child", help=argparse.SUPPRESS)
     args = parser.parse_args(argv)
     if args.child:
-        return child(args.child, args.first, args.directors)
+        return run_child(args.child, args.first, args.directors)
     if args.tests:
-        return tests(args.tests, args.jobs)
+        return run_process_tests(args.tests, args.jobs)
     cases, seeds, directors = args.cases.split(","), args.seeds, args.directors
     if args.quick or args.smallest:
-        cases, seeds = (SHORT if args.quick else ("torn",)), 1
+        cases, seeds = (QUICK_CASES if args.quick else ("torn",)), 1
         directors = directors if args.quick else 1
     began = time.monotonic()
     wanted = [(case, args.first + n) for n in range(seeds) for case in cases]
-    found = sweep(wanted, directors, args.jobs)
-    failed = Counter(case for case, _, _, code in found if code)
+    results = run_cases(wanted, directors, args.jobs)
+    failed = Counter(case for case, _, _, code in results if code)
     rows = [
         [
             case,
-            sum(c == case for c, *_ in found),
+            sum(c == case for c, *_ in results),
             failed[case],
-            sum(s for c, _, s, _ in found if c == case) / max(1, sum(c == case for c, *_ in found)),
+            sum(s for c, _, s, _ in results if c == case) / max(1, sum(c == case for c, *_ in results)),
         ]
         for case in cases
     ]
@@ -422,7 +422,7 @@
         f"seeds {args.first} to {args.first + seeds - 1}"
     )
     print(table(["case", "runs", "failed", "seconds each"], rows))
-    print(figures(runs=len(found), failed=sum(failed.values()), by_case=dict(failed), first=args.first))
+    print(figures(runs=len(results), failed=sum(failed.values()), by_case=dict(failed), first=args.first))
     return 1 if failed else 0
 
 
