--- a/benchmarks/health.py
+++ b/benchmarks/health.py
@@ -259,7 +259,7 @@
     sizes = (10,) if args.smallest else (100,) if args.quick else (10, 100, 1000)
     members = sizes[0] if args.smallest else 100
     seconds = 0.3 if args.smallest else 2
-    found: dict = {"seed": SEED}
+    measured: dict = {"seed": SEED}
     print(machine())
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
@@ -268,20 +268,20 @@
             for size in sizes:
                 length = 0.3 if args.smallest else 5 if args.quick else 40
                 r = trio.run(reaction, size, length, 250, folder / f"r{size}")
-                for way, delays in r["delays"].items():
+                for source, delays in r["delays"].items():
                     rows.append(
                         [
                             size,
-                            way,
+                            source,
                             len(delays),
                             percentile(delays, 0.5),
                             percentile(delays, 0.99),
                             max(delays),
-                            r["after"][way],
+                            r["after"][source],
                             f"{r['served']}/{r['answers']}",
                         ]
                     )
-                    found[f"reaction_max_ms_{way}_{size}"] = round(max(delays), 2)
+                    measured[f"reaction_max_ms_{source}_{size}"] = round(max(delays), 2)
             print(
                 table(
                     ["members", "told by", "drains", "median ms", "p99 ms", "max ms", "attempts after", "served"], rows
@@ -297,8 +297,8 @@
             )
             for what in ("median", "p99", "cpu"):
                 low, high = (statistics.median(s[what][k]) for k in (0, 30))
-                found[f"stalled_{what}_ratio"] = round(high / low, 3)
-            found["client_late_ms"] = round(s["late"] * 1000, 1)
+                measured[f"stalled_{what}_ratio"] = round(high / low, 3)
+            measured["client_late_ms"] = round(s["late"] * 1000, 1)
         if "before" in parts and args.before:
             r = trio.run(
                 beside_before,
@@ -318,7 +318,7 @@
             for side in ("off", "on"):
                 for what in ("p99", "cpu"):
                     now, then = (statistics.median(r[k][what]) for k in (side, "before"))
-                    found[f"{side}_{what}_ratio"] = round(now / then, 3)
+                    measured[f"{side}_{what}_ratio"] = round(now / then, 3)
         if "cost" in parts:
             c = trio.run(cost_of_checks, members if args.quick else 1000, seconds if args.quick else 12, folder / "c")
             per_member = bytes_per_member(1000)
@@ -326,7 +326,7 @@
                 f"{c['checks']} checks, {c['us']:.0f} us of CPU a check; {per_member:.0f} bytes a member; "
                 f"{c['resident_kb']} kB more resident"
             )
-            found.update(check_cpu_us=round(c["us"]), member_bytes=round(per_member), health_on_kb=c["resident_kb"])
+            measured.update(check_cpu_us=round(c["us"]), member_bytes=round(per_member), health_on_kb=c["resident_kb"])
         if "platform" in parts:
             p = platform_start(args.before, 2 if args.quick else 9, folder / "p")
             print(
@@ -336,9 +336,9 @@
                 )
             )
             for side, values in p["memory"].items():
-                found[f"platform_mb_{side}"] = round(statistics.median(values), 2)
-                found[f"platform_start_s_{side}"] = round(statistics.median(p["seconds"][side]), 3)
-    print(figures(**found))
+                measured[f"platform_mb_{side}"] = round(statistics.median(values), 2)
+                measured[f"platform_start_s_{side}"] = round(statistics.median(p["seconds"][side]), 3)
+    print(figures(**measured))
     return 0
 
 
--- a/benchmarks/leases_model_checking.py
+++ b/benchmarks/leases_model_checking.py
@@ -59,38 +59,38 @@
     wrong, total, rows = [], 0, []
     for name, (bounds, first_prompt_candidate) in BOUNDS.items():
         began = time.monotonic()
-        found = search(LeaseModel(bounds, first_prompt_candidate=first_prompt_candidate), states, jobs=args.jobs)
-        total += found.states
+        result = search(LeaseModel(bounds, first_prompt_candidate=first_prompt_candidate), states, jobs=args.jobs)
+        total += result.states
         rows.append(
             [
                 name,
-                found.states,
-                found.steps,
-                found.depth,
-                "all" if found.complete else "cut off",
-                found.wrong or "nothing",
+                result.states,
+                result.steps,
+                result.depth,
+                "all" if result.complete else "cut off",
+                result.wrong or "nothing",
                 time.monotonic() - began,
             ]
         )
-        if found.wrong:
-            wrong.append((name, found))
+        if result.wrong:
+            wrong.append((name, result))
     print(table(["bounds", "states", "steps", "depth", "", "wrong", "seconds"], rows), flush=True)
-    for name, found in wrong:
-        print(f"{name}: {found.wrong}\n  " + "\n  ".join(found.path))
+    for name, result in wrong:
+        print(f"{name}: {result.wrong}\n  " + "\n  ".join(result.path))
     missed, caught_count, rows = [], 0, []
     for fault in faults:
         began = time.monotonic()
-        found = search_with_fault(fault, args.jobs)
+        result = search_with_fault(fault, args.jobs)
         caught = caught_by_tests(fault) if not (args.quick or args.smallest) else False
         caught_count += caught
-        if found.wrong != fault.breaks:
+        if result.wrong != fault.breaks:
             missed.append(fault.name)
         rows.append(
             [
                 fault.name,
-                found.wrong or "MISSED",
-                found.states,
-                len(found.path),
+                result.wrong or "MISSED",
+                result.states,
+                len(result.path),
                 "yes" if caught else "no",
                 time.monotonic() - began,
             ]
--- a/benchmarks/mixed_versions.py
+++ b/benchmarks/mixed_versions.py
@@ -13,7 +13,7 @@
     upgrade    from old to new and from new to old, under requests. No request is lost, an exclusion stays in force.
     interface  metrics with their labels, keys of the admin API's JSON, help texts and events of the log are compared.
 
-Exits with 1 where a check fails or the interfaces differ. A difference of log events is printed only, since it
+Exits with 1 if a check fails or the interfaces differ. A difference of log events is printed only, since it
 depends on timing which events a short run logs.
 """
 
@@ -61,12 +61,12 @@
                 for member in MEMBERS[:step]:
                     await until_member_state(scene, name, member, "maintenance")
             leader = await leader_of(scene, "orders")
-            held = (await scene.ask(leader, "/owners"))["owners"]
-            for row in held:
+            leases = (await scene.ask(leader, "/owners"))["owners"]
+            for row in leases:
                 if row["ours"]:
                     require(row["token"] > tokens.get(row["scope"], 0), f"the token of {row['scope']} did not grow")
             await order_for_fleet(scene, "n0", MEMBERS[step], "maintain")
-            tokens.update({row["scope"]: row["token"] for row in held})
+            tokens.update({row["scope"]: row["token"] for row in leases})
             for name in scene.names:
                 scene.nodes[name].signal(signal.SIGTERM)
             for name in scene.names:
@@ -96,7 +96,7 @@
                         await trio.sleep(0.05)
                 moved_leases += 1
             await order_for_fleet(scene, "n1" if target == 0 else "n0", "c1", "maintain" if target == 0 else "ready")
-        # The lease also moves where its holder ends by SIGTERM.
+        # The lease also moves when SIGTERM ends its holder.
         leader = await leader_of(scene, "orders")
         scene.nodes[leader].signal(signal.SIGTERM)
         lost = await scene.nodes[leader].said("lease_lost", scope="orders")
@@ -151,7 +151,7 @@
 
 
 def run_check(name: str, check: Callable[..., Any], *arguments: Any) -> Any:
-    """The result of one check, or None where it failed; prints a failure."""
+    """Runs one check; returns its result, or prints the failure and returns None."""
     result = None
     try:
         result = trio.run(check, *arguments)
--- a/benchmarks/operations.py
+++ b/benchmarks/operations.py
@@ -54,14 +54,14 @@
         await scene.serve_with_doors()
         if rate:
             await scene.served_more(int(rate / 4))
-        address, held = split_address(scene.places["n0"]["operator"]), []
+        address, streams = split_address(scene.places["n0"]["operator"]), []
         for i in range(idle_connections):
             stream = await trio.open_tcp_stream(*address)
             if i % 2:
                 await stream.send_all(b"GET /status HT")
-            held.append(stream)
+            streams.append(stream)
         durations = await call_durations_ms(scene, count)
-        for stream in held:
+        for stream in streams:
             await stream.aclose()
         scene.verdict()
         return durations
@@ -110,8 +110,8 @@
             off = max(0, seen_before - served, served - seen)
             worst["served"] = max(worst["served"], off / max(1, seen))
             low, high = sorted((open_before, opened))
-            flying = found["svc.in_flight"]
-            worst["in_flight"] = max(worst["in_flight"], float(max(0, low - flying, flying - high)))
+            in_flight = found["svc.in_flight"]
+            worst["in_flight"] = max(worst["in_flight"], float(max(0, low - in_flight, in_flight - high)))
         scene.front.running.cancel()
         await trio.sleep(1.0)
         found = await scene.figures("n0")
--- a/benchmarks/recovery_cost.py
+++ b/benchmarks/recovery_cost.py
@@ -82,18 +82,18 @@
     turns, warm, seconds = (
         (1, 0.1, 0.5) if args.smallest else (1, 2.0, 3.0) if args.quick else (args.turns, WARM_UP_S, 10.0)
     )
-    found: dict[str, list[dict]] = {side: [] for side in SIDES}
+    results: dict[str, list[dict]] = {side: [] for side in SIDES}
     began = time.monotonic()
     for n in range(turns):
         for side in SIDES if n % 2 == 0 else reversed(SIDES):
-            found[side].append(trio.run(measure, side, directors, warm, seconds, 7 + n))
-    us = {side: [t["us"] for t in rows] for side, rows in found.items()}
+            results[side].append(trio.run(measure, side, directors, warm, seconds, 7 + n))
+    us = {side: [t["us"] for t in rows] for side, rows in results.items()}
     ratios = {
         side: [on / off for on, off in zip(us[side], us["off"], strict=True) if off] for side in SIDES if side != "off"
     }
     print(f"{machine()}; {time.monotonic() - began:.0f} s; {RATE:g} requests a second, {turns} turns a side")
     rows = [
-        [side, *(spread([t[n] for t in found[side]]) for n in ("us", "idle_ms", "mb", "answers"))] for side in SIDES
+        [side, *(spread([t[n] for t in results[side]]) for n in ("us", "idle_ms", "mb", "answers"))] for side in SIDES
     ]
     print(table(["side", "CPU us a request", "idle, CPU ms/s", "MB", "answers a turn"], rows))
     for side, values in ratios.items():
@@ -103,8 +103,8 @@
             ratio={side: round(statistics.median(v), 4) if v else None for side, v in ratios.items()},
             turns=turns,
             rate=RATE,
-            idle_ms={side: round(statistics.median(t["idle_ms"] for t in rows), 2) for side, rows in found.items()},
-            lab_late_ms=round(max(t["late_ms"] for rows in found.values() for t in rows), 1),
+            idle_ms={side: round(statistics.median(t["idle_ms"] for t in rows), 2) for side, rows in results.items()},
+            lab_late_ms=round(max(t["late_ms"] for rows in results.values() for t in rows), 1),
             us={side: round(statistics.median(v), 1) for side, v in us.items()},
         )
     )
--- a/benchmarks/recovery_sweep.py
+++ b/benchmarks/recovery_sweep.py
@@ -324,7 +324,7 @@
     while waiting or live:
         while waiting and len(live) < jobs:
             case, seed = waiting.pop(0)
-            words = [
+            command = [
                 sys.executable,
                 "-m",
                 "benchmarks.recovery_sweep",
@@ -335,7 +335,7 @@
                 "--directors",
                 str(directors),
             ]
-            live[subprocess.Popen(words, stderr=subprocess.PIPE, text=True)] = case, seed, time.monotonic()
+            live[subprocess.Popen(command, stderr=subprocess.PIPE, text=True)] = case, seed, time.monotonic()
         pid, status = os.waitpid(-1, 0)
         process = next(p for p in live if p.pid == pid)
         case, seed, began = live.pop(process)
--- a/benchmarks/state.py
+++ b/benchmarks/state.py
@@ -166,9 +166,9 @@
     parser.add_argument("--child", nargs="*", help=argparse.SUPPRESS)
     args = parser.parse_args(argv)
     if args.child:
-        what, side, commits, folder = args.child
+        kind, side, commits, folder = args.child
         store = Path(folder)
-        print(json.dumps(measure_commits(side, int(commits), store) if what == "one" else reopen(side, store)))
+        print(json.dumps(measure_commits(side, int(commits), store) if kind == "one" else reopen(side, store)))
         return 0
     sizes = (5, 1, 0.2) if args.smallest else (100, 2, 3.0) if args.quick else (400, 5, 10.0)
     commits, turns, seconds = sizes
@@ -183,8 +183,8 @@
                 folder.mkdir()
                 row = run_child("one", side, str(commits), str(folder))
                 results[side].append({**row, **run_child("reopen", side, "0", str(folder))})
-            for what, rate in (("idle", 0.0), ("writes", 20.0)):
-                delays[what].append(trio.run(loop_delay, seconds, rate, Path(name) / f"{what}{turn}"))
+            for kind, rate in (("idle", 0.0), ("writes", 20.0)):
+                delays[kind].append(trio.run(loop_delay, seconds, rate, Path(name) / f"{kind}{turn}"))
     columns = list(results[sides[0]][0])
     print(
         table(
@@ -197,13 +197,13 @@
             ["loop", "late p99 ms", "CPU s", "writes", "durable after ms"],
             [
                 [
-                    what,
+                    kind,
                     spread([r["p99"] for r in rows]),
                     spread([r["cpu"] for r in rows]),
                     rows[-1]["kept"],
                     rows[-1]["safe_ms"],
                 ]
-                for what, rows in delays.items()
+                for kind, rows in delays.items()
             ],
         )
     )
