--- a/tests/director_scenario.py
+++ b/tests/director_scenario.py
@@ -1,7 +1,7 @@
-"""A director on loopback, the stand-ins round it, and the scenario language that moves them.
+"""A director on loopback, stand-ins for its clients, members and other peers, and the scenario language that scripts them.
 
-A scenario is one step a line: ACTOR VERB WORDS. The verbs are send, expect, close and wait. The clock is
-trio's MockClock: it jumps when everybody waits, so an `expect` that nothing meets fails at once.
+A scenario has one step per line: ACTOR VERB WORDS. The verbs are send, expect, close and wait. The clock is
+trio's MockClock: it jumps ahead when all tasks wait, so an `expect` that nothing satisfies fails at once.
 
     client send request 1 video obj=7f3a9c21e0b4d655 budget=1500
     cache1 expect do c=video k=7f3a9c21e0b4d655
@@ -23,14 +23,14 @@
 from rookbend.settings import parse
 from rookbend.testing.health_agents import listen_on_shared_port
 from rookbend.testing.measurement_settings import SETTINGS
-from tests.dns_stand_ins import Agent, DnsClient, Health, Resolver
-from tests.platform_stand_ins import OBJ, PATIENCE, Box, Client, Coordinator
+from tests.dns_stand_ins import Agent, BalancerProbe, DnsClient, Resolver
+from tests.platform_stand_ins import OBJ, TIMEOUT_S, Client, Coordinator, MemberServer
 
-__all__ = ["OBJ", "SETTINGS", "UNIX", "on_stage", "play", "staged"]
-UNIX = 1_764_576_000.0
+__all__ = ["OBJ", "SETTINGS", "START_UNIX_S", "director_harness", "play", "run_with_director"]
+START_UNIX_S = 1_764_576_000.0
 HOSTS = {"cache1": "127.0.0.11", "cache2": "127.0.0.12", "upper": "127.0.0.21", "records": "127.0.0.31"}
 ROLES = {"upper": ("hub", "parent"), "records": ("hub", "origin")}
-OPERATORS = """
+OPERATOR_SETTINGS = """
 [dns]
     listen 127.0.0.1:0
     resolver 127.0.0.1:{resolver}
@@ -45,7 +45,9 @@
 """
 
 
-class Stage:
+class DirectorHarness:
+    """One director in this process and the actors of a scenario by name."""
+
     def __init__(self, nursery):
         self.nursery, self.ports, self.draining = nursery, {}, set()
         self.actors = {
@@ -55,16 +57,16 @@
             "coordinator2": Coordinator(self),
             "dns": DnsClient(self),
             "resolver": Resolver(self),
-            "health": Health(self),
+            "health": BalancerProbe(self),
         }
         for number, (name, host) in enumerate(HOSTS.items(), 1):
             self.actors[f"agent{number}"] = Agent(self, host)
-            self.actors[name] = Box(self)
+            self.actors[name] = MemberServer(self)
             self.actors[name].host = host
 
     @staticmethod
     def unix():
-        return UNIX + trio.current_time()
+        return START_UNIX_S + trio.current_time()
 
     def member(self, name, phase="SERVING"):
         zone, flavor = ROLES.get(name, ("edge", "standard"))
@@ -80,7 +82,7 @@
     async def open(self, members, max_connections=None, operators="", dns="", settings=SETTINGS, operator=""):
         for name in (*HOSTS, "coordinator", "coordinator2", "dns", "resolver"):
             await self.actors[name].open()
-        agents = [a.peer for a in self.actors.values() if isinstance(a, Agent)]
+        agents = [a.health_agent for a in self.actors.values() if isinstance(a, Agent)]
         operators = operators.replace("AGENTS", str(await listen_on_shared_port(agents, self.nursery)))
         known = {
             "index": 1,
@@ -100,7 +102,7 @@
         )
         self.config = config
         self.operators = parse(
-            OPERATORS.format(resolver=self.actors["resolver"].address[1], more=operators, dns=dns), "test"
+            OPERATOR_SETTINGS.format(resolver=self.actors["resolver"].address[1], more=operators, dns=dns), "test"
         )
         self.service = Service(config, self.operators, self.unix, lambda before: (self.config, self.operators))
         if max_connections is not None:
@@ -119,39 +121,39 @@
         self.config = msgspec.structs.replace(self.config, coordinator=address)
         self.service.reload()
 
-    def order(self, _, order, name):
-        """An operator's order, as the operators' listener passes it on."""
+    def give_order(self, _, order, name):
+        """Gives an operator's order to the health service, as the admin listener does."""
         service = self.service.health.service
         service.feed(OrderReceived(service.find(name), Order(order), "test"))
 
     def state(self, name):
-        """What health makes of a member: (state, weight, cause)."""
+        """The health state of a member: (state, weight, cause)."""
         row = next(r for r in self.service.health.service.table() if r["member"] == name)
         return row["state"], row["weight"], row["cause"]
 
-    async def tell(self, coordinator, *lines):
-        """A membership event with these lines, from a coordinator."""
+    async def send_members(self, coordinator, *lines):
+        """Sends a membership event with these members from a coordinator."""
         coordinator.index += 1
         event = {"index": coordinator.index, "endpoints": {"members": lines}}
         await coordinator.write(coordinator.streams[-1], f"data: {json.dumps(event)}\n\n".encode())
 
-    async def until(self, name, *wanted):
-        """Waits until a member is in one of these states."""
-        with trio.fail_after(PATIENCE):
-            while self.state(name)[0] not in wanted:
+    async def wait_for_state(self, name, *states):
+        """Waits until the member is in one of these states."""
+        with trio.fail_after(TIMEOUT_S):
+            while self.state(name)[0] not in states:
                 await trio.sleep(0.05)
 
     async def play(self, scenario):
         for actor, verb, *words in filter(None, map(str.split, scenario.splitlines())):
             if verb == "wait":
-                await (self.until(actor, *words) if actor in HOSTS else trio.sleep(float(words[0])))
+                await (self.wait_for_state(actor, *words) if actor in HOSTS else trio.sleep(float(words[0])))
             elif actor == "director":
                 if verb == "close":
                     self.service.stop()
                 elif verb == "send":
-                    self.order(*words) if words[0] == "order" else self.reload(words[1])
+                    self.give_order(*words) if words[0] == "order" else self.reload(words[1])
                 else:
-                    with trio.fail_after(PATIENCE):
+                    with trio.fail_after(TIMEOUT_S):
                         await self.done.wait()
             elif words == ["nothing"]:
                 await self.actors[actor].expect_nothing()
@@ -161,31 +163,34 @@
 
 
 @asynccontextmanager
-async def staged(members=("cache1", "upper", "records"), component_faults=0, **changes):
-    """`component_faults`: how many are planted; any other fails the test, so that none hides behind its containment."""
+async def director_harness(members=("cache1", "upper", "records"), component_faults=0, **changes):
+    """Runs a director and its actors. `component_faults` is the number of faults that the test plants.
+
+    Any other number of contained faults fails the test, so that containment can't hide an unexpected one.
+    """
     async with trio.open_nursery() as nursery:
-        stage = Stage(nursery)
-        await stage.open(members, **changes)
-        yield stage
-        assert stage.service.counters.component_faults == component_faults
+        harness = DirectorHarness(nursery)
+        await harness.open(members, **changes)
+        yield harness
+        assert harness.service.counters.component_faults == component_faults
         nursery.cancel_scope.cancel()
 
 
 def play(scenario, **options):
-    """Plays a scenario to its end; returns the service, for a look at its counters."""
+    """Plays a scenario to its end; returns the service, so that the test can check its counters."""
 
-    async def steps(stage):
-        await stage.play(scenario)
-        return stage.service
+    async def steps(harness):
+        await harness.play(scenario)
+        return harness.service
 
-    return on_stage(steps, **options)
+    return run_with_director(steps, **options)
 
 
-def on_stage(steps, **options):
-    """The same for steps that need more than a scenario's words."""
+def run_with_director(steps, **options):
+    """Runs `steps(harness)` with a director under a MockClock; returns what it returns."""
 
     async def main():
-        async with staged(**options) as stage:
-            return await steps(stage)
+        async with director_harness(**options) as harness:
+            return await steps(harness)
 
     return trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
--- a/tests/dns_stand_ins.py
+++ b/tests/dns_stand_ins.py
@@ -1,4 +1,4 @@
-"""Actors beside the platform's: DNS clients and resolvers, balancers that ask, and members' health agents."""
+"""Further actors of the scenario language: DNS clients and resolvers, load balancers, and members' health agents."""
 
 import dns.message
 import dns.rdatatype
@@ -13,39 +13,39 @@
 
 
 class DnsClient(Actor):
-    """Over UDP, or over TCP where the first word of `send` is tcp; `raw` sends bytes as they are."""
+    """Queries over UDP, or over TCP if the first word of `send` is tcp; `raw` sends the bytes of a hex string over UDP."""
 
     async def open(self):
         self.udp = trio.socket.socket(trio.socket.AF_INET, trio.socket.SOCK_DGRAM)
         await self.udp.bind(("127.0.0.1", 0))
-        self.stage.nursery.start_soon(self.read)
+        self.harness.nursery.start_soon(self.read)
 
     async def send(self, words):
         if words[0] == "raw":
-            return await self.udp.sendto(bytes.fromhex(words[1]), self.stage.service.dns.address)
+            return await self.udp.sendto(bytes.fromhex(words[1]), self.harness.service.dns.address)
         args = pairs(words)
         name = next(w for w in words if "." in w)
         wire = dns.message.make_query(
             name, args.get("type", "A"), id=int(args.get("id", 1)), use_edns=None if "plain" in words else 0
         ).to_wire()
         if words[0] != "tcp":
-            return await self.udp.sendto(wire, self.stage.service.dns.address)
-        stream = await trio.open_tcp_stream(*self.stage.service.dns.address)
+            return await self.udp.sendto(wire, self.harness.service.dns.address)
+        stream = await trio.open_tcp_stream(*self.harness.service.dns.address)
         await stream.send_all(dns_tcp.frame(wire))
         self.streams.append(stream)
-        self.stage.nursery.start_soon(self.read_tcp, stream)
+        self.harness.nursery.start_soon(self.read_tcp, stream)
 
     async def read(self):
         while True:
-            self.take((await self.udp.recvfrom(65535))[0], "udp")
+            self.handle_message((await self.udp.recvfrom(65535))[0], "udp")
 
     async def read_tcp(self, stream):
         messages = dns_tcp.MessageReader()
         async for data in stream:
             for wire in messages.feed(data):
-                self.take(wire, "tcp")
+                self.handle_message(wire, "tcp")
 
-    def take(self, wire, way):
+    def handle_message(self, wire, transport):
         reply = dns.message.from_wire(wire, raise_on_truncation=False)
         records = [
             word
@@ -53,41 +53,44 @@
             for record in rrset
             for word in (f"ttl={rrset.ttl}", record.to_text().rstrip("."))
         ]
-        notes = [o.text for o in reply.options if isinstance(o, dns.edns.EDEOption)]
+        extra_texts = [o.text for o in reply.options if isinstance(o, dns.edns.EDEOption)]
         flags = ["truncated"] if reply.flags & dns.flags.TC else []
-        self.hear(
-            way,
+        self.record(
+            transport,
             f"id={reply.id}",
             dns.rcode.to_text(reply.rcode()),
             *flags,
             *records,
-            *(notes[0].split(" ") if notes else ()),
+            *(extra_texts[0].split(" ") if extra_texts else ()),
             *([] if records else ["unnamed"]),
         )
 
 
 class Resolver(Actor):
-    """A resolver that knows no membership: hears a name over UDP or TCP, hands out what it is told to."""
+    """A recursive resolver without knowledge of the membership.
+
+    Records the name of each query over UDP or TCP; `send` answers the latest query.
+    """
 
     async def open(self):
         tcp, udp = map(trio.socket.from_stdlib_socket, bind_tcp_and_udp(Listeners(), ("127.0.0.1", 0)))
         self.address, self.udp = tcp.getsockname(), udp
-        self.stage.nursery.start_soon(trio.serve_listeners, self.read_tcp, [trio.SocketListener(tcp)])
-        self.stage.nursery.start_soon(self.read)
+        self.harness.nursery.start_soon(trio.serve_listeners, self.read_tcp, [trio.SocketListener(tcp)])
+        self.harness.nursery.start_soon(self.read)
 
     async def read(self):
         while True:
-            wire, self.asker = await self.udp.recvfrom(4096)
-            self.take(wire)
+            wire, self.requester = await self.udp.recvfrom(4096)
+            self.handle_message(wire)
 
     async def read_tcp(self, stream):
-        self.asker, (wire,) = stream, dns_tcp.MessageReader().feed(await stream.receive_some())
-        self.take(wire)
+        self.requester, (wire,) = stream, dns_tcp.MessageReader().feed(await stream.receive_some())
+        self.handle_message(wire)
         await trio.sleep_forever()
 
-    def take(self, wire):
+    def handle_message(self, wire):
         self.query = dns.message.from_wire(wire)
-        self.hear(self.query.question[0].name.to_text().rstrip("."))
+        self.record(self.query.question[0].name.to_text().rstrip("."))
 
     async def send(self, words):
         reply = dns.message.make_response(self.query)
@@ -100,62 +103,66 @@
             reply.set_rcode(dns.rcode.from_text(words[0]))
         else:
             reply.answer.append(dns.rrset.from_text(self.query.question[0].name, 300, "IN", "A", *words))
-        if isinstance(self.asker, trio.SocketStream):
-            await self.asker.send_all(dns_tcp.frame(reply.to_wire()))
+        if isinstance(self.requester, trio.SocketStream):
+            await self.requester.send_all(dns_tcp.frame(reply.to_wire()))
         else:
-            await self.udp.sendto(reply.to_wire(), self.asker)
+            await self.udp.sendto(reply.to_wire(), self.requester)
 
 
-class Health(Actor):
-    """Asks the agent-check (no words to send) or an HTTP path."""
+class BalancerProbe(Actor):
+    """A load balancer: `send agent` queries the agent-check, `send METHOD PATH` the HTTP health server."""
 
     async def send(self, words):
-        server = self.stage.service.balancer[0 if words[0] == "agent" else 1]
+        server = self.harness.service.balancer[0 if words[0] == "agent" else 1]
         async with await trio.open_tcp_stream(*server.address) as stream:
             if words[0] != "agent":
                 await stream.send_all(
                     f"{words[0]} {words[1]} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n".encode()
                 )
             data = b""
-            async for more in stream:
-                data += more
-            self.hear(*data.decode().split())
+            async for received in stream:
+                data += received
+            self.record(*data.decode().split())
 
 
 class Agent(Actor):
-    """A box's agent or health service. `send` sets what it answers from then on: an agent's line, or a
-    manner and its text (`stall up 100%`, `http 200 fine`, `grpc serving`); `expect ask` hears of an asker."""
+    """A member's agent or health service.
+
+    `send` sets the answer to all later polls: an agent's line, or a response mode and its text (`stall up 100%`,
+    `http 200 fine`, `grpc serving`). `expect ask` waits for a poll.
+    """
 
-    def __init__(self, stage, host):
-        super().__init__(stage)
-        self.peer = HealthAgent(host, on_poll=self.asked)
+    def __init__(self, harness, host):
+        super().__init__(harness)
+        self.health_agent = HealthAgent(host, on_poll=self.on_poll)
 
-    def asked(self, data):
-        if self.heard.statistics().current_buffer_used < 500:  # nobody may be listening to each check
-            self.hear("ask", *data.decode("latin-1").split())
+    def on_poll(self, data):
+        # A test may leave polls unread; the channel holds 1000 entries.
+        if self.observed.statistics().current_buffer_used < 500:
+            self.record("ask", *data.decode("latin-1").split())
 
     async def send(self, words):
-        kind, peer = words[0], self.peer
+        kind, health_agent = words[0], self.health_agent
         if kind == "grpc":
-            if peer.behavior.mode != ResponseMode.GRPC:
-                peer.behavior = Behavior(ResponseMode.GRPC, is_serving="serving" in words)
-            peer.behavior.ignores_grpc = "deaf" in words
-            if not peer.behavior.ignores_grpc:
-                await peer.set_serving("serving" in words)
+            if health_agent.behavior.mode != ResponseMode.GRPC:
+                health_agent.behavior = Behavior(ResponseMode.GRPC, is_serving="serving" in words)
+            health_agent.behavior.ignores_grpc = "deaf" in words
+            if not health_agent.behavior.ignores_grpc:
+                await health_agent.set_serving("serving" in words)
         elif kind == "http":
-            peer.behavior = Behavior(ResponseMode.RESPOND, http_response(int(words[1]), words[2], *words[3:]))
+            health_agent.behavior = Behavior(ResponseMode.RESPOND, http_response(int(words[1]), words[2], *words[3:]))
         elif kind in ("stall", "dribble", "flood", "silent", "reset", "leave"):
-            peer.behavior = Behavior(
+            health_agent.behavior = Behavior(
                 ResponseMode(kind), " ".join(words[1:]).encode() + (b"" if kind == "flood" else b"\n")
             )
         else:
-            peer.behavior = Behavior(ResponseMode.RESPOND, " ".join(words).encode() + b"\n")
+            health_agent.behavior = Behavior(ResponseMode.RESPOND, " ".join(words).encode() + b"\n")
 
     async def expect(self, words):
-        """An ask from now on: those of before prove nothing about what it says now."""
-        while self.heard.statistics().current_buffer_used:
-            self.heard.receive_nowait()
+        """Waits for a poll that begins after this call: an earlier poll may have received the previous answer."""
+        while self.observed.statistics().current_buffer_used:
+            self.observed.receive_nowait()
         await super().expect(words)
 
     async def close(self):
-        self.peer.close()
+        self.health_agent.close()
--- a/tests/health_scenarios.py
+++ b/tests/health_scenarios.py
@@ -5,7 +5,7 @@
 import trio
 import trio.testing
 
-from tests.director_scenario import SETTINGS, on_stage, play
+from tests.director_scenario import SETTINGS, play, run_with_director
 
 SETTINGS_WITH_PROBES = copy.deepcopy(SETTINGS)
 SETTINGS_WITH_PROBES["limits"]["probes"] = True
@@ -48,20 +48,20 @@
 
 
 def on_health_stage(steps, operators=AGENT, members=TWO_CACHES, **options):
-    return on_stage(steps, operators=operators, members=members, settings=SETTINGS_WITH_PROBES, **options)
+    return run_with_director(steps, operators=operators, members=members, settings=SETTINGS_WITH_PROBES, **options)
 
 
-async def place_request(stage, number):
+async def place_request(harness, number):
     """Sends a read, lets the cache that receives it answer, and returns the name of that cache."""
-    await stage.play(f"client send request {number} video chunk={number}")
+    await harness.play(f"client send request {number} video chunk={number}")
     cache = None
     with trio.fail_after(5):
         while cache is None:
             cache = next(
-                (n for n in ("cache1", "cache2") if stage.actors[n].heard.statistics().current_buffer_used), None
+                (n for n in ("cache1", "cache2") if harness.actors[n].observed.statistics().current_buffer_used), None
             )
             await trio.sleep(0.01)
-    await stage.play(f"""
+    await harness.play(f"""
         {cache} expect do rid={number:016x}
         {cache} send ok note=mem body=x
         client expect served {number}
@@ -69,11 +69,11 @@
     return cache
 
 
-async def caches_used(stage, first, count=12):
+async def caches_used(harness, first, count=12):
     """Returns the caches that new reads go to. The client reconnects first: its connection may have timed out."""
-    client = stage.actors["client"]
+    client = harness.actors["client"]
     await client.close()
     await trio.testing.wait_all_tasks_blocked()
-    while client.heard.statistics().current_buffer_used:
-        client.heard.receive_nowait()
-    return {await place_request(stage, first + i) for i in range(count)}
+    while client.observed.statistics().current_buffer_used:
+        client.observed.receive_nowait()
+    return {await place_request(harness, first + i) for i in range(count)}
--- a/tests/test_health_checks.py
+++ b/tests/test_health_checks.py
@@ -4,7 +4,7 @@
 import trio
 import trio.testing
 
-from tests.director_scenario import OBJ, on_stage
+from tests.director_scenario import OBJ, run_with_director
 from tests.health_scenarios import GRPC, HTTP, caches_used, on_health_stage, play_health
 
 
@@ -22,18 +22,18 @@
     ],
 )
 def test_an_http_check_evaluates_status_body_and_headers(response, state):
-    async def steps(stage):
-        await stage.play(f"agent2 send http 200 fine\n agent1 send {response}\n all wait 6")
-        assert stage.state("cache1")[0] == state, stage.service.health.service.table()
-        assert b"GET /health HTTP/1.1" in stage.actors["agent2"].peer.received[-1]
+    async def steps(harness):
+        await harness.play(f"agent2 send http 200 fine\n agent1 send {response}\n all wait 6")
+        assert harness.state("cache1")[0] == state, harness.service.health.service.table()
+        assert b"GET /health HTTP/1.1" in harness.actors["agent2"].health_agent.received[-1]
 
     on_health_stage(steps, operators=HTTP)
 
 
 @pytest.mark.parametrize("kind", ["grpc", "grpc-watch"])
 def test_a_grpc_check_uses_the_reported_status(kind):
-    async def steps(stage):
-        await stage.play("""
+    async def steps(harness):
+        await harness.play("""
             agent1 send grpc serving
             agent2 send grpc serving
             all wait 3
@@ -43,7 +43,7 @@
             agent1 send grpc serving
             cache1 wait degraded
         """)
-        assert stage.state("cache2") == ("ready", 100, "nothing")
+        assert harness.state("cache2") == ("ready", 100, "nothing")
 
     on_health_stage(steps, operators=GRPC.format(type=kind))
 
@@ -51,22 +51,22 @@
 def test_a_dead_grpc_watch_is_detected_by_unanswered_pings():
     """A watch sends no messages while the status is unchanged, so only an unanswered ping shows that it is dead."""
 
-    async def steps(stage):
-        await stage.play("agent1 send grpc serving\n agent2 send grpc serving\n all wait 5")
-        first_polls = stage.actors["agent1"].peer.polls
-        assert stage.state("cache1")[0] == "ready" and first_polls == 1, "a single stream stays open"
-        await stage.play("agent1 send grpc deaf\n cache1 wait down")
-        assert stage.actors["agent1"].peer.polls > first_polls
+    async def steps(harness):
+        await harness.play("agent1 send grpc serving\n agent2 send grpc serving\n all wait 5")
+        first_polls = harness.actors["agent1"].health_agent.polls
+        assert harness.state("cache1")[0] == "ready" and first_polls == 1, "a single stream stays open"
+        await harness.play("agent1 send grpc deaf\n cache1 wait down")
+        assert harness.actors["agent1"].health_agent.polls > first_polls
 
     on_health_stage(steps, operators=GRPC.format(type="grpc-watch"))
 
 
 def test_a_tcp_check_passes_on_a_connection():
-    async def steps(stage):
-        await stage.play("all wait 3")
-        assert stage.state("cache1")[0] == "ready"
-        await stage.actors["agent1"].close()
-        await stage.play("cache1 wait down")
+    async def steps(harness):
+        await harness.play("all wait 3")
+        assert harness.state("cache1")[0] == "ready"
+        await harness.actors["agent1"].close()
+        await harness.play("cache1 wait down")
 
     on_health_stage(
         steps, operators="[health]\n hold 1s\n[check up]\n type tcp\n port AGENTS\n interval 1s\n proxy local\n"
@@ -74,9 +74,9 @@
 
 
 def test_a_proxy_header_precedes_the_check_request():
-    async def steps(stage):
-        await stage.play("agent1 send http 200 fine\n all wait 3")
-        return list(stage.actors["agent1"].peer.received)
+    async def steps(harness):
+        await harness.play("agent1 send http 200 fine\n all wait 3")
+        return list(harness.actors["agent1"].health_agent.received)
 
     received = on_health_stage(steps, operators=HTTP + "    proxy proxy\n")
     assert received and all(
@@ -88,51 +88,51 @@
 
 
 def test_the_result_of_a_check_that_a_reload_removes_is_ignored():
-    async def steps(stage):
-        await stage.play("agent1 send stall down\n agent1 expect ask")
-        stage.operators = type(stage.operators)(health=stage.operators.health)
-        stage.service.reload()
-        stage.actors["agent1"].peer.behavior.text = b"down\n"
+    async def steps(harness):
+        await harness.play("agent1 send stall down\n agent1 expect ask")
+        harness.operators = type(harness.operators)(health=harness.operators.health)
+        harness.service.reload()
+        harness.actors["agent1"].health_agent.behavior.text = b"down\n"
         await trio.sleep(30)
-        assert stage.state("cache1") == ("ready", 100, "nothing")
-        assert not stage.service.health.runner.scheduler.jobs
-        polls = stage.actors["agent1"].peer.polls
+        assert harness.state("cache1") == ("ready", 100, "nothing")
+        assert not harness.service.health.runner.scheduler.jobs
+        polls = harness.actors["agent1"].health_agent.polls
         await trio.sleep(30)
-        assert stage.actors["agent1"].peer.polls == polls
+        assert harness.actors["agent1"].health_agent.polls == polls
 
     on_health_stage(steps)
 
 
 def test_a_member_replaced_at_the_same_address_does_not_get_the_result_of_a_running_check():
-    async def steps(stage):
-        service, coordinator = stage.service.health.service, stage.actors["coordinator"]
-        await stage.play("agent1 send down\n cache1 wait down\n agent1 send stall down\n agent1 expect ask")
-        gone = stage.member("cache1", "DELETED")
-        new = {**stage.member("cache1"), "id": "cache9"}
-        await stage.tell(coordinator, gone, new)
+    async def steps(harness):
+        service, coordinator = harness.service.health.service, harness.actors["coordinator"]
+        await harness.play("agent1 send down\n cache1 wait down\n agent1 send stall down\n agent1 expect ask")
+        gone = harness.member("cache1", "DELETED")
+        new = {**harness.member("cache1"), "id": "cache9"}
+        await harness.send_members(coordinator, gone, new)
         while service.find("cache9") is None:
             await trio.sleep(0.01)
-        assert service.find("cache1") is None and stage.state("cache9") == ("ready", 100, "nothing")
+        assert service.find("cache1") is None and harness.state("cache9") == ("ready", 100, "nothing")
         await trio.sleep(2)
-        assert stage.state("cache9")[0] == "ready" and service.registry.overtaken >= 1
+        assert harness.state("cache9")[0] == "ready" and service.registry.overtaken >= 1
 
     on_health_stage(steps)
 
 
 def test_orders_hold_despite_agent_reports_and_restarts():
-    async def steps(stage):
-        await stage.play("""
+    async def steps(harness):
+        await harness.play("""
             director send order maintain cache1
             agent1 send ready up 100%
             all wait 3
         """)
-        assert stage.state("cache1") == ("maintenance", 0, "order")
-        await stage.tell(
-            stage.actors["coordinator"], {**stage.member("cache1"), "up_since_ms": int(stage.unix() * 1000)}
+        assert harness.state("cache1") == ("maintenance", 0, "order")
+        await harness.send_members(
+            harness.actors["coordinator"], {**harness.member("cache1"), "up_since_ms": int(harness.unix() * 1000)}
         )
         await trio.sleep(1)
-        assert stage.state("cache1") == ("maintenance", 0, "order") and await caches_used(stage, 1) == {"cache2"}
-        await stage.play("director send order ready cache1\n cache1 wait degraded")
+        assert harness.state("cache1") == ("maintenance", 0, "order") and await caches_used(harness, 1) == {"cache2"}
+        await harness.play("director send order ready cache1\n cache1 wait degraded")
 
     on_health_stage(steps)
 
@@ -157,17 +157,17 @@
     from rookbend.core.check_result import CheckOutcome
     from rookbend.protocol.grpc_health_client import GrpcHealthClient
 
-    async def steps(stage):
+    async def steps(harness):
         client, statuses = GrpcHealthClient("x", "", watch=True), []
-        async with await trio.open_tcp_stream(*stage.service.balancer[2].address) as stream:
+        async with await trio.open_tcp_stream(*harness.service.balancer[2].address) as stream:
             await stream.send_all(client.start())
             while len(statuses) < 2:
                 await stream.send_all(client.feed(await stream.receive_some(65536)) or b"")
                 if client.result is not None:
                     statuses.append(client.result)
                     client.result = None
-                    stage.service.stop()
+                    harness.service.stop()
         assert statuses == [(CheckOutcome.PASSED, ""), (CheckOutcome.FAILED, "NOT_SERVING")]
         assert trio.current_time() < 0.5, "before the grace period for late requests ends"
 
-    on_stage(steps)
+    run_with_director(steps)
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -1,6 +1,6 @@
 """Drains, purges, shutdowns and reloads of a director on the loopback interface."""
 
-from tests.director_scenario import OBJ, on_stage, play
+from tests.director_scenario import OBJ, play, run_with_director
 
 SERVE = """
     client send request 1 video
@@ -38,12 +38,12 @@
 
 
 def test_a_request_is_answered_after_the_client_closes_its_sending_side():
-    async def check(stage):
-        await stage.play("client send request 1 video\ncache1 expect do rid=0000000000000001")
-        await stage.actors["client"].streams[0].send_eof()
-        await stage.play("cache1 send ok note=mem body=hello\nclient expect served 1 hello\nclient expect closed")
+    async def check(harness):
+        await harness.play("client send request 1 video\ncache1 expect do rid=0000000000000001")
+        await harness.actors["client"].streams[0].send_eof()
+        await harness.play("cache1 send ok note=mem body=hello\nclient expect served 1 hello\nclient expect closed")
 
-    on_stage(check)
+    run_with_director(check)
 
 
 def test_a_shutdown_answers_accepted_requests_and_serves_new_ones_in_the_grace_period():
@@ -90,9 +90,9 @@
 def test_requests_are_accepted_again_after_event_loop_lag_with_no_request_open():
     """Guards against endless rejections: without a request there was no timer, and lag was measured only with timers."""
 
-    async def check(stage):
-        stage.service.engine.lag_us = 300_000
-        await stage.play("""
+    async def check(harness):
+        harness.service.engine.lag_us = 300_000
+        await harness.play("""
             client send request 1 video
             client expect refused 1 backoff=500
             director wait 0.1
@@ -100,7 +100,7 @@
             cache1 expect do rid=0000000000000002
         """)
 
-    on_stage(check)
+    run_with_director(check)
 
 
 RELOADED = (
--- a/tests/test_reload_voters.py
+++ b/tests/test_reload_voters.py
@@ -1,17 +1,17 @@
-"""Reload with other voters: they take effect, and only other changes of the section are reported to need a restart."""
+"""SIGHUP with other voters: they take effect, and only what does not is said to wait for a restart."""
 
 import msgspec
 import pytest
 
 from rookbend.settings import Settings
 from rookbend.settings.sections import Ownership
-from tests.director_scenario import on_stage
+from tests.director_scenario import run_with_director
 
 VOTERS = Ownership(voters=(0, 1, 2))
 
 
 @pytest.mark.parametrize(
-    "before, after, restart_for",
+    "before, after, waits",
     [
         (VOTERS, Ownership(voters=(0, 1, 2, 3, 4)), "nothing"),
         (VOTERS, Ownership(), "nothing"),
@@ -22,15 +22,15 @@
     ],
 )
 def test_a_reload_reports_the_section_only_if_more_than_its_voters_has_changed(before, after, restart_for, capsys):
-    # Guards against a restart being reported as needed, at this and every later reload, for voters that are in force.
-    async def steps(stage):
-        context = stage.service.reload._context
+    # Guards against a restart that is asked for, at this SIGHUP and all later ones, for voters that are in force.
+    async def steps(harness):
+        context = harness.service.reload._context
         context.operators = msgspec.structs.replace(context.operators, ownership=before)
-        stage.operators = msgspec.structs.replace(stage.operators, ownership=after)
-        stage.service.reload()
-        stage.service.reload()
+        harness.operators = msgspec.structs.replace(harness.operators, ownership=after)
+        harness.service.reload()
+        harness.service.reload()
         assert isinstance(context.operators, Settings)
 
-    on_stage(steps)
+    run_with_director(steps)
     lines = [line for line in capsys.readouterr().err.splitlines() if "event=reloaded" in line]
     assert [line.rpartition("restart_for=")[2] for line in lines] == [restart_for, restart_for]
--- a/tests/test_simulated_fleet.py
+++ b/tests/test_simulated_fleet.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from benchmarks.origin import turn, world
+from benchmarks.origin import build_world, simulate_run
 from rookbend.core.model import FinalOutcome
 from rookbend.testing.simulation import Deployment, SimulatedFleet
 from rookbend.testing.simulation.clock import Simulation
@@ -17,7 +17,7 @@
 
 @pytest.fixture(scope="module")
 def results_by_side():
-    return {side: turn(side, DIRECTORS, 1, origin_headroom=1.1) for side in ("before", "now")}
+    return {side: simulate_run(side, DIRECTORS, 1, origin_headroom=1.1) for side in ("before", "now")}
 
 
 def test_without_origin_protection_a_burst_overloads_the_origin_for_good(results_by_side):
@@ -33,7 +33,7 @@
 
 
 def test_every_request_gets_one_response_by_its_deadline():
-    fleet = SimulatedFleet(world(24, origin_headroom=1.1), 3, RouterWithoutOriginProtection)
+    fleet = SimulatedFleet(build_world(24, origin_headroom=1.1), 3, RouterWithoutOriginProtection)
     late_requests, answered_requests = [], []
     response_received = fleet._response_received
 
@@ -57,7 +57,7 @@
     results = []
     for _ in range(2):
         random.seed()  # the simulation must not use the global generator
-        fleet = SimulatedFleet(world(12), 5)
+        fleet = SimulatedFleet(build_world(12), 5)
         fleet.warm_caches()
         fleet.start_clients(6)
         fleet.sim.run(8_000_000)
