--- a/benchmarks/origin.py
+++ b/benchmarks/origin.py
@@ -24,7 +24,7 @@
 
 SECONDS, BURST, BURST_LOAD = 25, (8, 12), 1.5
 SIDES = {"before": RouterWithoutOriginProtection, "now": Router}
-WORLDS = {"": {}, " less room": {"origin_room": 1.2}}
+WORLDS = {"": {}, " less room": {"origin_headroom": 1.2}}
 
 
 def build_world(directors: int, **changes) -> Deployment:
--- a/tests/test_health_agents.py
+++ b/tests/test_health_agents.py
@@ -1,4 +1,4 @@
-"""Members' agents: against the membership, misbehaving, flapping."""
+"""Members' health agents: precedence of the membership, misbehaving agents, flapping, panic."""
 
 import pytest
 import trio
@@ -8,7 +8,7 @@
 
 
 def test_an_agents_ready_does_not_override_the_membership():
-    """Twenty times a second, and the box stays out; so does the reverse, a box that the membership has ready."""
+    """An agent reports ready 20 times per second while the membership drains, then removes its cache: it stays out."""
 
     async def steps(harness):
         await harness.play("""
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize(
-    "words, state",
+    "report, state",
     [
         ("drain", "draining"),
         ("maint # cables", "maintenance"),
@@ -54,10 +54,10 @@
 
 
 def test_an_attempt_that_waits_for_a_connection_is_withheld_once_the_agent_reports_drain():
-    """Guards the 500 ms: the bytes of what was placed before must not go out after."""
+    """Guards the limit of 500 ms: an attempt that was placed before a drain must not be sent to the member after it."""
 
     async def steps(harness):
-        harness.service.pool.max_connections = 0  # nothing can go out: the attempt waits
+        harness.service.pool.max_connections = 0  # no attempt can be sent: it waits for a connection
         await harness.play("client send request 1 video\n all wait 0.05")
         waiting_caches = [
             n for n in ("cache1", "cache2") if harness.service.pool.members.get(harness.service.health.service.find(n))
@@ -91,11 +91,11 @@
     on_health_stage(steps, operators=AGENT + "    tier all\n")
 
 
-# Agents that misbehave
+# Misbehaving agents
 
 
 @pytest.mark.parametrize(
-    "manner",
+    "behavior",
     [
         "stall up 100%",
         "dribble up ready 100% # a long line of words",
@@ -113,18 +113,18 @@
         before = trio.current_time()
         assert await caches_used(harness, 1) == {"cache1", "cache2"} and trio.current_time() - before < 2
         health = harness.service.health
-        assert all(c["trouble"] for row in health.service.table() for c in row["checks"]), "operators see it"
+        assert all(c["trouble"] for row in health.service.table() for c in row["checks"]), "the table shows the error"
         assert health.runner.scheduler.running <= 2 and health.service.table()[0]["checks"]
         for name in ("agent1", "agent2"):
             health_agent = harness.actors[name].health_agent
-            # What it sent beyond a line's bound stayed in the sockets, and was never read.
+            # Data beyond the maximum line length stays in the socket buffers and is not read.
             assert health_agent.sent_bytes / health_agent.polls < 8 << 20
 
     on_health_stage(steps)
 
 
 def test_a_silent_agents_weight_expires_and_its_drain_holds():
-    """Its weight and its `down` age; its `drain` is its people's order, and stays."""
+    """A weight and `down` expire after `stale`; a `drain` is an order of the member's operators and does not expire."""
 
     async def steps(harness):
         await harness.play("""
@@ -158,13 +158,13 @@
 
 
 def test_panic_keeps_a_tier_in_use_when_all_checks_fail_at_once():
-    """Our own network is at fault: all agents say down, no box is out, and it is said."""
+    """If all agents report down, the director's own network is probably at fault: panic keeps the members in use."""
 
     async def steps(harness):
         await harness.play("agent1 send down\n cache1 wait down\n agent2 send down\n cache1 wait degraded")
         assert harness.state("cache1")[2] == "panic" and harness.state("cache2")[2] == "panic"
         assert await caches_used(harness, 1) == {"cache1", "cache2"}
-        # Back within the limit the checks count again, after a while.
+        # Within the limit again, the checks count after `panic-hold`.
         await harness.play("agent2 send up\n all wait 1")
         assert harness.state("cache1")[2] == "panic"
         await harness.play("cache1 wait down")
@@ -174,7 +174,8 @@
 
 
 def test_a_member_whose_process_was_not_running_counts_as_cold_when_it_returns():
-    """Its process was not there: whatever the membership says, the budgets for cold members bind."""
+    """Its process was not running, so its cache is empty: the budgets for cold members apply, whatever start time the
+    membership gives."""
 
     async def steps(harness):
         service = harness.service.health.service
@@ -186,7 +187,7 @@
         await harness.play("cache1 wait degraded\n all wait 0.15")
         member = harness.service.engine.endpoints[server].member
         assert member.started_us > harness.service.clock.now() - 3_000_000
-        assert harness.state("cache1")[1] == 20, "the rules' cold share at first"
+        assert harness.state("cache1")[1] == 20, "the weight starts at the settings' share for cold members"
         levels = []
         for _ in range(15):
             levels.append(harness.state("cache1")[1])
--- a/tests/test_member_connections.py
+++ b/tests/test_member_connections.py
@@ -54,7 +54,7 @@
 
 
 def test_a_cancelled_request_is_sent_to_the_same_cache_again_only_after_it_read_the_cancel():
-    """Otherwise the cache handles it twice: the `do` on an idle connection overtook the `abort` on the other."""
+    """Otherwise the cache handles it twice: the `do` on an idle connection overtook the `undo` on the other."""
 
     async def check(harness):
         await harness.play("""
--- a/tests/test_reload_voters.py
+++ b/tests/test_reload_voters.py
@@ -1,4 +1,4 @@
-"""SIGHUP with other voters: they take effect, and only what does not is said to wait for a restart."""
+"""Reload with other voters: they take effect, and only other changes of the section are reported to need a restart."""
 
 import msgspec
 import pytest
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize(
-    "before, after, waits",
+    "before, after, restart_for",
     [
         (VOTERS, Ownership(voters=(0, 1, 2, 3, 4)), "nothing"),
         (VOTERS, Ownership(), "nothing"),
@@ -22,7 +22,7 @@
     ],
 )
 def test_a_reload_reports_the_section_only_if_more_than_its_voters_has_changed(before, after, restart_for, capsys):
-    # Guards against a restart that is asked for, at this SIGHUP and all later ones, for voters that are in force.
+    # Guards against a restart being reported as needed, at this and every later reload, for voters that are in force.
     async def steps(harness):
         context = harness.service.reload._context
         context.operators = msgspec.structs.replace(context.operators, ownership=before)
