--- a/rookbend/recovery/issued_names.py
+++ b/rookbend/recovery/issued_names.py
@@ -2,11 +2,12 @@
 
 A row of the kind `write` maps a request id to the name of the lookup and its outcome. It is persisted as in doubt
 before the write can run, and with its outcome before the reply is sent. After a start, a repeat of a known lookup gets
-the earlier reply, or fails if the write was in progress. For an unknown lookup the front can't rule out that the write
-has run (an old disk may have been restored), and rejects it for as long as it may be a repeat.
+the earlier reply, or fails if the write was in progress. An unknown lookup may also be a repeat of a write that has run
+(an old disk may have been restored). Therefore, for a limited time after a start, the front rejects unknown lookups for
+writes.
 
-If the disk refuses or hangs, the write continues and is counted in `not_durable`: a repeat of it after a power loss is
-only rejected for that limited time.
+If the disk reports an error or hangs, the write is processed without a durable row and counted in `not_durable`. After
+a power loss, a repeat of that write is rejected only during the limited time after the start.
 """
 
 from __future__ import annotations
@@ -42,9 +43,10 @@
 class IssuedNames:
     """Persists issued names and finds those of earlier incarnations.
 
-    `put(id, value, by_us, done)` persists a row and calls `done(durable)` exactly once, by `by_us` at the latest;
-    `drop(id)` deletes it. `rows` are those found on disk: id -> (value, Unix microsecond). `not_durable` counts rows
-    that could not be persisted in time, `unreadable` rows on disk that could not be decoded.
+    `put(id, value, deadline_us, done)` persists a row and calls `done(durable)` exactly once, at `deadline_us` at the
+    latest; `drop(id)` deletes it. `rows` maps the request id of each row on disk to its value and the time at which it
+    was stored, in Unix microseconds. `not_durable` counts rows that could not be persisted in time, `unreadable` rows
+    on disk that could not be decoded.
     """
 
     def __init__(self, now: int, put: PutRow, drop: Callable[[str], None], rows: Mapping[str, tuple[bytes, int]]):
@@ -70,16 +72,16 @@
         """The outcome that an earlier incarnation persisted for this request, or None."""
         return self.restored.get(request_id)
 
-    def persist_in_doubt(self, request_id: str, lookup: str, by_us: int, done: Callable[[], None]) -> None:
+    def persist_in_doubt(self, request_id: str, lookup: str, deadline_us: int, done: Callable[[], None]) -> None:
         """Persists a write as in doubt, before it runs."""
         in_doubt = IssuedName(lookup, int(dns.rcode.SERVFAIL), 0, "", "", IN_DOUBT_NOTE)
-        self.persist(request_id, in_doubt, by_us, done)
+        self.persist(request_id, in_doubt, deadline_us, done)
 
-    def persist(self, request_id: str, issued: IssuedName, by_us: int, done: Callable[[], None]) -> None:
-        """Persists an outcome; calls `done` once the row is durable, has failed to become so, or at `by_us`."""
+    def persist(self, request_id: str, issued: IssuedName, deadline_us: int, done: Callable[[], None]) -> None:
+        """Persists an outcome; calls `done` when the row is durable or has failed, at `deadline_us` at the latest."""
 
         def ended(durable: bool) -> None:
             self.not_durable += not durable
             done()
 
-        self._put(request_id, _encoder.encode(issued), by_us, ended)
+        self._put(request_id, _encoder.encode(issued), deadline_us, ended)
