--- a/rookbend/settings/reader.py
+++ b/rookbend/settings/reader.py
@@ -114,7 +114,7 @@
         raise SettingsError(location, "a quote is not closed")
     word = "".join(chars)
     if not _is_end_of_word(text, position + 1):
-        raise SettingsError(location, f"a space is missing after the quoted {word!r}")
+        raise SettingsError(location, f"a space is missing after the quoted word {word!r}")
     return word, position + 1
 
 
@@ -127,7 +127,7 @@
         raise SettingsError(location, "text after a section's closing bracket")
     parts = split_words(head[1:], location)
     if not 1 <= len(parts) <= 2:
-        raise SettingsError(location, "a section header is [KIND] or [KIND NAME]")
+        raise SettingsError(location, "a section header must be [KIND] or [KIND NAME]")
     return Section(parts[0], parts[1] if len(parts) == 2 else "", location)
 
 
