--- a/rookbend/cli/__init__.py
+++ b/rookbend/cli/__init__.py
@@ -28,7 +28,7 @@
 
 
 def commands_to_load(arguments: list[str]) -> list[str]:
-    """The command that the arguments name, or all commands, for the help page."""
+    """The command that the arguments name; the default without arguments; otherwise all, for the help page."""
     if not arguments:
         return [DEFAULT_COMMAND]
     first_word = next((word for word in arguments if not word.startswith("-")), None)
@@ -53,7 +53,7 @@
     arguments = sys.argv[1:] if argv is None else argv
     commands = commands_to_load(arguments)
     if commands == [DEFAULT_COMMAND]:
-        startup_signals.arm()
+        startup_signals.arm()  # from here on, a stop signal ends a starting director with exit code 0
     parser = build_parser(commands)
     args = parser.parse_args(arguments or [DEFAULT_COMMAND])
     if args.command is None:
