--- a/rookbend/net/scheduling.py
+++ b/rookbend/net/scheduling.py
@@ -16,7 +16,8 @@
 class JobRunner:
     """Runs each job with the handler of its kind, which is the first item of its key.
 
-    A handler schedules its job again if it has to be repeated. A handler that raises has a bug.
+    A handler schedules its job again if the job has to be repeated. An exception raised by a handler is a bug: it
+    cancels the other jobs and ends `run`.
     """
 
     def __init__(self, scheduler: Scheduler, clock: Clock):
@@ -24,12 +25,12 @@
         self.handlers: dict[str, JobHandler] = {}
         self._clock = clock
         self._woken = trio.Event()
-        self._wake_at_us = 0  # 0 if there is none
+        self._wake_at_us = 0  # when the loop next wakes without `wake`; 0 if it does not
 
     def wake(self) -> None:
-        """Must be called after a job or a priority was set in the scheduler."""
-        # Wakes the loop only if its next turn is earlier now: waking it at the end of each job would cost more than
-        # some of the jobs.
+        """Must be called after a job was scheduled or the priority limit was changed."""
+        # Wakes the loop only if a due job waits or the loop has to run earlier than planned: waking it at the end of
+        # each job would cost more than some of the jobs.
         next_us = self.scheduler.next_start_us(self._clock.now())
         is_earlier = next_us and (not self._wake_at_us or next_us < self._wake_at_us)
         if self.scheduler.has_waiting or is_earlier:
