--- a/rookbend/health/service.py
+++ b/rookbend/health/service.py
@@ -1,10 +1,10 @@
-"""Passes evidence to the health registry, and changed verdicts to the engine as changes of members.
+"""Passes evidence on members to the health registry, and the verdicts that it changes to the engine.
 
 The router receives each member with the verdict on its health applied. An ejected member is passed on as draining: it
 gets no new requests, those in flight complete, and it keeps its place in the hash order. A change that takes a member
-out or lowers its weight reaches the engine within the call that brought the evidence, so that `may_write` holds back
-attempts that wait in a queue. Changes that only raise a weight are batched for `WEIGHT_BATCH_US`: otherwise a thousand
-slow starts would make the router sort its member lists a thousand times.
+out of service or lowers its weight reaches the engine before the method that received the evidence returns, so that
+`SendGuard.may_write` holds back attempts that wait in a queue. Changes that only raise a weight are batched for
+`WEIGHT_BATCH_US`: otherwise a thousand slow starts would make the router sort its member lists a thousand times.
 """
 
 from __future__ import annotations
@@ -45,21 +45,21 @@
         self.on_members: Callable[[list[int], list[int]], None] = lambda added, removed: None
         self.on_due: Callable[[int], None] = lambda due: None
         self._pending: dict[int, None] = {}  # members whose raised weight has not been passed on yet
-        self._flush_us = 0
+        self._flush_us = 0  # when the pending weights are passed on; 0 if there are none
         self._announced_due_us = 0
 
     # Evidence
 
     def membership_changed(self, change: MembershipChange) -> None:
-        """Applies the coordinator's membership, or a change of it, and passes it to the engine with health applied."""
+        """Passes a complete membership or a change of it to the registry, then to the engine with verdicts applied."""
         members = self.registry.members
         before = set(members)
         now = self.engine.clock.now()
-        changed = self._apply(self.registry.handle(now, MembershipReceived(change.complete, change.endpoints)))
-        endpoints = [self.effective(e.member.server) or e for e in change.endpoints]
+        changed = self._handle_actions(self.registry.handle(now, MembershipReceived(change.complete, change.endpoints)))
+        endpoints = [self.effective_endpoint(e.member.server) or e for e in change.endpoints]
         changed_servers = {e.member.server for e in change.endpoints}
-        # A member that leaves may have changed the verdict on others of its tier.
-        endpoints += [self._effective_of(members[s]) for s in changed if s in members and s not in changed_servers]
+        # The removal of a member can begin or end the panic of its tier, and so change verdicts on the other members.
+        endpoints += [self._with_verdict(members[s]) for s in changed if s in members and s not in changed_servers]
         self.engine.membership_changed(MembershipChange(change.complete, change.version, endpoints))
         for server in [s for s in self._pending if s not in members]:
             del self._pending[server]
@@ -70,11 +70,11 @@
         """Applies evidence other than the membership."""
         now = self.engine.clock.now()
         urgent = []
-        for server, verdict in self._apply(self.registry.handle(now, event)).items():
+        for server, verdict in self._handle_actions(self.registry.handle(now, event)).items():
             if verdict is None:
                 continue
             old = self.engine.endpoints.get(server)
-            new = self._effective_of(self.registry.members[server])
+            new = self._with_verdict(self.registry.members[server])
             if old is None or _reduces_service(old, new):
                 self._pending.pop(server, None)
                 urgent.append(new)
@@ -101,7 +101,7 @@
             self._flush_us = 0
             pending, self._pending = self._pending, {}
             members = self.registry.members
-            self.engine.health_changed([self._effective_of(members[s]) for s in pending if s in members])
+            self.engine.health_changed([self._with_verdict(members[s]) for s in pending if s in members])
         if self.registry.due_us and now >= self.registry.due_us:
             self.feed(TimerExpired())
         self._announce_due()
@@ -119,8 +119,8 @@
 
     # Verdicts
 
-    def _apply(self, actions: Iterable[Action]) -> dict[int, Verdict | None]:
-        """Returns the newest verdict of each member that changed, and writes the log lines."""
+    def _handle_actions(self, actions: Iterable[Action]) -> dict[int, Verdict | None]:
+        """Writes the log lines; returns the newest verdict of each changed member, None if it was removed."""
         changed = {}
         for action in actions:
             if isinstance(action, VerdictChanged):
@@ -129,12 +129,12 @@
                 self.log(action.event, action.level, **action.fields)
         return changed
 
-    def effective(self, server: int) -> Endpoint | None:
+    def effective_endpoint(self, server: int) -> Endpoint | None:
         """The endpoint with the verdict applied; None for a server that is not in the membership."""
         member = self.registry.members.get(server)
-        return self._effective_of(member) if member is not None else None
+        return self._with_verdict(member) if member is not None else None
 
-    def _effective_of(self, health: MemberHealth) -> Endpoint:
+    def _with_verdict(self, health: MemberHealth) -> Endpoint:
         verdict = health.verdict
         member = health.endpoint.member
         assert verdict is not None  # set when the member is added
@@ -144,8 +144,8 @@
         state = member.state
         if state is MemberState.READY and not verdict.state.in_use:
             state = MemberState.DRAINING
-        # The cache of a process that was found dead and returned is empty, whatever start time the membership gives:
-        # the router's budgets for cold members apply from its return.
+        # A member whose process was found not running returns with an empty cache, whatever start time the membership
+        # gives: the router's budgets for cold members apply from the member's return.
         started_us = max(member.started_us, health.cold_since_us)
         if (weight, state, started_us) == (member.weight, member.state, member.started_us):
             return health.endpoint
@@ -167,7 +167,7 @@
 
 
 def _reduces_service(before: Endpoint, after: Endpoint) -> bool:
-    """Whether the member loses service or weight, which the engine must learn at once."""
+    """Whether the member is out of service, lost weight or restarted: the engine must learn such changes at once."""
     old, new = before.member, after.member
     restarted = old.state is MemberState.READY and new.started_us > old.started_us
     return new.state is not MemberState.READY or new.weight < old.weight or restarted
