--- a/rookbend/testing/lease_invariants.py
+++ b/rookbend/testing/lease_invariants.py
@@ -1,4 +1,4 @@
-"""Invariants of leases that a simulation checks, by simulated time rather than by the directors' clocks."""
+"""Invariants of leases, checked at points of simulated time, from which the directors' own clocks may differ."""
 
 from __future__ import annotations
 
@@ -12,22 +12,23 @@
 
 
 class LeaseInvariants:
-    """Checks that a scope has one holder and that its tokens are unique and increase; `violations` has the failures."""
+    """Checks that a scope has at most one holder, that no two holders acquire the same token, and that tokens never
+    decrease. `violations` describes each violation found."""
 
     def __init__(self) -> None:
         self.violations: list[str] = []
         self.holder_by_token: dict[tuple[int, int], Holder] = {}  # by (scope, token)
-        self._highest: dict[int, int] = {}
+        self._highest_token: dict[int, int] = {}  # by scope
 
     def lease_acquired(self, action: LeaseAcquired, holder: Holder) -> None:
         """Checks the token of an acquired lease."""
         scope, token = action.scope, action.token
         if self.holder_by_token.setdefault((scope, token), holder) != holder:
             self.violations.append(f"token {token} of scope {scope} acquired by two holders")
-        highest = self._highest.get(scope, 0)
+        highest = self._highest_token.get(scope, 0)
         if token < highest:
             self.violations.append(f"token {token} of scope {scope} acquired after {highest}")
-        self._highest[scope] = max(highest, token)
+        self._highest_token[scope] = max(highest, token)
 
     def check_holders(self, scope: int, holders: Iterable[int], elapsed_us: int) -> None:
         """Checks that at most one director holds the scope at this time."""
@@ -37,7 +38,7 @@
 
 
 class SimulatedLedger:
-    """A report ledger that accepts lines by their fencing token; `lines` has the accepted ones by number."""
+    """A report ledger that rejects lines with a stale fencing token; `lines` has the accepted lines by number."""
 
     def __init__(self, invariants: LeaseInvariants):
         self._guard = FencingGuard()
