--- a/rookbend/leases/voter.py
+++ b/rookbend/leases/voter.py
@@ -1,14 +1,14 @@
 """A voter: grants each scope to one holder at a time, for a bounded time by its own clock.
 
 A holder is one incarnation of a director: a director that restarts is another holder, and its own earlier lease must
-expire like any other. Tokens only grow: a new grant of a scope needs a token above all that were granted for it; the
-same holder renews with the same token while its grant is in force, but not after that. A grant is durable before the
-vote for it is sent.
-
-After every start a voter is in quarantine for the length of a lease. By the end of it, every grant of an earlier
-incarnation that durable storage may lack (storage lost, or an older copy restored) has expired. During the quarantine
-the voter only renews the grants that its storage holds, and asks the other voters for their highest token; it never
-makes a new grant with a token up to that one. Clocks are monotonic.
+expire like any other. Tokens only grow: a new grant of a scope needs a token above all that were granted for it. While
+a grant is in force, its holder renews it with the same token; after that, the holder needs a new token. A grant is
+durable before the vote for it is sent.
+
+After every start a voter is in quarantine for the length of a lease. Durable storage may lack grants of an earlier
+incarnation (storage lost, or an older copy restored); all of these have expired when the quarantine ends. During the
+quarantine the voter only renews the grants that its storage holds, and asks the other voters for their highest tokens.
+Every later new grant needs a token above the highest one reported. All clocks are monotonic.
 """
 
 from __future__ import annotations
@@ -43,10 +43,11 @@
 
 
 class Vote(NamedTuple):
-    """The answer to a request.
+    """A voter's answer to a holder's request.
 
-    `token` is the highest token granted for the scope, `director` the holder of that grant, and `remaining_us` the
-    time until the scope can be granted. With `must_persist` the grant must be durable before the vote is sent.
+    If the request is granted, `token` is the granted token, otherwise the highest token granted for the scope or the
+    token floor, whichever is higher. `director` is the holder of the scope's latest grant, and `remaining_us` the time
+    until the scope can be granted anew. With `must_persist` the grant must be durable before the vote is sent.
     """
 
     granted: bool
@@ -78,7 +79,7 @@
         self.quarantine_until_us = max(self.quarantine_until_us, now_us + self.terms.quarantine_us)
 
     def raise_token_floor(self, token: int) -> None:
-        """Makes no new grant with a token up to this one."""
+        """From now on, a new grant of any scope needs a token above this one."""
         self.token_floor = max(self.token_floor, token)
 
     @property
@@ -101,8 +102,8 @@
     def _wait_us(self, now_us: int, grant: Grant, holder: Holder) -> int:
         """Returns the time until a new grant to that holder is possible.
 
-        The holder's own earlier grant does not block it: the holder has started a new attempt, which counts no votes
-        of an earlier one.
+        The holder's own earlier grant does not block it: a holder that requests the scope with a new token no longer
+        counts votes for its earlier one.
         """
         expires_us = grant.expires_us if grant.holder != holder else 0
         reserved_until_us = grant.reserved_until_us if grant.successor not in (NO_DIRECTOR, holder[0]) else 0
