--- a/tests/test_install.py
+++ b/tests/test_install.py
@@ -15,8 +15,8 @@
 def test_an_installed_wheel_runs_from_an_empty_folder(tmp_path):
     environment, empty_folder = tmp_path / "venv", tmp_path / "away"
     empty_folder.mkdir()
-    # Only the program itself is built and installed. The libraries come through PYTHONPATH: system_site_packages
-    # would not include those of a virtual environment.
+    # Only rookbend itself is built and installed. Its dependencies are found through PYTHONPATH: if the tests run in a
+    # virtual environment, system_site_packages would not include the packages of that environment.
     venv.create(environment, with_pip=False)
     source = tmp_path / "source"  # a copy, because a build leaves directories beside the sources
     for part in ("rookbend", "deploy"):
@@ -57,4 +57,5 @@
     result = subprocess.run(
         [environment / "bin" / "python", "-c", code], cwd=empty_folder, env=env, text=True, capture_output=True
     )
+    # Both printed paths are in the new environment.
     assert result.returncode == 0 and result.stdout.count(str(environment)) == 2, result.stdout + result.stderr
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -1,7 +1,7 @@
 """Files written by an earlier version are read by this one with the same values.
 
-`data/stored` was written by the code of commit abc9770: a state database with rows of every kind, as its simulated
-directors and its DNS front persisted them, and the file that a process of a director leaves for its successor.
+The files in `data/stored` were written by the code of commit abc9770: a state database with the rows of every kind that
+simulated directors and the DNS front persisted, and the file that a process of a director leaves for its successor.
 `expected.json` holds the values that this earlier version stored.
 """
 
@@ -79,6 +79,7 @@
 
 def test_recovery_restores_all_of_its_rows(persisted):
     classes = (TrafficClassCost(True, 8.0, 1.0), TrafficClassCost(False, 1.0, 1.0))
+    # The age of the oldest purge, so that every purge is still valid.
     propagation_us = NOW - min(values_of("purge").values()) * 1000
     config = RecoveryConfig(0, 3, "sim", 7, classes, 0, 1, 2, propagation_us)
     recovery = RecoveryMachine(config, NOW, EXPECTED["boot"] + 1, 5, persisted)
@@ -95,8 +96,9 @@
     }
     assert {name: list(recovery.rows.drains.get(name)) for name in recovery.rows.drains.rows} == values_of("drain")
     assert recovery.membership.drained_since_us == {key: at for kind, key, at, _, _ in ROWS if kind == "drain"}
-    known = {str(number): peer.boot_number for number, peer in recovery.peers.rows.items()}
-    assert known == values_of("peer")
+    boot_numbers = {str(number): peer.boot_number for number, peer in recovery.peers.rows.items()}
+    assert boot_numbers == values_of("peer")
+    # The ramp starts at half of the rate that the origin sustained.
     assert recovery.ramp.fleet_rate == values_of("hint")["origin"] / 2
     assert len([a for a in actions if isinstance(a, SetAdmissionLimits)]) == 1
 
