--- a/rookbend/recovery/issued_names.py
+++ b/rookbend/recovery/issued_names.py
@@ -6,8 +6,8 @@
 (an old disk may have been restored). Therefore, for a limited time after a start, the front rejects unknown lookups for
 writes.
 
-If the disk reports an error or hangs, the write is processed without a durable row and counted in `not_durable`. After
-a power loss, a repeat of that write is rejected only during the limited time after the start.
+If the disk reports an error or hangs, the write is processed nevertheless and counted in `not_durable`. After a power
+loss, a repeat of a write that has no row is rejected only during the limited time after the start.
 """
 
 from __future__ import annotations
