--- a/rookbend/leases/machine.py
+++ b/rookbend/leases/machine.py
@@ -74,7 +74,7 @@
             events.LiveDirectorsChanged: self._live_directors_changed,
             events.ShutdownRequested: parts.handover.shut_down,
             events.VotersChanged: parts.reconfiguration.begin,
-            events.StaleStorageDetected: self._storage_is_stale,
+            events.StaleStorageDetected: self._stale_storage_detected,
             events.OrderRequested: parts.orders.request,
             events.CheckResultsCollected: parts.shard_results.results_collected,
             events.OriginCallsReported: parts.ramp_allocator.calls_reported,
@@ -110,8 +110,8 @@
     def _live_directors_changed(self, _now_us: int, event: events.LiveDirectorsChanged) -> None:
         self.parts.placement.set_live_directors(event.directors)
 
-    def _storage_is_stale(self, now_us: int, _event: events.StaleStorageDetected) -> None:
-        self.parts.voting.storage_is_stale(now_us)
+    def _stale_storage_detected(self, now_us: int, _event: events.StaleStorageDetected) -> None:
+        self.parts.voting.stale_storage_detected(now_us)
         self.parts.orders.catch_up.restart()
 
     def _report_line_written(self, now_us: int, event: events.ReportLineWritten) -> None:
--- a/rookbend/leases/voting.py
+++ b/rookbend/leases/voting.py
@@ -152,7 +152,7 @@
             self._token_reporters.add(sender)
             self._voter.raise_token_floor(min(highest_token, highest_plausible_token(now_us)))
 
-    def storage_is_stale(self, now_us: int) -> None:
+    def stale_storage_detected(self, now_us: int) -> None:
         """Starts the quarantine again, as after a start without storage."""
         self._voter.quarantine(now_us)
         self._token_reporters = set()
