--- a/tests/health_harness.py
+++ b/tests/health_harness.py
@@ -15,12 +15,12 @@
 from rookbend.interface import Member, MemberState
 
 SECOND = 1_000_000
-START, RAMP_US = 20, 10 * SECOND
+START_PERCENT, RAMP_US = 20, 10 * SECOND
 POLICY = HealthPolicy(
     checks=(CheckPolicy("agent", True, stale_us=5 * SECOND), CheckPolicy("page", rise=2, fall=3)),
     max_ejected_ratio=0.5,
     min_ejection_us=SECOND,
-    slow_start=(("cache", SlowStartPolicy(START, RAMP_US)),),
+    slow_start=(("cache", SlowStartPolicy(START_PERCENT, RAMP_US)),),
 )
 
 
--- a/tests/test_health_properties.py
+++ b/tests/test_health_properties.py
@@ -12,7 +12,7 @@
 )
 from rookbend.health.model import Order, State
 from rookbend.interface import AttemptStatus, MemberState
-from tests.health_harness import POLICY, RAMP_US, SECOND, START, RegistryHarness, make_endpoint
+from tests.health_harness import POLICY, RAMP_US, SECOND, START_PERCENT, RegistryHarness, make_endpoint
 
 SERVERS = st.integers(1, 5)
 EVENTS = st.one_of(
@@ -91,8 +91,11 @@
             elif not verdict.state.in_use:
                 seen[server] = row, level, at, True
             else:
-                first = START if ejected and verdict.cause.value != "panic" else level
-                assert verdict.weight <= max(START, first) + (100 - START) * (harness.now - at) / RAMP_US + 5
+                first = START_PERCENT if ejected and verdict.cause.value != "panic" else level
+                assert (
+                    verdict.weight
+                    <= max(START_PERCENT, first) + (100 - START_PERCENT) * (harness.now - at) / RAMP_US + 5
+                )
                 seen[server] = row, verdict.weight, harness.now, False
 
     run_history(history, on_event=on_event)
--- a/tests/test_health_registry.py
+++ b/tests/test_health_registry.py
@@ -11,7 +11,7 @@
 )
 from rookbend.health.model import HealthPolicy, Order
 from rookbend.interface import AttemptStatus, MemberState
-from tests.health_harness import POLICY, SECOND, START, RegistryHarness, make_endpoint
+from tests.health_harness import POLICY, SECOND, START_PERCENT, RegistryHarness, make_endpoint
 
 # The precedence table, row by row
 
@@ -36,7 +36,7 @@
     )
     assert harness.state() == ("maintenance", 0, "order")
     assert harness.feed(OrderReceived(1, Order.DRAIN)).state() == ("draining", 0, "order")
-    assert harness.feed(OrderReceived(1, Order.READY)).state() == ("degraded", START, "slow-start")
+    assert harness.feed(OrderReceived(1, Order.READY)).state() == ("degraded", START_PERCENT, "slow-start")
 
 
 def test_a_silent_agents_drain_holds_while_its_down_and_weight_expire():
@@ -52,7 +52,7 @@
     assert harness.check(1).state() == ("down", 0, "check")
     harness.wait(2 * SECOND)
     assert harness.check(1, CheckOutcome.PASSED).state()[0] == "down"
-    assert harness.check(1, CheckOutcome.PASSED).state() == ("degraded", START, "slow-start")
+    assert harness.check(1, CheckOutcome.PASSED).state() == ("degraded", START_PERCENT, "slow-start")
     assert (
         harness.check(2, CheckOutcome.DISMISSED).state(2)[0] == "down"
     ), "one request of the member to be taken out is enough"
@@ -68,7 +68,7 @@
         harness.feed(AttemptObserved(1, AttemptStatus.RESET))
     assert harness.state()[0] == "ready"
     assert harness.feed(AttemptObserved(1, AttemptStatus.RESET)).state() == ("down", 0, "passive")
-    assert harness.wait(5 * SECOND).state() == ("degraded", START, "slow-start")
+    assert harness.wait(5 * SECOND).state() == ("degraded", START_PERCENT, "slow-start")
 
 
 def test_a_result_older_than_one_already_received_is_ignored():
