--- a/rookbend/state/ledger.py
+++ b/rookbend/state/ledger.py
@@ -89,7 +89,7 @@
         if unchanged and done is None:
             return
         self._set(kind, key, Row(value, now_us))
-        self._changed(kind, key, before, done)
+        self._record_change(kind, key, before, done)
         self._enforce_bounds(kind)
 
     def drop(self, kind: str, key: str, done: Done | None = None) -> None:
@@ -102,9 +102,9 @@
             return
         # A row that is not in memory may still be on disk, so its deletion is written too.
         self._unset(kind, key)
-        self._changed(kind, key, before, done)
+        self._record_change(kind, key, before, done)
 
-    def _changed(self, kind: str, key: str, before: Row | None, done: Done | None) -> None:
+    def _record_change(self, kind: str, key: str, before: Row | None, done: Done | None) -> None:
         self._dirty[kind, key] = None
         if done is not None:
             self._awaited.append(AwaitedChange((kind, key), before, self.rows[kind].get(key), done))
--- a/tests/test_hostile_bytes.py
+++ b/tests/test_hostile_bytes.py
@@ -51,11 +51,11 @@
 
 
 def answer_query(wire):
-    found = parse_query(wire, ZONE)
-    if isinstance(found, Lookup):
+    parsed = parse_query(wire, ZONE)
+    if isinstance(parsed, Lookup):
         outcome = LookupOutcome(dns.rcode.NOERROR, 1, "d.example.org.", "127.0.0.1", "note")
-        found = build_reply(found.query, outcome)
-    encode_reply(found, wire, over_udp=True)
+        parsed = build_reply(parsed.query, outcome)
+    encode_reply(parsed, wire, over_udp=True)
 
 
 def feed_in_two_parts(make):
