--- a/rookbend/testing/invariant_checker.py
+++ b/rookbend/testing/invariant_checker.py
@@ -1,7 +1,7 @@
 """Checks the invariants of a run from the traffic on the sockets or the simulated network, not from directors' reports.
 
-The checker does no I/O. It takes events in order of time and collects violations of the rules in `Rule`. It keeps one
-entry for each open request and each member, and the recent purges.
+The checker does no I/O. It takes events in order of time and collects violations of the rules in `Rule`. It keeps the
+open requests, the states of members, recent purges, and the digests that members produced of each object and part.
 """
 
 from __future__ import annotations
@@ -32,17 +32,19 @@
 class Rule(StrEnum):
     """The rules that are checked; the values appear in reports."""
 
-    # Each request gets exactly one final response, complete and within the deadline plus its grace.
+    # Each request gets exactly one final response, complete and within the deadline plus `answer_grace_us`.
     ANSWER = "answer"
     # A request has at most `max_attempts` attempts that reach members, and never two in flight at once.
     ATTEMPTS = "attempts"
     # A request that is not idempotent is retried or rejected only once it is certain that it has not executed.
     REPEAT = "repeat"
-    # After the grace, no attempt is sent to a member that drains or has gone, nor names it as a source.
+    # A director that was notified more than `drain_grace_us` ago that a member drains or has gone sends no attempt to
+    # the member, and none that names it as a source.
     DRAIN = "drain"
-    # A member in slow start is never sent more work in a window than its overload limit.
+    # A member in slow start is never sent more work within `cold_window_us` than its overload limit.
     COLD = "cold"
-    # After the grace, no successful response comes from a copy that is older than a purge.
+    # An attempt that is sent more than `purge_grace_us` after its director was notified of a purge never succeeds with
+    # a copy that is older than the purge.
     PURGE = "purge"
     # A served response has the bytes that a member produced for that object and part.
     BYTES = "bytes"
@@ -81,7 +83,7 @@
     may_have_executed: bool = False
     responses: int = 0
     client_closed: bool = False
-    first_bytes_us: dict[str, int] = field(default_factory=dict)  # first byte of the newest attempt, by member
+    first_bytes_us: dict[str, int] = field(default_factory=dict)  # when the newest attempt's first byte arrived
 
 
 class InvariantChecker:
@@ -113,7 +115,7 @@
         self._handlers[type(event)](event)
 
     def close_expired(self, now_us: int) -> None:
-        """Closes requests past their deadline and grace; one without a response by then is a violation."""
+        """Closes expired requests with no attempt in flight; no response is a violation unless the client closed."""
         grace_us = self.limits.answer_grace_us + self.limits.slack_us
         for request_id, record in list(self.requests.items()):
             if record.request.deadline_us + grace_us >= now_us or record.in_flight:
@@ -190,17 +192,17 @@
             self._report(Rule.REPEAT, at_us, request_id, f"retried at {member} although it may have executed")
         record.in_flight[member] = event
         record.first_bytes_us[member] = event.first_byte_us
-        self._check_drain(event, record.request.director, member, "to")
-        self._check_drain(event, record.request.director, event.source, "from")
+        self._check_drain(event, record.request.director, member, "sent to this member")
+        self._check_drain(event, record.request.director, event.source, "names this member as its source")
         self._check_slow_start(at_us, member, event.work_s)
 
-    def _check_drain(self, event: AttemptReceived, director: str, member: str, direction: str) -> None:
-        known = self._notifications.out_of_service(director, member)
+    def _check_drain(self, event: AttemptReceived, director: str, member: str, relation: str) -> None:
+        notice = self._notifications.out_of_service(director, member)
         grace_us = self.limits.drain_grace_us + self.limits.slack_us
-        if known is None or event.first_byte_us <= known.since_us + grace_us:
+        if notice is None or event.first_byte_us <= notice.since_us + grace_us:
             return
-        late_ms = (event.first_byte_us - known.since_us) / 1000
-        text = f"{event.request_id} sent {direction} it {late_ms:.0f} ms after notification as {known.status.value}"
+        delay_ms = (event.first_byte_us - notice.since_us) / 1000
+        text = f"{event.request_id} {relation} {delay_ms:.0f} ms after notification that it is {notice.status.value}"
         self._report(Rule.DRAIN, event.at_us, member, text)
 
     def _on_attempt_answered(self, event: AttemptAnswered) -> None:
@@ -223,7 +225,7 @@
                 continue
             older_ms = (purge.created_us - event.copied_us) / 1000
             before_ms = (sent_us - purge.notified_us) / 1000
-            text = f"copy {older_ms:.0f} ms older than a purge, attempt sent {before_ms:.0f} ms after its notification"
+            text = f"copy {older_ms:.0f} ms older than a purge notified {before_ms:.0f} ms before the attempt was sent"
             self._report(Rule.PURGE, event.at_us, event.request_id, text)
 
     def _on_fill_received(self, event: FillReceived) -> None:
