--- a/rookbend/state/ledger.py
+++ b/rookbend/state/ledger.py
@@ -1,15 +1,17 @@
-"""The rows in memory, the changes that wait to be written, and their outcome; does no I/O.
+"""The rows in memory, the changes that wait to be written, and the outcome of each write; does no I/O.
 
     put, drop       make a change, in memory at once and on disk later
     take            returns the next batch for the writer, or None while one is in flight or nothing is dirty
-    ended           reports the outcome of a batch, and calls the callbacks of its changes
+    ended           handles the outcome of a batch, and calls the callbacks of its changes
 
 Only one batch is in flight at a time; the next one takes all changes made meanwhile (group commit). If the disk refuses
 a batch (full, read-only, broken), the ledger is `degraded`: changes with a callback are undone in memory and reported
-as not durable; all others stay dirty and are retried with the next batch. The first batch that succeeds ends this.
+as not durable; all others stay dirty and are retried with the next batch. The first batch that succeeds ends the
+degraded state.
 
-The number of rows is bounded by kind, and the bytes of all rows together. The oldest rows are evicted, those of kinds
-marked `evict_first` first.
+Each kind has a maximum number of rows: beyond it the oldest rows of the kind are evicted. All rows together have a
+maximum size: beyond it the oldest rows of kinds marked `evict_first` are evicted, then the oldest of the kind of the
+row just stored.
 """
 
 from __future__ import annotations
@@ -44,8 +46,8 @@
 
 
 class Ledger:
-    """`rows` are by kind and key, oldest first; `bytes` is the size of all. `fault` is why the last batch failed, "" if
-    it succeeded. Counters: `batches` and `failed` ones, `refused` changes with a callback, `evicted` rows."""
+    """`rows` are by kind and key, oldest first; `bytes` is their total size. `fault` is why the last batch failed, ""
+    if it succeeded. Counters: all `batches`, `failed` batches, `refused` changes with a callback, `evicted` rows."""
 
     def __init__(self, max_bytes: int, rows: Mapping[Key, Row] | None = None):
         self.max_bytes = max_bytes
@@ -125,7 +127,7 @@
             self._evict(kind)
         if self.bytes <= self.max_bytes:
             return
-        # Rows of the kind that was just stored are evicted last, and the row just stored never.
+        # Other rows of the kind of the row just stored are evicted last, and the row just stored is never evicted.
         evictable = [candidate.name for candidate in KINDS.values() if candidate.evict_first]
         for name in [*evictable, kind]:
             others = len(self.rows[name]) - (name == kind)
@@ -150,7 +152,7 @@
         if self._in_flight is not None or not self._dirty:
             return None
         if self.fault and now_us < self._retry_us and not self._awaited:
-            return None  # no caller waits: a failed batch is retried once per RETRY_US
+            return None  # no caller waits for a change, so retries are RETRY_US apart
         self.batches += 1
         changes = {(kind, key): self.rows[kind].get(key) for kind, key in self._dirty}
         self._in_flight = Batch(self.batches, changes, self._awaited)
@@ -159,7 +161,7 @@
         return self._in_flight
 
     def ended(self, now_us: int, number: int, fault: str = "") -> None:
-        """Reports that the batch is durable, or in `fault` why it is not."""
+        """Handles the end of batch `number`: it is durable, or `fault` says why it is not."""
         batch = self._in_flight
         if batch is None or batch.number != number:
             return
