--- a/rookbend/net/dns_resolver.py
+++ b/rookbend/net/dns_resolver.py
@@ -24,7 +24,7 @@
 class ResolverClient:
     """Queries over UDP, and over TCP if the response is truncated.
 
-    Nothing is cached: a name may change at any time, and the membership decides which addresses are used.
+    Nothing is cached: a name's addresses may change at any time, and the membership decides which of them are used.
     """
 
     def __init__(self, context: ComponentContext, address: tuple[str, int], seed: int):
@@ -60,6 +60,7 @@
             done(addresses)
 
     async def _query_udp(self, query: dns.message.Message) -> list[str] | None:
+        """Returns the addresses, or None if the response is truncated."""
         family = socket.AF_INET6 if ":" in self._address[0] else socket.AF_INET
         with socket.socket(family, socket.SOCK_DGRAM) as sock:
             sock.setblocking(False)
--- a/rookbend/net/status_servers.py
+++ b/rookbend/net/status_servers.py
@@ -23,7 +23,7 @@
 
 
 def agent_server(context: ComponentContext, address: tuple[str, int], current_status: CurrentStatus) -> BoundedServer:
-    """A server that sends the agent line to each client and closes."""
+    """A server that sends the agent line to each client and closes the connection."""
 
     async def serve_client(channel: BufferedSocket) -> None:
         status = current_status()
@@ -46,7 +46,7 @@
 
 
 class GrpcServer(BoundedServer):
-    """A server of gRPC's Check and Watch; watchers stay connected and are notified of each change at once."""
+    """A server of the gRPC health service; clients of Watch stay connected and are notified of each change at once."""
 
     def __init__(self, context: ComponentContext, address: tuple[str, int], current_status: CurrentStatus):
         super().__init__(context, "grpc-server", address, self._serve_grpc, long_lived=True)
@@ -54,7 +54,7 @@
         self._connections: dict[BufferedSocket, GrpcHealthServer] = {}
 
     def changed(self) -> None:
-        """Notifies the watchers of a changed status; called whenever the status may have changed."""
+        """Notifies the clients of Watch if the status has changed; called whenever it may have changed."""
         for channel, grpc in self._connections.items():
             channel.write(grpc.changed())
 
@@ -75,7 +75,7 @@
             del self._connections[channel]
 
     async def _exchange(self, channel: BufferedSocket, grpc: GrpcHealthServer) -> None:
-        """Serves calls until the connection ends, or is idle for `CLIENT_TIMEOUT_US` without a Watch."""
+        """Serves calls until the connection ends, or until it is idle for `CLIENT_TIMEOUT_US` with no Watch open."""
         while not grpc.ended:
             with trio.CancelScope() as scope:
                 if not grpc.watched:
