--- a/tests/health_harness.py
+++ b/tests/health_harness.py
@@ -60,9 +60,11 @@
                 self.log_lines.append(action)
 
     def report(self, server, after=0, **fields):
+        """Feeds an agent's report with these fields."""
         return self.feed(AgentReported(server, "agent", self.registry.begin_check(), AgentReport(**fields)), after)
 
     def check(self, server, outcome=CheckOutcome.FAILED, times=1, check="page"):
+        """Feeds `times` results of a check, one microsecond apart."""
         for _ in range(times):
             self.feed(CheckCompleted(server, check, self.registry.begin_check(), outcome, "why"), 1)
         return self
@@ -71,8 +73,10 @@
         return self.feed(TimerExpired(), us)
 
     def cadence(self, server, check):
+        """The interval in microseconds and the priority of a check."""
         return cadence_of(self.registry.members.get(server), check)
 
     def state(self, server=1):
+        """The state, weight and cause of the verdict on a member."""
         verdict = self.registry.members[server].verdict
         return verdict.state.value, verdict.weight, verdict.cause.value
--- a/tests/test_hostile_bytes.py
+++ b/tests/test_hostile_bytes.py
@@ -139,7 +139,7 @@
 
 @pytest.mark.parametrize("name", CODECS)
 def test_mutated_bytes_raise_declared_errors_only(name):
-    # Guards against bytes of a client or a peer that end the task that reads them.
+    # Guards against bytes from a client or a peer that crash the task reading them.
     samples, feed, declared = CODECS[name]
     for sample in samples:
         feed(sample)
--- a/tests/test_lying_peer.py
+++ b/tests/test_lying_peer.py
@@ -39,7 +39,7 @@
         if generator.random() < 0.5:
             target = generator.choice(("c1", "c2", "@checks/1"))
             sim.order(generator.randrange(DIRECTORS), target, generator.choice(("drain", "ready", "pin2")))
-    # Only a voter that breaks the protocol can cause two leaders (docs/OWNERSHIP.md, what does not hold).
+    # Only a voter that breaks the protocol can cause two leaders (docs/OWNERSHIP.md describes which guarantees still hold).
     assert sim.violations == [] or faulty_director in sim.voters
 
 
