--- a/rookbend/cli/demo.py
+++ b/rookbend/cli/demo.py
@@ -26,7 +26,9 @@
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
     """Adds the size and times of the run, and the output options."""
-    parser.add_argument("--directors", type=int, default=3, metavar="N", help="default %(default)s")
+    parser.add_argument(
+        "--directors", type=int, default=3, metavar="N", help="number of directors (default %(default)s)"
+    )
     parser.add_argument("--seed", type=int, default=7, help="seed of the random choices (default %(default)s)")
     parser.add_argument("--calm", type=float, default=8.0, metavar="S", help="seconds before the power loss")
     parser.add_argument("--after", type=float, default=20.0, metavar="S", help="seconds observed after power returns")
@@ -50,11 +52,15 @@
         "directors admitted again (seconds after power was restored):",
     ]
     lines += [f"  {name:4} {at_s:6.2f}" for name, at_s in report["return"]]
-    lines += ["", "worth of served requests as a share of all requests, by second:"]
+    lines += ["", "priority weight earned as a share of the weight of all requests, by second:"]
     lines += [_format_second(report, second, share) for second, share in enumerate(report["worth"])]
     overloads = ", ".join(f"{name} {count}" for name, count in report["falls"].items()) or "none"
     rules = ", ".join(f"{rule} {count or 'kept'}" for rule, count in report["rules"].items())
-    lines += ["", f"overloads: {overloads}", f"rules, checked on {report['seen']} events: {rules}"]
+    lines += [
+        "",
+        f"overloads: {overloads}",
+        f"rules, checked on {report['seen']} events (kept, or number of violations): {rules}",
+    ]
     lines += [f"  {breach}" for breach in report["breaches"]]
     return "\n".join(lines)
 
@@ -66,7 +72,7 @@
     from rookbend.testing.demo import Demo, Plan
 
     if not 1 <= args.directors <= MAX_DIRECTORS:
-        raise UsageError(f"--directors: 1 to {MAX_DIRECTORS}")
+        raise UsageError(f"--directors must be from 1 to {MAX_DIRECTORS}")
     plan = Plan(args.directors, seed=args.seed, before_outage_s=args.calm, after_return_s=args.after)
     if args.keep:
         args.keep.mkdir(parents=True, exist_ok=True)
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -20,4 +20,4 @@
     completed = subprocess.run(
         [sys.executable, "-m", "rookbend", "demo", "--directors", "0"], text=True, capture_output=True
     )
-    assert completed.returncode == 2 and completed.stderr == "rookbend: --directors: 1 to 40\n"
+    assert completed.returncode == 2 and completed.stderr == "rookbend: --directors must be from 1 to 40\n"
