--- a/rookbend/leases/voting.py
+++ b/rookbend/leases/voting.py
@@ -18,8 +18,8 @@
 from rookbend.protocol.lease_messages import LeaseRelease, LeaseRequest, LeaseRow, VoteRow
 
 TOKEN_REQUEST_INTERVAL_US = 200_000
-# After the process was paused for longer than the threshold, queued requests are too old to be granted: requests are
-# ignored for a while.
+# After the process was paused for longer than PAUSE_THRESHOLD_US, queued requests are too old to be granted: requests
+# are ignored for IGNORE_AFTER_PAUSE_US.
 PAUSE_THRESHOLD_US = 1_000_000
 IGNORE_AFTER_PAUSE_US = 100_000
 
@@ -36,7 +36,7 @@
 
 
 class Voting:
-    """Votes as `voter` decides, on the scopes of `leases` only, and only while `voters` includes this director."""
+    """Answers requests with the votes of `voter`, for scopes in `leases`, while `voters` includes this director."""
 
     def __init__(
         self,
@@ -75,7 +75,7 @@
 
     def request_received(self, now_us: int, sender: int, message: LeaseRequest) -> None:
         """Answers a lease request, at once or when the new grant is durable."""
-        if not message.rows:
+        if not message.rows:  # the sender asks only for the highest token
             self._messenger.send_votes(now_us, sender, message.incarnation, [])
             return
         if not self._is_voter or now_us < self._ignore_until_us:
@@ -100,7 +100,7 @@
             return None
         pending = self._pending.waiting(key)
         if vote.granted and any(pending_vote.token == token for pending_vote in pending):
-            # Requested again before the grant is durable: the pending vote answers the newest round.
+            # The lease was requested again before its grant is durable: the pending vote answers the newest round.
             for pending_vote in pending:
                 pending_vote.round = round_number
             return None
@@ -111,7 +111,7 @@
     def grant_persisted(self, now_us: int, event: RowPersisted) -> None:
         """Sends the pending vote once the row of its grant is durable.
 
-        If the write failed there is no vote: the voter would lose the grant in a restart.
+        If the write failed, no vote is sent, because the voter would lose the grant in a restart.
         """
         pending = self._pending.pop(event.key)
         if pending is None:
@@ -148,7 +148,8 @@
     def record_highest_token(self, now_us: int, sender: int, highest_token: int) -> None:
         """During quarantine, raises the token floor to the highest token reported by a peer."""
         if now_us < self._voter.quarantine_until_us and sender not in self._token_reporters:
-            # Only the first answer counts: later ones may include tokens of new attempts, which must stay grantable.
+            # Only the first answer counts: a later one may include the token of a new request for a lease, and that
+            # token must stay grantable.
             self._token_reporters.add(sender)
             self._voter.raise_token_floor(min(highest_token, highest_plausible_token(now_us)))
 
