--- a/rookbend/health/registry.py
+++ b/rookbend/health/registry.py
@@ -1,13 +1,14 @@
 """The health of all members: takes evidence and returns changed verdicts. A state machine without I/O or clock.
 
-`handle(now, event)` returns the actions that follow; `due_us` is when `TimerExpired` is next needed. An event costs
-the work for one member; a whole tier is evaluated only when its panic begins or ends.
-
-The limit on a tier (the members of one kind and zone): of the members that neither the membership, an order nor an
-agent's drain or maint takes out, checks may eject the share `max_ejected_ratio`, rounded down. If they would eject
-more, they are all ignored for that tier (panic), and that is logged: when everything seems to fail at once, the fault
-is more likely this director's. Panic ends once the count has stayed within the limit for `panic_hold_us`. An agent's
-drain or maint and an operator's order count in panic too.
+`handle(now, event)` returns the actions that follow; `due_us` is when `TimerExpired` is next needed. An event about a
+member evaluates only that member, and the failing members of its tier only when the tier's panic begins or ends.
+
+A tier is the members of one kind and zone. Its eligible members are those that are not taken out of service by the
+membership, by an operator's order, or by an agent's drain or maint. Checks may eject at most the share
+`max_ejected_ratio` of the eligible members, rounded down. If checks would eject more, all of them are ignored for the
+tier (panic), and this is logged: when everything seems to fail at once, the fault is more likely in this director.
+Panic ends once the number of failing members has stayed within the limit for `panic_hold_us`. An agent's drain or
+maint and an operator's order apply during panic too.
 """
 
 from __future__ import annotations
@@ -91,7 +92,7 @@
                 self._update(now, member, endpoint)
 
     def _add(self, now: int, endpoint: Endpoint, previous: MemberHealth | None = None) -> None:
-        """Adds a member. An operator's order on `previous`, the same member before its restart, still applies."""
+        """Adds a member. An operator's order on `previous`, its state before a restart or move, still applies."""
         server = endpoint.member.server
         member = MemberHealth(endpoint, self.role_of(endpoint), self.policy, self._newest_check, now)
         self.members[server] = member
@@ -107,7 +108,7 @@
         new = endpoint.member
         moved = (new.kind, new.zone) != (old.kind, old.zone) or endpoint.address != member.endpoint.address
         if moved or new.started_us > old.started_us:
-            # Another process, or another address, kind or zone: results of the old one are no evidence on the new one.
+            # The member is another process, or has another address, kind or zone: earlier results don't apply to it.
             self._drop(now, new.server, publish=False)
             return self._add(now, endpoint, member)
         if new.state is not old.state:
@@ -156,7 +157,7 @@
         self._evaluate(now, member)
 
     def _on_policy(self, now: int, event: PolicyChanged) -> None:
-        """Applies new checks and limits. A check of the same name and kind keeps its state."""
+        """Applies new checks and limits. A check of the same name and kind (agent or not) keeps its state."""
         self.policy = event.policy
         self._slow_start = dict(event.policy.slow_start)
         for member in self.members.values():
@@ -230,7 +231,7 @@
 
 
 def _differ(old: Verdict, new: Verdict) -> bool:
-    """Whether the verdicts differ in a way that concerns the engine."""
+    """Whether the verdicts differ in what the routing engine uses."""
     return (old.state, old.weight, old.cold_since_us) != (new.state, new.weight, new.cold_since_us)
 
 
