--- a/rookbend/cli/demo.py
+++ b/rookbend/cli/demo.py
@@ -59,7 +59,7 @@
     lines += [
         "",
         f"overloads: {overloads}",
-        f"rules, checked on {report['seen']} events (kept, or number of violations): {rules}",
+        f"rules (kept, or number of violations), checked on {report['seen']} events: {rules}",
     ]
     lines += [f"  {breach}" for breach in report["breaches"]]
     return "\n".join(lines)
--- a/rookbend/health/registry.py
+++ b/rookbend/health/registry.py
@@ -182,7 +182,7 @@
     # Verdicts
 
     def _evaluate(self, now: int, member: MemberHealth, forced: bool = False) -> None:
-        """Evaluates one member, updates its tier, and publishes the verdict."""
+        """Evaluates one member, updates its tier, and publishes the verdict if it has changed or if `forced`."""
         endpoint = member.endpoint.member
         tier = self.tiers[endpoint.kind, endpoint.zone]
         requested = member.requested_verdict()
--- a/rookbend/testing/invariant_checker.py
+++ b/rookbend/testing/invariant_checker.py
@@ -83,7 +83,7 @@
     may_have_executed: bool = False
     responses: int = 0
     client_closed: bool = False
-    first_bytes_us: dict[str, int] = field(default_factory=dict)  # when the newest attempt's first byte arrived
+    first_bytes_us: dict[str, int] = field(default_factory=dict)  # time of the newest attempt's first byte, by member
 
 
 class InvariantChecker:
@@ -115,7 +115,7 @@
         self._handlers[type(event)](event)
 
     def close_expired(self, now_us: int) -> None:
-        """Closes expired requests with no attempt in flight; no response is a violation unless the client closed."""
+        """Closes expired requests with no attempt in flight; reports any with no response, unless its client closed."""
         grace_us = self.limits.answer_grace_us + self.limits.slack_us
         for request_id, record in list(self.requests.items()):
             if record.request.deadline_us + grace_us >= now_us or record.in_flight:
