--- a/rookbend/cli/fleet_leases.py
+++ b/rookbend/cli/fleet_leases.py
@@ -37,7 +37,7 @@
     return [_lease_row(lease, table["me"]) for lease in table["owners"]]
 
 
-def _give_order(admin: str, order: str, operands: list[str]) -> None:
+def _submit_order(admin: str, order: str, operands: list[str]) -> None:
     operand_count = 1 if order == UNPIN else 2
     if len(operands) != operand_count or not all(is_decimal(operand) for operand in operands[1:]):
         raise UsageError(f"{order} needs a scope" + ("" if order == UNPIN else " and a director's number"))
@@ -66,7 +66,7 @@
 def run(admin: str, command: str, operands: list[str], as_json: bool) -> int:
     """Gives an order on a scope, or prints the table; returns exit code 0. Raises `UsageError`."""
     if command in ORDERS:
-        _give_order(admin, command, operands)
+        _submit_order(admin, command, operands)
         return 0
     table = _read_table(admin, command, operands)
     if as_json:
--- a/rookbend/cli/members.py
+++ b/rookbend/cli/members.py
@@ -67,7 +67,7 @@
     return rows
 
 
-def _give_order(args: argparse.Namespace) -> int:
+def _submit_order(args: argparse.Namespace) -> int:
     if not args.member:
         raise UsageError(f"{args.order} needs a member")
     order = {"member": args.member, "order": args.order, "by": getpass.getuser()}
@@ -81,7 +81,7 @@
 def run(args: argparse.Namespace) -> int:
     """Gives the order, or prints the table; returns exit code 0."""
     if args.order:
-        return _give_order(args)
+        return _submit_order(args)
     if args.watch:
         return watch_table(HEADER, lambda: table_rows(admin_client.get(args.admin, "/members"), args.evidence))
     table = admin_client.get(args.admin, "/members")
--- a/rookbend/core/attempts.py
+++ b/rookbend/core/attempts.py
@@ -63,12 +63,12 @@
         now_us = self._driver.now_us
         open_request = self._requests.by_id.get(action.request)
         if open_request is None:
-            return self._end_as_moot(action, 0, is_final=True)
+            return self._finish_unsent(action, 0, is_final=True)
         number = open_request.attempt_count
         open_request.attempt_count += 1
         endpoint = self._endpoints.get(action.server)
         if endpoint is None or not self._may_start(open_request, number, endpoint, now_us):
-            return self._end_as_moot(action, number, is_final=False)
+            return self._finish_unsent(action, number, is_final=False)
         deadline_us = open_request.deadline_us
         due_us = min(now_us + action.timeout_us, deadline_us) if action.timeout_us else deadline_us
         attempt = Attempt(open_request.request, open_request.id, number, action.server, 0, now_us, due_us)
@@ -112,7 +112,7 @@
             oldest_age_us = max(1, now_us - self.oldest_copy_us)
             attempt.max_age_us = min(attempt.max_age_us or oldest_age_us, oldest_age_us)
 
-    def _end_as_moot(self, action: FetchCached | Fetch, number: int, is_final: bool) -> None:
+    def _finish_unsent(self, action: FetchCached | Fetch, number: int, is_final: bool) -> None:
         self._counters.moot += 1
         self._driver.enqueue(AttemptFinished(action.request, number, action.server, AttemptStatus.MOOT, 0, is_final))
 
--- a/rookbend/net/checks.py
+++ b/rookbend/net/checks.py
@@ -47,7 +47,7 @@
         self._clock = context.clock
         self._containment = context.containment
         self._checks = {check.name: check for check in checks}
-        self._without_watch: set[CheckKey] = set()  # checks whose servers do not implement Watch
+        self._watch_unsupported: set[CheckKey] = set()  # checks whose servers do not implement Watch
         runner.handlers[CHECK] = self._run
         runner.handlers[WATCH] = self._run
         health.on_members = self.members_changed
@@ -81,7 +81,7 @@
     def _cancel(self, server: int, check: Check) -> None:
         key = (kind_of(check), server, check.name)
         self._scheduler.cancel(key)
-        self._without_watch.discard(key)
+        self._watch_unsupported.discard(key)
 
     def _schedule(self, key: CheckKey, due_us: int) -> None:
         kind, server, name = key
@@ -111,14 +111,14 @@
 
         host, member_port = member_address
         address = (host, check.port or member_port)
-        watch = kind == WATCH and key not in self._without_watch
+        watch = kind == WATCH and key not in self._watch_unsupported
         # A run that fails because of a bug in the director has no result; the next run is scheduled as usual.
         with self._containment.contain("checks", check=name, address=host):
             try:
                 check_run = CheckRun(check, address, self._clock, watch, report, interval_us)
                 report(await check_run.run(started_us))
             except WatchUnsupportedError:
-                self._without_watch.add(key)  # the Check method is called from now on
+                self._watch_unsupported.add(key)  # the Check method is called from now on
         if self._checks.get(name) is check:
             next_interval_us = max(interval_us() or check.interval_us, assignment.min_interval_us)
             self._schedule(key, self._next_run_us(key, number, started_us, next_interval_us))
--- a/rookbend/recovery/origin_ramp.py
+++ b/rookbend/recovery/origin_ramp.py
@@ -136,9 +136,9 @@
 
     # Decisions
 
-    def quota(self, live: int, configured: int, live_is_certain: bool) -> float:
+    def quota(self, live: int, configured: int, is_live_count_known: bool) -> float:
         """This director's share of the fleet's rate, at least 1/configured."""
-        return 1 / max(1, min(live, configured) if live_is_certain else configured)
+        return 1 / max(1, min(live, configured) if is_live_count_known else configured)
 
     def remove_limit(self) -> None:
         """Ends the ramp: the rate is unlimited."""
--- a/rookbend/recovery/startup_admission.py
+++ b/rookbend/recovery/startup_admission.py
@@ -171,8 +171,8 @@
         assigned = self.assigned_quota(now)
         if assigned is not None:
             return assigned
-        live_is_certain = self._classifier.current in LIVENESS_KNOWN_CLASSES
-        return self._ramp.quota(self._peers.live_count(now), self._config.director_count, live_is_certain)
+        is_live_count_known = self._classifier.current in LIVENESS_KNOWN_CLASSES
+        return self._ramp.quota(self._peers.live_count(now), self._config.director_count, is_live_count_known)
 
     def conditions(self, now: int) -> StartupConditions:
         """The present state of the conditions of the stages."""
