--- a/tests/health_scenarios.py
+++ b/tests/health_scenarios.py
@@ -47,7 +47,7 @@
     return play(scenario, operators=operators, members=members, settings=SETTINGS_WITH_PROBES, **options)
 
 
-def on_health_stage(steps, operators=AGENT, members=TWO_CACHES, **options):
+def run_health_scenario(steps, operators=AGENT, members=TWO_CACHES, **options):
     return run_with_director(steps, operators=operators, members=members, settings=SETTINGS_WITH_PROBES, **options)
 
 
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -9,7 +9,7 @@
 
 from rookbend.cli import members, tables
 from rookbend.logs import EventRateLimiter, Log
-from tests.health_scenarios import AGENT, on_health_stage
+from tests.health_scenarios import AGENT, run_health_scenario
 
 ADMIN = AGENT + "[admin]\n listen 127.0.0.1:0\n metrics yes\n"
 SECOND = 1_000_000
@@ -50,7 +50,7 @@
         assert 'rookbend_members{role="cache",state="draining"} 1.0' in text and "rookbend_requests_total 0.0" in text
         assert json.loads((await ask(harness, "GET", "/background"))[1])["jobs"] == 2
 
-    on_health_stage(steps, operators=ADMIN)
+    run_health_scenario(steps, operators=ADMIN)
 
 
 @pytest.mark.parametrize(
@@ -71,7 +71,7 @@
         assert (await ask(harness, method, path, body, *headers))[0] == status
         assert harness.state("cache1")[0] == "ready"
 
-    on_health_stage(steps, operators=ADMIN)
+    run_health_scenario(steps, operators=ADMIN)
 
 
 def test_an_unreachable_director_gives_an_error_of_one_line(capsys):
--- a/tests/test_balancer_status.py
+++ b/tests/test_balancer_status.py
@@ -49,8 +49,8 @@
 
 def test_a_connection_can_send_several_requests():
     http, request = HttpServerConnection(), b"GET /health HTTP/1.1\r\nHost: x\r\n\r\n"
-    for taking, status in ((True, b"200"), (False, b"503")):
-        assert status in http.respond(*answer(http.feed(request), taking, "x")) and not http.ended
+    for accepting, status in ((True, b"200"), (False, b"503")):
+        assert status in http.respond(*answer(http.feed(request), accepting, "x")) and not http.ended
     assert http.feed(b"") is None and http.ended
 
 
--- a/tests/test_health_agents.py
+++ b/tests/test_health_agents.py
@@ -4,7 +4,7 @@
 import trio
 import trio.testing
 
-from tests.health_scenarios import AGENT, HTTP, caches_used, on_health_stage
+from tests.health_scenarios import AGENT, HTTP, caches_used, run_health_scenario
 
 
 def test_an_agents_ready_does_not_override_the_membership():
@@ -24,7 +24,7 @@
         await harness.play("coordinator send DELETED cache1\n all wait 3")
         assert harness.service.health.service.find("cache1") is None and await caches_used(harness, 50) == {"cache2"}
 
-    on_health_stage(
+    run_health_scenario(
         steps,
         operators=AGENT.replace("interval 1s", "interval 50ms")
         .replace("fast 200ms", "fast 50ms")
@@ -50,7 +50,7 @@
         await harness.play("all wait 16\n cache1 wait ready")
         assert await caches_used(harness, 50) == {"cache1", "cache2"}
 
-    on_health_stage(steps)
+    run_health_scenario(steps)
 
 
 def test_an_attempt_that_waits_for_a_connection_is_withheld_once_the_agent_reports_drain():
@@ -75,7 +75,7 @@
         """)
         assert harness.service.counters.withheld == 1
 
-    on_health_stage(steps)
+    run_health_scenario(steps)
 
 
 def test_a_draining_parent_is_no_longer_used_as_a_source():
@@ -88,7 +88,7 @@
         )
         await harness.play(f"{fill_cache} expect do next=records")
 
-    on_health_stage(steps, operators=AGENT + "    tier all\n")
+    run_health_scenario(steps, operators=AGENT + "    tier all\n")
 
 
 # Misbehaving agents
@@ -120,7 +120,7 @@
             # Data beyond the maximum line length stays in the socket buffers and is not read.
             assert health_agent.sent_bytes / health_agent.polls < 8 << 20
 
-    on_health_stage(steps)
+    run_health_scenario(steps)
 
 
 def test_a_silent_agents_weight_expires_and_its_drain_holds():
@@ -140,7 +140,7 @@
         await trio.sleep(30)
         assert harness.state("cache1")[:2] == ("ready", 100) and harness.state("cache2")[0] == "draining"
 
-    on_health_stage(steps)
+    run_health_scenario(steps)
 
 
 def test_each_flap_lengthens_the_ejection():
@@ -154,7 +154,7 @@
         assert ejection_times[4] > 2 * ejection_times[2] > 2 * ejection_times[0], ejection_times
         assert service.table()[[r["member"] for r in service.table()].index("cache1")]["flaps"] == 4
 
-    on_health_stage(steps, operators=AGENT.replace("hold 100ms", "hold 1s"))
+    run_health_scenario(steps, operators=AGENT.replace("hold 100ms", "hold 1s"))
 
 
 def test_panic_keeps_a_tier_in_use_when_all_checks_fail_at_once():
@@ -170,7 +170,7 @@
         await harness.play("cache1 wait down")
         assert await caches_used(harness, 50) == {"cache2"}
 
-    on_health_stage(steps)
+    run_health_scenario(steps)
 
 
 def test_a_member_whose_process_was_not_running_counts_as_cold_when_it_returns():
@@ -195,4 +195,4 @@
         assert levels == sorted(levels) and max(b - a for a, b in zip(levels, levels[1:], strict=False)) <= 10
         await harness.play("cache1 wait ready")
 
-    on_health_stage(steps, operators=HTTP)
+    run_health_scenario(steps, operators=HTTP)
--- a/tests/test_health_checks.py
+++ b/tests/test_health_checks.py
@@ -5,7 +5,7 @@
 import trio.testing
 
 from tests.director_scenario import OBJ, run_with_director
-from tests.health_scenarios import GRPC, HTTP, caches_used, on_health_stage, play_health
+from tests.health_scenarios import GRPC, HTTP, caches_used, play_health, run_health_scenario
 
 
 @pytest.mark.parametrize(
@@ -27,7 +27,7 @@
         assert harness.state("cache1")[0] == state, harness.service.health.service.table()
         assert b"GET /health HTTP/1.1" in harness.actors["agent2"].health_agent.received[-1]
 
-    on_health_stage(steps, operators=HTTP)
+    run_health_scenario(steps, operators=HTTP)
 
 
 @pytest.mark.parametrize("kind", ["grpc", "grpc-watch"])
@@ -45,7 +45,7 @@
         """)
         assert harness.state("cache2") == ("ready", 100, "nothing")
 
-    on_health_stage(steps, operators=GRPC.format(type=kind))
+    run_health_scenario(steps, operators=GRPC.format(type=kind))
 
 
 def test_a_dead_grpc_watch_is_detected_by_unanswered_pings():
@@ -58,7 +58,7 @@
         await harness.play("agent1 send grpc deaf\n cache1 wait down")
         assert harness.actors["agent1"].health_agent.polls > first_polls
 
-    on_health_stage(steps, operators=GRPC.format(type="grpc-watch"))
+    run_health_scenario(steps, operators=GRPC.format(type="grpc-watch"))
 
 
 def test_a_tcp_check_passes_on_a_connection():
@@ -68,7 +68,7 @@
         await harness.actors["agent1"].close()
         await harness.play("cache1 wait down")
 
-    on_health_stage(
+    run_health_scenario(
         steps, operators="[health]\n hold 1s\n[check up]\n type tcp\n port AGENTS\n interval 1s\n proxy local\n"
     )
 
@@ -78,7 +78,7 @@
         await harness.play("agent1 send http 200 fine\n all wait 3")
         return list(harness.actors["agent1"].health_agent.received)
 
-    received = on_health_stage(steps, operators=HTTP + "    proxy proxy\n")
+    received = run_health_scenario(steps, operators=HTTP + "    proxy proxy\n")
     assert received and all(
         h.startswith(b"\r\n\r\n\0\r\nQUIT\n\x21\x11\0\x0c\x7f\0\0") and b"GET /" in h for h in received
     )
@@ -100,7 +100,7 @@
         await trio.sleep(30)
         assert harness.actors["agent1"].health_agent.polls == polls
 
-    on_health_stage(steps)
+    run_health_scenario(steps)
 
 
 def test_a_member_replaced_at_the_same_address_does_not_get_the_result_of_a_running_check():
@@ -116,7 +116,7 @@
         await trio.sleep(2)
         assert harness.state("cache9")[0] == "ready" and service.registry.overtaken >= 1
 
-    on_health_stage(steps)
+    run_health_scenario(steps)
 
 
 def test_orders_hold_despite_agent_reports_and_restarts():
@@ -134,7 +134,7 @@
         assert harness.state("cache1") == ("maintenance", 0, "order") and await caches_used(harness, 1) == {"cache2"}
         await harness.play("director send order ready cache1\n cache1 wait degraded")
 
-    on_health_stage(steps)
+    run_health_scenario(steps)
 
 
 def test_dns_does_not_name_a_member_that_its_agent_drains():
