--- a/benchmarks/leases_model_checking.py
+++ b/benchmarks/leases_model_checking.py
@@ -20,7 +20,7 @@
 from rookbend.model_checking.bounds import Bounds
 from rookbend.model_checking.faults import FAULTS, Fault, planted
 from rookbend.model_checking.lease import LeaseModel
-from rookbend.model_checking.search import Found, search
+from rookbend.model_checking.search import SearchResult, search
 
 ROOT = Path(__file__).parent.parent
 BOUNDS = {
@@ -108,7 +108,7 @@
     return 1 if wrong or missed else 0
 
 
-def search_with_fault(fault: Fault, jobs: int = 1, max_states: int = 400_000) -> Found:
+def search_with_fault(fault: Fault, jobs: int = 1, max_states: int = 400_000) -> SearchResult:
     with planted(fault) as model:
         return search(model, max_states, jobs=jobs)
 
--- a/rookbend/leases/leader_discovery.py
+++ b/rookbend/leases/leader_discovery.py
@@ -30,7 +30,7 @@
         self._voters = voters
         self._messenger = messenger
         self._random = generator
-        self._asked_us = began_us
+        self._queried_us = began_us
 
     def run(self, now_us: int) -> None:
         """Asks a random voter about all scopes that are not held here, at intervals.
@@ -38,9 +38,9 @@
         During a change of the voters, also asks the peers that have not reported the newest voter set.
         """
         others = sorted(self._voters.all_voters - {self._director})
-        if not others or now_us - self._asked_us < DISCOVERY_INTERVAL_US:
+        if not others or now_us - self._queried_us < DISCOVERY_INTERVAL_US:
             return
-        self._asked_us = now_us
+        self._queried_us = now_us
         if self._voters.previous is not None:
             for peer in self._voters.unconfirmed():
                 self._messenger.send(now_us, peer, self._messenger.lease_request())
--- a/rookbend/leases/order_requests.py
+++ b/rookbend/leases/order_requests.py
@@ -24,13 +24,13 @@
 class SubmittedOrder:
     """An order without an outcome.
 
-    With `asked_voters`, the last attempt sent no order, but asked the voters for the leader.
+    With `queried_voters`, the last attempt sent no order, but asked the voters for the leader.
     """
 
     event: OrderRequested
     began_us: int
     sent_us: int = 0
-    asked_voters: bool = False
+    queried_voters: bool = False
 
 
 class OrderRequests:
@@ -61,7 +61,7 @@
 
     def _send(self, now_us: int, request: SubmittedOrder, leader: OrderLeader) -> None:
         request.sent_us = now_us
-        request.asked_voters = False
+        request.queried_voters = False
         event = request.event
         if self._leases.held_token(now_us, ORDERS_SCOPE):
             origin = OrderOrigin(self._director, self._messenger.header[2], event.id)
@@ -74,7 +74,7 @@
             message = SubmitOrder(*self._messenger.header, event.id, event.target, event.order, event.operator)
             self._messenger.send(now_us, candidacy.known_holder, message)
         else:
-            request.asked_voters = True
+            request.queried_voters = True
             self._find_leader(now_us)
 
     def _find_leader(self, now_us: int) -> None:
@@ -101,10 +101,10 @@
         for order_id, request in list(self._open.items()):
             if now_us - request.began_us >= TIMEOUT_US:
                 self.complete(order_id, self._timeout_error(candidacy.known_holder))
-            elif request.asked_voters and candidacy.known_holder not in (NO_DIRECTOR, self._director):
+            elif request.queried_voters and candidacy.known_holder not in (NO_DIRECTOR, self._director):
                 self._send(now_us, request, leader)  # the voters have answered
             elif now_us - request.sent_us >= RETRY_INTERVAL_US:
-                if not request.asked_voters and candidacy.known_holder != self._director:
+                if not request.queried_voters and candidacy.known_holder != self._director:
                     candidacy.known_holder = NO_DIRECTOR  # it does not answer and may not be the leader: ask the voters
                 self._send(now_us, request, leader)
 
--- a/rookbend/leases/ramp_allocation.py
+++ b/rookbend/leases/ramp_allocation.py
@@ -31,9 +31,9 @@
     live_count = len(calls)
     if not live_count:
         return {}
-    whole = MILLION * live_count // director_count
+    total_share = MILLION * live_count // director_count
     minimum = int(MIN_SHARE_RATIO * MILLION / director_count)
-    remainder = whole - minimum * live_count
+    remainder = total_share - minimum * live_count
     total_calls = sum(calls.values())
     if not total_calls:
         return dict.fromkeys(calls, minimum + remainder // live_count)
--- a/rookbend/model_checking/search.py
+++ b/rookbend/model_checking/search.py
@@ -33,7 +33,7 @@
 
 
 @dataclass(slots=True)
-class Found:
+class SearchResult:
     """The result of a search; if it is `complete`, all states up to `depth` were visited.
 
     `path` has the steps to the state that breaks `broken_property`.
@@ -92,7 +92,7 @@
     def __init__(self, model: Model, max_states: int):
         self._model = model
         self._max_states = max_states
-        self.found = Found()
+        self.result = SearchResult()
         self._parents: dict[int, tuple[int, str]] = {}  # by state number: the parent's number and the step
         self._seen: set[int] = set()
         self.frontier: list[NumberedState] = []
@@ -103,10 +103,10 @@
             key = hash(self._model.canonical(state))
             if key not in self._seen:
                 self._seen.add(key)
-                self.found.states += 1
-                self.frontier.append(NumberedState(self.found.states, state))
-                self.found.broken_property = self._model.broken_property(state)
-                if self.found.broken_property:
+                self.result.states += 1
+                self.frontier.append(NumberedState(self.result.states, state))
+                self.result.broken_property = self._model.broken_property(state)
+                if self.result.broken_property:
                     return True
         return False
 
@@ -126,34 +126,34 @@
                     if successor.broken_property:
                         self._record_violation(successor.broken_property)
                         return True
-                    level.append(NumberedState(self.found.states, successor.state))
-            if self.found.states >= self._max_states:
+                    level.append(NumberedState(self.result.states, successor.state))
+            if self.result.states >= self._max_states:
                 return True
-        self.found.depth += 1
+        self.result.depth += 1
         self.frontier = level
         return False
 
     def _enter(self, parent: int, successor: Successor) -> bool:
         """Counts a step; returns whether it leads to a new state."""
-        found = self.found
-        found.steps += 1
+        result = self.result
+        result.steps += 1
         kind = successor.step.partition(" ")[0]
-        found.by_step[kind] = found.by_step.get(kind, 0) + 1
+        result.by_step[kind] = result.by_step.get(kind, 0) + 1
         if successor.key in self._seen:
             return False
         self._seen.add(successor.key)
-        found.states += 1
-        self._parents[found.states] = parent, successor.step
+        result.states += 1
+        self._parents[result.states] = parent, successor.step
         return True
 
     def _record_violation(self, broken_property: str) -> None:
-        self.found.broken_property = broken_property
-        number = self.found.states
+        self.result.broken_property = broken_property
+        number = self.result.states
         path: list[str] = []
         while number in self._parents:
             number, step = self._parents[number]
             path.append(step)
-        self.found.path = path[::-1]
+        self.result.path = path[::-1]
 
 
 def search(
@@ -161,8 +161,8 @@
     max_states: int,
     max_depth: int = 1_000,
     jobs: int = 1,
-    progress: Callable[[Found], None] | None = None,
-) -> Found:
+    progress: Callable[[SearchResult], None] | None = None,
+) -> SearchResult:
     """Searches until a state breaks a property, to `max_depth` steps, or until `max_states` states are visited.
 
     With `jobs` above 1, the model must be usable in forked processes. `progress` is called after each depth.
@@ -184,20 +184,20 @@
     max_states: int,
     max_depth: int,
     jobs: int,
-    progress: Callable[[Found], None] | None,
+    progress: Callable[[SearchResult], None] | None,
     pool: Pool | None,
-) -> Found:
+) -> SearchResult:
     current = _Search(model, max_states)
     if current.begin():
-        return current.found
-    while current.frontier and current.found.depth < max_depth:
+        return current.result
+    while current.frontier and current.result.depth < max_depth:
         chunks = current.chunks(jobs)
         states = [[numbered.state for numbered in chunk] for chunk in chunks]
         # Waits for the whole level: a pool that is closed during its work may never terminate.
         results = pool.map(_expand, states, 1) if pool is not None else map(_expand, states)
         if current.enter_level(chunks, results):
-            return current.found
+            return current.result
         if progress is not None:
-            progress(current.found)
-    current.found.complete = True
-    return current.found
+            progress(current.result)
+    current.result.complete = True
+    return current.result
--- a/rookbend/model_checking/voter_steps.py
+++ b/rookbend/model_checking/voter_steps.py
@@ -17,7 +17,10 @@
     for index, message in enumerate(voter.inbox):
         if index and voter.inbox[index - 1] == message:
             continue
-        yield f"to v{number} {tuple(message)}", _received(model, _taken(state, number, index), number, message)
+        yield (
+            f"to v{number} {tuple(message)}",
+            _received(model, _without_message(state, number, index), number, message),
+        )
         if state.budget.duplicates:
             spent = state.spend(duplicates=state.budget.duplicates - 1)
             yield f"again v{number} {tuple(message)}", _received(model, spent, number, message)
@@ -30,7 +33,7 @@
     yield from _restarts(model, state, number)
 
 
-def _taken(state: State, number: int, index: int) -> State:
+def _without_message(state: State, number: int, index: int) -> State:
     voter = state.voters[number]
     inbox = voter.inbox[:index] + voter.inbox[index + 1 :]
     return state.with_voter(number, voter._replace(inbox=inbox))
@@ -74,8 +77,8 @@
         state = candidate_steps.refused(model, state, message, vote.token)
     row = row.with_voter(voter)
     if vote.must_persist and model.persists_grants:
-        kept = (grant for grant in row.disk if grant[0] != message.scope)
-        disk = tuple(sorted((*kept, (message.scope, voter.persisted_grant(message.scope)))))
+        other_grants = (grant for grant in row.disk if grant[0] != message.scope)
+        disk = tuple(sorted((*other_grants, (message.scope, voter.persisted_grant(message.scope)))))
         row = row._replace(disk=disk, stale_disk=row.disk)
     answer = message._replace(kind=VOTE)
     if vote.granted and message.candidate >= model.first_prompt_candidate:
--- a/rookbend/net/fault_containment.py
+++ b/rookbend/net/fault_containment.py
@@ -27,11 +27,11 @@
         self._log = log
 
     @contextmanager
-    def contain(self, component: str, **where: object) -> Iterator[None]:
-        """Contains an exception raised in the block; `where` adds log fields, such as the peer, member or check."""
+    def contain(self, component: str, **log_fields: object) -> Iterator[None]:
+        """Contains an exception raised in the block. `log_fields` name the peer, member or check in its log line."""
         try:
             yield
         except Exception as fault:
             self._counters.component_faults += 1
             lines = "".join(traceback.format_exception(fault))
-            self._log(EVENT, "error", component=component, fault=repr(fault), traceback=lines, **where)
+            self._log(EVENT, "error", component=component, fault=repr(fault), traceback=lines, **log_fields)
--- a/rookbend/net/recovery.py
+++ b/rookbend/net/recovery.py
@@ -214,9 +214,9 @@
         fault = self.state.ledger.fault if self.state is not None else ""
         return f"not durable: {fault or 'the disk refused the write'}"
 
-    def command(self, word: str) -> None:
+    def command(self, command_name: str) -> None:
         """Carries out an operator's command: hold, resume or skip."""
-        self.feed(OperatorCommand(RecoveryCommand(word)))
+        self.feed(OperatorCommand(RecoveryCommand(command_name)))
 
     def fleet(self) -> dict[str, Any]:
         """The fleet as known to this director, for `rookbend fleet`."""
--- a/rookbend/net/upgrade.py
+++ b/rookbend/net/upgrade.py
@@ -58,7 +58,7 @@
         self.handover = ProcessHandover()
         self.links: dict[int, Link] = {}
         self.predecessor: Link | None = None
-        self.on_exclusion: Callable[[str, bool], bool] = lambda member, out: False
+        self.on_exclusion: Callable[[str, bool], bool] = lambda member, excluded: False
         self.on_change: Callable[[], None] = lambda: None
         self._connections = 0
         self._listener: socket.socket | None = None
@@ -87,18 +87,18 @@
 
     async def _request_listeners(self, link: Link) -> None:
         link.send(upgrade_protocol.RequestListeners(upgrade_protocol.VERSION, self.name))
-        names, found = None, array.array("i")
-        space = socket.CMSG_SPACE(MAX_DESCRIPTORS * found.itemsize)
+        names, received = None, array.array("i")
+        space = socket.CMSG_SPACE(MAX_DESCRIPTORS * received.itemsize)
         while names is None:
             data, extra, _, _ = await link.sock.recvmsg(upgrade_protocol.MAX_LINE_BYTES, space)
             for level, kind, body in extra:
                 if (level, kind) == (socket.SOL_SOCKET, socket.SCM_RIGHTS):
-                    found.frombytes(body[: len(body) - len(body) % found.itemsize])
+                    received.frombytes(body[: len(body) - len(body) % received.itemsize])
             if not data:
                 raise upgrade_protocol.UpgradeError("the predecessor has ended")
             for message in link.reader.feed(data):
                 names = message.listeners if isinstance(message, upgrade_protocol.GiveListeners) else names
-        self.listeners.inherit(names, list(found))
+        self.listeners.inherit(names, list(received))
         self.predecessor = link
         self.handover.listeners_inherited()
         self.log("upgrade_inherited", listeners=len(names))
@@ -202,11 +202,11 @@
 
     def _handle_message(self, number: int, link: Link, message: upgrade_protocol.Message) -> None:
         if isinstance(message, upgrade_protocol.RequestListeners):
-            fits = message.version == upgrade_protocol.VERSION and message.name == self.name
-            names, descriptors = self.listeners.transferable() if fits else ([], [])
+            is_compatible = message.version == upgrade_protocol.VERSION and message.name == self.name
+            names, descriptors = self.listeners.transferable() if is_compatible else ([], [])
             rights = [(socket.SOL_SOCKET, socket.SCM_RIGHTS, array.array("i", descriptors))] if names else []
             link.send(upgrade_protocol.GiveListeners(names), rights)
-            if fits:
+            if is_compatible:
                 self.links[number] = link
                 self.handover.listeners_requested(number)
                 self.log("upgrade_asked")
--- a/rookbend/recovery/gossip_receiver.py
+++ b/rookbend/recovery/gossip_receiver.py
@@ -105,9 +105,9 @@
         peer = self._peers.rows.get(sender)
         if peer is None or peer.rejection is None:
             return
-        why = peer.rejection.value
+        reason = peer.rejection.value
         self._actions.log(
-            "peer_doubted", "warning", peer=sender, why=why, boot=hello.boot_number, known=peer.boot_number
+            "peer_doubted", "warning", peer=sender, why=reason, boot=hello.boot_number, known=peer.boot_number
         )
         if peer.rejection is Rejection.OLD_BOOT_NUMBER:
             self._sender.send_hello(now, sender)
--- a/rookbend/recovery/peers.py
+++ b/rookbend/recovery/peers.py
@@ -33,7 +33,7 @@
 class Rejection(Enum):
     """Why a Hello was rejected. The values appear in logs and JSON."""
 
-    STRANGER = "stranger"
+    UNKNOWN_SENDER = "stranger"
     NUMBER_MISMATCH = "name of another"
     INCONSISTENT = "figures"
     OLD_BOOT_NUMBER = "old boot"
@@ -77,7 +77,7 @@
         """Handles a Hello; returns False if it is rejected."""
         peer = self.rows.get(sender)
         if peer is None:
-            self._count(Rejection.STRANGER)
+            self._count(Rejection.UNKNOWN_SENDER)
             return False
         rejection = self._check(now, peer, hello)
         if rejection is not None:
--- a/rookbend/routing/failure_attribution.py
+++ b/rookbend/routing/failure_attribution.py
@@ -97,7 +97,7 @@
             request.tried_servers.add(attempt.server)
         if status is AttemptStatus.TIMEOUT:
             request.timeout_count += 1
-            answered_others = self.servers[attempt.server].last_answer_us >= attempt.sent_us
-            if attempt.timeout_us < request.expected_transfer_us or answered_others:
+            answered_another = self.servers[attempt.server].last_answer_us >= attempt.sent_us
+            if attempt.timeout_us < request.expected_transfer_us or answered_another:
                 return  # too short for the transfer, or the server answers other attempts: not its failure
         self.outliers.record_failure(attempt.server, now_us)
