--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -67,15 +67,15 @@
                 )
         pids = [node.process.pid for node in cluster.nodes.values()]
         await trio.sleep(1.0)
-        before, cpu = sum(b.checks for b in cluster.stand_ins.values()), sum(map(cpu_s, pids))
+        before, cpu = sum(b.checks for b in cluster.members.values()), sum(map(cpu_s, pids))
         await trio.sleep(seconds)
-        made = sum(b.checks for b in cluster.stand_ins.values()) - before
+        made = sum(b.checks for b in cluster.members.values()) - before
         cpu = sum(map(cpu_s, pids)) - cpu
-        cluster.stand_ins["c1"].unhealthy = True
-        began, known_by_all = time.monotonic(), 0.0
+        cluster.members["c1"].unhealthy = True
+        began, propagation_s = time.monotonic(), 0.0
         for name in cluster.names:
             await cluster.nodes[name].wait_for_log("member_state", member="c1", state="down")
-            known_by_all = time.monotonic() - began
+            propagation_s = time.monotonic() - began
         committed = applied_by_all = None
         if side == "owners":
             began = time.monotonic()
@@ -91,9 +91,9 @@
                 await cluster.nodes[name].wait_for_log("member_state", member="c2", state="maintenance")
             applied_by_all = time.monotonic() - began
         return {
-            "checks": made / seconds / len(cluster.stand_ins),
+            "checks": made / seconds / len(cluster.members),
             "cpu": cpu / seconds,
-            "known": known_by_all,
+            "known": propagation_s,
             "stands": committed,
             "all_have": applied_by_all,
         }
--- a/rookbend/testing/cluster/coordinator.py
+++ b/rookbend/testing/cluster/coordinator.py
@@ -11,7 +11,7 @@
 
 import trio
 
-from rookbend.testing.cluster.members import StandInMember
+from rookbend.testing.cluster.members import SimulatedMember
 from rookbend.testing.cluster.record import now_us
 from rookbend.testing.cluster.relay import reset
 from rookbend.testing.cluster.shared_state import ROLES, SharedState
@@ -28,7 +28,7 @@
         self.events: list[tuple[int, dict]] = []  # events without addresses
         self.phases: dict[str, str] = {}
         self.purges: list[tuple[int, dict]] = []
-        self.away = False
+        self.is_disconnected = False
         self.calls: dict[str, int] = {}
         self.last_sent_index: dict[str, int] = {}  # by director: the last event sent on its stream
         self._changed = trio.Event()
@@ -70,7 +70,7 @@
         self.purges.append((purged_us, event))
         return purged_us
 
-    def _member_entry(self, member: StandInMember) -> dict:
+    def _member_entry(self, member: SimulatedMember) -> dict:
         return {
             "id": member.name,
             "locality": member.zone,
@@ -115,14 +115,14 @@
 
     def disconnect(self) -> None:
         """Resets all streams, and all new connections until `reconnect`."""
-        self.away = True
+        self.is_disconnected = True
         self.record.note("fault", "coordinator", "away")
         for stream in list(self._streams.values()):
             reset(stream)
         self._streams.clear()
 
     def reconnect(self) -> None:
-        self.away = False
+        self.is_disconnected = False
         self.record.note("fault", "coordinator", "back")
 
     async def _write(self, stream, director: str, index: int, event: dict) -> None:
@@ -133,7 +133,7 @@
     async def _serve(self, director: str, stream: trio.SocketStream) -> None:
         self.calls[director] = self.calls.get(director, 0) + 1
         self.record.note("coordinator call", director)
-        if self.away:
+        if self.is_disconnected:
             return reset(stream)
         try:
             head = (await stream.receive_some(4096)).decode("ascii", "replace").lower()
--- a/rookbend/testing/cluster/failure_record.py
+++ b/rookbend/testing/cluster/failure_record.py
@@ -17,7 +17,7 @@
 
 ENVIRONMENT_VARIABLE = "ROOKBEND_FAILURES"
 DEFAULT_FOLDER = "rookbend-failures"
-KEPT_FILES = "log", "config.json", "rookbend.conf"
+SAVED_FILES = "log", "config.json", "rookbend.conf"
 
 
 class Reporter(Protocol):
@@ -36,24 +36,24 @@
     return Path(named) if named else Path(tempfile.gettempdir()) / DEFAULT_FOLDER
 
 
-def keep(error: Exception, cluster: Reporter) -> Path:
+def save_failure(error: Exception, cluster: Reporter) -> Path:
     """Copies a cluster's error, report, logs and configurations. Returns the folder. Raises OSError."""
-    kept = failures_folder() / f"{time.time_ns()}-{os.getpid()}"
-    kept.mkdir(parents=True)
-    (kept / "error.txt").write_text("".join(traceback.format_exception(error)))
-    (kept / "report.txt").write_text(cluster.report())
+    destination = failures_folder() / f"{time.time_ns()}-{os.getpid()}"
+    destination.mkdir(parents=True)
+    (destination / "error.txt").write_text("".join(traceback.format_exception(error)))
+    (destination / "report.txt").write_text(cluster.report())
     for name in cluster.names:
-        for file in KEPT_FILES:
+        for file in SAVED_FILES:
             source = cluster.folder / name / file
             if source.exists():
-                shutil.copyfile(source, kept / f"{name}.{file}")
-    return kept
+                shutil.copyfile(source, destination / f"{name}.{file}")
+    return destination
 
 
 def annotate(error: Exception, cluster: Reporter) -> None:
     """Keeps the cluster's files, and adds their folder and the report to the error as a note."""
     try:
-        place = f"record, logs and settings: {keep(error, cluster)}"
+        place = f"record, logs and settings: {save_failure(error, cluster)}"
     except OSError as fault:
         place = f"record, logs and settings not kept: {fault}"
     error.add_note(f"{place}\n{cluster.report()}")
--- a/rookbend/testing/cluster/faults.py
+++ b/rookbend/testing/cluster/faults.py
@@ -16,23 +16,23 @@
 
     def power_off(self, *names: str) -> None:
         """Kills the named processes at once; without names, all directors, caches and parents."""
-        chosen = names or [*self.names, *(b.name for b in self.stand_ins.values() if b.role != "origin")]
+        chosen = names or [*self.names, *(b.name for b in self.members.values() if b.role != "origin")]
         self.record.note("fault", "power", "off " + " ".join(chosen))
         self.powered_off.update(dict.fromkeys(chosen))
         for name in chosen:
             if name in self.nodes:
                 self.nodes[name].kill()
         for name in chosen:
-            if name in self.stand_ins and not self.stand_ins[name].down:
-                self.stand_ins[name].crash()
+            if name in self.members and not self.members[name].down:
+                self.members[name].crash()
 
     async def power_on(self, *names: str, known: dict | None = None) -> None:
         """Restarts the named processes in this order; without names, all that have lost power. Members return cold and
         empty. Directors lose their unsynced writes; `known` replaces the list in their configuration."""
         for name in names or sorted(self.powered_off, key=lambda n: n in self.nodes):
             self.powered_off.pop(name, None)
-            if name in self.stand_ins:
-                self.stand_ins[name].restart()
+            if name in self.members:
+                self.members[name].restart()
                 self.coordinator.publish_members(name)
             else:
                 await self.nodes[name].wait_for_exit()
@@ -52,7 +52,7 @@
         """Cuts the machine off from all others, or reconnects it. While it is cut off nothing is delivered, no
         connection is reset and no new connection is established."""
         self.record.note("fault", name, "vanished" if gone else "there again")
-        for other in (*self.names, *self.stand_ins, "coordinator", "clients"):
+        for other in (*self.names, *self.members, "coordinator", "clients"):
             for pair in ((name, other), (other, name)):
                 self.links.get(*pair).set(silent=gone, unreachable=gone)
         if gone and name in self.names:
@@ -77,13 +77,13 @@
     async def play(self, text: str, file: str = "day") -> None:
         """Plays a fault timeline, starting now. The timeline appears in the report of a failed run."""
         self.fault_schedule = fault_timeline_format.parse_faults(text, file)
-        others = *self.names, *self.stand_ins, "coordinator", "clients"
+        others = *self.names, *self.members, "coordinator", "clients"
         pairs = [f"{a}>{b}" for a in self.names for b in others if a != b]
         targets = {
-            fault_timeline.TargetType.MEMBER: list(self.stand_ins),
+            fault_timeline.TargetType.MEMBER: list(self.members),
             fault_timeline.TargetType.DIRECTOR: self.names,
             fault_timeline.TargetType.PAIR: pairs,
-            fault_timeline.TargetType.MACHINE: [*self.names, *self.stand_ins],
+            fault_timeline.TargetType.MACHINE: [*self.names, *self.members],
             fault_timeline.TargetType.COORDINATOR: ["coordinator"],
         }
         started_s = trio.current_time()
--- a/rookbend/testing/cluster/member_wire.py
+++ b/rookbend/testing/cluster/member_wire.py
@@ -31,7 +31,7 @@
 
 
 class MemberProtocol:
-    """The part of `StandInMember` that serves its connections."""
+    """The part of `SimulatedMember` that serves its connections."""
 
     async def _serve(self, stream: trio.SocketStream) -> None:
         if self.down:
--- a/rookbend/testing/cluster/members.py
+++ b/rookbend/testing/cluster/members.py
@@ -24,7 +24,7 @@
 from rookbend.testing.slow_start_budget import SlowStart
 
 
-class StandInMember(MemberProtocol):
+class SimulatedMember(MemberProtocol):
     def __init__(self, name: str, role: str, host: str, zone: str, shared: SharedState, profile: MemberProfile):
         self.name, self.role, self.host, self.zone = name, role, host, zone
         self.shared, self.record, self.profile = shared, shared.record, profile
@@ -137,7 +137,7 @@
         return copy
 
     async def get(
-        self, key: str, part: int, group: int, oldest_us: int, source: StandInMember | None, keep: int, join: bool
+        self, key: str, part: int, group: int, oldest_us: int, source: SimulatedMember | None, keep: int, join: bool
     ) -> FetchResult:
         """Returns a copy from memory, or one filled from the source. May be cancelled."""
         now = now_us()
--- a/rookbend/testing/cluster/process.py
+++ b/rookbend/testing/cluster/process.py
@@ -83,10 +83,10 @@
         self._clock[:] = CLOCK.pack(ahead_s, rate - 1.0)
         self.record.note("fault", self.name, f"clock {ahead_s:+g}s rate {rate:g}")
 
-    def stop_at(self, where: int = 0) -> None:
+    def stop_at(self, stop_point: int = 0) -> None:
         """Makes the process stop itself (SIGSTOP) just before or after it sends a line to the ledger, or while it
         syncs its disk: `BEFORE_SEND`, `AFTER_SEND`, `IN_SYNC`; 0: nowhere."""
-        self._stop_point[0] = where
+        self._stop_point[0] = stop_point
 
     async def wait_until_stopped(self) -> None:
         """Waits until the process is stopped (state T)."""
@@ -143,8 +143,8 @@
                 async for more in pipe:
                     log.write(more)
                     log.flush()
-                    *whole, data = (data + more).split(b"\n")
-                    lines += [parse_log_line(line.decode("utf-8", "replace")) for line in whole]
+                    *complete_lines, data = (data + more).split(b"\n")
+                    lines += [parse_log_line(line.decode("utf-8", "replace")) for line in complete_lines]
                     self._notify()
         await self._wait_for_process(process)
         self.record.note("end", self.name, f"exit {process.returncode}")
--- a/rookbend/testing/cluster/process_cluster.py
+++ b/rookbend/testing/cluster/process_cluster.py
@@ -29,7 +29,7 @@
 from rookbend.testing.cluster.director_config import HEALTH_PORT, OPERATORS, PURGE_LIFE_US, settings_for
 from rookbend.testing.cluster.dns_names import Resolver
 from rookbend.testing.cluster.faults import Faults
-from rookbend.testing.cluster.members import StandInMember
+from rookbend.testing.cluster.members import SimulatedMember
 from rookbend.testing.cluster.process import HANG_TIMEOUT_S, HungProcessError, Node
 from rookbend.testing.cluster.record import Record
 from rookbend.testing.cluster.relay import Links, TcpRelay, UdpRelay
@@ -64,17 +64,17 @@
         self.names = [f"n{i}" for i in range(directors)]
         profiles = {"cache": CACHE, "parent": PARENT, "origin": ORIGIN, **profiles}
         for i in range(caches):
-            StandInMember(
+            SimulatedMember(
                 f"c{i}", "cache", f"{self.address_prefix}.100.{i + 1}", "edge", self.shared, profiles["cache"]
             )
         for i in range(parents):
-            StandInMember(
+            SimulatedMember(
                 f"p{i}", "parent", f"{self.address_prefix}.101.{i + 1}", "hub", self.shared, profiles["parent"]
             )
-        StandInMember("records", "origin", f"{self.address_prefix}.102.1", "hub", self.shared, profiles["origin"])
-        self.stand_ins = self.shared.members
-        self.caches = [b for b in self.stand_ins.values() if b.role == "cache"]
-        self.origin = self.stand_ins["records"]
+        SimulatedMember("records", "origin", f"{self.address_prefix}.102.1", "hub", self.shared, profiles["origin"])
+        self.members = self.shared.members
+        self.caches = [b for b in self.members.values() if b.role == "cache"]
+        self.origin = self.members["records"]
         self.coordinator = Coordinator(self.shared, self._address_of)
         checkout_option = {} if checkout is None else {"checkout": checkout}
         self.nodes = {n: Node(n, folder / n, self.record, **checkout_option) for n in self.names}
@@ -96,20 +96,16 @@
         return "{}:{}".format(*self.relays[director, member].address)
 
     async def open(self) -> None:
-        for stand_in in self.stand_ins.values():
-            await stand_in.listen(self.nursery)
-            await stand_in.listen_health(self.nursery)
+        for member in self.members.values():
+            await member.listen(self.nursery)
+            await member.listen_health(self.nursery)
         await self.ledger.listen(self.nursery, f"{self.address_prefix}.103.1")
         for name in self.names:
-            for i, stand_in in enumerate(self.stand_ins.values()):
-                relay = TcpRelay(
-                    self.links, self.record, name, stand_in.name, lambda stand_in=stand_in: stand_in.address
-                )
+            for i, member in enumerate(self.members.values()):
+                relay = TcpRelay(self.links, self.record, name, member.name, lambda member=member: member.address)
                 await relay.listen(self.nursery, self._host(name, 10 + i))
-                self.relays[name, stand_in.name] = relay
-                health = TcpRelay(
-                    self.links, self.record, name, stand_in.name, lambda stand_in=stand_in: stand_in.health
-                )
+                self.relays[name, member.name] = relay
+                health = TcpRelay(self.links, self.record, name, member.name, lambda member=member: member.health)
                 await health.listen(self.nursery, self._host(name, 10 + i), HEALTH_PORT)
             relay = TcpRelay(self.links, self.record, name, "ledger", lambda: self.ledger.address)
             await relay.listen(self.nursery, self._host(name, 8))
@@ -230,7 +226,7 @@
 
     def all_nodes(self) -> list[Node]:
         """Returns the newest process of each director and all its predecessors."""
-        return [*self.nodes.values(), *(old for olds in self.predecessors.values() for old in olds)]
+        return [*self.nodes.values(), *(old for processes in self.predecessors.values() for old in processes)]
 
     async def stop(self) -> None:
         """Kills the processes that this cluster has started, and no others."""
--- a/rookbend/testing/cluster/shared_state.py
+++ b/rookbend/testing/cluster/shared_state.py
@@ -70,7 +70,7 @@
 
     def __init__(self, record: Record, seed: int):
         self.record, self.seed = record, seed
-        self.members: dict[str, object] = {}  # each a `members.StandInMember`
+        self.members: dict[str, object] = {}  # each a `members.SimulatedMember`
         self.purged_objects: dict[str, int] = {}
         self.purged_groups: dict[int, int] = {}
         self.sent_copies: deque[SentCopy] = deque(maxlen=100_000)
--- a/rookbend/testing/cluster/soak.py
+++ b/rookbend/testing/cluster/soak.py
@@ -107,7 +107,7 @@
         node.kill()
         await node.wait_for_exit()
 
-    async def _start_again(self, name: str) -> None:
+    async def _start_replacement(self, name: str) -> None:
         began_s = trio.current_time()
         await self.cluster.wait_until(
             lambda: not self.cluster.front.targets[name].admitted, f"{name} is no longer admitted by the front"
@@ -119,14 +119,14 @@
         if took_s > READY_WITHIN_S:
             self.result.failures.append(f"{name} was ready after {took_s:.1f} s")
 
-    async def _restart(self, name: str, *then: signal.Signals, within_s: float = 0.0) -> None:
+    async def _restart(self, name: str, *later_signals: signal.Signals, within_s: float = 0.0) -> None:
         node = self.cluster.nodes[name]
         self._stop(node)
-        for number in then:
+        for number in later_signals:
             await trio.sleep(within_s)
             node.signal(number)
         await self._wait_for_exit(node)
-        await self._start_again(name)
+        await self._start_replacement(name)
 
     async def _restart_with_second_signal(self, name: str) -> None:
         await self._restart(name, signal.SIGTERM, signal.SIGINT, within_s=self.random.uniform(0, 1.0))
@@ -161,13 +161,13 @@
     async def _reload_of_broken_files(self, name: str) -> None:
         node = self.cluster.nodes[name]
         before = len(node.find_logs("reload_failed"))
-        whole = node.config_file.read_bytes()
-        node.config_file.write_bytes(whole[: self.random.randrange(1, len(whole))])
+        original = node.config_file.read_bytes()
+        node.config_file.write_bytes(original[: self.random.randrange(1, len(original))])
         node.signal(signal.SIGHUP)
         await self.cluster.wait_until(
             lambda: len(node.find_logs("reload_failed")) > before, f"{name} refuses to reload"
         )
-        node.config_file.write_bytes(whole)
+        node.config_file.write_bytes(original)
 
     async def _upgrade(self, name: str, reload: bool = False) -> None:
         old = await self.cluster.upgrade(name)
--- a/rookbend/testing/demo.py
+++ b/rookbend/testing/demo.py
@@ -101,7 +101,7 @@
                     f"incarnation {node.start_count}" + (f", {stages[-1]['stage']}" if stages else ""),
                 ]
             )
-        for member in cluster.stand_ins.values():
+        for member in cluster.members.values():
             cold = member.role != "origin" and member.is_cold(now_us())
             rows.append(
                 [
@@ -129,8 +129,8 @@
         # Requests of the last two seconds may still be open.
         seconds = cluster.front.by_second(self.first_admission_us, now_us() - 2_000_000)
         worth = [
-            round(got / asked, 3) if asked else None
-            for got, asked in (seconds.get(i, (0.0, 0.0)) for i in range(max(seconds, default=-1) + 1))
+            round(earned / requested, 3) if requested else None
+            for earned, requested in (seconds.get(i, (0.0, 0.0)) for i in range(max(seconds, default=-1) + 1))
         ]
         breaches = cluster.record.find_violations()
         return {
@@ -141,7 +141,7 @@
             "worth": worth,
             "lost_at": round((self.power_lost_us - self.first_admission_us) / 1e6, 1),
             "back_at": round((self.power_back_us - self.first_admission_us) / 1e6, 1),
-            "falls": {b.name: b.overload_count for b in cluster.stand_ins.values() if b.overload_count},
+            "falls": {b.name: b.overload_count for b in cluster.members.values() if b.overload_count},
             "seen": cluster.record.checker.observed_events,
             "rules": cluster.record.checker.violations_by_rule(),
             "breaches": [f"{b.rule}: {b.subject} {b.text}" for b in breaches[:20]],
--- a/rookbend/testing/simulation/deployment.py
+++ b/rookbend/testing/simulation/deployment.py
@@ -123,13 +123,13 @@
 
     def settings(self, number: int, zone: int) -> Settings:
         """Returns the platform settings of director `number`."""
-        here = tuple(len(range(z, self.directors, self.locations)) for z in range(self.locations))
+        routers_by_location = tuple(len(range(z, self.directors, self.locations)) for z in range(self.locations))
         return Settings(
             tuple(profile.traffic_class for profile in self.profiles),
             zone,
             number,
             self.directors,
-            here,
+            routers_by_location,
             parent_kind=PARENT,
             origin_kind=ORIGIN,
             supports_joined_fills=self.collapses_fills,
--- a/rookbend/testing/simulation/sources.py
+++ b/rookbend/testing/simulation/sources.py
@@ -139,11 +139,11 @@
         others = self.fills_in_progress.pop(call.key, ())
         if status is AttemptStatus.OK:
             self.copies.put(call.key)
-        for waiting, where in ((call, location_link), *others):
+        for waiting_call, waiting_link in ((call, location_link), *others):
             if status is AttemptStatus.OK:
-                self._send(waiting, where, AttemptDetail.ORIGIN_ASKED)
+                self._send(waiting_call, waiting_link, AttemptDetail.ORIGIN_ASKED)
             else:
-                waiting.on_answer(status, detail)
+                waiting_call.on_answer(status, detail)
 
     def _send(self, call: Call, location_link: SimulatedLink, detail: AttemptDetail) -> None:
         if call.is_closed:
--- a/tests/test_failure_record.py
+++ b/tests/test_failure_record.py
@@ -19,10 +19,13 @@
 
     with pytest.raises(ExceptionGroup) as raised:
         trio.run(main)
-    (kept,) = (tmp_path / "failures").iterdir()
+    (destination,) = (tmp_path / "failures").iterdir()
     (note,) = raised.value.__notes__
-    report = (kept / "report.txt").read_text()
-    assert str(kept) in note and report in note
-    assert "ValueError: as planted" in (kept / "error.txt").read_text()
+    report = (destination / "report.txt").read_text()
+    assert str(destination) in note and report in note
+    assert "ValueError: as planted" in (destination / "error.txt").read_text()
     assert "seed 11" in report and "start     n0 life 1" in report
-    assert '"ready"' in (kept / "n0.log").read_text() and "[admin]" in (kept / "n0.rookbend.conf").read_text()
+    assert (
+        '"ready"' in (destination / "n0.log").read_text()
+        and "[admin]" in (destination / "n0.rookbend.conf").read_text()
+    )
--- a/tests/test_leases_processes.py
+++ b/tests/test_leases_processes.py
@@ -97,17 +97,17 @@
 
 
 @pytest.mark.parametrize(
-    "where",
+    "stop_point",
     [BEFORE_SEND, pytest.param(AFTER_SEND, marks=pytest.mark.long), pytest.param(IN_SYNC, marks=pytest.mark.long)],
 )
-def test_an_owner_stopped_during_its_work_resumes_late_and_changes_nothing(where):
+def test_an_owner_stopped_during_its_work_resumes_late_and_changes_nothing(stop_point):
     async def main():
         async with fleet() as cluster:
             await cluster.wait_until(lambda: any(t.result == "ok" for t in cluster.ledger.appends), "a line")
             old = await with_timeout(owner_of, cluster, "report")
             node = cluster.nodes[old]
-            node.stop_at(where)
-            if where == IN_SYNC:
+            node.stop_at(stop_point)
+            if stop_point == IN_SYNC:
                 with trio.move_on_after(1.0):  # causes a sync of the disk
                     await cluster.admin_request(old, "/orders", "POST", {"member": "c1", "order": "drain", "by": "kim"})
             await node.wait_until_stopped()
@@ -116,7 +116,7 @@
             node.stop_at()
             cluster.resume(old)
             await node.wait_for_log("lease_lost", scope="report")
-            if where == BEFORE_SEND:
+            if stop_point == BEFORE_SEND:
                 # The line was checked before the stop and sent after it, so the ledger has to refuse it.
                 await cluster.wait_until(lambda: any(t.result == "old" for t in cluster.ledger.appends), "an old token")
             before = len(cluster.ledger.appends)
@@ -130,21 +130,21 @@
     async def main():
         async with fleet() as cluster:
             await wait_until_all_know(cluster, "c0", ("ready", "degraded"))
-            cluster.stand_ins["c0"].unhealthy = True
+            cluster.members["c0"].unhealthy = True
             await wait_until_all_know(cluster, "c0", ("down",))
             # Four independent directors would each check a member; with owners only one does. A shard may move meanwhile.
-            before, n = cluster.stand_ins["c1"].checks, cluster.stand_ins["p0"].checks
-            await cluster.wait_until(lambda: cluster.stand_ins["p0"].checks >= n + 4, "checks of p0")
-            assert cluster.stand_ins["c1"].checks - before <= 2 * 4 + 4
+            before, n = cluster.members["c1"].checks, cluster.members["p0"].checks
+            await cluster.wait_until(lambda: cluster.members["p0"].checks >= n + 4, "checks of p0")
+            assert cluster.members["c1"].checks - before <= 2 * 4 + 4
             first = await with_timeout(owner_of, cluster, "orders")
             cluster.power_off(first)
             remaining = [name for name in cluster.names if name != first]
-            cluster.stand_ins["c0"].unhealthy = False
+            cluster.members["c0"].unhealthy = False
             await wait_until_all_know(cluster, "c0", ("ready", "degraded"), remaining)
-            cluster.stand_ins["c2"].unhealthy = True
+            cluster.members["c2"].unhealthy = True
             await wait_until_all_know(cluster, "c2", ("down",), remaining)
             # A drain in the membership overrides what an owner reports.
-            cluster.stand_ins["c1"].draining = True
+            cluster.members["c1"].draining = True
             cluster.coordinator.publish_members("c1")
             await wait_until_all_know(cluster, "c1", ("draining",), remaining)
             await cluster.power_on(first)
--- a/tests/test_process_cluster.py
+++ b/tests/test_process_cluster.py
@@ -41,7 +41,7 @@
             await cluster.wait_until_admitted()
             cluster.cut("coordinator", "n0")
             cluster.freeze("n1")
-            cluster.stand_ins["c0"].draining = True
+            cluster.members["c0"].draining = True
             cluster.coordinator.publish_members("c0")
             lost = await cluster.nodes["n0"].wait_for_log("coordinator_lost")
             assert lost["reason"] == "the stream is silent"
--- a/tests/test_recovery_processes.py
+++ b/tests/test_recovery_processes.py
@@ -14,8 +14,8 @@
     async def main():
         async with fleet() as cluster:
             await cluster.wait_until(lambda: len(cluster.shared.executions) > 3, "writes ran")
-            stand_ins = [n for n, b in cluster.stand_ins.items() if b.role != "origin"]
-            for turn, order in enumerate((("n2", "n0", "n1", *stand_ins), (*stand_ins, "n1", "n2", "n0"), ())):
+            members = [n for n, b in cluster.members.items() if b.role != "origin"]
+            for turn, order in enumerate((("n2", "n0", "n1", *members), (*members, "n1", "n2", "n0"), ())):
                 cluster.power_off()
                 await cluster.power_on(*order)
                 if turn == 0:  # the next loss comes during this recovery
@@ -60,19 +60,19 @@
     async def main():
         async with fleet(rate=40) as cluster:
             older = {n: cluster.coordinator.known_at_start(n, 0) for n in cluster.names}
-            cluster.stand_ins["c0"].draining = True
+            cluster.members["c0"].draining = True
             cluster.coordinator.publish_members("c0")
             for name in cluster.names:
                 await cluster.wait_for_answer(name, "/recovery", lambda found: "c0" in found["drains"])
             await cluster.wait_for_served(30)  # requests to c0 have ended and stored state is synced
             cluster.power_off(*cluster.names)
             cluster.coordinator.disconnect()
-            asked = cluster.stand_ins["c0"].request_count
+            asked = cluster.members["c0"].request_count
             for name in cluster.names:
                 await cluster.power_on(name, known=older[name])
             await wait_until_all_reach(cluster, "fills")
             await cluster.wait_for_served(60)
-            assert cluster.stand_ins["c0"].request_count == asked, "an old list reopened a drained member"
+            assert cluster.members["c0"].request_count == asked, "an old list reopened a drained member"
             cluster.coordinator.reconnect()
 
     trio.run(main)
@@ -203,8 +203,8 @@
         operators = RECOVERY.replace("[recovery]", "[recovery]\n ready-by 1500ms")
         async with fleet(directors=5, rate=40, operators=operators) as cluster:
             cluster.power_off()
-            stand_ins = [n for n, b in cluster.stand_ins.items() if b.role != "origin"]
-            await cluster.power_on(*stand_ins, "n0")
+            members = [n for n, b in cluster.members.items() if b.role != "origin"]
+            await cluster.power_on(*members, "n0")
             line = await cluster.nodes["n0"].wait_for_log("recovery_stage", stage="writes")
             assert line["after_ms"] >= 1500 and line["without"] == "writes without 50% of the fleet, 20% there"
             assert (await cluster.nodes["n0"].wait_for_log("recovery_happened"))["happened"] == "cut-off"
