--- a/benchmarks/health.py
+++ b/benchmarks/health.py
@@ -140,7 +140,7 @@
                 begun, cpu_before = time.monotonic(), node.cpu_s()
                 await trio.sleep(seconds)
                 used = node.cpu_s() - cpu_before
-                times = [taken * 1000 for due, taken, code in clients.timings if due >= begun and code == 0]
+                times = [elapsed_s * 1000 for due, elapsed_s, code in clients.timings if due >= begun and code == 0]
                 p99[percent].append(percentile(times, 0.99))
                 median[percent].append(percentile(times, 0.5))
                 cpu[percent].append(used / len(times) * 1e6)
@@ -176,7 +176,7 @@
                             begun, cpu, done = time.monotonic(), node.cpu_s(), len(clients.timings)
                             await trio.sleep(seconds - 0.1)
                             used, done = node.cpu_s() - cpu, len(clients.timings) - done
-                    times = [taken * 1000 for due, taken, code in clients.timings if due >= begun and code == 0]
+                    times = [elapsed_s * 1000 for due, elapsed_s, code in clients.timings if due >= begun and code == 0]
                     results[side]["p99"].append(percentile(times, 0.99))
                     results[side]["cpu"].append(used / done * 1e6)
                     clients.due_s.clear()
--- a/benchmarks/origin.py
+++ b/benchmarks/origin.py
@@ -43,7 +43,7 @@
         "worth": fleet.served_ratio(0, SECONDS),
         "burst": fleet.served_ratio(8, 13),
         "after": fleet.served_ratio(20, SECONDS),
-        "class": min(got / owed for got, owed in fleet.weight_by_class.values() if owed),
+        "class": min(earned / offered for earned, offered in fleet.weight_by_class.values() if offered),
         "calls": fleet.origin.counts["asked"],
         "stops": fleet.origin.overloads,
     }
--- a/benchmarks/recovery_sweep.py
+++ b/benchmarks/recovery_sweep.py
@@ -77,7 +77,7 @@
     await cluster.power_on()
 
 
-async def away(cluster: ProcessCluster, rng: random.Random) -> None:
+async def disconnect_coordinator(cluster: ProcessCluster, rng: random.Random) -> None:
     cluster.power_off()
     cluster.coordinator.disconnect()
     await cluster.power_on(known={"index": 0, "updates": []} if rng.random() < 0.5 else None)
@@ -141,7 +141,7 @@
             cluster.vanish(name, gone=False)
 
 
-async def bad_net(cluster: ProcessCluster, rng: random.Random) -> None:
+async def unreliable_network(cluster: ProcessCluster, rng: random.Random) -> None:
     for a in cluster.names:
         for b in cluster.names:
             if a != b:
@@ -281,13 +281,13 @@
 CASES: dict[str, Callable] = {
     "orders": orders,
     "thrice": thrice,
-    "away": away,
+    "away": disconnect_coordinator,
     "frozen": frozen,
     "torn": torn,
     "swapped": swapped,
     "weak": weak,
     "vanished": vanished,
-    "bad-net": bad_net,
+    "bad-net": unreliable_network,
     "owners": owners,
 }
 QUICK_CASES = "orders", "torn", "swapped"
--- a/tests/director_scenario.py
+++ b/tests/director_scenario.py
@@ -121,7 +121,7 @@
         self.config = msgspec.structs.replace(self.config, coordinator=address)
         self.service.reload()
 
-    def give_order(self, _, order, name):
+    def submit_order(self, _, order, name):
         """Gives an operator's order to the health service, as the admin listener does."""
         service = self.service.health.service
         service.feed(OrderReceived(service.find(name), Order(order), "test"))
@@ -151,7 +151,7 @@
                 if verb == "close":
                     self.service.stop()
                 elif verb == "send":
-                    self.give_order(*words) if words[0] == "order" else self.reload(words[1])
+                    self.submit_order(*words) if words[0] == "order" else self.reload(words[1])
                 else:
                     with trio.fail_after(TIMEOUT_S):
                         await self.done.wait()
--- a/tests/test_address_block.py
+++ b/tests/test_address_block.py
@@ -24,10 +24,10 @@
 def test_without_a_free_block_an_error_is_raised(monkeypatch):
     monkeypatch.setattr(address_block, "CLAIM_NAME", f"\0rookbend-test-{id(monkeypatch)}-")
     monkeypatch.setattr(address_block, "BLOCKS", 2)
-    taken = [AddressBlock(), AddressBlock()]
+    blocks = [AddressBlock(), AddressBlock()]
     with pytest.raises(NoFreeAddressBlockError, match="2 blocks"):
         AddressBlock()
-    for block in taken:
+    for block in blocks:
         block.release()
 
 
--- a/tests/test_boot_numbers_processes.py
+++ b/tests/test_boot_numbers_processes.py
@@ -22,8 +22,8 @@
     ]
 
 
-async def boot_known_of(cluster, asked, number):
-    return (await cluster.admin_request(asked, "/fleet"))["directors"][number]["boot"]
+async def known_boot_number(cluster, director, number):
+    return (await cluster.admin_request(director, "/fleet"))["directors"][number]["boot"]
 
 
 def test_a_start_interrupted_in_the_sync_of_its_boot_number_has_sent_nothing_and_is_not_counted():
@@ -46,7 +46,7 @@
             await cluster.power_on("n1")
             assert (await node.wait_for_log("state_open"))["boot"] == 2
             await wait_until_all_reach(cluster, names=["n1"])
-            assert sent_since(cluster, "n1", since) and await boot_known_of(cluster, "n0", 1) == 2
+            assert sent_since(cluster, "n1", since) and await known_boot_number(cluster, "n0", 1) == 2
 
     trio.run(main)
 
@@ -65,8 +65,8 @@
                 cluster.power_off("n1")
                 await node.wait_for_exit()
                 announced = [line["boot"] for line in node.find_logs("state_open")]
-                heard_by_peers = [await boot_known_of(cluster, peer, 1) for peer in ("n0", "n2")]
+                known_to_peers = [await known_boot_number(cluster, peer, 1) for peer in ("n0", "n2")]
                 await cluster.power_on("n1")
-                assert (await node.wait_for_log("state_open"))["boot"] > max(announced + heard_by_peers)
+                assert (await node.wait_for_log("state_open"))["boot"] > max(announced + known_to_peers)
 
     trio.run(main)
--- a/tests/test_client_port.py
+++ b/tests/test_client_port.py
@@ -143,16 +143,16 @@
 def test_an_answer_written_in_the_turn_of_a_half_close_is_sent_completely():
     async def check(harness):
         with socket.create_server(("127.0.0.1", 0)) as listener:
-            theirs = socket.create_connection(listener.getsockname())
-            ours, _ = listener.accept()
+            client_side = socket.create_connection(listener.getsockname())
+            server_side, _ = listener.accept()
         front, size = harness.service.client_listener, 4 << 20
-        theirs.setblocking(False)
-        theirs.send(b"x")
-        theirs.shutdown(socket.SHUT_WR)  # the byte and the end are read in one turn of the event loop
-        front._accepted(ours, harness.nursery)
+        client_side.setblocking(False)
+        client_side.send(b"x")
+        client_side.shutdown(socket.SHUT_WR)  # the byte and the end are read in one turn of the event loop
+        front._accepted(server_side, harness.nursery)
         client = next(reversed(front.open))
         client.session.feed = lambda data: client.socket.write(bytes(size)) or True
-        async with trio.SocketStream(trio.socket.from_stdlib_socket(theirs)) as stream:
+        async with trio.SocketStream(trio.socket.from_stdlib_socket(client_side)) as stream:
             assert sum([len(data) async for data in stream]) == size
 
     run_with_director(check)
@@ -161,13 +161,13 @@
 @pytest.mark.parametrize("count, size", [(3, 10), (2000, 1), (3, 1 << 21)])
 def test_the_writes_of_a_turn_are_sent_completely_and_in_order(count, size):
     async def check(harness):
-        ours, theirs = socket.socketpair()
-        ours.setblocking(False)
-        channel = BufferedSocket(ours, harness.nursery, harness.service.write_scheduler)
+        server_side, client_side = socket.socketpair()
+        server_side.setblocking(False)
+        channel = BufferedSocket(server_side, harness.nursery, harness.service.write_scheduler)
         parts = [bytes([i % 256]) * size for i in range(count)]
         for part in parts:
             channel.write(part)
-        async with trio.SocketStream(trio.socket.from_stdlib_socket(theirs)) as stream:
+        async with trio.SocketStream(trio.socket.from_stdlib_socket(client_side)) as stream:
             data = b""
             while len(data) < count * size:
                 data += await stream.receive_some(1 << 20)
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -108,7 +108,7 @@
     ]
 
 
-def run_stage(steps, **options):
+def run_with_operator_endpoint(steps, **options):
     async def main():
         async with director_harness(operator="127.0.0.1:0", **options) as harness:
             await steps(harness)
@@ -144,7 +144,7 @@
         assert harness.service.operations.set_excluded("cache1", True) == ""
         assert metrics(harness)["caches_excluded"] == 1
 
-    run_stage(steps)
+    run_with_operator_endpoint(steps)
 
 
 def test_a_request_queued_for_a_connection_is_not_sent_to_an_excluded_member():
@@ -157,7 +157,7 @@
         assert harness.service.operations.set_excluded("cache1", False) == ""
         assert "no member" in harness.service.operations.set_excluded("cache7", True)
 
-    run_stage(steps, members=("cache1", "upper", "records"))
+    run_with_operator_endpoint(steps, members=("cache1", "upper", "records"))
 
 
 def test_a_reload_keeps_requests_in_flight_and_accepts_new_classes():
@@ -190,4 +190,4 @@
         assert found["requests.other-video.served"] == 1 and found["requests.video.served"] == 2
         assert (found["reloads_ok"], found["reloads_failed"]) == (1, 0)
 
-    run_stage(steps)
+    run_with_operator_endpoint(steps)
--- a/tests/test_order_targets.py
+++ b/tests/test_order_targets.py
@@ -50,10 +50,10 @@
 
 
 def test_an_order_on_a_member_whose_name_has_the_prefix_of_scopes_is_refused():
-    given = MemberOrders(None, None, object()).submit("@checks/1", Order.DRAIN, "kim", True)
+    outcome = MemberOrders(None, None, object()).submit("@checks/1", Order.DRAIN, "kim", True)
 
     async def main():
-        return await given
+        return await outcome
 
     status, error = trio.run(main)
     assert status == 400 and "`member` begins with @" in error
