--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -67,9 +67,6 @@
     assert d.feed(NOW, DatagramReceived(1, data)) == [] and d.receiver.unreadable == 1
 
 
-# The machine
-
-
 def director(count=4, persisted=(), boot=1, now=NOW, **more):
     config = RecoveryConfig(
         0,
