--- a/benchmarks/mixed_versions.py
+++ b/benchmarks/mixed_versions.py
@@ -33,7 +33,6 @@
     ANSWERS_BETWEEN_STEPS,
     PRINTED_ONLY,
     REQUESTS_PER_S,
-    SETTINGS,
     TIMEOUT_S,
     VersionMismatchError,
     differences_by_kind,
@@ -44,6 +43,7 @@
     use_version,
 )
 from rookbend.testing.cluster import allow_probes, open_cluster
+from rookbend.testing.cluster.director_config import OWNERSHIP_SETTINGS
 from rookbend.testing.cluster.process import CHECKOUT
 
 MEMBERS = ("c0", "c1", "c2")
@@ -51,7 +51,7 @@
 
 async def check_stored_data(old: Path, new: Path, seed: int, steps: int) -> int:
     """Starts the versions alternately on the data that the previous one stored; returns the number of starts."""
-    async with open_cluster(directors=3, caches=3, seed=seed, operators=SETTINGS) as cluster:
+    async with open_cluster(directors=3, caches=3, seed=seed, operators=OWNERSHIP_SETTINGS) as cluster:
         cluster.change_settings = allow_probes
         tokens: dict[str, int] = {}
         for step in range(steps):
@@ -78,7 +78,7 @@
 
 async def check_mixed_fleet(old: Path, new: Path, seed: int) -> int:
     """Runs n0 with the old version, n1 and n2 with the new one; returns the number of leases handed over."""
-    async with open_cluster(directors=3, caches=3, seed=seed, operators=SETTINGS) as cluster:
+    async with open_cluster(directors=3, caches=3, seed=seed, operators=OWNERSHIP_SETTINGS) as cluster:
         cluster.change_settings = allow_probes
         use_version(cluster, new)
         use_version(cluster, old, "n0")
@@ -115,7 +115,7 @@
         excluded: list[str] = []
         for checkout, member in ((old, "c1"), (new, "c2"), (old, "c0")):
             use_version(cluster, checkout)
-            # `scene.start` would empty the folder that contains the file.
+            # `cluster.start` would empty the folder that contains the file.
             node.start(cluster.nursery, cluster.config("n0"), cluster.settings_text("n0"))
             await node.wait_for_log("ready")
             for known in excluded:
--- a/benchmarks/operator_interface.py
+++ b/benchmarks/operator_interface.py
@@ -12,6 +12,7 @@
 import trio
 
 from rookbend.testing.cluster import allow_probes, open_cluster
+from rookbend.testing.cluster.director_config import OWNERSHIP_SETTINGS
 from rookbend.testing.cluster.process_cluster import ProcessCluster
 
 REQUESTS_PER_S = 40.0
@@ -20,29 +21,6 @@
 COMMANDS = ([], ["serve"], ["check-config"], ["members"], ["demo"], ["fleet"], ["recovery"], ["version"])
 PRINTED_ONLY = ("help", "log")  # help texts may be reworded; which events a short run logs depends on timing
 ADMIN_PATHS = ("/members", "/background", "/fleet", "/recovery", "/owners")
-SETTINGS = """
-[state]
-    folder {state}
-    fleet  f1
-[recovery]
-    ready-by 2s
-[ownership]
-    lease         1500ms
-    shards        4
-    voters        0 1 2
-    report-ledger {ledger}
-    report-every  1s
-[health]
-    hold 500ms
-[check web]
-    type     http
-    port     9777
-    tier     all
-    interval 1s
-    fast     200ms
-    fall     2
-    stale    4s
-"""
 
 
 class VersionMismatchError(Exception):
@@ -121,7 +99,7 @@
 async def interface_of(checkout: Path, seed: int) -> dict[str, set[str]]:
     """What operators and their tools see of a director in a short run."""
     async with open_cluster(
-        directors=1, caches=3, seed=seed, rate=REQUESTS_PER_S, operators=SETTINGS.replace("0 1 2", "0")
+        directors=1, caches=3, seed=seed, rate=REQUESTS_PER_S, operators=OWNERSHIP_SETTINGS.replace("0 1 2", "0")
     ) as cluster:
         cluster.change_settings = allow_probes
         use_version(cluster, checkout)
--- a/rookbend/testing/cluster/director_config.py
+++ b/rookbend/testing/cluster/director_config.py
@@ -17,6 +17,31 @@
     metrics yes
 {more}
 """
+# Leases in every director, members checked in shards, and the fleet's report. For `open_cluster`, which replaces the
+# words in braces.
+OWNERSHIP_SETTINGS = """
+[state]
+    folder {state}
+    fleet  f1
+[recovery]
+    ready-by 2s
+[ownership]
+    lease         1500ms
+    shards        4
+    voters        0 1 2
+    report-ledger {ledger}
+    report-every  1s
+[health]
+    hold 500ms
+[check web]
+    type     http
+    port     9777
+    tier     all
+    interval 1s
+    fast     200ms
+    fall     2
+    stale    4s
+"""
 PURGE_LIFE_US = 6_000_000
 HEALTH_PORT = 9777  # health port of every member, at the address by which a director knows it
 
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -6,7 +6,6 @@
 MAX_LINES = 250
 # The longer files and their maximum length. When a file shrinks, its entry is lowered to the new length.
 EXCEPTIONS = {
-    "tests/test_leases_processes.py": 260,
     "tests/test_recovery.py": 355,
     "benchmarks/health.py": 346,
     "benchmarks/recovery_sweep.py": 430,
--- a/tests/test_leases_processes.py
+++ b/tests/test_leases_processes.py
@@ -8,35 +8,12 @@
 import trio
 
 from rookbend.testing.cluster import allow_probes, open_cluster
+from rookbend.testing.cluster.director_config import OWNERSHIP_SETTINGS
 from rookbend.testing.cluster.process import AFTER_SEND, BEFORE_SEND, IN_SYNC
 
-OWNERSHIP = """
-[state]
-    folder {state}
-    fleet  f1
-[recovery]
-    ready-by 2s
-[ownership]
-    lease         1500ms
-    shards        4
-    voters        0 1 2
-    report-ledger {ledger}
-    report-every  1s
-[health]
-    hold 500ms
-[check web]
-    type     http
-    port     9777
-    tier     all
-    interval 1s
-    fast     200ms
-    fall     2
-    stale    4s
-"""
-
 
 @asynccontextmanager
-async def fleet(directors=4, rate=0.0, operators=OWNERSHIP, **more):
+async def fleet(directors=4, rate=0.0, operators=OWNERSHIP_SETTINGS, **more):
     async with open_cluster(directors, caches=3, rate=rate, operators=operators, **more) as cluster:
         cluster.change_settings = allow_probes
         await cluster.start()
@@ -180,7 +157,7 @@
 @pytest.mark.long
 def test_with_voters_split_two_and_three_the_side_without_a_majority_owns_nothing():
     async def main():
-        operators = OWNERSHIP.replace("voters        0 1 2", "voters        0 1 2 3 4")
+        operators = OWNERSHIP_SETTINGS.replace("voters        0 1 2", "voters        0 1 2 3 4")
         async with fleet(directors=5, operators=operators) as cluster:
             small, large = ("n0", "n1"), ("n2", "n3", "n4")
             for turn in ((small, large), (("n2", "n3"), ("n0", "n1", "n4"))):
@@ -246,7 +223,7 @@
         return [json.loads(line) for line in path.read_text().splitlines()] if path.exists() else []
 
     async def main():
-        operators = OWNERSHIP.replace("report-ledger {ledger}", f"report-file   {path}")
+        operators = OWNERSHIP_SETTINGS.replace("report-ledger {ledger}", f"report-file   {path}")
         async with fleet(directors=3, operators=operators) as cluster:
             await cluster.wait_until(lambda: len(lines()) >= 2, "two lines")
             old = await with_timeout(wait_for_owner, cluster, "report")
